--- a/internal/core/admit/admit.go
+++ b/internal/core/admit/admit.go
@@ -1,11 +1,11 @@
-// Package admit decides, in one place and in order, which requests run at one
-// instance: it grants slots, queues what can still meet its deadline, refuses
-// the rest early, and cancels.
+// Package admit is the admission control of one instance. It grants slots,
+// queues requests that can still meet their deadline, refuses the others early,
+// and handles cancellation.
 //
-// A Queue has no clock and does no I/O: the caller passes the time in, holds
-// the lock, and carries out the returned decisions. Because start and cancel
-// pass through the same Queue, a request reported as not run can no longer
-// start.
+// A Queue has no clock and does no I/O. The caller passes in the time,
+// serializes the calls, and carries out the returned decisions. Because start
+// and cancel are decided by the same Queue, a request reported as not run can
+// no longer start.
 package admit
 
 import (
@@ -16,47 +16,48 @@
 	"github.com/radishhoist/radishhoist/verdict"
 )
 
-// ID names one request at the Queue; the caller never reuses one.
+// ID identifies a request at a Queue. The caller must not reuse IDs.
 type ID uint64
 
-// Request asks for a slot.
+// Request is a request for a slot.
 type Request struct {
 	ID ID
 	// Class is the fairness class of the caller's team.
 	Class uint32
-	// Priority is 0 to 3; higher runs first. Within, 0 to 3 too, orders those of one
-	// priority: that of the route where the caller's team has one of its own.
+	// Priority is 0 to 3; higher runs first. Within, also 0 to 3, orders requests
+	// of equal Priority. It holds the route's priority where the caller's team
+	// defines a priority of its own.
 	Priority, Within uint8
 	// Deadline is when the caller stops waiting.
 	Deadline time.Time
-	// Objective is until when the answer is worth its whole value; zero means
-	// until the deadline.
+	// Objective is the latency objective as a point in time: an answer by then has
+	// its full value. The zero value means the deadline.
 	Objective time.Time
-	// Expect is how long the request is expected to run; 0 where its front does
-	// not know.
+	// Expect is the expected service time, 0 if the front does not know it.
 	Expect time.Duration
-	// Insist takes a place in the queue also where the answer would miss the
-	// objective: the front has found no better one.
+	// Insist queues the request even if it is expected to miss its objective. A
+	// front sets it when it has no better instance to try.
 	Insist bool
-	// Reserve holds the slot for a later Run in place of starting at once.
+	// Reserve asks for a grant, to be used by a later Run, instead of an
+	// immediate start.
 	Reserve bool
 }
 
-// Action is what the caller does with a request now.
+// Action is what the caller must do with a request.
 type Action uint8
 
 const (
-	// Wait leaves the request in the queue.
+	// Wait keeps the request queued.
 	Wait Action = iota
 	// Start runs the request now.
 	Start
-	// Grant tells the front that its slot is held.
+	// Grant tells the front that a slot is reserved for the request.
 	Grant
-	// Refuse ends the request; it has not run and will not.
+	// Refuse ends the request. It has not run and never will.
 	Refuse
 )
 
-// Decision is the Queue's answer for one request.
+// Decision is the outcome for one request.
 type Decision struct {
 	ID         ID
 	Action     Action
@@ -64,17 +65,17 @@
 	RetryAfter time.Duration
 }
 
-// Config bounds a Queue.
+// Config holds the limits of a Queue.
 type Config struct {
-	// Slots is how many requests the instance runs at once.
+	// Slots is the number of requests the instance runs concurrently.
 	Slots int
-	// QueuePerSlot bounds the waiting requests per slot.
+	// QueuePerSlot is the maximum number of waiting requests per slot.
 	QueuePerSlot int
-	// GrantLife is how long a granted slot waits for its Run.
+	// GrantLife is how long a grant stays valid without a Run.
 	GrantLife time.Duration
 }
 
-// state is a request's place in its life.
+// state is the lifecycle state of a queued or admitted request.
 type state uint8
 
 const (
@@ -83,30 +84,32 @@
 	running
 )
 
+// ticket is the Queue's record of one request.
 type ticket struct {
 	Request
 	state state
-	// late says that it was expected to miss its objective when it was offered.
+	// late reports that the request was expected to miss its objective when offered.
 	late bool
-	// expires is when a grant lapses.
+	// expires is when the grant expires.
 	expires time.Time
 }
 
-// Priorities is the number of priorities, and of the ranks within each.
+// Priorities is the number of values of Request.Priority and of Request.Within.
 const Priorities = 4
 
-// levels is the number of ranks in all.
-const levels = Priorities * Priorities
+// rankCount is the number of combinations of Priority and Within.
+const rankCount = Priorities * Priorities
 
-// level is the request's rank: the priority, then the rank within it.
-func (r *Request) level() int { return int(r.Priority)*Priorities + int(r.Within) }
+// rank orders requests by Priority, then by Within.
+func (r *Request) rank() int { return int(r.Priority)*Priorities + int(r.Within) }
 
 const (
-	// initialService is the service time assumed before any is measured.
+	// initialService is the assumed service time until one has been measured.
 	initialService = 20 * time.Millisecond
-	// serviceWeight is the weight of a new sample in the moving average.
+	// serviceWeight is the weight of a new sample in the moving average of the
+	// service time.
 	serviceWeight = 0.1
-	// minRetryAfter is the least Retry-After of a refusal.
+	// minRetryAfter is the minimum Retry-After of a refusal.
 	minRetryAfter = 50 * time.Millisecond
 )
 
@@ -115,46 +118,46 @@
 	cfg      Config
 	tickets  map[ID]*ticket
 	busy     int
-	levels   [levels]level
+	ranks    [rankCount]rankQueue
 	queued   int
 	service  time.Duration
 	draining bool
 }
 
-// NewQueue makes an empty Queue.
+// NewQueue returns an empty Queue.
 func NewQueue(cfg Config) *Queue {
 	return &Queue{cfg: cfg, tickets: make(map[ID]*ticket), service: initialService}
 }
 
-// Running counts the requests that run or hold a granted slot.
+// Running returns the number of slots in use, by running requests or by grants.
 func (q *Queue) Running() int { return q.busy }
 
-// Queued counts the requests that wait.
+// Queued returns the number of waiting requests.
 func (q *Queue) Queued() int { return q.queued }
 
-// Waiting is the work that waits at each priority, in the time of one slot.
+// Waiting returns, per priority, the sum of the expected service times of the
+// waiting requests.
 func (q *Queue) Waiting() [Priorities]time.Duration {
 	var out [Priorities]time.Duration
-	for l := range q.levels {
-		out[l/Priorities] += q.levels[l].work
+	for rank := range q.ranks {
+		out[rank/Priorities] += q.ranks[rank].work
 	}
 	return out
 }
 
-// Service is the moving average of the service time.
+// Service returns the moving average of the service time.
 func (q *Queue) Service() time.Duration { return q.service }
 
-// Ticket is one request that the Queue holds, for the state dump and tests.
+// Ticket describes a request held by the Queue, for state dumps and tests.
 type Ticket struct {
 	ID ID
 	// State is "waiting", "granted" or "running".
 	State string
 }
 
-// String names the state.
 func (s state) String() string { return [...]string{"waiting", "granted", "running"}[s] }
 
-// Tickets lists the requests that the Queue holds, by ID.
+// Tickets returns the requests held by the Queue, sorted by ID.
 func (q *Queue) Tickets() []Ticket {
 	out := make([]Ticket, 0, len(q.tickets))
 	for id, t := range q.tickets {
@@ -164,25 +167,24 @@
 	return out
 }
 
-// SetSlots changes the number of slots; requests that run are not touched.
+// SetSlots changes the number of slots. Running requests are not affected.
 func (q *Queue) SetSlots(now time.Time, slots int) []Decision {
 	q.cfg.Slots = slots
 	return q.fill(now, nil)
 }
 
-// Drain refuses all that waits and whatever comes later. Granted and running
-// requests go on.
+// Drain refuses all waiting and future requests. Granted and running requests
+// are not affected.
 func (q *Queue) Drain() []Decision {
 	q.draining = true
 	var out []Decision
-	for _, t := range q.takeAll() {
+	for _, t := range q.popAll() {
 		out = append(out, q.refuse(t, verdict.ReasonDraining, 0))
 	}
 	return out
 }
 
-// Revoke takes back every slot that is granted and not used yet; no Run can use
-// it any more.
+// Revoke cancels all unused grants. A later Run for any of them is refused.
 func (q *Queue) Revoke() []Decision {
 	var out []Decision
 	for _, t := range q.tickets {
@@ -194,14 +196,14 @@
 	return out
 }
 
-// Resume undoes Drain, for a planned stop that was taken back.
+// Resume reverses Drain, for a planned stop that was withdrawn.
 func (q *Queue) Resume() { q.draining = false }
 
-// Idle says that nothing runs, waits or holds a grant.
+// Idle reports whether no request is running, waiting or granted.
 func (q *Queue) Idle() bool { return len(q.tickets) == 0 }
 
-// Offer admits one request. The first decision is the request's own; others
-// are for requests that had to give way.
+// Offer submits a request. The first decision is for the request itself, any
+// others are for requests evicted in its favour.
 func (q *Queue) Offer(now time.Time, r Request) []Decision {
 	if q.draining {
 		return []Decision{{ID: r.ID, Action: Refuse, Reason: verdict.ReasonDraining}}
@@ -216,41 +218,43 @@
 	t := &ticket{Request: r}
 	if q.busy < q.cfg.Slots && q.queued == 0 {
 		q.tickets[r.ID] = t
-		return []Decision{q.seat(now, t)}
+		return []Decision{q.assignSlot(now, t)}
 	}
 	wait := q.expectedWait(now, t)
 	end := now.Add(wait + r.Expect)
-	hopeless := end.After(r.Deadline)
-	// A front that can still choose is sent on at once. Beyond a slot's worth
-	// of late work, more of it would only wait for a refusal.
-	if hopeless || t.late && (!r.Insist || q.countLate(now) >= q.cfg.Slots) {
+	missesDeadline := end.After(r.Deadline)
+	// Without Insist the front can still try another instance, so a late request is
+	// refused at once. With Insist, late requests are limited to one per slot: any
+	// more would only wait to be refused.
+	if missesDeadline || t.late && (!r.Insist || q.countLate(now) >= q.cfg.Slots) {
 		return []Decision{{ID: r.ID, Action: Refuse, Reason: verdict.ReasonQueueFull, RetryAfter: max(wait, minRetryAfter)}}
 	}
 	return q.enqueue(t, wait)
 }
 
-// enqueue makes a request wait. In a full queue the newest request of the
-// class that waits most gives way, unless that class is the newcomer's own.
+// enqueue adds a request to the queue. If the queue is full, the newest request
+// of the class with the most waiting requests is evicted, unless that is the
+// newcomer's own class.
 func (q *Queue) enqueue(t *ticket, wait time.Duration) []Decision {
 	out := []Decision{{ID: t.ID, Action: Wait}}
 	if q.queued >= q.cfg.Slots*q.cfg.QueuePerSlot {
-		victim := q.longest(t)
-		if victim == nil {
+		evicted := q.evictionCandidate(t)
+		if evicted == nil {
 			return []Decision{{ID: t.ID, Action: Refuse, Reason: verdict.ReasonQueueFull, RetryAfter: max(wait, minRetryAfter)}}
 		}
-		q.levels[victim.level()].remove(victim)
+		q.ranks[evicted.rank()].remove(evicted)
 		q.queued--
-		out = append(out, q.refuse(victim, verdict.ReasonQueueFull, max(wait, minRetryAfter)))
+		out = append(out, q.refuse(evicted, verdict.ReasonQueueFull, max(wait, minRetryAfter)))
 	}
 	q.tickets[t.ID] = t
-	q.levels[t.level()].push(t)
+	q.ranks[t.rank()].push(t)
 	q.queued++
 	return out
 }
 
-// Run uses up a grant. It answers Start, or Refuse where the grant has lapsed
-// or never was: the clock is checked here again, because the caller may have
-// slept since the grant.
+// Run consumes a grant. It returns Start, or Refuse if the grant has expired or
+// does not exist. Expiry is checked here as well as in Tick, because the process
+// may have been suspended since the grant.
 func (q *Queue) Run(now time.Time, id ID) Decision {
 	t, ok := q.tickets[id]
 	if !ok || t.state != granted {
@@ -264,13 +268,14 @@
 	return Decision{ID: id, Action: Start}
 }
 
-// Cancel gives a request up. It reports NotRun where the request had not
-// started and now never will, MayHaveRun where it runs (the caller stops it
-// and then calls Done), and the decisions for those that move up.
+// Cancel withdraws a request. It returns NotRun if the request had not started
+// and now never will, or MayHaveRun if it is running, in which case the caller
+// stops it and then calls Done. The decisions are for requests that get the
+// freed slot.
 func (q *Queue) Cancel(now time.Time, id ID) (verdict.Verdict, []Decision) {
 	t, ok := q.tickets[id]
 	if !ok {
-		// Refused or finished before; neither can start any more.
+		// Already refused or finished; it cannot start in either case.
 		return verdict.MayHaveRun, nil
 	}
 	switch t.state {
@@ -280,15 +285,15 @@
 		q.free(t)
 		return verdict.NotRun, q.fill(now, nil)
 	default:
-		q.levels[t.level()].remove(t)
+		q.ranks[t.rank()].remove(t)
 		q.queued--
 		delete(q.tickets, id)
 		return verdict.NotRun, nil
 	}
 }
 
-// Done frees the slot of a request that ran. service is its service time, 0
-// where it says nothing about the instance's speed.
+// Done frees the slot of a request that ran. service is its service time, or 0
+// to leave it out of the moving average.
 func (q *Queue) Done(now time.Time, id ID, service time.Duration) []Decision {
 	t, ok := q.tickets[id]
 	if !ok || t.state != running {
@@ -301,8 +306,9 @@
 	return q.fill(now, nil)
 }
 
-// Tick lapses grants and drops waiting requests that can no longer meet their
-// deadline. The caller ticks every few tens of milliseconds.
+// Tick expires grants and refuses waiting requests that can no longer meet their
+// deadline or are past their objective. The caller calls it every few tens of
+// milliseconds.
 func (q *Queue) Tick(now time.Time) []Decision {
 	var out []Decision
 	for _, t := range q.tickets {
@@ -312,9 +318,9 @@
 		}
 	}
 	out = q.fill(now, out)
-	for i := range q.levels {
-		for _, t := range q.levels[i].lost(now) {
-			q.levels[i].remove(t)
+	for i := range q.ranks {
+		for _, t := range q.ranks[i].expired(now) {
+			q.ranks[i].remove(t)
 			q.queued--
 			out = append(out, q.refuse(t, verdict.ReasonDeadline, q.service))
 		}
@@ -322,21 +328,21 @@
 	return out
 }
 
-// fill seats waiting requests while slots are free.
+// fill assigns free slots to waiting requests.
 func (q *Queue) fill(now time.Time, out []Decision) []Decision {
 	for q.busy < q.cfg.Slots && q.queued > 0 {
-		t := q.next(now)
+		t := q.popNext(now)
 		if now.Add(t.Expect).After(t.Deadline) {
 			out = append(out, q.refuse(t, verdict.ReasonDeadline, q.service))
 			continue
 		}
-		out = append(out, q.seat(now, t))
+		out = append(out, q.assignSlot(now, t))
 	}
 	return out
 }
 
-// seat gives a free slot to a request.
-func (q *Queue) seat(now time.Time, t *ticket) Decision {
+// assignSlot gives a free slot to a request.
+func (q *Queue) assignSlot(now time.Time, t *ticket) Decision {
 	q.busy++
 	if t.Reserve {
 		t.state = granted
@@ -347,6 +353,7 @@
 	return Decision{ID: t.ID, Action: Start}
 }
 
+// free releases the slot of a granted or running request.
 func (q *Queue) free(t *ticket) {
 	delete(q.tickets, t.ID)
 	q.busy--
--- a/internal/core/admit/admit_test.go
+++ b/internal/core/admit/admit_test.go
@@ -20,17 +20,17 @@
 	return Request{ID: id, Class: class, Deadline: base.Add(time.Hour)}
 }
 
-// Whatever happens, slots are never overrun, each request is started at most
-// once, and one that was refused or cancelled as not-run never starts.
+// For any sequence of operations, the slots are never exceeded, each request starts
+// at most once, and a request that was refused or cancelled as not run never starts.
 func TestQueueProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q := newTestQueue(rapid.IntRange(1, 4).Draw(t, "slots"))
 		now, next := base, ID(0)
 		started, ended := map[ID]bool{}, map[ID]bool{}
 		running := map[ID]bool{}
-		take := func(ds []Decision) {
+		record := func(ds []Decision) {
 			for _, d := range ds {
-				assert.Assert(t, !ended[d.ID], "a decision for a request that is over")
+				assert.Assert(t, !ended[d.ID], "decision for a request that has already ended")
 				switch d.Action {
 				case Start:
 					assert.Assert(t, !started[d.ID])
@@ -50,10 +50,10 @@
 				r := request(next, uint32(rapid.IntRange(0, 3).Draw(t, "class")))
 				r.Reserve = rapid.Bool().Draw(t, "reserve")
 				r.Deadline = now.Add(time.Duration(rapid.IntRange(1, 3000).Draw(t, "deadline")) * time.Millisecond)
-				take(q.Offer(now, r))
+				record(q.Offer(now, r))
 			case 1:
 				if d := q.Run(now, id); d.Action == Start {
-					take([]Decision{d})
+					record([]Decision{d})
 				}
 			case 2:
 				v, ds := q.Cancel(now, id)
@@ -61,39 +61,39 @@
 					assert.Assert(t, !started[id])
 					ended[id] = true
 				}
-				take(ds)
+				record(ds)
 			case 3:
 				if running[id] {
 					delete(running, id)
 					ended[id] = true
-					take(q.Done(now, id, 10*time.Millisecond))
+					record(q.Done(now, id, 10*time.Millisecond))
 				}
 			default:
-				take(q.Tick(now))
+				record(q.Tick(now))
 			}
 			assert.Assert(t, q.Running() <= q.cfg.Slots && len(running) <= q.cfg.Slots)
 			assert.Assert(t, q.Queued() <= q.cfg.Slots*q.cfg.QueuePerSlot)
 			for p, work := range q.Waiting() {
 				var sum time.Duration
-				q.levels[p].each(func(t *ticket) { sum += t.Expect })
+				q.ranks[p].each(func(t *ticket) { sum += t.Expect })
 				assert.Equal(t, work, sum)
 			}
 		}
 	})
 }
 
-func TestGrantThatLapsedCannotRun(t *testing.T) {
+func TestExpiredGrantCannotRun(t *testing.T) {
 	q := newTestQueue(1)
 	r := request(1, 0)
 	r.Reserve = true
 	assert.Equal(t, q.Offer(base, r)[0].Action, Grant)
-	// The process slept: no Tick has come, and Run reads the clock itself.
+	// The process was suspended, so no Tick has expired the grant.
 	d := q.Run(base.Add(2*time.Second), 1)
 	assert.Equal(t, d.Action, Refuse)
 	assert.Equal(t, q.Running(), 0)
 }
 
-func TestOneTeamsFloodLeavesOthersTheirTurn(t *testing.T) {
+func TestFloodOfOneTeamDoesNotStarveOthers(t *testing.T) {
 	q := newTestQueue(2)
 	id := ID(0)
 	for range 50 {
@@ -103,7 +103,7 @@
 	id++
 	other := id
 	ds := q.Offer(base, request(other, 2))
-	assert.Equal(t, ds[0].Action, Wait, "a team with nothing waiting was refused in a queue full of another's")
+	assert.Equal(t, ds[0].Action, Wait, "a team without waiting requests was refused because another team filled the queue")
 	assert.Equal(t, ds[1].Action, Refuse)
 	q.Done(base, 1, time.Millisecond)
 	started := q.Done(base, 2, time.Millisecond)
@@ -111,10 +111,10 @@
 	for _, tk := range q.Tickets() {
 		ids[tk.ID] = tk.State == "running"
 	}
-	assert.Assert(t, ids[other] || len(started) == 1 && started[0].ID == other, "the other team did not get the next turn but one")
+	assert.Assert(t, ids[other] || len(started) == 1 && started[0].ID == other, "the other team's request was not among the next two to start")
 }
 
-func TestHopelessRequestIsRefusedEarly(t *testing.T) {
+func TestRequestThatCannotMeetDeadlineIsRefusedOnArrival(t *testing.T) {
 	q := newTestQueue(1)
 	q.service = time.Second
 	q.Offer(base, request(1, 0))
@@ -136,8 +136,7 @@
 	assert.Assert(t, q.Idle())
 }
 
-// Slots that were granted and not used are taken back; what runs and what waits is
-// not touched.
+// Revoke cancels unused grants and leaves running and waiting requests alone.
 func TestRevokedGrantsCannotRun(t *testing.T) {
 	now := time.Unix(1000, 0)
 	q := NewQueue(Config{Slots: 2, QueuePerSlot: 2, GrantLife: time.Minute})
@@ -154,9 +153,10 @@
 	assert.Equal(t, q.Queued(), 1)
 }
 
-// A team's priority goes before the route's, which orders what has the same: users saw
-// permits paid late behind plans that were only looked at, once all teams had one priority.
-func TestTheTeamsPriorityGoesBeforeTheRoutes(t *testing.T) {
+// Requests are ordered by the team's priority, and by the route's among equal team
+// priorities. Without the second rule, important routes queued behind unimportant ones
+// as soon as all teams had the same priority.
+func TestTeamPriorityOutranksRoutePriority(t *testing.T) {
 	now := time.Unix(0, 0)
 	q := NewQueue(Config{Slots: 1, QueuePerSlot: 8, GrantLife: time.Second})
 	offer := func(id ID, priority, within uint8) {
--- a/internal/core/admit/fair.go
+++ b/internal/core/admit/fair.go
@@ -2,103 +2,104 @@
 
 import "time"
 
-// Classes is the number of fairness classes. Teams are hashed into them: a
-// bounded number of queues stands for any number of teams, and two teams that
-// share a class share its turn.
+// Classes is the number of fairness classes. Teams are hashed into classes, so
+// that the number of queues is bounded for any number of teams. Teams that hash
+// to the same class share its turn in the round robin.
 const Classes = 64
 
-// level holds the waiting requests of one rank, a first-in-first-out
-// queue a class, served in turn.
-type level struct {
-	classes [Classes][]*ticket
-	count   int
-	turn    int
-	// work is what its requests are expected to take together.
+// rankQueue holds the waiting requests of one rank: a list per fairness class in
+// order of arrival, with the classes served round robin.
+type rankQueue struct {
+	classes   [Classes][]*ticket
+	count     int
+	nextClass int
+	// work is the sum of the expected service times.
 	work time.Duration
 }
 
-func (l *level) push(t *ticket) {
+func (rq *rankQueue) push(t *ticket) {
 	c := t.Class % Classes
-	l.classes[c] = append(l.classes[c], t)
-	l.count++
-	l.work += t.Expect
+	rq.classes[c] = append(rq.classes[c], t)
+	rq.count++
+	rq.work += t.Expect
 }
 
-// pop takes, of the next class in turn that has any, the request that suits and
-// comes first by its due time; the oldest where due times are equal.
-func (l *level) pop(suits func(*ticket) bool, due func(*ticket) time.Time) *ticket {
-	if l.count == 0 {
+// pop removes and returns an eligible request from the next class, in round-robin
+// order, that has one: the request with the earliest key, or the oldest of those
+// with equal keys. It returns nil if no request is eligible.
+func (rq *rankQueue) pop(eligible func(*ticket) bool, key func(*ticket) time.Time) *ticket {
+	if rq.count == 0 {
 		return nil
 	}
 	for i := range Classes {
-		c := (l.turn + i) % Classes
+		c := (rq.nextClass + i) % Classes
 		first := -1
-		for k, t := range l.classes[c] {
-			if suits(t) && (first < 0 || due(t).Before(due(l.classes[c][first]))) {
+		for k, t := range rq.classes[c] {
+			if eligible(t) && (first < 0 || key(t).Before(key(rq.classes[c][first]))) {
 				first = k
 			}
 		}
 		if first < 0 {
 			continue
 		}
-		t := l.classes[c][first]
-		l.classes[c] = append(l.classes[c][:first:first], l.classes[c][first+1:]...)
-		l.count--
-		l.work -= t.Expect
-		l.turn = c + 1
+		t := rq.classes[c][first]
+		rq.classes[c] = append(rq.classes[c][:first:first], rq.classes[c][first+1:]...)
+		rq.count--
+		rq.work -= t.Expect
+		rq.nextClass = c + 1
 		return t
 	}
 	return nil
 }
 
 // each calls f for every waiting request.
-func (l *level) each(f func(*ticket)) {
-	if l.count == 0 {
+func (rq *rankQueue) each(f func(*ticket)) {
+	if rq.count == 0 {
 		return
 	}
-	for _, queue := range l.classes {
+	for _, queue := range rq.classes {
 		for _, t := range queue {
 			f(t)
 		}
 	}
 }
 
-func (l *level) remove(t *ticket) {
+func (rq *rankQueue) remove(t *ticket) {
 	c := t.Class % Classes
-	for i, other := range l.classes[c] {
+	for i, other := range rq.classes[c] {
 		if other == t {
-			l.classes[c] = append(l.classes[c][:i:i], l.classes[c][i+1:]...)
-			l.count--
-			l.work -= t.Expect
+			rq.classes[c] = append(rq.classes[c][:i:i], rq.classes[c][i+1:]...)
+			rq.count--
+			rq.work -= t.Expect
 			return
 		}
 	}
 }
 
-// lost lists the requests that cannot meet their deadline any more, or have waited
-// past their objective.
-func (l *level) lost(now time.Time) []*ticket {
+// expired returns the requests that can no longer meet their deadline or are past
+// their objective.
+func (rq *rankQueue) expired(now time.Time) []*ticket {
 	var out []*ticket
-	l.each(func(t *ticket) {
-		if now.Add(t.Expect).After(t.Deadline) || t.givenUp(now) {
+	rq.each(func(t *ticket) {
+		if now.Add(t.Expect).After(t.Deadline) || t.pastObjective(now) {
 			out = append(out, t)
 		}
 	})
 	return out
 }
 
-// next takes the request that runs next: highest priority first; within it
-// those that still meet their objective, by the objective, before those that do
-// not, by the deadline; classes in turn. Serving the late ones first would make
-// every one behind them late too. Short work, which has near objectives, goes
-// ahead of long work that can wait.
-func (q *Queue) next(now time.Time) *ticket {
-	feasible := func(t *ticket) bool { return t.feasible(now) }
-	any := func(*ticket) bool { return true }
-	for l := levels - 1; l >= 0; l-- {
-		t := q.levels[l].pop(feasible, func(t *ticket) time.Time { return t.Objective })
+// popNext removes and returns the request to run next. Higher ranks go first.
+// Within a rank, requests that can still meet their objective, ordered by
+// objective, go before late ones, ordered by deadline; classes take turns. Serving
+// late requests first would make all those behind them late as well. Ordering by
+// objective lets short requests, whose objectives are near, pass long ones.
+func (q *Queue) popNext(now time.Time) *ticket {
+	inTime := func(t *ticket) bool { return t.meetsObjective(now) }
+	anyTicket := func(*ticket) bool { return true }
+	for rank := rankCount - 1; rank >= 0; rank-- {
+		t := q.ranks[rank].pop(inTime, func(t *ticket) time.Time { return t.Objective })
 		if t == nil {
-			t = q.levels[l].pop(any, func(t *ticket) time.Time { return t.Deadline })
+			t = q.ranks[rank].pop(anyTicket, func(t *ticket) time.Time { return t.Deadline })
 		}
 		if t != nil {
 			q.queued--
@@ -108,35 +109,37 @@
 	return nil
 }
 
-// longest picks who gives way to a newcomer in a full queue: the newest of
-// the class that waits most, at the newcomer's priority or below. nil means
-// the newcomer itself is of the class that waits most.
-func (q *Queue) longest(newcomer *ticket) *ticket {
-	for rank := range newcomer.level() + 1 {
-		l := &q.levels[rank]
-		if l.count == 0 {
+// evictionCandidate selects the request to evict for a newcomer when the queue is
+// full: the newest of the class with the most waiting requests, in the lowest
+// occupied rank up to the newcomer's. It returns nil if the newcomer itself is to be
+// refused: no lower rank has waiting requests, and evicting would not leave the
+// newcomer's class with fewer of them than the other class.
+func (q *Queue) evictionCandidate(newcomer *ticket) *ticket {
+	for rank := range newcomer.rank() + 1 {
+		rq := &q.ranks[rank]
+		if rq.count == 0 {
 			continue
 		}
 		most, class := 0, -1
-		for c := range l.classes {
-			if len(l.classes[c]) > most {
-				most, class = len(l.classes[c]), c
+		for c := range rq.classes {
+			if len(rq.classes[c]) > most {
+				most, class = len(rq.classes[c]), c
 			}
 		}
-		own := len(l.classes[newcomer.Class%Classes])
-		if rank == newcomer.level() && own+1 > most-1 {
+		own := len(rq.classes[newcomer.Class%Classes])
+		if rank == newcomer.rank() && own+1 > most-1 {
 			return nil
 		}
-		return l.classes[class][most-1]
+		return rq.classes[class][most-1]
 	}
 	return nil
 }
 
-// takeAll empties the queue.
-func (q *Queue) takeAll() []*ticket {
+// popAll removes and returns all waiting requests.
+func (q *Queue) popAll() []*ticket {
 	var out []*ticket
 	for q.queued > 0 {
-		out = append(out, q.next(time.Time{}))
+		out = append(out, q.popNext(time.Time{}))
 	}
 	return out
 }
--- a/internal/core/admit/load_test.go
+++ b/internal/core/admit/load_test.go
@@ -9,57 +9,58 @@
 	"gotest.tools/v3/assert"
 )
 
-// moment is one thing that happens in a played load.
-type moment struct {
+// event is a scheduled callback of the simulation.
+type event struct {
 	at time.Time
 	do func(now time.Time)
 }
 
-type moments []moment
+type eventHeap []event
 
-func (m moments) Len() int           { return len(m) }
-func (m moments) Less(i, j int) bool { return m[i].at.Before(m[j].at) }
-func (m moments) Swap(i, j int)      { m[i], m[j] = m[j], m[i] }
-func (m *moments) Push(x any)        { *m = append(*m, x.(moment)) }
-func (m *moments) Pop() any {
-	old := *m
+func (h eventHeap) Len() int           { return len(h) }
+func (h eventHeap) Less(i, j int) bool { return h[i].at.Before(h[j].at) }
+func (h eventHeap) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
+func (h *eventHeap) Push(x any)        { *h = append(*h, x.(event)) }
+func (h *eventHeap) Pop() any {
+	old := *h
 	last := old[len(old)-1]
-	*m = old[:len(old)-1]
+	*h = old[:len(old)-1]
 	return last
 }
 
-// outcome counts what callers got.
-type outcome struct{ sent, inTime, late, refusedAtOnce, refusedLater int }
+// outcome counts the requests by result.
+type outcome struct{ sent, inTime, late, refusedOnArrival, refusedInQueue int }
 
-// play offers requests of 400 ms to an instance of 4 slots: 9 a second, which
-// it can just serve, and 22 a second from second 5 to 15. Their objective is
-// 1.5 s, their deadline 8 s. aimed says that fronts tell the objective.
-func play(aimed bool) outcome {
+// simulate offers requests with a mean service time of 400 ms to an instance with 4
+// slots: 9/s, which is just within its capacity, and 22/s between seconds 5 and 15.
+// The objective is 1.5 s, the deadline 8 s. Requests carry the objective only if
+// byObjective is set.
+func simulate(byObjective bool) outcome {
 	rng := rand.New(rand.NewPCG(7, 11))
 	q := NewQueue(Config{Slots: 4, QueuePerSlot: 8, GrantLife: time.Second})
-	var todo moments
+	var events eventHeap
 	var out outcome
 	arrived := map[ID]time.Time{}
-	var settle func(now time.Time, decisions []Decision, offered ID)
-	settle = func(now time.Time, decisions []Decision, offered ID) {
+	var apply func(now time.Time, decisions []Decision, offered ID)
+	apply = func(now time.Time, decisions []Decision, offered ID) {
 		for _, d := range decisions {
 			id := d.ID
 			switch d.Action {
 			case Start:
-				took := time.Duration((0.2 + 0.4*rng.Float64()) * float64(time.Second))
-				heap.Push(&todo, moment{now.Add(took), func(now time.Time) {
+				service := time.Duration((0.2 + 0.4*rng.Float64()) * float64(time.Second))
+				heap.Push(&events, event{now.Add(service), func(now time.Time) {
 					if now.Sub(arrived[id]) <= 1500*time.Millisecond {
 						out.inTime++
 					} else {
 						out.late++
 					}
-					settle(now, q.Done(now, id, took), 0)
+					apply(now, q.Done(now, id, service), 0)
 				}})
 			case Refuse:
 				if id == offered {
-					out.refusedAtOnce++
+					out.refusedOnArrival++
 				} else {
-					out.refusedLater++
+					out.refusedInQueue++
 				}
 			}
 		}
@@ -71,40 +72,40 @@
 			rate = 22
 		}
 		now = now.Add(time.Duration(rng.ExpFloat64() / rate * float64(time.Second)))
-		heap.Push(&todo, moment{now, func(now time.Time) {
+		heap.Push(&events, event{now, func(now time.Time) {
 			out.sent++
 			r := Request{ID: ID(out.sent), Deadline: now.Add(8 * time.Second), Expect: 400 * time.Millisecond, Insist: true}
-			if aimed {
+			if byObjective {
 				r.Objective = now.Add(1500 * time.Millisecond)
 			}
 			arrived[r.ID] = now
-			settle(now, q.Offer(now, r), r.ID)
+			apply(now, q.Offer(now, r), r.ID)
 		}})
 	}
 	for tick := base; tick.Before(now); tick = tick.Add(20 * time.Millisecond) {
-		heap.Push(&todo, moment{tick, func(now time.Time) { settle(now, q.Tick(now), 0) }})
+		heap.Push(&events, event{tick, func(now time.Time) { apply(now, q.Tick(now), 0) }})
 	}
-	for len(todo) > 0 {
-		m := heap.Pop(&todo).(moment)
-		m.do(m.at)
+	for len(events) > 0 {
+		e := heap.Pop(&events).(event)
+		e.do(e.at)
 	}
 	return out
 }
 
-// A burst of twice what an instance can serve: a queue that goes by the
-// objective serves most of its capacity in time and refuses the rest at once;
-// one that only knows the deadline serves nearly as many, but late, and goes on
-// being late after the burst.
-func TestABurstIsServedInTimeOrRefusedAtOnce(t *testing.T) {
-	plain, aimed := play(false), play(true)
-	t.Logf("by the deadline %+v, by the objective %+v", plain, aimed)
-	assert.Equal(t, plain.sent, aimed.sent)
-	assert.Assert(t, aimed.inTime > plain.inTime*3/2)
-	assert.Assert(t, aimed.late < plain.late/2)
-	assert.Assert(t, aimed.refusedLater < aimed.refusedAtOnce)
+// In a burst of twice the capacity, a queue that knows the objectives uses most of
+// the capacity for requests in time and refuses the rest on arrival. A queue that
+// knows only the deadlines serves nearly as many, but late, and stays late after the
+// burst.
+func TestBurstIsServedWithinObjectiveOrRefusedOnArrival(t *testing.T) {
+	byDeadline, byObjective := simulate(false), simulate(true)
+	t.Logf("deadlines only: %+v; with objectives: %+v", byDeadline, byObjective)
+	assert.Equal(t, byDeadline.sent, byObjective.sent)
+	assert.Assert(t, byObjective.inTime > byDeadline.inTime*3/2)
+	assert.Assert(t, byObjective.late < byDeadline.late/2)
+	assert.Assert(t, byObjective.refusedInQueue < byObjective.refusedOnArrival)
 }
 
-func TestAFrontThatCanChooseIsSentOnAtOnce(t *testing.T) {
+func TestLateRequestIsRefusedUnlessInsisting(t *testing.T) {
 	q := NewQueue(Config{Slots: 1, QueuePerSlot: 4, GrantLife: time.Second})
 	r := Request{ID: 1, Deadline: base.Add(10 * time.Second), Objective: base.Add(time.Second), Expect: 900 * time.Millisecond}
 	assert.Equal(t, q.Offer(base, r)[0].Action, Start)
@@ -116,10 +117,10 @@
 	r.ID, r.Insist = 3, true
 	assert.Equal(t, q.Offer(base, r)[0].Action, Wait)
 	r.ID = 4
-	assert.Equal(t, q.Offer(base, r)[0].Action, Refuse, "late work beyond a slot's worth only waits for a refusal")
+	assert.Equal(t, q.Offer(base, r)[0].Action, Refuse, "late requests beyond one per slot must be refused on arrival")
 }
 
-func TestFeasibleWorkGoesBeforeLateWorkOfItsPriority(t *testing.T) {
+func TestRequestsWithinObjectiveRunBeforeLateOnesOfSamePriority(t *testing.T) {
 	q := NewQueue(Config{Slots: 1, QueuePerSlot: 4, GrantLife: time.Second})
 	offer := func(id ID, priority uint8, objective time.Duration) {
 		q.Offer(base, Request{
@@ -133,12 +134,12 @@
 	offer(4, 0, 10*time.Second)
 	now := base.Add(1500 * time.Millisecond)
 	for _, want := range []ID{3, 2, 4} {
-		started := q.Done(now, started(q), 100*time.Millisecond)
+		started := q.Done(now, runningID(q), 100*time.Millisecond)
 		assert.Equal(t, started[0].ID, want)
 	}
 }
 
-func started(q *Queue) ID {
+func runningID(q *Queue) ID {
 	for _, t := range q.Tickets() {
 		if t.State == "running" {
 			return t.ID
@@ -147,10 +148,10 @@
 	return 0
 }
 
-// A short request whose objective is near goes before the longer ones that
-// wait, so that it is told that there is a place: an instance's own calls come
-// so, and a call that finds no place fails the request that made it.
-func TestShortWorkWithANearObjectiveFindsAPlaceInALongQueue(t *testing.T) {
+// A short request with a near objective runs before longer waiting ones, so it must
+// be queued and not refused. Calls made by an instance while it runs a request are of
+// this kind, and a refused call fails the request that made it.
+func TestShortRequestWithNearObjectiveIsQueuedAheadOfLongOnes(t *testing.T) {
 	q := NewQueue(Config{Slots: 4, QueuePerSlot: 8, GrantLife: time.Second})
 	q.service = 400 * time.Millisecond
 	for id := range ID(12) {
@@ -167,25 +168,26 @@
 	long := Request{ID: 21, Expect: 400 * time.Millisecond, Deadline: base.Add(8 * time.Second), Objective: base.Add(1100 * time.Millisecond)}
 	urgent := long
 	urgent.ID, urgent.Priority, urgent.Objective = 22, 1, base.Add(1500*time.Millisecond)
-	assert.Equal(t, q.Offer(base, long)[0].Action, Wait, "it goes before those that have until 1500 ms")
+	assert.Equal(t, q.Offer(base, long)[0].Action, Wait, "it runs before the requests with an objective of 1500 ms")
 	for id := range ID(3) {
 		more := long
 		more.ID, more.Objective = 30+id, base.Add(1400*time.Millisecond)
 		q.Offer(base, more)
 	}
-	assert.Equal(t, q.Offer(base, urgent)[0].Action, Wait, "a higher priority waits for none of these")
+	assert.Equal(t, q.Offer(base, urgent)[0].Action, Wait, "a higher priority does not wait for lower ones")
 }
 
-// Under lasting overload with work that is in time, one that is late is not held
-// to be refused in the end: it hears at its objective. Held for as long again, 4.02 s
-// were waited for a refusal.
-func TestWhoIsLateIsNotHeldForARefusal(t *testing.T) {
-	const objective, took, tick = 2 * time.Second, 500 * time.Millisecond, 20 * time.Millisecond
+// Under sustained overload, a waiting request is refused when its objective passes.
+// Requests in time run before it, so holding it longer only delays the refusal: with
+// an objective of 2 s, refusals came after up to 4.02 s when late requests were kept
+// for twice the objective.
+func TestLateRequestIsRefusedAtItsObjective(t *testing.T) {
+	const objective, service, tick = 2 * time.Second, 500 * time.Millisecond, 20 * time.Millisecond
 	q := NewQueue(Config{Slots: 2, QueuePerSlot: 8, GrantLife: time.Second})
 	arrived := map[ID]time.Time{}
 	running := map[ID]time.Time{}
 	longest := time.Duration(0)
-	take := func(now time.Time, decisions []Decision) {
+	record := func(now time.Time, decisions []Decision) {
 		for _, d := range decisions {
 			switch d.Action {
 			case Start:
@@ -198,19 +200,19 @@
 	next := ID(0)
 	for now := base; now.Before(base.Add(20 * time.Second)); now = now.Add(tick) {
 		for id, since := range running {
-			if now.Sub(since) >= took {
+			if now.Sub(since) >= service {
 				delete(running, id)
-				take(now, q.Done(now, id, took))
+				record(now, q.Done(now, id, service))
 			}
 		}
-		// Six times what the two slots can serve.
+		// 25 requests per second, six times the capacity of the two slots.
 		if now.Sub(base)%(2*tick) == 0 {
 			next++
 			arrived[next] = now
-			take(now, q.Offer(now, Request{ID: next, Objective: now.Add(objective), Deadline: now.Add(8 * time.Second), Expect: took, Insist: true}))
+			record(now, q.Offer(now, Request{ID: next, Objective: now.Add(objective), Deadline: now.Add(8 * time.Second), Expect: service, Insist: true}))
 		}
-		take(now, q.Tick(now))
+		record(now, q.Tick(now))
 	}
-	t.Logf("the longest wait that was refused: %s", longest)
+	t.Logf("longest wait before a refusal: %s", longest)
 	assert.Assert(t, longest <= objective+2*tick, "%s", longest)
 }
--- a/internal/core/admit/wait.go
+++ b/internal/core/admit/wait.go
@@ -1,25 +1,23 @@
 package admit
 
-import (
-	"time"
-)
+import "time"
 
-// feasible says that a waiting request that starts now meets its objective.
-func (t *ticket) feasible(now time.Time) bool { return !now.Add(t.Expect).After(t.Objective) }
+// meetsObjective reports whether the request meets its objective if it starts now.
+func (t *ticket) meetsObjective(now time.Time) bool { return !now.Add(t.Expect).After(t.Objective) }
 
-// givenUp says that a request has waited until its objective and is given back:
-// others that are still in time go before it, so that under overload it would mostly
-// wait to be refused in the end, and its caller does better to hear when to come
-// back.
-func (t *ticket) givenUp(now time.Time) bool { return now.After(t.Objective) }
+// pastObjective reports whether the request's objective has passed. Such a request
+// is refused: requests that can still meet their objective run before it, so under
+// overload it would mostly wait only to be refused later. An early refusal with
+// Retry-After serves its caller better.
+func (t *ticket) pastObjective(now time.Time) bool { return now.After(t.Objective) }
 
-// countLate counts the waiting requests that miss their objective or are
+// countLate returns the number of waiting requests that miss their objective or are
 // expected to.
 func (q *Queue) countLate(now time.Time) int {
 	late := 0
-	for i := range q.levels {
-		q.levels[i].each(func(t *ticket) {
-			if t.late || !t.feasible(now) {
+	for i := range q.ranks {
+		q.ranks[i].each(func(t *ticket) {
+			if t.late || !t.meetsObjective(now) {
 				late++
 			}
 		})
@@ -27,13 +25,12 @@
 	return late
 }
 
-// expectedWait estimates how long a newcomer waits: until a slot is free, and
-// the work that will go ahead of it, spread over the slots. It also settles
-// whether the newcomer is expected to miss its objective.
+// expectedWait estimates how long a newcomer waits, and sets t.late if it is
+// expected to miss its objective.
 //
-// Counting all work of its priority told short requests with a near objective,
-// such as a target's calls, that there was no place for them, though they would
-// have been next.
+// Only work that runs before the newcomer counts. Counting all work of its priority
+// would refuse short requests with a near objective, such as calls made by targets,
+// although they would be next.
 func (q *Queue) expectedWait(now time.Time, t *ticket) time.Duration {
 	wait := q.waitBehind(now, t)
 	t.late = now.Add(wait + t.Expect).After(t.Objective)
@@ -43,12 +40,14 @@
 	return wait
 }
 
-// waitBehind is the wait behind all that goes before the newcomer.
+// waitBehind returns the expected wait of a newcomer: one service time until a slot
+// is free plus the expected service times of the requests that run before it, divided
+// by the number of slots.
 func (q *Queue) waitBehind(now time.Time, newcomer *ticket) time.Duration {
 	ahead := q.service
-	for l := newcomer.level(); l < levels; l++ {
-		q.levels[l].each(func(t *ticket) {
-			if l > newcomer.level() || t.goesBefore(now, newcomer) {
+	for rank := newcomer.rank(); rank < rankCount; rank++ {
+		q.ranks[rank].each(func(t *ticket) {
+			if rank > newcomer.rank() || t.precedes(now, newcomer) {
 				ahead += t.Expect
 			}
 		})
@@ -56,10 +55,10 @@
 	return ahead / time.Duration(max(q.cfg.Slots, 1))
 }
 
-// goesBefore says that a waiting request runs before a newcomer of its
-// priority, whichever class has its turn: the order of next.
-func (t *ticket) goesBefore(now time.Time, newcomer *ticket) bool {
-	late := t.late || !t.feasible(now)
+// precedes reports whether a waiting request runs before a newcomer of the same rank.
+// It follows the order of popNext, except that it ignores the round robin of classes.
+func (t *ticket) precedes(now time.Time, newcomer *ticket) bool {
+	late := t.late || !t.meetsObjective(now)
 	switch {
 	case late != newcomer.late:
 		return newcomer.late
