--- a/internal/core/detect/detect_test.go
+++ b/internal/core/detect/detect_test.go
@@ -9,41 +9,42 @@
 	"gotest.tools/v3/assert"
 )
 
-// bench judges one instance against peers that are well.
-type bench struct {
+// fixture runs a Detector for one instance against a Reference of healthy peers.
+type fixture struct {
 	rng *rand.Rand
 	now time.Time
 	ref Reference
 	det *Detector
 }
 
-func newBench(p Params) *bench {
-	b := &bench{rng: rand.New(rand.NewPCG(1, 2)), now: time.Unix(5000, 0), det: NewDetector(p)}
+func newFixture(p Params) *fixture {
+	f := &fixture{rng: rand.New(rand.NewPCG(1, 2)), now: time.Unix(5000, 0), det: NewDetector(p)}
 	for range referenceSize {
-		b.ref.Add(b.now, b.draw(1), false)
+		f.ref.Add(f.now, f.draw(1), false)
 	}
-	return b
+	return f
 }
 
-func (b *bench) draw(slow float64) time.Duration {
-	return time.Duration(slow * 0.05 * math.Exp(0.5*b.rng.NormFloat64()) * float64(time.Second))
+func (f *fixture) draw(slow float64) time.Duration {
+	return time.Duration(slow * 0.05 * math.Exp(0.5*f.rng.NormFloat64()) * float64(time.Second))
 }
 
-// until feeds answers, 20 a second, until the judgement changes, and gives the
-// time it took; false after the limit.
-func (b *bench) until(limit time.Duration, peers, own float64, failing float64) (time.Duration, bool) {
-	start := b.now
-	for b.now.Sub(start) < limit {
-		b.now = b.now.Add(50 * time.Millisecond)
-		b.ref.Add(b.now, b.draw(peers), false)
-		if b.det.Answer(b.now, b.ref.At(b.now), b.draw(own), b.rng.Float64() < failing) {
-			return b.now.Sub(start), true
+// runUntilChange feeds 20 answers per second until the health changes and returns the
+// time that took, or false if it has not changed within the limit. peers and own are
+// slowdown factors, failing is the failure rate of the instance.
+func (f *fixture) runUntilChange(limit time.Duration, peers, own float64, failing float64) (time.Duration, bool) {
+	start := f.now
+	for f.now.Sub(start) < limit {
+		f.now = f.now.Add(50 * time.Millisecond)
+		f.ref.Add(f.now, f.draw(peers), false)
+		if f.det.Answer(f.now, f.ref.At(f.now), f.draw(own), f.rng.Float64() < failing) {
+			return f.now.Sub(start), true
 		}
 	}
 	return limit, false
 }
 
-func TestGrayInstancesAreFound(t *testing.T) {
+func TestGrayInstancesAreDetected(t *testing.T) {
 	for _, c := range []struct {
 		name          string
 		params        Params
@@ -57,43 +58,43 @@
 		{"careful, half fail", Careful(), 1, 0.5, 12 * time.Second},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			b := newBench(c.params)
-			took, found := b.until(time.Minute, 1, c.slow, c.failing)
+			f := newFixture(c.params)
+			took, found := f.runUntilChange(time.Minute, 1, c.slow, c.failing)
 			assert.Assert(t, found && took <= c.within, "found %v after %s", found, took)
-			assert.Equal(t, b.det.Health(), Suspect)
+			assert.Equal(t, f.det.Health(), Suspect)
 		})
 	}
 }
 
-func TestHealthyAndOverloadedAreLeftAlone(t *testing.T) {
+func TestHealthyAndOverloadedInstancesAreNotSuspected(t *testing.T) {
 	for _, p := range []Params{Quick(), Careful()} {
-		b := newBench(p)
-		_, alarm := b.until(10*time.Minute, 1, 1, 0)
+		f := newFixture(p)
+		_, alarm := f.runUntilChange(10*time.Minute, 1, 1, 0)
 		assert.Assert(t, !alarm, "a healthy instance became a suspect")
-		// Everybody slows down together.
-		_, alarm = b.until(5*time.Minute, 6, 6, 0)
-		assert.Assert(t, !alarm, "overload of the whole service became evidence against one")
+		// The whole service slows down.
+		_, alarm = f.runUntilChange(5*time.Minute, 6, 6, 0)
+		assert.Assert(t, !alarm, "an overload of the whole service made one instance a suspect")
 	}
 }
 
-func TestShortBurstConvictsNobody(t *testing.T) {
-	b := newBench(Careful())
+func TestShortBurstMakesNoSuspect(t *testing.T) {
+	f := newFixture(Careful())
 	for range 20 {
-		_, alarm := b.until(2*time.Second, 1, 5, 0)
+		_, alarm := f.runUntilChange(2*time.Second, 1, 5, 0)
 		assert.Assert(t, !alarm)
-		_, alarm = b.until(20*time.Second, 1, 1, 0)
+		_, alarm = f.runUntilChange(20*time.Second, 1, 1, 0)
 		assert.Assert(t, !alarm)
 	}
 }
 
-func TestFlapperWaitsLongerEachTime(t *testing.T) {
-	b := newBench(Quick())
+func TestHoldGrowsWithEachRelapse(t *testing.T) {
+	f := newFixture(Quick())
 	var holds []time.Duration
 	for range 4 {
-		_, found := b.until(time.Minute, 1, 5, 0)
+		_, found := f.runUntilChange(time.Minute, 1, 5, 0)
 		assert.Assert(t, found)
-		hold, back := b.until(5*time.Minute, 1, 1, 0)
-		assert.Assert(t, back, "the instance never came back")
+		hold, back := f.runUntilChange(5*time.Minute, 1, 1, 0)
+		assert.Assert(t, back, "the instance did not become healthy again")
 		holds = append(holds, hold)
 	}
 	for i := 1; i < len(holds); i++ {
@@ -102,22 +103,22 @@
 }
 
 func TestStuckRequestsAreEvidence(t *testing.T) {
-	b := newBench(Quick())
+	f := newFixture(Quick())
 	for age := 50 * time.Millisecond; age < 20*time.Second; age *= 2 {
-		b.now = b.now.Add(age)
-		b.ref.Add(b.now, b.draw(1), false)
+		f.now = f.now.Add(age)
+		f.ref.Add(f.now, f.draw(1), false)
 		for range 7 {
-			b.det.Stuck(b.now, b.ref.At(b.now), age)
+			f.det.Stuck(f.now, f.ref.At(f.now), age)
 		}
 	}
-	assert.Equal(t, b.det.Health(), Suspect)
+	assert.Equal(t, f.det.Health(), Suspect)
 }
 
-func TestTooFewPeersConvictNobody(t *testing.T) {
+func TestTooFewSamplesMakeNoSuspect(t *testing.T) {
 	d := NewDetector(Quick())
 	var ref Reference
 	now := time.Unix(1, 0)
-	for range minReference - 1 {
+	for range minSamples - 1 {
 		ref.Add(now, time.Millisecond, false)
 	}
 	for range 1000 {
--- a/internal/core/detect/params.go
+++ b/internal/core/detect/params.go
@@ -1,11 +1,11 @@
-// Package detect judges whether one instance is failing gray, by sequential
-// evidence with an explicit error rate.
+// Package detect detects gray failures of an instance by a sequential test with an
+// explicit false-alarm rate.
 //
-// A guard compares each answer of its instance with a Reference built from
-// the service times of the service's other instances. Two cumulative sum
-// tests run side by side, one on the logarithm of the service time and one on
-// failures. Comparing with peers means that an overload of the whole service,
-// where all slow down together, is no evidence against any of them.
+// A guard compares each answer of its instance with a Reference built from the
+// answers of the service's other instances. Two cumulative sum (CUSUM) tests run
+// in parallel, one on the logarithm of the service time and one on failures.
+// Because of the comparison with peers, an overload that slows down the whole
+// service is not evidence against any one instance.
 package detect
 
 import (
@@ -17,31 +17,33 @@
 
 // Params are the parameters of a Detector. The presets are Quick and Careful.
 type Params struct {
-	// SlowFactor is the slowdown against peers that the test is tuned to
-	// find, as a ratio. Lower finds milder slowdowns and needs more samples.
+	// SlowFactor is the slowdown relative to the peers that the test is designed to
+	// detect, as a ratio. A lower value detects milder slowdowns but needs more
+	// samples.
 	SlowFactor float64
-	// Threshold is the evidence, in nats, at which an instance becomes a
-	// suspect: -ln of the wanted chance of a false alarm at each restart of
-	// the test. Higher is slower and wrong less often.
+	// Threshold is the evidence, in nats, at which an instance becomes a suspect:
+	// -ln of the false-alarm probability at each restart of the test. A higher
+	// value detects later and gives fewer false alarms.
 	Threshold float64
-	// MaxPerSecond bounds the evidence gathered in one second, in nats, so
-	// that a burst of noise shorter than Threshold/MaxPerSecond seconds
-	// cannot make a suspect however many requests it touches.
+	// MaxPerSecond bounds the evidence accumulated in one second, in nats, so that
+	// a burst of noise shorter than Threshold/MaxPerSecond seconds cannot make an
+	// instance a suspect, however many requests it affects.
 	MaxPerSecond float64
-	// ErrorFloor is the least failure rate that counts as normal; it keeps a
-	// service without failures from ejecting for the first one.
+	// ErrorFloor is the minimum failure rate assumed to be normal. Without it, a
+	// service without failures would eject an instance for its first one.
 	ErrorFloor float64
-	// ClearThreshold is the evidence of normal answers, in nats, that a
-	// suspect needs to be trusted again.
+	// ClearThreshold is the evidence of normal service, in nats, at which a suspect
+	// becomes healthy again.
 	ClearThreshold float64
-	// HoldMin is the least time a suspect stays one. It doubles with each
-	// relapse inside FlapWindow, up to HoldMax.
+	// HoldMin is the minimum duration of a suspicion. The duration doubles with
+	// each relapse within FlapWindow, up to HoldMax.
 	HoldMin, HoldMax time.Duration
-	// FlapWindow is how long after its return a suspect counts as relapsed.
+	// FlapWindow is the time after a suspect has become healthy within which a new
+	// suspicion counts as a relapse.
 	FlapWindow time.Duration
 }
 
-// Quick weighs detection time: families wait at a counter.
+// Quick favours fast detection, for services with people waiting for the answers.
 func Quick() Params {
 	return Params{
 		SlowFactor:     2.5,
@@ -55,8 +57,8 @@
 	}
 }
 
-// Careful weighs false ejections: each instance has few slots, so that losing
-// a healthy one starves callers.
+// Careful favours few false ejections, for services whose instances have few slots,
+// where losing a healthy instance leaves callers without capacity.
 func Careful() Params {
 	return Params{
 		SlowFactor:     3,
@@ -70,7 +72,7 @@
 	}
 }
 
-// ForPreset gives the parameters of a Service record's preset.
+// ForPreset returns the parameters of a Service record's preset.
 func ForPreset(preset string) Params {
 	if preset == record.PresetQuick {
 		return Quick()
@@ -78,17 +80,16 @@
 	return Careful()
 }
 
-// Health is a guard's judgement of an instance.
+// Health is a guard's verdict on an instance.
 type Health uint8
 
 const (
-	// Healthy means there is no case against the instance.
+	// Healthy is an instance without sufficient evidence against it.
 	Healthy Health = iota
-	// Suspect asks the choosers to leave the instance out.
+	// Suspect is an instance that fronts should leave out.
 	Suspect
 )
 
-// String names the judgement.
 func (h Health) String() string {
 	if h == Suspect {
 		return "suspect"
@@ -96,7 +97,8 @@
 	return "healthy"
 }
 
-// logSeconds is the scale the slow test works on.
+// logSeconds returns the natural logarithm of a duration in seconds, the scale of the
+// service-time test.
 func logSeconds(d time.Duration) float64 {
 	return math.Log(max(d, time.Microsecond).Seconds())
 }
--- a/internal/core/detect/reference.go
+++ b/internal/core/detect/reference.go
@@ -7,29 +7,29 @@
 )
 
 const (
-	// referenceSize bounds the samples a Reference holds.
+	// referenceSize is the number of samples a Reference holds.
 	referenceSize = 48
-	// referenceAge is how long a sample speaks for the present.
+	// referenceAge is the maximum age of a sample.
 	referenceAge = 15 * time.Second
-	// recentSize is how many of the newest samples show a sudden change of the
-	// whole service, which the older ones still hide.
+	// recentSize is the number of newest samples that are also summarized on their
+	// own, to see a sudden change of the whole service that older samples still hide.
 	recentSize = 7
-	// minReference is the least number of samples that can convict.
-	minReference = 8
-	// minSpread is the least spread of log service times, in nats.
+	// minSamples is the number of samples below which no evidence is counted.
+	minSamples = 8
+	// minSpread is the minimum spread of log service times, in nats.
 	minSpread = 0.25
-	// madScale turns a median absolute deviation into a standard deviation.
+	// madScale converts a median absolute deviation into a standard deviation.
 	madScale = 1.4826
 )
 
-// sample is one answer of some peer instance.
+// sample is one answer of a peer instance.
 type sample struct {
-	at     time.Time
-	log    float64
-	failed bool
+	at      time.Time
+	logTime float64
+	failed  bool
 }
 
-// Reference is what the service's other instances do at present: robust
+// Reference summarizes the recent answers of the service's other instances: robust
 // centre and spread of the log service time, and the failure rate.
 type Reference struct {
 	samples [referenceSize]sample
@@ -41,37 +41,39 @@
 	summary Summary
 }
 
-// Summary is a Reference at one moment.
+// Summary holds the statistics of a Reference at one point in time.
 type Summary struct {
-	// Count is the number of samples that are young enough.
+	// Count is the number of samples not older than referenceAge.
 	Count int
-	// Median and Spread describe ln of the service time in seconds. Median is
-	// the greater one of all samples and of the newest few.
+	// Median and Spread describe ln of the service time in seconds. Median is the
+	// greater of the medians of all samples and of the recentSize newest ones.
 	Median, Spread float64
-	// Failures is the share of failed answers, the greater one likewise.
+	// Failures is the share of failed answers, taken as the greater one in the same
+	// way.
 	Failures float64
 }
 
-// Add takes one answer of another instance of the service.
+// Add adds one answer of a peer instance.
 func (r *Reference) Add(now time.Time, service time.Duration, failed bool) {
-	r.samples[r.next] = sample{at: now, log: logSeconds(service), failed: failed}
+	r.samples[r.next] = sample{at: now, logTime: logSeconds(service), failed: failed}
 	r.next = (r.next + 1) % referenceSize
 	r.count = min(r.count+1, referenceSize)
 	r.dirty = true
 }
 
-// summaryLife is how long a summary is reused while nothing is added.
-const summaryLife = time.Second
+// summaryTTL is how long a summary is reused if no sample is added.
+const summaryTTL = time.Second
 
-// At summarizes the samples that are young enough.
+// At returns the summary of the samples not older than referenceAge.
 func (r *Reference) At(now time.Time) Summary {
-	if !r.dirty && now.Sub(r.asOf) < summaryLife {
+	if !r.dirty && now.Sub(r.asOf) < summaryTTL {
 		return r.summary
 	}
-	r.summary = r.newest(now, referenceSize)
-	// A slowdown or failure of the whole service is no evidence against
-	// anyone while the older samples still speak of the time before.
-	if recent := r.newest(now, recentSize); recent.Count == recentSize {
+	r.summary = r.summarizeNewest(now, referenceSize)
+	// While the older samples still reflect the time before a slowdown or failure of
+	// the whole service, the newest ones prevent it from counting as evidence against
+	// single instances.
+	if recent := r.summarizeNewest(now, recentSize); recent.Count == recentSize {
 		r.summary.Failures = max(r.summary.Failures, recent.Failures)
 		if recent.Failures < 0.5 {
 			r.summary.Median = max(r.summary.Median, recent.Median)
@@ -81,10 +83,11 @@
 	return r.summary
 }
 
-// newest summarizes up to k of the newest samples that are young enough.
-func (r *Reference) newest(now time.Time, k int) Summary {
-	var logs [referenceSize]float64
-	n, whole, failed := 0, 0, 0
+// summarizeNewest summarizes the k newest samples, without those older than
+// referenceAge.
+func (r *Reference) summarizeNewest(now time.Time, k int) Summary {
+	var logTimes [referenceSize]float64
+	n, succeeded, failed := 0, 0, 0
 	for i := 1; i <= min(k, r.count); i++ {
 		s := r.samples[(r.next-i+referenceSize)%referenceSize]
 		if now.Sub(s.at) > referenceAge {
@@ -95,33 +98,34 @@
 			failed++
 			continue
 		}
-		logs[whole] = s.log
-		whole++
+		logTimes[succeeded] = s.logTime
+		succeeded++
 	}
 	out := Summary{Count: n}
-	out.Median, out.Spread = robust(logs[:whole])
+	out.Median, out.Spread = medianAndSpread(logTimes[:succeeded])
 	if n > 0 {
 		out.Failures = float64(failed) / float64(n)
 	}
 	return out
 }
 
-// robust gives the median and the scaled median absolute deviation. It
-// reorders its argument.
-func robust(values []float64) (median, spread float64) {
+// medianAndSpread returns the median and the scaled median absolute deviation. It
+// modifies its argument.
+func medianAndSpread(values []float64) (median, spread float64) {
 	if len(values) == 0 {
 		return 0, minSpread
 	}
 	slices.Sort(values)
-	median = middle(values)
+	median = medianOf(values)
 	for i, v := range values {
 		values[i] = math.Abs(v - median)
 	}
 	slices.Sort(values)
-	return median, max(madScale*middle(values), minSpread)
+	return median, max(madScale*medianOf(values), minSpread)
 }
 
-func middle(sorted []float64) float64 {
+// medianOf returns the median of sorted values.
+func medianOf(sorted []float64) float64 {
 	n := len(sorted)
 	if n%2 == 1 {
 		return sorted[n/2]
