--- a/internal/core/balance/balance.go
+++ b/internal/core/balance/balance.go
@@ -1,9 +1,9 @@
-// Package balance chooses a target among the instances a front may use.
+// Package balance selects a target among the instances a front may use.
 //
-// Every candidate has a cost in seconds: the expected time until its answer is
-// back, and what is lost of the request's value by the chances of a failure and
-// of a late answer and by bytes that cross data centres. The least cost wins. Where there are many
-// candidates, a sample of them is looked at.
+// The cost of a candidate, in seconds, is the expected time until its answer
+// arrives plus the expected loss of the request's value, due to failure, a late
+// answer or traffic between data centres. The candidate with the lowest cost is
+// selected. If there are many candidates, only a random sample is evaluated.
 package balance
 
 import (
@@ -12,83 +12,84 @@
 	"time"
 )
 
-// Candidate is one instance as the chooser sees it.
+// Candidate is one instance as the front sees it.
 type Candidate struct {
 	Slots int
-	// Running is the guard's count when it last told, and Waiting the work that
-	// then waited before this request, in the time of one slot.
+	// Running is the number of running requests in the guard's last load report, and
+	// Waiting the work queued ahead of this request at that time, as the sum of the
+	// expected service times.
 	Running int
 	Waiting time.Duration
-	// LoadAge is how old that count is.
+	// LoadAge is the age of that load report.
 	LoadAge time.Duration
-	// Typical is what an old count is taken to have become.
+	// Typical is the load assumed as the load report gets old.
 	Typical Typical
-	// Pending is how many requests this front has under way there beyond
-	// those that the count already holds.
+	// Pending is the number of requests this front has in flight to the instance
+	// that the load report does not include.
 	Pending int
-	// Service is the expected service time of this request there, 0 where
+	// Service is the expected service time of this request at the instance, 0 if
 	// unknown.
 	Service time.Duration
-	// Path is the round trip to its host, 0 where unknown.
+	// Path is the round-trip time to the instance's host, 0 if unknown.
 	Path time.Duration
-	// Warmth is 0 for an instance that has just started, up to 1.
+	// Warmth rises from 0 just after the instance's start to 1 when it is warmed up.
 	Warmth float64
-	// Local says the instance is in the chooser's data centre.
+	// Local reports whether the instance is in the front's data centre.
 	Local bool
-	// Fails is the chance that the request fails there.
+	// Fails is the probability that the request fails at the instance.
 	Fails float64
 }
 
-// Typical is the load of a service's instances at present as far as is known: by
-// fresh counts, a slot.
+// Typical is the current mean load per slot of a service's instances, from recent
+// load reports.
 type Typical struct {
-	// Running is the share of the slots that are taken, and Waiting the work that
-	// waits before the request.
+	// Running is the share of the slots in use, and Waiting the work queued ahead of
+	// the request.
 	Running float64
 	Waiting time.Duration
 }
 
-// Stakes is what the choice means for one request.
+// Stakes describes what a late or failed answer costs for one request.
 type Stakes struct {
-	// Objective is the time in which the answer is worth its whole value, and
-	// Left how much of it is left.
+	// Objective is the latency objective, and Left the time left of it.
 	Objective, Left time.Duration
-	// FailureWeight is how much of the value a failure takes: 1 for work that
-	// cannot be repeated, less for work that can.
+	// FailureWeight is the share of the value that a failure costs: 1 for requests
+	// that cannot be retried, less for those that can.
 	FailureWeight float64
-	// Distance is what bytes between data centres are worth, as a part of the
-	// value.
+	// Distance is the cost of traffic between data centres, as a share of the value.
 	Distance float64
 }
 
 const (
-	// defaultService stands in for an unknown service time.
+	// defaultService is assumed if the service time is unknown.
 	defaultService = 20 * time.Millisecond
-	// unknownRemotePath stands in for an unknown path to another data centre.
+	// unknownRemotePath is assumed if the round-trip time to another data centre is
+	// unknown.
 	unknownRemotePath = 3 * time.Millisecond
-	// staleAfter is the age at which half of a load count is forgotten.
-	staleAfter = 2 * time.Second
-	// minWarmth keeps a cold instance from never being chosen.
+	// loadHalfLife is the age at which a load report has lost half of its weight
+	// against the typical load.
+	loadHalfLife = 2 * time.Second
+	// minWarmth bounds the cost of a cold instance, so that it still gets requests.
 	minWarmth = 0.05
-	// slowdown is how much longer a request takes at an instance whose slots are
-	// all busy than at an idle one, as a share: instances slow down when they
-	// are nearly full.
-	slowdown = 0.5
-	// valueStake is the time that a request's whole value is worth, in
-	// objectives: it weighs chances against seconds.
-	valueStake = 4.0
-	// lateWorth is what an answer after its objective is worth. Offices differ,
-	// from a tenth to a half.
-	lateWorth = 0.4
-	// jitter spreads the choices of fronts that know the same, as a share.
+	// fullLoadSlowdown is the relative increase of the service time at an instance with
+	// all slots busy, compared with an idle one.
+	fullLoadSlowdown = 0.5
+	// valueWeight converts value into time: losing a request's whole value costs as
+	// much as this many objectives.
+	valueWeight = 4.0
+	// lateValue is the value of an answer after its objective, as a share of the full
+	// value. Deployments put it between 0.1 and 0.5.
+	lateValue = 0.4
+	// jitter is the relative random increase of a cost. It makes fronts with the same
+	// information choose different instances.
 	jitter = 0.1
-	// maxLooks bounds the candidates that one choice looks at. More looks find an
-	// instance that is likelier well; but where many fronts know the same, all find the
-	// same few and crowd there.
-	maxLooks = 12
+	// maxSampled is the number of candidates evaluated for one choice. A larger sample
+	// more often includes a healthy instance, but if many fronts have the same
+	// information, they all select the same few instances and overload them.
+	maxSampled = 12
 )
 
-// Cost estimates what a request costs at a candidate, in seconds.
+// Cost returns the estimated cost of a request at a candidate, in seconds.
 func Cost(c Candidate, s Stakes) float64 {
 	service := c.Service
 	if service <= 0 {
@@ -99,24 +100,25 @@
 		path = unknownRemotePath
 	}
 	slots := float64(max(c.Slots, 1))
-	fresh := math.Exp2(-float64(c.LoadAge) / float64(staleAfter))
+	fresh := math.Exp2(-float64(c.LoadAge) / float64(loadHalfLife))
 	running := fresh*float64(c.Running) + (1-fresh)*c.Typical.Running*slots + float64(c.Pending)
 	waiting := fresh*c.Waiting.Seconds()/slots + (1-fresh)*c.Typical.Waiting.Seconds()
 	busy := min(running/slots, 1)
 	wait := waiting + service.Seconds()*max(running+1-slots, 0)/slots
-	run := (service.Seconds()*(1+slowdown*busy*busy) + wait) / max(c.Warmth, minWarmth)
+	run := (service.Seconds()*(1+fullLoadSlowdown*busy*busy) + wait) / max(c.Warmth, minWarmth)
 	total := path.Seconds() + run
-	value := (1 - c.Fails*s.FailureWeight) * s.worth(total)
+	value := (1 - c.Fails*s.FailureWeight) * s.valueAfter(total)
 	if !c.Local {
 		value -= s.Distance
 	}
-	return total + valueStake*s.Objective.Seconds()*(1-value)
+	return total + valueWeight*s.Objective.Seconds()*(1-value)
 }
 
-// worth is the part of a request's value that an answer after some seconds is
-// expected to have: all of it well within the objective, little well beyond.
-// Service times vary by half of their mean and more, so that it falls slowly.
-func (s Stakes) worth(seconds float64) float64 {
+// valueAfter returns the expected share of its value that a request keeps if its answer
+// is expected after the given time: all of it well before the objective, lateValue
+// well after it. Service times vary by half of their mean and more, so the value
+// falls gradually in between.
+func (s Stakes) valueAfter(seconds float64) float64 {
 	left := s.Left.Seconds()
 	if s.Objective <= 0 {
 		return 1
@@ -126,36 +128,36 @@
 	case seconds <= early*left:
 		return 1
 	case left <= 0 || seconds >= late*left:
-		return lateWorth
+		return lateValue
 	default:
-		return 1 - (1-lateWorth)*(seconds-early*left)/((late-early)*left)
+		return 1 - (1-lateValue)*(seconds-early*left)/((late-early)*left)
 	}
 }
 
-// Pick chooses among n candidates and returns an index, -1 where n is 0.
-// local holds the indexes of those in the own data centre. Where there are more
-// than maxLooks, a random half of the looks goes to local ones.
+// Pick returns the index of the selected one of n candidates, -1 if n is 0. local
+// holds the indexes of the candidates in the front's data centre. If there are more
+// than maxSampled, a random sample of them is evaluated, half of it local.
 func Pick(rng *rand.Rand, n int, local []int, cost func(int) float64) int {
 	if n == 0 {
 		return -1
 	}
 	best, bestCost := -1, math.Inf(1)
-	try := func(i int) {
+	consider := func(i int) {
 		if c := cost(i) * (1 + jitter*rng.Float64()); best < 0 || c < bestCost {
 			best, bestCost = i, c
 		}
 	}
-	if n <= maxLooks {
+	if n <= maxSampled {
 		for i := range n {
-			try(i)
+			consider(i)
 		}
 		return best
 	}
-	for k := range maxLooks {
+	for k := range maxSampled {
 		if k%2 == 0 && len(local) > 0 {
-			try(local[rng.IntN(len(local))])
+			consider(local[rng.IntN(len(local))])
 		} else {
-			try(rng.IntN(n))
+			consider(rng.IntN(n))
 		}
 	}
 	return best
--- a/internal/core/balance/balance_test.go
+++ b/internal/core/balance/balance_test.go
@@ -8,30 +8,30 @@
 	"gotest.tools/v3/assert"
 )
 
-// idle is an instance with nothing against it.
+// idle returns an idle, warm and local instance with a low failure probability.
 func idle() Candidate {
 	return Candidate{Slots: 4, Service: 400 * time.Millisecond, Path: time.Millisecond, Warmth: 1, Local: true, Fails: 0.03}
 }
 
-func once() Stakes {
+func unrepeatable() Stakes {
 	return Stakes{Objective: 1500 * time.Millisecond, Left: 1500 * time.Millisecond, FailureWeight: 1, Distance: 0.03}
 }
 
-func TestWhatCosts(t *testing.T) {
-	again := once()
-	again.FailureWeight = 0.3
+func TestCostOrder(t *testing.T) {
+	repeatable := unrepeatable()
+	repeatable.FailureWeight = 0.3
 	for _, c := range []struct {
 		name          string
 		stakes        Stakes
 		better, worse func(*Candidate)
 	}{
-		{"a likely failure", once(), func(*Candidate) {}, func(c *Candidate) { c.Fails = 0.5 }},
-		{"a likely failure, against a queue that still meets the objective", once(), func(c *Candidate) { c.Running, c.Waiting = 4, 1200*time.Millisecond }, func(c *Candidate) { c.Fails = 0.6 }},
-		{"a queue that misses the objective, against a doubtful instance", once(), func(c *Candidate) { c.Fails = 0.3 }, func(c *Candidate) { c.Running, c.Waiting = 4, 12*time.Second }},
-		{"another data centre", once(), func(*Candidate) {}, func(c *Candidate) { c.Local, c.Path = false, 2*time.Millisecond }},
-		{"a failure costs more than distance", once(), func(c *Candidate) { c.Local = false }, func(c *Candidate) { c.Fails = 0.2 }},
-		{"a cold start", once(), func(*Candidate) {}, func(c *Candidate) { c.Warmth = 0.3 }},
-		{"a busy instance", again, func(*Candidate) {}, func(c *Candidate) { c.Running = 4 }},
+		{"a probable failure", unrepeatable(), func(*Candidate) {}, func(c *Candidate) { c.Fails = 0.5 }},
+		{"a probable failure against a queue that still meets the objective", unrepeatable(), func(c *Candidate) { c.Running, c.Waiting = 4, 1200*time.Millisecond }, func(c *Candidate) { c.Fails = 0.6 }},
+		{"a queue that misses the objective against a moderate failure probability", unrepeatable(), func(c *Candidate) { c.Fails = 0.3 }, func(c *Candidate) { c.Running, c.Waiting = 4, 12*time.Second }},
+		{"another data centre", unrepeatable(), func(*Candidate) {}, func(c *Candidate) { c.Local, c.Path = false, 2*time.Millisecond }},
+		{"a failure costs more than distance", unrepeatable(), func(c *Candidate) { c.Local = false }, func(c *Candidate) { c.Fails = 0.2 }},
+		{"a cold start", unrepeatable(), func(*Candidate) {}, func(c *Candidate) { c.Warmth = 0.3 }},
+		{"a busy instance", repeatable, func(*Candidate) {}, func(c *Candidate) { c.Running = 4 }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			better, worse := idle(), idle()
@@ -42,23 +42,23 @@
 	}
 }
 
-func TestPickFindsTheLeastAmongFewAndLooksAtABoundedNumberOfMany(t *testing.T) {
+func TestPickTakesTheCheapestOfFewAndSamplesMany(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	assert.Equal(t, Pick(rng, 0, nil, nil), -1)
 	for range 100 {
 		assert.Equal(t, Pick(rng, 9, nil, func(i int) float64 { return float64(1 + 10*(i+3)%9) }), 6)
 	}
-	looks := 0
-	Pick(rng, 10000, []int{1, 2, 3}, func(int) float64 { looks++; return 1 })
-	assert.Equal(t, looks, maxLooks)
+	evaluated := 0
+	Pick(rng, 10000, []int{1, 2, 3}, func(int) float64 { evaluated++; return 1 })
+	assert.Equal(t, evaluated, maxSampled)
 }
 
-// Fronts that know the same do not all choose the same.
-func TestEqualInstancesShareTheWork(t *testing.T) {
+// Fronts with the same information must not all choose the same instance.
+func TestEqualInstancesAreChosenEvenly(t *testing.T) {
 	rng := rand.New(rand.NewPCG(3, 4))
 	counts := make([]int, 8)
 	for range 8000 {
-		counts[Pick(rng, 8, nil, func(int) float64 { return Cost(idle(), once()) })]++
+		counts[Pick(rng, 8, nil, func(int) float64 { return Cost(idle(), unrepeatable()) })]++
 	}
 	for _, n := range counts {
 		assert.Assert(t, n > 800 && n < 1200, "%v", counts)
