--- a/internal/core/eject/eject.go
+++ b/internal/core/eject/eject.go
@@ -1,9 +1,9 @@
-// Package eject decides which suspects a front leaves out so that a service
-// never falls below its floor.
+// Package eject decides which suspect instances a front leaves out, without taking
+// a service below its capacity floor.
 //
-// The rule is one total order on shared evidence: worst evidence first, ties
-// by name. Fronts with the same evidence leave out the same instances without
-// agreeing on anything else.
+// Suspects are considered in a total order: highest evidence first, ties by name.
+// Fronts with the same evidence therefore leave out the same instances without any
+// other coordination.
 package eject
 
 import (
@@ -12,35 +12,36 @@
 	"github.com/radishhoist/radishhoist/record"
 )
 
-// Member is one instance as the rule sees it.
+// Member is one instance of the service.
 type Member struct {
 	Name  string
 	Slots int
-	// Usable is false for instances that are leaving, dead, cold or
-	// unreachable: they count against the healthy capacity before any suspect.
+	// Usable is false for instances that are leaving, dead, cold or unreachable. They
+	// reduce the healthy capacity before any suspect is left out.
 	Usable bool
-	// Suspect asks for the instance to be left out.
+	// Suspect marks the instance as a candidate to be left out.
 	Suspect bool
-	// Evidence ranks suspects, higher is worse.
+	// Evidence ranks suspects; higher is worse.
 	Evidence uint32
 }
 
-// Result is the outcome of the rule.
+// Result is the outcome of Apply.
 type Result struct {
-	// Out marks the members that are left out, by index.
+	// Out reports which members are left out, by index.
 	Out []bool
-	// Healthy is the capacity that remains, in slots.
+	// Healthy is the remaining capacity, in slots.
 	Healthy int
 	// Required is the floor, in slots.
 	Required int
-	// Known is the service's whole capacity, in slots.
+	// Known is the total capacity of all members, in slots.
 	Known int
-	// Kept counts suspects that stay only because of the floor.
+	// Kept is the number of suspects that remain in use because of the floor.
 	Kept int
 }
 
-// Apply runs the rule. Required slots are the floor's percentage of all known
-// slots, rounded up; the floor's number of instances holds as well.
+// Apply decides which members to leave out. The required capacity is the floor's
+// percentage of all known slots, rounded up. The floor's number of instances, at
+// least one, must remain usable as well.
 func Apply(members []Member, floor record.Floor) Result {
 	res := Result{Out: make([]bool, len(members))}
 	usable := 0
@@ -57,7 +58,7 @@
 		}
 	}
 	res.Required = (res.Known*floor.Percent + 99) / 100
-	sort.Slice(suspects, func(a, b int) bool { return worse(members[suspects[a]], members[suspects[b]]) })
+	sort.Slice(suspects, func(a, b int) bool { return ranksWorse(members[suspects[a]], members[suspects[b]]) })
 	for _, i := range suspects {
 		left := res.Healthy - members[i].Slots
 		if left < res.Required || usable-1 < max(floor.Instances, 1) {
@@ -71,7 +72,8 @@
 	return res
 }
 
-func worse(a, b Member) bool {
+// ranksWorse reports whether a is left out before b.
+func ranksWorse(a, b Member) bool {
 	if a.Evidence != b.Evidence {
 		return a.Evidence > b.Evidence
 	}
--- a/internal/core/eject/eject_test.go
+++ b/internal/core/eject/eject_test.go
@@ -39,23 +39,23 @@
 		assert.Assert(t, !ejected || left >= r.Required, "ejected to %d below the floor of %d", left, r.Required)
 		assert.Assert(t, usable == 0 || left > 0)
 		// The order in which members are listed must not matter.
-		back := make([]Member, n)
+		reversed := make([]Member, n)
 		for i := range members {
-			back[n-1-i] = members[i]
+			reversed[n-1-i] = members[i]
 		}
-		again := Apply(back, floor)
+		reversedResult := Apply(reversed, floor)
 		for i := range members {
-			assert.Equal(t, again.Out[n-1-i], r.Out[i])
+			assert.Equal(t, reversedResult.Out[n-1-i], r.Out[i])
 		}
 	})
 }
 
-func TestDeadCountAgainstCapacityFirst(t *testing.T) {
+func TestUnusableInstancesUseUpTheCapacityMarginFirst(t *testing.T) {
 	members := []Member{
 		{Name: "a", Slots: 5, Usable: false}, {Name: "b", Slots: 5, Usable: true, Suspect: true, Evidence: 9},
 		{Name: "c", Slots: 5, Usable: true}, {Name: "d", Slots: 5, Usable: true},
 	}
 	r := Apply(members, record.Floor{Percent: 75})
-	assert.Equal(t, r.Out[1], false, "a suspect was left out although a dead one has used up the room")
+	assert.Equal(t, r.Out[1], false, "a suspect was left out although a dead instance already brings the service to its floor")
 	assert.Equal(t, r.Kept, 1)
 }
