--- a/internal/core/chance/chance.go
+++ b/internal/core/chance/chance.go
@@ -1,13 +1,13 @@
-// Package chance estimates how likely an instance is to fail the next request,
-// from every outcome that its guard sees.
+// Package chance estimates the probability that an instance fails the next request,
+// from the outcomes observed by its guard.
 //
-// Instances that fail gray do so by turns: for some seconds most of their
-// answers are failures, and then they are well again. With a few requests a
-// second at each instance a count of failures is too slow. The model has two
-// states, well and sick, that last for times without memory, and the estimate
-// is the probability of the sick one given all outcomes (a hidden Markov model
-// filtered forward). It moves with each outcome, and drifts back to what is
-// usual while nothing is heard. The package does no I/O.
+// Gray failures are intermittent: for some seconds most answers of an instance are
+// failures, then it works normally again. At a few requests per second and instance,
+// a failure count reacts too slowly. The package uses a hidden Markov model with two
+// states, well and sick, whose durations are exponentially distributed. The estimate
+// is the probability of the sick state given all outcomes so far (forward
+// filtering). Each outcome updates it, and without outcomes it decays towards the
+// steady state. The package does no I/O.
 package chance
 
 import (
@@ -15,68 +15,69 @@
 	"time"
 )
 
-// Model says what is assumed of instances. Being wrong by a factor of two in
-// any of it moves the estimate little: one failure is strong evidence under
-// all of them.
+// Model holds the assumed parameters of an instance. The estimate is not sensitive to
+// an error of a factor of two in any of them: a single failure is strong evidence in
+// each case.
 type Model struct {
-	// WellFor and SickFor are the mean times that the two states last.
+	// WellFor and SickFor are the mean durations of the two states.
 	WellFor, SickFor time.Duration
-	// WellFails and SickFails are the shares of requests that fail in them.
+	// WellFails and SickFails are the failure probabilities in the two states.
 	WellFails, SickFails float64
 }
 
-// Default suits instances that are sick for several seconds at a time.
+// Default is a Model for instances that are sick for several seconds at a time.
 func Default() Model {
 	return Model{WellFor: 30 * time.Second, SickFor: 12 * time.Second, WellFails: 0.03, SickFails: 0.8}
 }
 
-// usual is the share of the time that an instance is sick.
-func (m Model) usual() float64 {
+// steadyStateSick returns the long-run share of time in which an instance is sick.
+func (m Model) steadyStateSick() float64 {
 	return m.SickFor.Seconds() / (m.SickFor.Seconds() + m.WellFor.Seconds())
 }
 
-// rate is how fast an estimate drifts back to the usual share, a second.
-func (m Model) rate() float64 { return 1/m.WellFor.Seconds() + 1/m.SickFor.Seconds() }
+// decayRate returns the rate, per second, at which an estimate decays towards the
+// steady state.
+func (m Model) decayRate() float64 { return 1/m.WellFor.Seconds() + 1/m.SickFor.Seconds() }
 
-// Estimate is what is known of one instance at a moment. The zero value knows
-// nothing yet.
+// Estimate is the probability that one instance is sick, as of its last outcome. The
+// zero value has no outcomes.
 type Estimate struct {
 	sick float64
 	at   time.Time
 }
 
-// At gives an estimate as it was told by its guard.
+// At returns an Estimate with a value reported by the instance's guard.
 func At(now time.Time, sick float64) Estimate {
 	return Estimate{sick: min(max(sick, 0), 1), at: now}
 }
 
-// Sick is the probability that the instance is in its sick state.
+// Sick returns the probability that the instance is in the sick state.
 func (e *Estimate) Sick(now time.Time, m Model) float64 {
 	if e.at.IsZero() {
-		return m.usual()
+		return m.steadyStateSick()
 	}
-	fade := math.Exp(-m.rate() * max(now.Sub(e.at).Seconds(), 0))
-	return m.usual() + (e.sick-m.usual())*fade
+	decay := math.Exp(-m.decayRate() * max(now.Sub(e.at).Seconds(), 0))
+	return m.steadyStateSick() + (e.sick-m.steadyStateSick())*decay
 }
 
-// silentDoubt is how much an estimate may rise by silence alone.
-const silentDoubt = 0.05
+// maxSilentDoubt is the level up to which Doubt rises without new outcomes.
+const maxSilentDoubt = 0.05
 
-// Doubt is Sick as a choice among instances should take it. An instance of which nothing
-// is heard may have turned sick, but to leave it out for that would keep anything from
-// being heard of it: silence alone raises the doubt to silentDoubt at most. A failure that
-// was seen is forgotten as Sick forgets it.
+// Doubt returns the probability of the sick state for use in selecting an instance. An
+// instance without recent outcomes may have become sick, but if it were avoided for that
+// reason, there would never be new outcomes. Time alone therefore raises Doubt to
+// maxSilentDoubt at most. After an observed failure, Doubt decays like Sick.
 func (e *Estimate) Doubt(now time.Time, m Model) float64 {
-	return min(e.Sick(now, m), max(e.sick, silentDoubt))
+	return min(e.Sick(now, m), max(e.sick, maxSilentDoubt))
 }
 
-// Fails is the chance to be reckoned with that the next request fails.
+// Fails returns the probability that the next request fails, based on Doubt.
 func (e *Estimate) Fails(now time.Time, m Model) float64 {
 	sick := e.Doubt(now, m)
 	return sick*m.SickFails + (1-sick)*m.WellFails
 }
 
-// Saw takes the outcome of one request.
+// Saw updates the estimate with the outcome of one request.
 func (e *Estimate) Saw(now time.Time, failed bool, m Model) {
 	sick := e.Sick(now, m)
 	ifSick, ifWell := 1-m.SickFails, 1-m.WellFails
--- a/internal/core/chance/chance_test.go
+++ b/internal/core/chance/chance_test.go
@@ -11,10 +11,10 @@
 
 var start = time.Unix(1000, 0)
 
-func TestOneFailureMovesTheEstimateAndTimeBringsItBack(t *testing.T) {
+func TestOneFailureRaisesTheEstimateAndItDecays(t *testing.T) {
 	m := Default()
 	var e Estimate
-	assert.Equal(t, e.Sick(start, m), m.usual())
+	assert.Equal(t, e.Sick(start, m), m.steadyStateSick())
 	e.Saw(start, true, m)
 	assert.Assert(t, e.Sick(start, m) > 0.8)
 	assert.Assert(t, e.Sick(start.Add(15*time.Second), m) < 0.45)
@@ -25,7 +25,7 @@
 	assert.Assert(t, e.Sick(start, m) < 0.15)
 }
 
-func TestAnEstimateStaysAProbability(t *testing.T) {
+func TestEstimateIsAProbability(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m, e, now := Default(), Estimate{}, start
 		for range rapid.IntRange(1, 300).Draw(t, "outcomes") {
@@ -40,22 +40,17 @@
 	})
 }
 
-// What users saw: equal instances, all well, of which some were left out for many seconds
-// after they had started or had had nothing to do.
-//
-// Order of events: nothing is heard of an instance for some seconds. The estimate drifts to
-// the share of the time for which instances are sick, and the choice takes that for what
-// is known of it. So nothing is ever heard of it.
-//
-// Cause: not knowing weighed as much as having seen a failure some time ago.
-//
-// Evidence: in a fleet of 354 equal instances at a tenth of their slots 58 of 2,478 spans of
-// 5 s brought an instance less than half of its share.
-func TestSilenceIsHardlyHeldAgainstAnInstance(t *testing.T) {
+// Guards against equal, healthy instances that get no requests for many seconds after a
+// start or an idle time. Without outcomes the estimate decays to the steady state. When
+// the choice of an instance used that value, an instance without outcomes was avoided like
+// one that had failed some time ago, and so never got new outcomes. In a fleet of 354
+// equal instances at a tenth of their slots, an instance got less than half of its share
+// in 58 of 2,478 intervals of 5 s.
+func TestSilenceRaisesDoubtOnlySlightly(t *testing.T) {
 	m := Default()
 	const rounding = 1e-9
 	var unknown Estimate
-	assert.Equal(t, unknown.Doubt(start, m), silentDoubt, "one that has just started")
+	assert.Equal(t, unknown.Doubt(start, m), maxSilentDoubt, "an instance that has just started")
 	rapid.Check(t, func(t *rapid.T) {
 		e := At(start, rapid.Float64Range(0, 1).Draw(t, "sick"))
 		now := start
@@ -63,22 +58,22 @@
 			now = now.Add(time.Duration(rapid.IntRange(0, 5000).Draw(t, "gapMS")) * time.Millisecond)
 			e.Saw(now, rapid.Bool().Draw(t, "failed"), m)
 		}
-		heard := e.Doubt(now, m)
+		observed := e.Doubt(now, m)
 		later := now.Add(time.Duration(rapid.IntRange(0, 100000).Draw(t, "silentMS")) * time.Millisecond)
 		doubt := e.Doubt(later, m)
-		assert.Assert(t, doubt <= max(heard, silentDoubt)+rounding, "silence alone")
+		assert.Assert(t, doubt <= max(observed, maxSilentDoubt)+rounding, "silence alone raised the doubt above its limit")
 		assert.Assert(t, doubt <= e.Sick(later, m)+rounding)
-		if heard > m.usual() {
-			assert.Equal(t, doubt, e.Sick(later, m), "what was seen is forgotten as before")
+		if observed > m.steadyStateSick() {
+			assert.Equal(t, doubt, e.Sick(later, m), "an observed failure must decay like Sick")
 		}
 	})
 }
 
-// Eight instances, each sick a quarter of the time for 6 s at a time, and 30
-// requests a second that must not be repeated beside 20 that explore. Work that
-// goes where the estimate is least fails far less often than work placed at
-// random, which fails about a fifth of the time.
-func TestPlacingByTheEstimateAvoidsSickInstances(t *testing.T) {
+// Eight instances change between the well and the sick state as in the default model.
+// Of 50 requests per second, 60% cannot be repeated and go to the instance with the lowest
+// estimate; the others go to a random one. Placement by estimate must fail far less often
+// than random placement.
+func TestPlacementByEstimateAvoidsSickInstances(t *testing.T) {
 	const instances, perSecond, unrepeatable, seconds = 8, 50, 0.6, 600
 	m := Default()
 	rng := rand.New(rand.NewPCG(1, 2))
@@ -110,19 +105,19 @@
 			if fails(i) {
 				random++
 			}
-			i = least(estimates, now, m, rng)
+			i = leastSick(estimates, now, m, rng)
 			if fails(i) {
 				failed++
 			}
 		}
 		estimates[i].Saw(now, fails(i), m)
 	}
-	byEstimate, byChance := float64(failed)/float64(sent), float64(random)/float64(sent)
-	t.Logf("failed: %.3f by the estimate, %.3f at random", byEstimate, byChance)
-	assert.Assert(t, byEstimate < 0.4*byChance)
+	byEstimate, atRandom := float64(failed)/float64(sent), float64(random)/float64(sent)
+	t.Logf("failed: %.3f by the estimate, %.3f at random", byEstimate, atRandom)
+	assert.Assert(t, byEstimate < 0.4*atRandom)
 }
 
-func least(all []Estimate, now time.Time, m Model, rng *rand.Rand) int {
+func leastSick(all []Estimate, now time.Time, m Model, rng *rand.Rand) int {
 	best := rng.IntN(len(all))
 	for i := range all {
 		if all[i].Sick(now, m) < all[best].Sick(now, m) {
--- a/internal/core/chance/share.go
+++ b/internal/core/chance/share.go
@@ -6,32 +6,32 @@
 )
 
 const (
-	// shareWeight is the weight of a new outcome in a Share: about ten outcomes
-	// settle it.
+	// shareWeight is the weight of a new outcome in a Share, which therefore reflects
+	// about the last ten outcomes.
 	shareWeight = 0.1
-	// shareHalf is the time in which half of a Share is forgotten: what is
-	// avoided for it is tried again some seconds later.
-	shareHalf = 3 * time.Second
+	// shareHalfLife is the half-life of a Share without outcomes. It lets an instance
+	// that is avoided because of its Share be tried again after some seconds.
+	shareHalfLife = 3 * time.Second
 )
 
-// Share is the share of recent outcomes that were of one kind, forgotten as time
-// goes by. The zero value has seen none.
+// Share is a moving average of the share of outcomes that are of one kind. It decays
+// over time. The zero value has no outcomes.
 type Share struct {
 	value float64
 	at    time.Time
 }
 
-// ShareAt gives a share as it was told by another process.
+// ShareAt returns a Share with a value reported by another process.
 func ShareAt(now time.Time, value float64) Share {
 	return Share{value: min(max(value, 0), 1), at: now}
 }
 
-// Now is the share at a moment.
+// Now returns the value at the given time.
 func (s *Share) Now(now time.Time) float64 {
-	return s.value * math.Exp2(-max(now.Sub(s.at), 0).Seconds()/shareHalf.Seconds())
+	return s.value * math.Exp2(-max(now.Sub(s.at), 0).Seconds()/shareHalfLife.Seconds())
 }
 
-// Saw takes one outcome.
+// Saw adds one outcome; is reports whether it is of the kind counted.
 func (s *Share) Saw(now time.Time, is bool) {
 	x := 0.0
 	if is {
--- a/internal/core/chance/share_test.go
+++ b/internal/core/chance/share_test.go
@@ -7,7 +7,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestAShareFollowsOutcomesAndIsForgotten(t *testing.T) {
+func TestShareFollowsOutcomesAndDecays(t *testing.T) {
 	now := time.Unix(1000, 0)
 	var s Share
 	assert.Equal(t, s.Now(now), 0.0)
@@ -19,7 +19,7 @@
 		s.Saw(now, false)
 	}
 	assert.Assert(t, s.Now(now) < 0.4)
-	told := ShareAt(now, 0.8)
-	assert.Assert(t, told.Now(now.Add(3*time.Second)) < 0.41)
-	assert.Assert(t, told.Now(now.Add(-time.Second)) <= 0.8, "a clock that is behind does not raise it")
+	reported := ShareAt(now, 0.8)
+	assert.Assert(t, reported.Now(now.Add(3*time.Second)) < 0.41)
+	assert.Assert(t, reported.Now(now.Add(-time.Second)) <= 0.8, "a time before the report must not raise the value")
 }
