--- a/internal/core/retry/origin.go
+++ b/internal/core/retry/origin.go
@@ -6,43 +6,44 @@
 )
 
 const (
-	// originHalf is the time in which half of what was seen of a route is
-	// forgotten.
-	originHalf = 30 * time.Second
-	// callersShare is the share of a route's requests that begin on hosts where
-	// nothing runs from which on they are callers' own: at the offices a fifth
-	// of callers' requests do, even under the heaviest load, and hardly any
-	// call, which needs a run that makes it.
-	callersShare = 0.05
-	// callersLeast is how many such requests must have been seen.
-	callersLeast = 1.5
-	// callsShare is the share up to which a route's requests are calls, and callsLeast
-	// how many must have been seen: of a run that has just been broken off, a call may
-	// begin where nothing runs.
-	callsShare = 0.01
-	callsLeast = 40
-	// maxOrigins bounds the routes that are remembered.
+	// originHalfLife is the half-life of the request counts of a route.
+	originHalfLife = 30 * time.Second
+	// minCallerShare is the share of requests from idle hosts from which on a route is
+	// taken to be used by callers. In deployments, a fifth of the callers' requests
+	// begin on idle hosts even under the highest load, but hardly any calls do, since
+	// a call needs a run that makes it.
+	minCallerShare = 0.05
+	// minCallerRequests is the minimum count of requests from idle hosts for that.
+	minCallerRequests = 1.5
+	// maxCallIdleShare is the share of requests from idle hosts up to which a route is
+	// taken to be used by calls only, and minCallRequests the minimum count of requests
+	// for that. The share is not 0, because a call of a run that has just been aborted
+	// may begin on an idle host.
+	maxCallIdleShare = 0.01
+	minCallRequests  = 40
+	// maxOrigins is the maximum number of routes tracked.
 	maxOrigins = 4096
 )
 
-// Origins tells the routes that callers use from those that only instances do,
-// for the calls that they make while they run a request. It is not safe for
-// concurrent use.
+// Origins distinguishes the routes that callers use from those used only for calls, which
+// are requests made by instances while they run a request. It is not safe for concurrent
+// use.
 type Origins struct {
 	byRoute map[uint32]*origin
 }
 
-// origin is what was seen of one route's requests, fading with time.
+// origin holds the exponentially decaying request counts of one route: those that began
+// on idle hosts, and all.
 type origin struct {
-	idle, all float64
-	at        time.Time
+	fromIdle, total float64
+	at              time.Time
 }
 
-// NewOrigins knows no route.
+// NewOrigins returns an Origins without any routes.
 func NewOrigins() *Origins { return &Origins{byRoute: make(map[uint32]*origin)} }
 
-// Saw takes one request of a route. idle says that nothing ran on the host where
-// it began.
+// Saw records one request of a route. idle reports whether no request was running on the
+// host where it began.
 func (o *Origins) Saw(now time.Time, route uint32, idle bool) {
 	e, ok := o.byRoute[route]
 	if !ok {
@@ -52,22 +53,22 @@
 		e = &origin{at: now}
 		o.byRoute[route] = e
 	}
-	fade := math.Exp2(-max(now.Sub(e.at), 0).Seconds() / originHalf.Seconds())
-	e.idle, e.all, e.at = e.idle*fade, e.all*fade+1, now
+	decay := math.Exp2(-max(now.Sub(e.at), 0).Seconds() / originHalfLife.Seconds())
+	e.fromIdle, e.total, e.at = e.fromIdle*decay, e.total*decay+1, now
 	if idle {
-		e.idle++
+		e.fromIdle++
 	}
 }
 
-// Callers reports whether the route's requests are known to be callers' own.
+// Callers reports whether the route is known to be used by callers.
 func (o *Origins) Callers(route uint32) bool {
 	e, ok := o.byRoute[route]
-	return ok && e.idle >= callersLeast && e.idle >= callersShare*e.all
+	return ok && e.fromIdle >= minCallerRequests && e.fromIdle >= minCallerShare*e.total
 }
 
-// Calls reports whether the route's requests are known to be calls. Where hosts hardly
-// ever idle, neither may be known.
+// Calls reports whether the route is known to be used by calls only. If hosts are hardly
+// ever idle, both Callers and Calls may be false.
 func (o *Origins) Calls(route uint32) bool {
 	e, ok := o.byRoute[route]
-	return ok && e.all >= callsLeast && e.idle <= callsShare*e.all
+	return ok && e.total >= minCallRequests && e.fromIdle <= maxCallIdleShare*e.total
 }
--- a/internal/core/retry/origin_test.go
+++ b/internal/core/retry/origin_test.go
@@ -8,10 +8,10 @@
 	"gotest.tools/v3/assert"
 )
 
-// A route that callers use is known after some requests from idle hosts; one that
-// only instances use never is, though some of its requests begin as the run that
-// made them has just been broken off.
-func TestCallersRoutesAreToldFromCalls(t *testing.T) {
+// A route used by callers is recognized after some requests from idle hosts. A route used
+// only for calls is not, although some calls begin on an idle host because the run that
+// made them has just been aborted.
+func TestCallerRoutesAreDistinguishedFromCalls(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	o := NewOrigins()
 	now := time.Unix(1000, 0)
@@ -26,8 +26,8 @@
 	assert.Assert(t, !o.Callers(unknown))
 }
 
-// A route that callers no longer use is calls again.
-func TestOriginsAreForgotten(t *testing.T) {
+// A route that callers have stopped using must no longer be reported as used by them.
+func TestOriginsDecay(t *testing.T) {
 	o := NewOrigins()
 	now := time.Unix(1000, 0)
 	for range 10 {
--- a/internal/core/retry/retry.go
+++ b/internal/core/retry/retry.go
@@ -1,77 +1,79 @@
-// Package retry bounds the work that retries and hedges add.
+// Package retry limits the additional work caused by retries and hedged requests,
+// both called repeats here.
 package retry
 
 import "time"
 
-// Limits are the bounds of a Budget. They are the fleet's; each keeper of a
-// Budget gets its share of the reserve.
+// Limits are the limits of a Budget. Share and Window are the same for all Budgets of a
+// service; Reserve is the Budget's part of the service's reserve.
 type Limits struct {
-	// Share is how many repeats each request earns, such as 0.1.
+	// Share is the number of repeats allowed per request, such as 0.1.
 	Share float64
-	// Reserve is how many repeats a window may have beyond the share. It lets a
-	// service with few requests repeat at all.
+	// Reserve is the number of repeats allowed per window in addition to Share. A
+	// service with few requests could not repeat any without it.
 	Reserve float64
-	// Window is the span in which repeats and requests are counted. Longer lets
-	// a calm time pay for a worse one behind it.
+	// Window is the length of the sliding window in which repeats and requests are
+	// counted. In a longer window, requests from a period without failures allow
+	// more repeats in a later period with failures.
 	Window time.Duration
 }
 
-// Budget counts the requests and the repeats of one service over a sliding
-// window and lets repeats through while they stay within the limits. Summed
-// over its keepers, the repeats of any window stay within Share of its requests
-// plus the sum of the reserves. It is not safe for concurrent use.
+// Budget counts the requests and repeats of one service over a sliding window and
+// permits repeats within the limits. Summed over all Budgets of the service, the
+// repeats in any window stay within Share of its requests plus the sum of the
+// reserves. A Budget is not safe for concurrent use.
 type Budget struct {
 	limits  Limits
-	buckets [buckets]bucket
-	// start is when the Budget was made: parts are counted from it, so that a
-	// jump of the time of day neither forgets nor repeats any.
-	start time.Time
-	// at is the number of the newest bucket since start.
-	at int64
-	// held counts the repeats that were let through and have not been sent yet.
+	buckets [bucketCount]bucket
+	// created is when the Budget was created. Parts of the window are counted from
+	// it, so that a change of the wall clock neither skips nor repeats any.
+	created time.Time
+	// newest is the number of the newest part, counted from created.
+	newest int64
+	// held is the number of repeats that were permitted but not sent yet.
 	held int
 }
 
-// bucket is what came in one part of the window.
+// bucket holds the counts of one part of the window.
 type bucket struct {
 	requests float64
 	repeats  float64
 }
 
 const (
-	// parts divides a window. A repeat counts for one part longer than the
-	// window and a request for one part less, so that the bound holds for every
-	// position of the window: with 20 parts at a cost of a tenth of the budget.
-	parts = 20
-	// buckets holds the window and the part under way.
-	buckets = parts + 1
+	// windowParts is the number of parts of a window. A repeat is counted for one part
+	// longer than the window and a request for one part less, so that the limit holds
+	// for every position of the window. With 20 parts this costs a tenth of the budget.
+	windowParts = 20
+	// bucketCount covers the window and the current, incomplete part.
+	bucketCount = windowParts + 1
 )
 
-// NewBudget makes a Budget without history. What was spent before it was made,
-// by a keeper that has restarted or by those that had its part of the reserve, is
-// not known: it has no reserve in its first window.
-func NewBudget(now time.Time, l Limits) *Budget { return &Budget{limits: l, start: now} }
+// NewBudget returns a Budget without history. It has no reserve during its first window,
+// because it does not know which repeats were sent earlier, before a restart or by
+// those that had its part of the reserve.
+func NewBudget(now time.Time, l Limits) *Budget { return &Budget{limits: l, created: now} }
 
-// SetLimits changes the limits.
+// SetLimits replaces the limits.
 func (b *Budget) SetLimits(l Limits) { b.limits = l }
 
-// Fresh records the first send of a request that may be a caller's. It earns a part of a
-// repeat. callOfRepeat is the chance, 0 to 1, that it is a call of a run that was itself a
-// repeat: so much of it counts as a repeat that nobody asked the budget for, and only the
-// rest earns any.
+// Fresh records the first attempt of a request that may be a caller's own, which adds to
+// the allowance. callOfRepeat is the probability that it is instead a call made by a run
+// that was itself a repeat. That fraction counts as a repeat made without asking the
+// Budget; only the remainder adds to the allowance.
 func (b *Budget) Fresh(now time.Time, callOfRepeat float64) {
 	c := b.current(now)
 	c.requests += 1 - callOfRepeat
 	c.repeats += callOfRepeat
 }
 
-// Call records the first send of a call that a run makes. It earns nothing: its caller's
-// request does so where that was sent to. ofRepeat is the chance that the run was itself a
-// repeat.
+// Call records the first attempt of a call made by a run. It does not add to the allowance:
+// the request that was run does, at its own service. ofRepeat is the probability that the
+// run was itself a repeat.
 func (b *Budget) Call(now time.Time, ofRepeat float64) { b.current(now).repeats += ofRepeat }
 
-// Take pays for one repeat that is sent at once and reports whether the budget
-// had it.
+// Take records one repeat that is sent at once, if the budget permits it, and reports
+// whether it does.
 func (b *Budget) Take(now time.Time) bool {
 	if !b.Hold(now, 0) {
 		return false
@@ -80,9 +82,9 @@
 	return true
 }
 
-// Hold sets one repeat aside that may be sent later, and reports whether the
-// budget had it. keep is the part of the whole allowance, 0 to 1, that must be
-// left for repeats that matter more.
+// Hold reserves one repeat that may be sent later, if the budget permits it, and reports
+// whether it does. keep is the share of the allowance, 0 to 1, that must remain for more
+// important repeats.
 func (b *Budget) Hold(now time.Time, keep float64) bool {
 	if b.Left(now)-keep*b.allowance(now) < 1 {
 		return false
@@ -91,17 +93,18 @@
 	return true
 }
 
-// Use records that a repeat that was held is sent now.
+// Use records that a held repeat is sent now.
 func (b *Budget) Use(now time.Time) {
 	b.Release()
 	b.current(now).repeats++
 }
 
-// Release gives back a repeat that was held and is not sent. One that another
-// Budget held, before its service was gone for a while, changes nothing.
+// Release returns a held repeat that is not sent. It has no effect if none is held: the
+// repeat may have been held by an earlier Budget of a service that was removed and added
+// again.
 func (b *Budget) Release() { b.held = max(b.held-1, 0) }
 
-// Left is how many repeats the budget has now.
+// Left returns the number of repeats the budget permits now.
 func (b *Budget) Left(now time.Time) float64 {
 	left := b.allowance(now) - float64(b.held)
 	for i := range b.buckets {
@@ -110,33 +113,33 @@
 	return max(left, 0)
 }
 
-// allowance is how many repeats the window may have. Its requests leave out the
-// oldest part, which the window has partly left.
+// allowance returns the number of repeats allowed in the window. It ignores the requests
+// of the oldest part, which the window covers only partly.
 func (b *Budget) allowance(now time.Time) float64 {
 	b.current(now)
 	requests := 0.0
-	oldest := (b.at + 1) % buckets
+	oldest := (b.newest + 1) % bucketCount
 	for i := range b.buckets {
 		if int64(i) != oldest {
 			requests += b.buckets[i].requests
 		}
 	}
 	allowed := b.limits.Share * requests
-	if now.Sub(b.start) >= b.limits.Window {
+	if now.Sub(b.created) >= b.limits.Window {
 		allowed += b.limits.Reserve
 	}
 	return allowed
 }
 
-// current moves the window to now and gives its newest part.
+// current advances the window to now and returns the bucket of its newest part.
 func (b *Budget) current(now time.Time) *bucket {
-	n := int64(now.Sub(b.start) / max(b.limits.Window/parts, time.Millisecond))
-	if n-b.at > buckets {
-		b.buckets, b.at = [buckets]bucket{}, n
+	n := int64(now.Sub(b.created) / max(b.limits.Window/windowParts, time.Millisecond))
+	if n-b.newest > bucketCount {
+		b.buckets, b.newest = [bucketCount]bucket{}, n
 	}
-	for b.at < n {
-		b.at++
-		b.buckets[b.at%buckets] = bucket{}
+	for b.newest < n {
+		b.newest++
+		b.buckets[b.newest%bucketCount] = bucket{}
 	}
-	return &b.buckets[b.at%buckets]
+	return &b.buckets[b.newest%bucketCount]
 }
--- a/internal/core/retry/retry_test.go
+++ b/internal/core/retry/retry_test.go
@@ -8,9 +8,9 @@
 	"pgregory.net/rapid"
 )
 
-// In every position of the window the repeats stay within the share of its
-// requests and the reserve.
-func TestBudgetBoundsTheWorkInEveryWindow(t *testing.T) {
+// At every position of the window, the repeats stay within the share of its requests plus
+// the reserve.
+func TestBudgetBoundsRepeatsInEveryWindow(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		share := float64(rapid.IntRange(1, 50).Draw(t, "percent")) / 100
 		reserve := float64(rapid.IntRange(0, 5).Draw(t, "reserve"))
@@ -28,13 +28,13 @@
 		}
 		for _, end := range repeats {
 			from := end.Add(-window)
-			assert.Assert(t, float64(within(repeats, from, end)) <= share*float64(within(fresh, from, end))+reserve)
+			assert.Assert(t, float64(countBetween(repeats, from, end)) <= share*float64(countBetween(fresh, from, end))+reserve)
 		}
 	})
 }
 
-// A calm time does not save up: work that all failed at once costs no more
-// than the share of the last window.
+// Requests that have left the window no longer allow repeats, so that a burst of failures
+// causes no more repeats than the share of the last window.
 func TestBudgetForgetsOldRequests(t *testing.T) {
 	b := NewBudget(time.Unix(0, 0), Limits{Share: 0.1, Window: 10 * time.Second})
 	now := time.Unix(1000, 0)
@@ -45,7 +45,7 @@
 	assert.Assert(t, !b.Take(now))
 }
 
-func within(times []time.Time, from, end time.Time) int {
+func countBetween(times []time.Time, from, end time.Time) int {
 	n := 0
 	for _, at := range times {
 		if !at.Before(from) && !at.After(end) {
@@ -55,9 +55,9 @@
 	return n
 }
 
-// A keeper that restarts does not know what was spent before, and has no reserve
-// until all of that has left the window.
-func TestARestartDoesNotGiveTheReserveTwice(t *testing.T) {
+// After a restart, earlier repeats are unknown, so there is no reserve until all of them
+// have left the window.
+func TestRestartDoesNotGrantReserveTwice(t *testing.T) {
 	now := time.Unix(1000, 0)
 	b := NewBudget(now, Limits{Reserve: 10, Window: 10 * time.Second})
 	now = now.Add(9 * time.Second)
@@ -69,9 +69,8 @@
 	assert.Assert(t, !b.Take(now))
 }
 
-// A repeat that waits for a slot is kept for, and given back where it is not
-// sent.
-func TestWhatIsHeldIsSpentOnce(t *testing.T) {
+// A repeat that waits for a slot is held in the budget, and released if it is not sent.
+func TestHeldRepeatIsSpentOnce(t *testing.T) {
 	now := time.Unix(1000, 0)
 	b := NewBudget(now.Add(-time.Minute), Limits{Reserve: 2, Window: 10 * time.Second})
 	assert.Assert(t, b.Hold(now, 0))
@@ -80,15 +79,16 @@
 	b.Release()
 	b.Use(now)
 	assert.Equal(t, b.Left(now), 1.0)
-	assert.Assert(t, !b.Hold(now, 0.5), "half of the allowance is left for what matters more")
+	assert.Assert(t, !b.Hold(now, 0.5), "half of the allowance must remain for more important repeats")
 	assert.Assert(t, b.Hold(now, 0))
 	b.Release()
 	b.Release()
-	assert.Equal(t, b.Left(now), 1.0, "what another budget held gives this one nothing")
+	assert.Equal(t, b.Left(now), 1.0, "releasing a repeat held by another Budget must not increase this one")
 }
 
-// What may be a call of a repeated run is a repeat that nobody asked for, and earns none;
-// what is known for a call never does.
+// A request that may be a call of a repeated run counts as a repeat and does not add to the
+// allowance. Known calls never add to it. When requests of the first kind added to the
+// allowance, a service had 217 repeats where 199 were allowed.
 func TestCallsOfRepeatsCountAsRepeats(t *testing.T) {
 	now := time.Unix(1000, 0)
 	b := NewBudget(now.Add(-time.Minute), Limits{Reserve: 2, Window: 10 * time.Second})
@@ -101,10 +101,10 @@
 	for range 10 {
 		b.Fresh(now, 1)
 	}
-	assert.Equal(t, b.Left(now), 0.0, "what earned repeats here let a service have 217 where 199 were allowed")
+	assert.Equal(t, b.Left(now), 0.0, "calls of repeats must not add to the allowance")
 	b = NewBudget(now, Limits{Share: 0.5, Window: 10 * time.Second})
 	for range 10 {
 		b.Call(now, 0)
 	}
-	assert.Equal(t, b.Left(now), 0.0, "a call of a run that is no repeat")
+	assert.Equal(t, b.Left(now), 0.0, "calls of first runs must not add to the allowance either")
 }
