--- a/internal/core/pulse/pulse.go
+++ b/internal/core/pulse/pulse.go
@@ -1,6 +1,6 @@
-// Package pulse decides which hosts are told of the load and the estimate of an
-// instance, so that what a host sends for it stays the same in a fleet of any size.
-// The package does no I/O.
+// Package pulse selects the hosts that receive a load report, called a pulse, with the
+// load and the failure estimate of an instance. Rate limits keep the traffic that a
+// host sends for it independent of the size of the fleet. The package does no I/O.
 package pulse
 
 import (
@@ -11,54 +11,58 @@
 )
 
 const (
-	// PerSecond bounds the pulses that a host sends, copies and those passed
-	// on counted each: with 110 bytes a pulse 7 KB a second, whatever the fleet's
-	// size, of the 19 KB a second that control may take. Beyond the bound fewer hosts
-	// hear of each change, and others each time.
+	// PerSecond is the maximum rate of pulses sent by a host, counting each copy and
+	// each relayed pulse. At 110 bytes per pulse this is 7 KB/s in a fleet of any size,
+	// of the 19 KB/s available for control traffic. Above the limit, each change is sent
+	// to fewer hosts, and to different ones each time.
 	//
-	// It guards against instances without work: a front that is told of no loads hardly
-	// chooses those of which it happens to have heard nothing.
+	// The rate must suffice for fronts to learn of instances without work: a front that
+	// gets no load reports of an instance hardly ever chooses it.
 	PerSecond = 64
-	// Burst is how many may be sent at once: a turned estimate that is told
-	// and passed on in a fleet of 300 hosts.
+	// Burst is the number of pulses that may be sent at once. It is enough to send and
+	// relay a changed estimate in a fleet of 300 hosts.
 	Burst = 128
-	// TurnReserve is the part of the burst that is left for turned estimates.
+	// TurnReserve is the part of Burst reserved for pulses about a significantly changed
+	// estimate, which are sent ToAll.
 	TurnReserve = Burst / 2
-	// few is how many hosts hear that an instance would like a request: enough that one
-	// of them soon has one, and few enough that not all send one.
-	few = 4
-	// AsksPerSecond bounds the pulses to few hosts, beside PerSecond: where many
-	// instances turn, that news takes all there is, and just then those that are well
-	// again need a request that shows it. It is also how many may be sent at once.
+	// fewHosts is the number of hosts that are told that an instance would like to get a
+	// request: enough for one of them to have a request soon, but so few that the
+	// instance does not get one from each of many hosts.
+	fewHosts = 4
+	// AsksPerSecond is the maximum rate, and burst, of the pulses to few hosts, which do
+	// not count towards PerSecond. When the estimates of many instances change, those
+	// pulses use up PerSecond, and just then recovered instances need requests that show
+	// their recovery.
 	AsksPerSecond = 16
 )
 
-// Reach says who is told of a pulse.
+// Reach is the set of hosts a pulse is sent to.
 type Reach int
 
 const (
-	// ToFew tells some hosts nearby.
+	// ToFew is a few hosts of the own data centre.
 	ToFew Reach = iota
-	// ToNear tells the hosts nearby.
+	// ToNear is the hosts of the own data centre.
 	ToNear
-	// ToAll tells the hosts nearby and those of the other data centres. It goes before
-	// the others where the rate does not suffice for all.
+	// ToAll is the hosts of all data centres. It may use the whole rate limit, including
+	// TurnReserve.
 	ToAll
 )
 
-// Spread is one host's rate of pulses. It is not safe for concurrent use.
+// Spread selects the recipients of one host's pulses within its rate limits. It is not
+// safe for concurrent use.
 type Spread struct {
-	rng         *rand.Rand
-	limit, asks *rate.Limiter
+	rng             *rand.Rand
+	limit, fewLimit *rate.Limiter
 }
 
-// New makes a Spread with its whole burst.
+// New returns a Spread with its full burst available.
 func New(rng *rand.Rand) *Spread {
-	return &Spread{rng: rng, limit: rate.NewLimiter(PerSecond, Burst), asks: rate.NewLimiter(AsksPerSecond, AsksPerSecond)}
+	return &Spread{rng: rng, limit: rate.NewLimiter(PerSecond, Burst), fewLimit: rate.NewLimiter(AsksPerSecond, AsksPerSecond)}
 }
 
-// Far picks a host of each other data centre to pass a turned estimate on there:
-// bytes between data centres are dear.
+// Far selects one host in each of the other data centres, to relay a changed estimate
+// there, because traffic between data centres is expensive.
 func (s *Spread) Far(now time.Time, dcs [][]string) []string {
 	var out []string
 	for _, hosts := range dcs {
@@ -69,15 +73,15 @@
 	return out
 }
 
-// Near picks the hosts nearby that are told, from a random one on: as many as the
-// rate allows.
+// Near selects recipients among the hosts of the own data centre, starting at a random
+// one, as many as the rate limit allows.
 func (s *Spread) Near(now time.Time, hosts []string, to Reach) []string {
 	if len(hosts) == 0 {
 		return nil
 	}
 	first, count := s.rng.IntN(len(hosts)), len(hosts)
 	if to == ToFew {
-		count = min(count, few)
+		count = min(count, fewHosts)
 	}
 	out := make([]string, s.take(now, count, to))
 	for i := range out {
@@ -86,17 +90,17 @@
 	return out
 }
 
-// take gives how many of some pulses may be sent now, and takes them.
+// take deducts up to count pulses from the rate limit and returns the number deducted.
 func (s *Spread) take(now time.Time, count int, to Reach) int {
 	limit := s.limit
 	if to == ToFew {
-		limit = s.asks
+		limit = s.fewLimit
 	}
-	room := int(limit.TokensAt(now))
+	available := int(limit.TokensAt(now))
 	if to == ToNear {
-		room -= TurnReserve
+		available -= TurnReserve
 	}
-	count = max(min(count, room), 0)
+	count = max(min(count, available), 0)
 	limit.AllowN(now, count)
 	return count
 }
