--- a/internal/core/route/route.go
+++ b/internal/core/route/route.go
@@ -1,5 +1,5 @@
-// Package route matches requests to routes. A Table is immutable; a change of
-// records builds a new one.
+// Package route matches requests to routes. A Table is immutable; a change of the
+// records creates a new one.
 package route
 
 import (
@@ -11,52 +11,52 @@
 
 // Route is one compiled route.
 type Route struct {
-	// Name is the record's name, Version its version.
+	// Name and Version are those of the record.
 	Name    string
 	Version int64
 	record.Route
 }
 
-// place is where a route is mounted.
-type place struct {
+// mountPoint is the host and path prefix at which a route is mounted.
+type mountPoint struct {
 	host string
 	path string
 }
 
 // Table finds the route of a request.
 type Table struct {
-	byPlace map[place][]*Route
+	byMount map[mountPoint][]*Route
 	count   int
 }
 
-// NewTable compiles routes. Where several routes match one request on the
-// same place, the one with methods wins, then the one first by name.
+// NewTable compiles routes. If several routes at the same host and path prefix match a
+// request, those that list methods take precedence, then the first by name.
 func NewTable(routes []*Route) *Table {
-	t := &Table{byPlace: make(map[place][]*Route, len(routes)), count: len(routes)}
+	t := &Table{byMount: make(map[mountPoint][]*Route, len(routes)), count: len(routes)}
 	for _, r := range routes {
-		p := place{host: strings.ToLower(r.Host), path: r.PathPrefix}
-		t.byPlace[p] = append(t.byPlace[p], r)
+		p := mountPoint{host: strings.ToLower(r.Host), path: r.PathPrefix}
+		t.byMount[p] = append(t.byMount[p], r)
 	}
-	for _, here := range t.byPlace {
-		sort.Slice(here, func(i, j int) bool { return before(here[i], here[j]) })
+	for _, mounted := range t.byMount {
+		sort.Slice(mounted, func(i, j int) bool { return takesPrecedence(mounted[i], mounted[j]) })
 	}
 	return t
 }
 
-func before(a, b *Route) bool {
+// takesPrecedence reports whether a is tried before b at the same mount point.
+func takesPrecedence(a, b *Route) bool {
 	if (len(a.Methods) > 0) != (len(b.Methods) > 0) {
 		return len(a.Methods) > 0
 	}
 	return a.Name < b.Name
 }
 
-// Len counts the routes.
+// Len returns the number of routes.
 func (t *Table) Len() int { return t.count }
 
-// Match finds the route with the longest path prefix, by whole segments, on
-// the request's own host first and then on routes without host. host is in
-// lower case without port, path as it came, not decoded. It returns nil where
-// none matches.
+// Match returns the route with the longest path prefix, by whole segments, or nil if
+// none matches. Routes for the request's host are tried before routes without a host.
+// host is in lower case and has no port; path is the path as received, not decoded.
 func (t *Table) Match(host, path, method string) *Route {
 	if r := t.matchHost(host, path, method); r != nil || host == "" {
 		return r
@@ -64,12 +64,12 @@
 	return t.matchHost("", path, method)
 }
 
-// matchHost looks up every prefix that ends at a segment, with its last slash
-// and without it, from the longest to "/".
+// matchHost looks up each prefix of whole segments, with and without the trailing slash,
+// from the longest to "/".
 func (t *Table) matchHost(host, path, method string) *Route {
-	for prefix := path; prefix != ""; prefix = shorter(prefix) {
-		for _, r := range t.byPlace[place{host, prefix}] {
-			if allows(r, method) {
+	for prefix := path; prefix != ""; prefix = parentPrefix(prefix) {
+		for _, r := range t.byMount[mountPoint{host, prefix}] {
+			if allowsMethod(r, method) {
 				return r
 			}
 		}
@@ -77,9 +77,9 @@
 	return nil
 }
 
-// shorter drops a prefix's last slash, or else the segment behind it. It keeps
-// the first slash: "/" is the shortest prefix.
-func shorter(prefix string) string {
+// parentPrefix removes the trailing slash of a prefix, or else its last segment. "/" is
+// the shortest prefix, followed by "".
+func parentPrefix(prefix string) string {
 	last := strings.LastIndexByte(prefix, '/')
 	switch {
 	case last == len(prefix)-1:
@@ -89,7 +89,7 @@
 	}
 }
 
-func allows(r *Route, method string) bool {
+func allowsMethod(r *Route, method string) bool {
 	for _, m := range r.Methods {
 		if m == method {
 			return true
--- a/internal/core/route/route_test.go
+++ b/internal/core/route/route_test.go
@@ -8,7 +8,7 @@
 	"github.com/radishhoist/radishhoist/record"
 )
 
-func TestLongestPrefixBySegmentsOnTheOwnHostFirst(t *testing.T) {
+func TestMatchPrefersOwnHostAndLongestPrefixBySegments(t *testing.T) {
 	add := func(name, host, path string, methods ...string) *Route {
 		return &Route{Name: name, Route: record.Route{Host: host, PathPrefix: path, Methods: methods}}
 	}
