--- a/internal/core/header/header.go
+++ b/internal/core/header/header.go
@@ -1,5 +1,5 @@
-// Package header names the HTTP headers the system reads and writes, and
-// drops those that belong to one hop.
+// Package header defines the HTTP headers the system reads and writes, and removes
+// hop-by-hop headers.
 package header
 
 import (
@@ -9,34 +9,33 @@
 	"github.com/radishhoist/radishhoist/internal/msg"
 )
 
-// Dialect is the part of the conversation with callers and targets that a
-// deployment may name in its own way. The zero value of a name leaves that
-// header out.
+// Dialect holds the header names that a deployment may configure, for requests and
+// answers exchanged with callers and targets. A header whose name is empty is not used.
 type Dialect struct {
-	// Timeout is the header with the time left, in milliseconds: a caller may
-	// shorten the route's timeout with it, and a target sees what is left.
+	// Timeout is the header with the remaining time, in milliseconds. A caller may use
+	// it to shorten the route's timeout, and a target receives the time that remains.
 	Timeout string
-	// CallerService is the header that tells a target which service runs on
-	// the host where the request began.
+	// CallerService is the header that tells a target which service runs on the host
+	// where the request originated.
 	CallerService string
-	// ExpectedInstance is the header that names the instance a request is
-	// meant for. Any other refuses it with 421 and does not run it.
+	// ExpectedInstance is the header with the name of the instance a request is
+	// intended for. Any other instance answers 421 and does not run the request.
 	ExpectedInstance string
-	// NotRun is the answer header by which a target says that it did not run
-	// the request.
+	// NotRun is the response header by which a target states that it did not run the
+	// request.
 	NotRun string
-	// Proof is the answer header that every success of a target carries; one
-	// without it is not the target's answer.
+	// Proof is the response header present in every success response of a target. A
+	// success response without it did not come from the target.
 	Proof string
-	// Team is the header that tells a target the caller's team, where teams show keys;
-	// what the caller itself says there is dropped.
+	// Team is the header that tells a target the caller's team, if teams authenticate
+	// with keys. A value sent by the caller itself is removed.
 	Team string
-	// EchoesRequestID says that targets repeat the request id in every answer,
-	// so that an answer without it belongs to no request.
+	// EchoesRequestID states that targets repeat the request ID in every answer, so that
+	// an answer without it cannot be attributed to a request.
 	EchoesRequestID bool
 }
 
-// Default is the product's own dialect.
+// Default returns the built-in header names.
 func Default() Dialect {
 	return Dialect{
 		Timeout:          "Radishhoist-Timeout-Ms",
@@ -48,34 +47,34 @@
 }
 
 const (
-	// RequestID binds an answer to its request. A target that repeats it in
-	// its answer lets the guard find answers to another request.
+	// RequestID identifies a request. If the target repeats it in the answer, the guard
+	// can detect an answer that belongs to another request.
 	RequestID = "X-Request-Id"
-	// Team names the caller's team: the caller itself does where teams have no keys.
+	// Team is the name of the caller's team. If teams have no keys, the caller sets it.
 	Team = "Radishhoist-Team"
-	// IdempotencyKey marks repeats of one request that is not idempotent.
+	// IdempotencyKey identifies repeats of the same non-idempotent request.
 	IdempotencyKey = "Idempotency-Key"
-	// Target tells the caller which instance answered.
+	// Target is the name of the instance that answered.
 	Target = "Radishhoist-Target"
-	// Replayed marks a finished answer given again for a repeated key.
+	// Replayed marks a stored answer that is returned for a repeated idempotency key.
 	Replayed = "Radishhoist-Replayed"
-	// Attempts tells the caller how many attempts were made.
+	// Attempts is the number of attempts made.
 	Attempts = "Radishhoist-Attempts"
 )
 
-// hopByHop are the headers of RFC 9110 section 7.6.1 that end at each hop.
+// hopByHop holds the hop-by-hop headers of RFC 9110 section 7.6.1.
 var hopByHop = map[string]bool{
 	"Connection": true, "Proxy-Connection": true, "Keep-Alive": true,
 	"Proxy-Authenticate": true, "Proxy-Authorization": true, "Te": true,
 	"Trailer": true, "Transfer-Encoding": true, "Upgrade": true,
 }
 
-// ToFields lists the headers that go beyond this hop.
+// ToFields returns the end-to-end headers as fields.
 func ToFields(h http.Header) []msg.Field {
-	named := listed(h["Connection"])
+	connectionOnly := connectionHeaders(h["Connection"])
 	out := make([]msg.Field, 0, len(h))
 	for name, values := range h {
-		if hopByHop[name] || named[name] {
+		if hopByHop[name] || connectionOnly[name] {
 			continue
 		}
 		for _, v := range values {
@@ -85,8 +84,9 @@
 	return out
 }
 
-// listed gives the headers that Connection names as its own.
-func listed(connection []string) map[string]bool {
+// connectionHeaders returns the header names listed in Connection headers, which are
+// hop-by-hop as well.
+func connectionHeaders(connection []string) map[string]bool {
 	if len(connection) == 0 {
 		return nil
 	}
@@ -99,7 +99,7 @@
 	return out
 }
 
-// FromFields is the inverse of ToFields.
+// FromFields converts fields back to headers; it is the inverse of ToFields.
 func FromFields(fields []msg.Field) http.Header {
 	h := make(http.Header, len(fields)+2)
 	for _, f := range fields {
