--- a/internal/core/directory/directory.go
+++ b/internal/core/directory/directory.go
@@ -1,6 +1,6 @@
-// Package directory is what a front works from: routes, teams, services and
-// their instances, compiled from the record set and the hosts' announcements.
-// A Directory is immutable; a change builds a new one that replaces the old.
+// Package directory provides the view of routes, teams, services and instances that a
+// front uses. It is compiled from the record set and the hosts' announcements. A
+// Directory is immutable; each change creates a new one that replaces it.
 package directory
 
 import (
@@ -13,17 +13,17 @@
 	"github.com/radishhoist/radishhoist/record"
 )
 
-// InstanceState is what an instance's guard says of it.
+// InstanceState is the state of an instance as announced by its guard.
 type InstanceState uint8
 
 const (
-	// Serving takes new work.
+	// Serving instances accept new requests.
 	Serving InstanceState = iota
-	// Leaving finishes what it has and takes nothing new.
+	// Leaving instances finish their requests and accept no new ones.
 	Leaving
 )
 
-// Instance is one running copy of a target, as its guard announces it.
+// Instance is a running instance of a service, as announced by its guard.
 type Instance struct {
 	Name    string
 	Service string
@@ -34,28 +34,28 @@
 	Health  detect.Health
 	// Evidence ranks suspects, in hundredths of a nat.
 	Evidence uint32
-	// StartedMS is when the instance was first announced, in Unix milliseconds
-	// of its guard.
+	// StartedMS is when the instance was first announced, in Unix milliseconds by the
+	// clock of its guard.
 	StartedMS int64
-	// WarmLeft is how much longer the instance is slow after its start, at the
-	// moment of the announcement.
+	// WarmLeft is the remaining warm-up time at the time of the announcement.
 	WarmLeft time.Duration
-	// WarmAt is when it is warm, on this process's clock.
+	// WarmAt is when the warm-up ends, by the clock of this process.
 	WarmAt time.Time
 }
 
-// Host is one host, as it announces itself and as membership sees it.
+// Host is one host, with its announcement and its membership state.
 type Host struct {
 	Name        string
 	DC          string
 	Peer        string
 	Admin       string
 	Incarnation uint64
-	// Alive is false once membership holds the host for dead or gone.
+	// Alive is false once membership considers the host dead or it has left.
 	Alive bool
-	// Suspected says that membership waits for the host to refute.
+	// Suspected reports whether membership suspects the host and waits for it to refute
+	// that.
 	Suspected bool
-	// Leaving says the host drains.
+	// Leaving reports whether the host is draining.
 	Leaving   bool
 	Instances []Instance
 }
@@ -66,53 +66,54 @@
 	Host *Host
 }
 
-// Usable says the target may take new work as far as announcements go.
+// Usable reports whether the target may get new requests, according to membership and
+// announcements.
 func (t *Target) Usable() bool {
 	return t.Host.Alive && !t.Host.Leaving && t.State == Serving
 }
 
-// Service is one service with its targets in order of name.
+// Service is one service with its targets, sorted by name.
 type Service struct {
 	Name    string
 	Version int64
 	Record  *record.Service
 	Targets []*Target
-	// Hosts counts the hosts that run its targets and are alive.
+	// Hosts is the number of live hosts that run its targets.
 	Hosts int
 }
 
-// Directory is the whole view.
+// Directory is the complete view.
 type Directory struct {
 	Routes   *route.Table
 	Services map[string]*Service
 	Teams    map[string]*record.Team
-	// Keys finds the team of a caller's key, and RequireKeys says that callers show one.
+	// Keys maps callers' keys to teams. RequireKeys reports whether callers must present
+	// one.
 	Keys        *team.Index
 	RequireKeys bool
 	Hosts       map[string]*Host
 	Stops       []*record.Stop
-	// Maps are the shard maps by service.
+	// Maps holds the shard maps by service.
 	Maps map[string]*ShardMap
-	// Limits bounds what callers may send, where a Configuration says so.
+	// Limits holds the limits on callers' requests, if a Configuration sets any.
 	Limits record.Limits
-	// Configurations are the versions of the Configuration records in force,
-	// by name.
+	// Configurations holds the versions of the Configuration records in force, by name.
 	Configurations map[string]int64
-	// Whole says the record set is complete, so that traffic may be served.
+	// Whole reports whether the record set is complete, so that traffic may be served.
 	Whole bool
 }
 
-// ShardMap is a shard map with its version.
+// ShardMap is a shard map with the version of its record.
 type ShardMap struct {
 	Version int64
 	*record.ShardMap
 }
 
-// RampUp is how long a new instance takes to reach its full share where it says
-// nothing of its warm-up itself.
+// RampUp is the time in which a new instance reaches its full share of requests, if it
+// does not announce a warm-up time.
 const RampUp = 10 * time.Second
 
-// Build compiles hosts into an earlier compilation of the records.
+// Build returns the Directory for compiled records and the announced hosts.
 func Build(records *Records, hosts []*Host) *Directory {
 	d := &Directory{
 		Routes: records.routes, Teams: records.teams, Keys: records.keys, RequireKeys: records.requireKeys, Stops: records.stops, Maps: records.maps,
@@ -137,6 +138,7 @@
 	return d
 }
 
+// addTargets adds the host's instances to the services in the records.
 func (d *Directory) addTargets(h *Host) {
 	for i := range h.Instances {
 		inst := &h.Instances[i]
@@ -151,8 +153,8 @@
 	}
 }
 
-// Stopping finds a planned stop that covers an instance of a host; instance
-// "" asks for the host as a whole.
+// Stopping returns a planned stop that covers an instance of a host, or nil. An empty
+// instance stands for the whole host.
 func (d *Directory) Stopping(host, instance string) *record.Stop {
 	for _, s := range d.Stops {
 		if s.Host == host && (s.Instance == "" || s.Instance == instance) {
--- a/internal/core/directory/records.go
+++ b/internal/core/directory/records.go
@@ -6,29 +6,29 @@
 	"github.com/radishhoist/radishhoist/record"
 )
 
-// Records is the compiled record set, the part of a Directory that changes
-// only when an operator writes.
+// Records is the compiled record set: the part of a Directory that changes only when an
+// operator writes records.
 type Records struct {
 	routes   *route.Table
 	services []*Service
 	teams    map[string]*record.Team
 	keys     *team.Index
-	// requireKeys says that callers show a team's key.
+	// requireKeys reports whether callers must present a team's key.
 	requireKeys bool
 	stops       []*record.Stop
 	maps        map[string]*ShardMap
 	limits      record.Limits
-	// configurations are the versions of the Configuration records by name.
+	// configurations holds the versions of the Configuration records by name.
 	configurations map[string]int64
 	whole          bool
 }
 
-// Compile turns parsed records into their lookup form.
+// Compile compiles parsed records for lookup.
 func Compile(all []*record.Record, whole bool) *Records {
 	return (&Records{}).Next(all, whole)
 }
 
-// Next is Compile with the parts of an earlier compilation that still hold.
+// Next is like Compile, but reuses the parts of r that are still valid.
 func (r *Records) Next(all []*record.Record, whole bool) *Records {
 	out := &Records{
 		teams: make(map[string]*record.Team),
@@ -38,20 +38,20 @@
 		configurations: make(map[string]int64),
 	}
 	var routes []*route.Route
-	for _, one := range all {
-		switch spec := one.Spec.(type) {
+	for _, rec := range all {
+		switch spec := rec.Spec.(type) {
 		case *record.Service:
-			out.services = append(out.services, &Service{Name: one.Name, Version: one.Version, Record: spec})
+			out.services = append(out.services, &Service{Name: rec.Name, Version: rec.Version, Record: spec})
 		case *record.Route:
-			routes = append(routes, &route.Route{Name: one.Name, Version: one.Version, Route: *spec})
+			routes = append(routes, &route.Route{Name: rec.Name, Version: rec.Version, Route: *spec})
 		case *record.Configuration:
-			routes = append(routes, out.addConfiguration(one, spec)...)
+			routes = append(routes, out.addConfiguration(rec, spec)...)
 		case *record.Team:
-			out.teams[one.Name] = spec
+			out.teams[rec.Name] = spec
 		case *record.Stop:
 			out.stops = append(out.stops, spec)
 		case *record.ShardMap:
-			out.maps[one.Name] = &ShardMap{Version: one.Version, ShardMap: spec}
+			out.maps[rec.Name] = &ShardMap{Version: rec.Version, ShardMap: spec}
 		}
 	}
 	out.routes = route.NewTable(routes)
@@ -60,8 +60,8 @@
 	return out
 }
 
-// addConfiguration takes the services, teams and limits of one Configuration and gives
-// its routes; all have the record's version.
+// addConfiguration adds the services, teams and limits of a Configuration and returns its
+// routes. All of them get the record's version.
 func (r *Records) addConfiguration(from *record.Record, c *record.Configuration) []*route.Route {
 	r.configurations[from.Name] = from.Version
 	for i := range c.Services {
