--- a/internal/core/announce/announce.go
+++ b/internal/core/announce/announce.go
@@ -1,7 +1,7 @@
-// Package announce decides which announcements of instances count. One that
-// was held up on its way must not bring back an instance that has left, undo
-// its newer word, or take the address from the instance that runs there now.
-// The package does no I/O.
+// Package announce decides which announcements of instances are accepted. A delayed
+// announcement must not bring back an instance that has left, override a newer
+// announcement, or take the address from the instance that now runs there. The package
+// does no I/O.
 package announce
 
 import (
@@ -10,94 +10,94 @@
 )
 
 const (
-	// memory is how long an instance that has left or was replaced is
-	// remembered: longer than an announcement can be held up by a cut.
-	memory = 2 * time.Minute
-	// silence is how long the holder of an address must not have announced
-	// itself for an instance that it had replaced to take the address back:
-	// more than two intervals of the slowest usual announcements, 1.5 s. An
-	// earlier start of an instance is believed after the same silence.
-	silence = 4 * time.Second
-	// firstWords is up to which sequence a start that nobody has heard of is taken
-	// for a new one though its clock says that it is older: counts start anew with
-	// each start, and a late word of an older one has a higher count.
-	firstWords = 2
-	// maxPast bounds the earlier starts that are remembered of an instance.
-	maxPast = 8
-	// maxEntries bounds the instances remembered; beyond it the one heard
-	// longest ago is forgotten.
+	// retention is how long an instance that has left or was replaced is remembered:
+	// longer than a network partition can delay an announcement.
+	retention = 2 * time.Minute
+	// holderTimeout is the time without announcements from the holder of an address
+	// after which an instance that the holder had replaced may take the address back:
+	// more than two intervals of 1.5 s, the longest usual announcement interval. An
+	// earlier start of an instance is accepted after the same time.
+	holderTimeout = 4 * time.Second
+	// maxFirstSequence is the highest sequence number at which an unknown start is
+	// accepted as a new one although its start time is earlier. The count restarts with
+	// each start, and a delayed announcement of an older start has a higher number.
+	maxFirstSequence = 2
+	// maxPastStarts is the number of earlier starts remembered per instance.
+	maxPastStarts = 8
+	// maxEntries is the number of instances remembered. Above it, the instance with the
+	// oldest announcement is evicted.
 	maxEntries = 1024
 )
 
-// state is an instance's standing.
+// state is the state of a known instance.
 type state uint8
 
 const (
 	present state = iota
-	// replaced: another instance has announced the same address since.
+	// replaced means that another instance has announced the same address since.
 	replaced
-	// gone: the instance has taken its leave.
+	// gone means that the instance has left.
 	gone
 )
 
-// Word is what tells the announcements of an instance apart.
+// Word is the part of an announcement that orders the announcements of an instance.
 type Word struct {
-	// Born is when the instance started, in Unix milliseconds of its own clock: an
-	// instance that starts again under its name tells another one. 0 where it does
-	// not say.
+	// Born is the start time of the instance, in Unix milliseconds by its own clock, or
+	// 0 if unknown. It distinguishes successive starts under the same name.
 	Born int64
-	// Sequence grows with each announcement of one start, 0 where the instance does
-	// not count them.
+	// Sequence increases with each announcement of one start. It is 0 if the instance
+	// does not count its announcements.
 	Sequence uint64
 }
 
-// entry is what is known of one instance.
+// entry is the state of one instance.
 type entry struct {
 	address string
-	// word is the newest that counted, and past are the earlier starts.
-	word  Word
-	past  []int64
-	heard time.Time
-	state state
+	// latest is the newest accepted Word; pastStarts holds the Born of earlier starts.
+	latest     Word
+	pastStarts []int64
+	lastSeen   time.Time
+	state      state
 }
 
-// Book remembers the instances of one host. It is not safe for concurrent use.
+// Book tracks the instances of one host. It is not safe for concurrent use.
 type Book struct {
 	byName map[string]*entry
-	// holders are the instances present, by address.
+	// holders maps addresses to the names of the present instances.
 	holders map[string]string
 }
 
-// NewBook makes an empty Book.
+// NewBook returns an empty Book.
 func NewBook() *Book {
 	return &Book{byName: make(map[string]*entry), holders: make(map[string]string)}
 }
 
-// Outcome says what an announcement does.
+// Outcome is the effect of an announcement.
 type Outcome struct {
-	// Counts is false for an announcement that is older than what is known.
+	// Counts reports whether the announcement is accepted. It is false if a newer one is
+	// known.
 	Counts bool
-	// Restarted says that it is the first of a new start of the instance: whatever
-	// its last start held is lost.
+	// Restarted reports whether it is the first announcement of a new start of the
+	// instance, so that the state of the previous start is lost.
 	Restarted bool
-	// Replaces is the instance that had the address before, empty for none.
+	// Replaces is the instance that held the address before, empty if there is none.
 	Replaces string
 }
 
-// Hear takes one announcement.
+// Hear processes one announcement.
 func (b *Book) Hear(now time.Time, name, address string, w Word) Outcome {
-	b.forget(now)
+	b.evict(now)
 	e, known := b.byName[name]
-	restarted := known && e.newStart(now, w)
-	if known && !restarted && (e.state == gone || e.late(w)) {
+	restarted := known && e.isNewStart(now, w)
+	if known && !restarted && (e.state == gone || e.outdated(w)) {
 		return Outcome{}
 	}
 	holder := b.holders[address]
 	if holder == name {
 		holder = ""
 	}
-	if known && !restarted && e.state == replaced && holder != "" && now.Sub(b.byName[holder].heard) < silence {
-		e.word.Sequence = max(e.word.Sequence, w.Sequence)
+	if known && !restarted && e.state == replaced && holder != "" && now.Sub(b.byName[holder].lastSeen) < holderTimeout {
+		e.latest.Sequence = max(e.latest.Sequence, w.Sequence)
 		return Outcome{}
 	}
 	if !known {
@@ -111,49 +111,48 @@
 		delete(b.holders, e.address)
 	}
 	if restarted {
-		e.retire(w.Born)
+		e.beginStart(w.Born)
 	}
-	e.word = Word{Born: w.Born, Sequence: max(e.word.Sequence, w.Sequence)}
-	e.address, e.heard, e.state = address, now, present
+	e.latest = Word{Born: w.Born, Sequence: max(e.latest.Sequence, w.Sequence)}
+	e.address, e.lastSeen, e.state = address, now, present
 	b.holders[address] = name
 	return Outcome{Counts: true, Restarted: restarted, Replaces: holder}
 }
 
-// newStart says that a word is the first heard of another, newer start. Clocks may
-// go back between two starts, so that an earlier time alone does not make it an
-// old one.
-func (e *entry) newStart(now time.Time, w Word) bool {
+// isNewStart reports whether w is the first announcement received from another, newer start.
+// The clock may have been set back between two starts, so an earlier start time alone does
+// not mean an older start.
+func (e *entry) isNewStart(now time.Time, w Word) bool {
 	switch {
-	case w.Born == 0 || w.Born == e.word.Born || slices.Contains(e.past, w.Born):
+	case w.Born == 0 || w.Born == e.latest.Born || slices.Contains(e.pastStarts, w.Born):
 		return false
-	case w.Born > e.word.Born:
+	case w.Born > e.latest.Born:
 		return true
 	default:
-		return w.Sequence > 0 && w.Sequence <= firstWords || now.Sub(e.heard) > silence
+		return w.Sequence > 0 && w.Sequence <= maxFirstSequence || now.Sub(e.lastSeen) > holderTimeout
 	}
 }
 
-// late says that a word that is not of a new start is no newer than the last one,
-// or not of the start that runs.
-func (e *entry) late(w Word) bool {
-	return w.Born != e.word.Born || w.Sequence > 0 && w.Sequence <= e.word.Sequence
+// outdated reports whether w, which is not from a new start, is from an earlier start or
+// not newer than the latest announcement.
+func (e *entry) outdated(w Word) bool {
+	return w.Born != e.latest.Born || w.Sequence > 0 && w.Sequence <= e.latest.Sequence
 }
 
-// retire remembers the start known so far as past, and begins another one.
-func (e *entry) retire(born int64) {
-	if e.word.Born != 0 {
-		e.past = append(e.past, e.word.Born)
+// beginStart adds the current start to the past ones and begins a new one.
+func (e *entry) beginStart(born int64) {
+	if e.latest.Born != 0 {
+		e.pastStarts = append(e.pastStarts, e.latest.Born)
 	}
-	if len(e.past) > maxPast {
-		e.past = e.past[1:]
+	if len(e.pastStarts) > maxPastStarts {
+		e.pastStarts = e.pastStarts[1:]
 	}
-	e.word = Word{Born: born}
+	e.latest = Word{Born: born}
 }
 
-// Leave takes an instance's leave: nothing that this start announced before
-// counts any more. born is the start that leaves, 0 where it is not told. It
-// reports whether the instance is gone with it: an earlier start's leave does not
-// take the one that runs out of service.
+// Leave records that an instance has left. Announcements of that start are no longer
+// accepted. born identifies the start, or is 0 if unknown. Leave reports whether the
+// instance is gone: if an earlier start leaves, the running one is not affected.
 func (b *Book) Leave(now time.Time, name string, born int64) bool {
 	e, known := b.byName[name]
 	if !known {
@@ -162,25 +161,25 @@
 	}
 	switch {
 	case !known && born == 0:
-		// Whatever started before this leave is gone with it.
-		e.word.Born = now.UnixMilli()
+		// All starts before this time are considered gone.
+		e.latest.Born = now.UnixMilli()
 	case !known:
-		e.word.Born = born
-	case born == 0 || born == e.word.Born:
-	case e.newStart(now, Word{Born: born}):
-		e.retire(born)
+		e.latest.Born = born
+	case born == 0 || born == e.latest.Born:
+	case e.isNewStart(now, Word{Born: born}):
+		e.beginStart(born)
 	default:
 		return false
 	}
 	if b.holders[e.address] == name {
 		delete(b.holders, e.address)
 	}
-	e.state, e.heard = gone, now
+	e.state, e.lastSeen = gone, now
 	return true
 }
 
-// Misled says that the address answers for another instance: whoever announces
-// it next has it.
+// Misled records that another instance answers at the address of the named one. The next
+// instance to announce the address gets it.
 func (b *Book) Misled(name string) {
 	if e, known := b.byName[name]; known && b.holders[e.address] == name {
 		delete(b.holders, e.address)
@@ -188,24 +187,24 @@
 	}
 }
 
-// forget drops what is too old to matter, and the oldest beyond the bound.
-func (b *Book) forget(now time.Time) {
+// evict removes the entries older than retention, and the oldest one above maxEntries.
+func (b *Book) evict(now time.Time) {
 	oldest := ""
 	for name, e := range b.byName {
-		if now.Sub(e.heard) > memory {
-			b.drop(name, e)
+		if now.Sub(e.lastSeen) > retention {
+			b.remove(name, e)
 			continue
 		}
-		if oldest == "" || e.heard.Before(b.byName[oldest].heard) {
+		if oldest == "" || e.lastSeen.Before(b.byName[oldest].lastSeen) {
 			oldest = name
 		}
 	}
 	if len(b.byName) > maxEntries {
-		b.drop(oldest, b.byName[oldest])
+		b.remove(oldest, b.byName[oldest])
 	}
 }
 
-func (b *Book) drop(name string, e *entry) {
+func (b *Book) remove(name string, e *entry) {
 	if b.holders[e.address] == name {
 		delete(b.holders, e.address)
 	}
--- a/internal/core/announce/announce_test.go
+++ b/internal/core/announce/announce_test.go
@@ -14,9 +14,9 @@
 
 func at(seconds float64) time.Time { return start.Add(time.Duration(seconds * float64(time.Second))) }
 
-// An announcement that was held up by a cut arrives after its sender has
-// crashed and a new start of it has the address.
-func TestALateAnnouncementDoesNotTakeTheAddressBack(t *testing.T) {
+// An announcement delayed by a network partition arrives after its sender has crashed and
+// another instance has the address.
+func TestDelayedAnnouncementDoesNotTakeAddressBack(t *testing.T) {
 	b := NewBook()
 	assert.Assert(t, b.Hear(at(0), "old", address, Word{Sequence: 7}).Counts)
 	assert.DeepEqual(t, b.Hear(at(2), "new", address, Word{Sequence: 1}), Outcome{Counts: true, Replaces: "old"})
@@ -24,7 +24,7 @@
 	assert.DeepEqual(t, b.Hear(at(3.5), "new", address, Word{Sequence: 2}), Outcome{Counts: true})
 }
 
-func TestAnInstanceThatHasLeftIsNotRevived(t *testing.T) {
+func TestInstanceThatHasLeftIsNotRevived(t *testing.T) {
 	b := NewBook()
 	assert.Assert(t, b.Hear(at(0), "i", address, Word{Sequence: 3}).Counts)
 	b.Leave(at(1), "i", 0)
@@ -32,7 +32,7 @@
 	assert.Assert(t, b.Hear(at(3), "j", address, Word{Sequence: 1}).Counts)
 }
 
-func TestAnOlderWordDoesNotUndoANewerOne(t *testing.T) {
+func TestOlderAnnouncementDoesNotOverrideNewerOne(t *testing.T) {
 	b := NewBook()
 	assert.Assert(t, b.Hear(at(0), "i", address, Word{Sequence: 5}).Counts)
 	assert.Assert(t, !b.Hear(at(1), "i", address, Word{Sequence: 4}).Counts)
@@ -41,9 +41,9 @@
 	assert.Assert(t, b.Hear(at(4), "uncounted", "10.0.0.1:81", Word{Sequence: 0}).Counts)
 }
 
-// A process that has just started may hear the late announcement last. The
-// instance that runs must have the address again soon.
-func TestTheRunningInstanceGetsTheAddressBack(t *testing.T) {
+// A process that has just started may receive a delayed announcement of a crashed instance
+// after that of the running one. The running instance must regain the address soon.
+func TestRunningInstanceRegainsAddress(t *testing.T) {
 	b := NewBook()
 	assert.Assert(t, b.Hear(at(0), "running", address, Word{Sequence: 1}).Counts)
 	assert.Assert(t, b.Hear(at(1), "crashed", address, Word{Sequence: 9}).Counts)
@@ -53,9 +53,9 @@
 	assert.Assert(t, !b.Hear(at(4), "crashed", address, Word{Sequence: 10}).Counts)
 }
 
-// Whatever is announced, each address has one holder that is present, and what
-// is remembered stays bounded.
-func TestOneHolderForEachAddress(t *testing.T) {
+// For any sequence of operations, each holder of an address is present there, and the number
+// of entries is bounded.
+func TestEachAddressHasOneHolder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := NewBook()
 		now := start
@@ -82,15 +82,16 @@
 	})
 }
 
-// bornAt gives the start of an instance as it tells it, in Unix milliseconds.
+// bornAt returns a start time in Unix milliseconds.
 func bornAt(seconds float64) int64 { return at(seconds).UnixMilli() }
 
-// An instance that starts again under its id counts anew. It is heard at once,
-// whatever its last start had said, and that start's late words count no more.
-func TestANewStartUnderTheSameIDIsHeardAtOnce(t *testing.T) {
+// An instance that restarts under the same name begins a new sequence. Its announcements
+// are accepted at once, whatever the previous start has announced, and delayed
+// announcements of the previous start are rejected.
+func TestNewStartUnderSameNameIsAcceptedAtOnce(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		// before is what the first start has said, besides its announcements.
+		// before is what happens between the two starts.
 		before func(b *Book)
 		born   float64
 	}{
@@ -99,7 +100,7 @@
 		{"after a leave that names no start", func(b *Book) { b.Leave(at(1.5), "i", 0) }, 2},
 		{"with a clock that is behind", func(*Book) {}, -7},
 		{"after its leave, with a clock that is behind", func(b *Book) { b.Leave(at(1.5), "i", bornAt(0)) }, -7},
-		{"at another's address", func(b *Book) { b.Hear(at(1.5), "other", address, Word{Born: bornAt(1.4), Sequence: 1}) }, 2},
+		{"at the address of another instance", func(b *Book) { b.Hear(at(1.5), "other", address, Word{Born: bornAt(1.4), Sequence: 1}) }, 2},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			b := NewBook()
@@ -117,8 +118,8 @@
 	}
 }
 
-// Two starts within a second: the last one counts.
-func TestOfSeveralStartsTheLastCounts(t *testing.T) {
+// Of several starts in quick succession, only the last is accepted.
+func TestLastOfSeveralStartsIsAccepted(t *testing.T) {
 	b := NewBook()
 	for i, born := range []float64{0, 1, 1.4, 1.8} {
 		out := b.Hear(at(2), "i", address, Word{Born: bornAt(born), Sequence: 1})
@@ -130,20 +131,21 @@
 	assert.Assert(t, b.Hear(at(3), "i", address, Word{Born: bornAt(1.8), Sequence: 2}).Counts)
 }
 
-// A start that nobody has heard of, earlier than the one that runs, is a late word
-// where it has said more before, and revives nothing.
-func TestALateWordOfAnUnknownOlderStartDoesNotCount(t *testing.T) {
+// An announcement from an unknown start, earlier than the running one and with a sequence
+// number above maxFirstSequence, is a delayed one and must be rejected.
+func TestDelayedAnnouncementOfUnknownOlderStartIsRejected(t *testing.T) {
 	b := NewBook()
 	assert.Assert(t, b.Hear(at(5), "i", address, Word{Born: bornAt(4), Sequence: 1}).Counts)
 	assert.Assert(t, !b.Hear(at(5.5), "i", address, Word{Born: bornAt(1), Sequence: 7}).Counts)
 	b.Leave(at(6), "i", bornAt(4))
 	assert.Assert(t, !b.Hear(at(6.5), "i", address, Word{Born: bornAt(1), Sequence: 8}).Counts)
-	// The start that runs is silent: whoever speaks now is there.
+	// Without recent announcements of the known start, the other one is accepted.
 	assert.Assert(t, b.Hear(at(11), "i", address, Word{Born: bornAt(1), Sequence: 12}).Counts)
 }
 
-// An instance that tells its start always does: words without it are another's.
-func TestAWordWithoutAStartIsAnothers(t *testing.T) {
+// An instance either always or never announces its start time, so announcements without it
+// are not from the known start.
+func TestAnnouncementWithoutStartTimeIsRejectedAfterOneWith(t *testing.T) {
 	b := NewBook()
 	assert.Assert(t, b.Hear(at(1), "i", address, Word{Born: bornAt(0), Sequence: 1}).Counts)
 	assert.Assert(t, !b.Hear(at(2), "i", address, Word{Sequence: 99}).Counts)
