--- a/internal/core/once/attempt.go
+++ b/internal/core/once/attempt.go
@@ -1,32 +1,32 @@
-// Package once holds the state machines that keep work from running twice:
-// the front's half of one attempt, the key table of a shard's owner, and the
-// promises that give an owner its authority. It does no I/O; time is passed
-// in.
+// Package once holds the state machines that provide at-most-once execution:
+// the front's side of an attempt, the idempotency-key table kept by a shard's
+// owner, and the leases that give an owner its authority. The package does no
+// I/O, and callers pass in the time.
 package once
 
 import "github.com/radishhoist/radishhoist/verdict"
 
-// Phase is where an attempt stands.
+// Phase is the state of an attempt.
 type Phase uint8
 
 // The phases of an attempt, in order.
 const (
-	// Idle: nothing was sent.
+	// Idle means that nothing has been sent.
 	Idle Phase = iota
-	// Reserving: a slot was asked for; the request was not sent.
+	// Reserving means that a slot was requested but the request was not sent.
 	Reserving
-	// Running: the request was sent.
+	// Running means that the request was sent.
 	Running
-	// Answering: the target's answer has begun.
-	Answering
-	// Done: the attempt has its verdict.
+	// Responding means that the start of the target's response was received.
+	Responding
+	// Done means that the verdict of the attempt is final.
 	Done
 )
 
-// Send is what the front sends next.
+// Send is the message that the front must send next.
 type Send uint8
 
-// The messages an attempt asks for.
+// The messages that an attempt sends to the guard.
 const (
 	SendNothing Send = iota
 	SendReserve
@@ -34,29 +34,31 @@
 	SendCancel
 )
 
-// Attempt is the front's half of one try of one request at one guard. It is a
-// plain value: a copy is an independent attempt, which the model checker uses.
+// Attempt is the front's state machine for sending one request to one guard
+// once. It is a plain value: a copy is an independent attempt, which the model
+// checker relies on.
 type Attempt struct {
-	phase   Phase
-	verdict verdict.Verdict
-	whole   bool
-	// awaitClaim holds Run back until the key's owner has agreed.
+	phase    Phase
+	verdict  verdict.Verdict
+	complete bool
+	// awaitClaim delays SendRun until the key's owner has accepted the claim.
 	awaitClaim bool
-	// haveSlot remembers a grant that waits for the claim.
+	// haveSlot is set once the guard has granted a slot.
 	haveSlot bool
 }
 
-// Phase reads the phase.
 func (a *Attempt) Phase() Phase { return a.phase }
 
-// Verdict reads the verdict; it is final once the phase is Done.
+// Verdict returns the verdict, which is final once the phase is Done.
 func (a *Attempt) Verdict() verdict.Verdict { return a.verdict }
 
-// Whole says that the whole answer arrived and was proved.
-func (a *Attempt) Whole() bool { return a.phase == Done && a.whole }
+// Whole reports whether the complete response arrived and its length and hash
+// were verified.
+func (a *Attempt) Whole() bool { return a.phase == Done && a.complete }
 
-// Begin starts the attempt. An idempotent request runs in one step; any other
-// reserves first, and with claim also waits for the key's owner.
+// Begin starts the attempt. An idempotent request without a claim is run
+// directly. Any other request reserves a slot first and, if claim is set, also
+// waits until the key's owner has accepted the claim.
 func (a *Attempt) Begin(idempotent, claim bool) Send {
 	if a.phase != Idle {
 		return SendNothing
@@ -70,8 +72,8 @@
 	return SendReserve
 }
 
-// Granted takes the guard's grant. A second grant, or one that comes after
-// the attempt has ended, changes nothing: the guard lets it lapse.
+// Granted handles the guard's grant of a slot. A duplicate grant, or one that
+// arrives after the attempt has ended, is ignored and expires at the guard.
 func (a *Attempt) Granted() Send {
 	if a.phase != Reserving {
 		return SendNothing
@@ -80,7 +82,7 @@
 	return a.runIfReady()
 }
 
-// Claimed takes the owner's agreement that this request may run.
+// Claimed handles the owner's confirmation that this request may run.
 func (a *Attempt) Claimed() Send {
 	if a.phase != Reserving {
 		return SendNothing
@@ -97,38 +99,40 @@
 	return SendRun
 }
 
-// Head takes the start of the target's answer.
+// Head handles the start of the target's response.
 func (a *Attempt) Head() {
 	if a.phase == Running {
-		a.phase = Answering
+		a.phase = Responding
 	}
 }
 
-// End takes the end of the answer; whole says that length and hash agree.
-func (a *Attempt) End(whole bool) {
-	if a.phase != Answering {
+// End handles the end of the response; complete reports whether its length and
+// hash match.
+func (a *Attempt) End(complete bool) {
+	if a.phase != Responding {
 		return
 	}
-	a.whole = whole
+	a.complete = complete
 	a.finish(verdict.Ran)
 }
 
-// Failed takes the guard's word that the attempt is over. Before Run was sent
-// nothing can have run, whatever the guard says; after the answer has begun
-// the request did run.
+// Failed handles the guard's report that the attempt failed with verdict v.
+// Before Run was sent the request cannot have run, and once the response has
+// started it did run, whatever verdict the guard reports.
 func (a *Attempt) Failed(v verdict.Verdict) {
 	switch a.phase {
 	case Reserving:
 		a.finish(verdict.NotRun)
 	case Running:
 		a.finish(v)
-	case Answering:
+	case Responding:
 		a.finish(verdict.Ran)
 	}
 }
 
-// GiveUp ends the attempt from the front's side: link lost, deadline, caller
-// gone, or a claim that was refused. It says whether to tell the guard.
+// GiveUp aborts the attempt on the front's side: the connection was lost, the
+// deadline has passed, the caller has disconnected or the claim was refused.
+// The result tells whether to send a cancellation to the guard.
 func (a *Attempt) GiveUp() Send {
 	switch a.phase {
 	case Idle:
@@ -140,7 +144,7 @@
 	case Running:
 		a.finish(verdict.MayHaveRun)
 		return SendCancel
-	case Answering:
+	case Responding:
 		a.finish(verdict.Ran)
 		return SendCancel
 	default:
--- a/internal/core/once/history_test.go
+++ b/internal/core/once/history_test.go
@@ -9,9 +9,9 @@
 	"github.com/radishhoist/radishhoist/internal/core/once"
 )
 
-// keyModel is the sequential promise of one key: at most one run; a replay
-// gives the answer of that run and none before it; a run without answer may
-// or may not have happened.
+// keyModel is the sequential specification of one key: the request runs at most
+// once, a replay returns the response of that run and cannot precede it, and a
+// run without a response may or may not have happened.
 var keyModel = porcupine.NondeterministicModel{
 	Partition: func(history []porcupine.Operation) [][]porcupine.Operation {
 		byKey := map[string][]porcupine.Operation{}
@@ -46,11 +46,11 @@
 func TestKeysRunOnceUnderFaults(t *testing.T) {
 	const seeds = 6
 	total, runs := map[once.ClaimOutcome]int{}, 0
-	for a := range faults {
-		for b := a; b < faults; b++ {
+	for a := range numFaults {
+		for b := a; b < numFaults; b++ {
 			for seed := range uint64(seeds) {
-				s, wrong := simulate(seed+uint64(a)*100+uint64(b)*1000, a, b, simPlant{})
-				assert.Equal(t, wrong, "", "faults %d and %d", a, b)
+				s, violation := simulate(seed+uint64(a)*100+uint64(b)*1000, a, b, simMutation{})
+				assert.Equal(t, violation, "", "faults %d and %d", a, b)
 				runs++
 				for o, n := range s.counts {
 					total[o] += n
@@ -58,28 +58,28 @@
 			}
 		}
 	}
-	assert.Assert(t, total[once.ClaimRun] > 100*runs, "too little ran: %v", total)
+	assert.Assert(t, total[once.ClaimRun] > 100*runs, "too few requests ran: %v", total)
 	assert.Assert(t, total[once.ClaimReplay] > 0 && total[once.ClaimUnknown] > 0, "%v", total)
 	t.Logf("%d histories, outcomes by kind %v", runs, total)
 }
 
 func TestKeyCheckCatchesPlantedFaults(t *testing.T) {
 	for name, c := range map[string]struct {
-		plant simPlant
-		fault simFault
+		mutation simMutation
+		fault    simFault
 	}{
-		"owner trusts a stale lease":     {simPlant{staleLease: true}, faultCut},
-		"successor trusts that it knows": {simPlant{forget: true}, faultKill},
-		"guard promises two epochs":      {simPlant{sharedPromise: true}, faultCut},
+		"owner relies on an expired lease": {simMutation{staleLease: true}, faultPartition},
+		"successor runs unknown keys":      {simMutation{claimUnknownKeys: true}, faultKill},
+		"guard grants two epochs":          {simMutation{conflictingLeases: true}, faultPartition},
 	} {
 		t.Run(name, func(t *testing.T) {
 			for seed := range uint64(120) {
-				if _, wrong := simulate(seed, c.fault, c.fault, c.plant); wrong != "" {
-					t.Logf("caught: %s", wrong)
+				if _, violation := simulate(seed, c.fault, c.fault, c.mutation); violation != "" {
+					t.Logf("detected: %s", violation)
 					return
 				}
 			}
-			t.Fatal("the planted fault was not caught by 120 seeds")
+			t.Fatal("the injected bug was not detected with 120 seeds")
 		})
 	}
 }
--- a/internal/core/once/model_test.go
+++ b/internal/core/once/model_test.go
@@ -15,13 +15,14 @@
 	"github.com/radishhoist/radishhoist/verdict"
 )
 
-// The model: one request that is not idempotent, one front, two guards tried
-// one after the other. Messages may be lost, repeated and reordered; a guard
-// may lapse its grant, be killed with all its memory, or be frozen past the
-// grant's life; the front may give up at any moment. Every interleaving within
-// the bounds is explored over the real Attempt and the real Queue.
+// This file is a model checker for one non-idempotent request, one front, and
+// two guards that are tried one after the other. Messages may be lost,
+// duplicated and reordered. A guard may let its grant expire, may be killed and
+// lose its state, or may be paused until after its grant has expired. The front
+// may abort at any time. Every interleaving within the limits is explored with
+// the production Attempt and Queue.
 
-// wire messages of the model.
+// The message types of the model.
 const (
 	reserveMsg = "reserve"
 	runMsg     = "run"
@@ -31,8 +32,8 @@
 	answerMsg  = "answer"
 )
 
-// plant is a fault put into the code on purpose, to see the checker catch it.
-type plant struct {
+// mutation is a bug injected to verify that the checker detects it.
+type mutation struct {
 	startAfterCancel bool
 	retryMayHaveRun  bool
 }
@@ -41,23 +42,23 @@
 	queue    *admit.Queue
 	now      time.Time
 	opened   bool
-	frozen   bool
+	paused   bool
 	running  bool
 	ran      int
 	finished bool
 }
 
 type model struct {
-	plant    plant
+	mutation mutation
 	attempts [2]once.Attempt
-	begun    int
+	started  int
 	guards   [2]*guardModel
 	toGuard  [2][]string
 	toFront  [2][]string
-	over     bool
+	done     bool
 	final    verdict.Verdict
-	// what is left of the bounds
-	losses, repeats, kills int
+	// The faults that may still occur.
+	losses, duplicates, kills int
 }
 
 const grantLife = time.Second
@@ -69,13 +70,13 @@
 	}
 }
 
-func newModel(p plant) *model {
-	m := &model{plant: p, losses: 1, repeats: 1, kills: 1}
+func newModel(p mutation) *model {
+	m := &model{mutation: p, losses: 1, duplicates: 1, kills: 1}
 	for i := range m.guards {
 		m.guards[i] = newGuard()
 	}
 	m.send(0, m.attempts[0].Begin(false, false))
-	m.begun = 1
+	m.started = 1
 	return m
 }
 
@@ -90,28 +91,28 @@
 	}
 }
 
-// settle lets the front go on once an attempt is over.
+// settle starts the next attempt, or ends the request, once attempt i is done.
 func (m *model) settle(i int) {
 	a := &m.attempts[i]
-	if a.Phase() != once.Done || m.over || i != m.begun-1 {
+	if a.Phase() != once.Done || m.done || i != m.started-1 {
 		return
 	}
-	again := a.Verdict() == verdict.NotRun || (m.plant.retryMayHaveRun && a.Verdict() == verdict.MayHaveRun)
-	if again && !a.Whole() && m.begun < len(m.attempts) {
-		m.begun++
-		m.send(m.begun-1, m.attempts[m.begun-1].Begin(false, false))
+	retry := a.Verdict() == verdict.NotRun || (m.mutation.retryMayHaveRun && a.Verdict() == verdict.MayHaveRun)
+	if retry && !a.Whole() && m.started < len(m.attempts) {
+		m.started++
+		m.send(m.started-1, m.attempts[m.started-1].Begin(false, false))
 		return
 	}
-	m.over = true
+	m.done = true
 	m.final = verdict.NotRun
-	for k := range m.begun {
+	for k := range m.started {
 		if v := m.attempts[k].Verdict(); v != verdict.NotRun {
 			m.final = v
 		}
 	}
 }
 
-// step is one possible next event.
+// step is a possible next event.
 type step struct {
 	name func() string
 	do   func(*model)
@@ -122,18 +123,18 @@
 	add := func(name func() string, do func(*model)) { out = append(out, step{name, do}) }
 	for i := range m.guards {
 		for _, k := range unique(m.toGuard[i]) {
-			add(func() string { return fmt.Sprintf("guard %d takes %s", i, k) }, func(m *model) { m.deliver(i, take(&m.toGuard[i], k)) })
+			add(func() string { return fmt.Sprintf("guard %d receives %s", i, k) }, func(m *model) { m.deliverToGuard(i, remove(&m.toGuard[i], k)) })
 			if m.losses > 0 {
-				add(func() string { return fmt.Sprintf("%s to guard %d is lost", k, i) }, func(m *model) { m.losses--; take(&m.toGuard[i], k) })
+				add(func() string { return fmt.Sprintf("%s to guard %d is lost", k, i) }, func(m *model) { m.losses--; remove(&m.toGuard[i], k) })
 			}
-			if m.repeats > 0 {
-				add(func() string { return fmt.Sprintf("%s to guard %d is repeated", k, i) }, func(m *model) { m.repeats--; m.toGuard[i] = append(m.toGuard[i], k) })
+			if m.duplicates > 0 {
+				add(func() string { return fmt.Sprintf("%s to guard %d is duplicated", k, i) }, func(m *model) { m.duplicates--; m.toGuard[i] = append(m.toGuard[i], k) })
 			}
 		}
 		for _, k := range unique(m.toFront[i]) {
-			add(func() string { return fmt.Sprintf("front takes %s of %d", k, i) }, func(m *model) { m.front(i, take(&m.toFront[i], k)) })
+			add(func() string { return fmt.Sprintf("front receives %s from guard %d", k, i) }, func(m *model) { m.deliverToFront(i, remove(&m.toFront[i], k)) })
 			if m.losses > 0 {
-				add(func() string { return fmt.Sprintf("%s of guard %d is lost", k, i) }, func(m *model) { m.losses--; take(&m.toFront[i], k) })
+				add(func() string { return fmt.Sprintf("%s from guard %d is lost", k, i) }, func(m *model) { m.losses--; remove(&m.toFront[i], k) })
 			}
 		}
 		g := m.guards[i]
@@ -141,46 +142,46 @@
 			add(func() string { return fmt.Sprintf("guard %d finishes", i) }, func(m *model) { m.finish(i) })
 		}
 		if len(g.queue.Tickets()) > 0 && !g.running {
-			add(func() string { return fmt.Sprintf("guard %d's grant lapses", i) }, func(m *model) { m.lapse(i, true) })
-			if !g.frozen {
-				add(func() string { return fmt.Sprintf("guard %d is frozen past the grant", i) }, func(m *model) { m.lapse(i, false) })
+			add(func() string { return fmt.Sprintf("guard %d's grant expires", i) }, func(m *model) { m.expireGrant(i, true) })
+			if !g.paused {
+				add(func() string { return fmt.Sprintf("guard %d is paused until its grant has expired", i) }, func(m *model) { m.expireGrant(i, false) })
 			}
 		}
 		if m.kills > 0 && g.opened {
 			add(func() string { return fmt.Sprintf("guard %d is killed", i) }, func(m *model) { m.kill(i) })
 		}
 	}
-	if cur := m.begun - 1; m.attempts[cur].Phase() != once.Done {
-		add(func() string { return "front gives up" }, func(m *model) { m.send(cur, m.attempts[cur].GiveUp()); m.settle(cur) })
+	if cur := m.started - 1; m.attempts[cur].Phase() != once.Done {
+		add(func() string { return "front aborts" }, func(m *model) { m.send(cur, m.attempts[cur].GiveUp()); m.settle(cur) })
 	}
 	return out
 }
 
-// unique lists the different messages in order, so that a path means the same
-// each time it is walked.
+// unique returns the distinct messages in sorted order, so that replaying a path
+// yields the same events.
 func unique(list []string) []string {
 	out := slices.Clone(list)
 	slices.Sort(out)
 	return slices.Compact(out)
 }
 
-func take(list *[]string, want string) string {
+func remove(list *[]string, want string) string {
 	for i, s := range *list {
 		if s == want {
 			*list = append((*list)[:i:i], (*list)[i+1:]...)
 			return s
 		}
 	}
-	panic("the model took a message that is not there")
+	panic("message is not in transit")
 }
 
-// deliver is the guard's exchange: one stream, one request.
-func (m *model) deliver(i int, message string) {
+// deliverToGuard handles a message at guard i, which serves one request on one stream.
+func (m *model) deliverToGuard(i int, message string) {
 	g := m.guards[i]
 	switch message {
 	case reserveMsg:
 		if g.opened {
-			return // the stream number was seen before
+			return // the stream is already open
 		}
 		g.opened = true
 		d := g.queue.Offer(g.now, admit.Request{ID: 1, Reserve: true, Deadline: g.now.Add(time.Hour)})[0]
@@ -194,7 +195,7 @@
 			return
 		}
 		d := g.queue.Run(g.now, 1)
-		if d.Action != admit.Start && !m.plant.startAfterCancel {
+		if d.Action != admit.Start && !m.mutation.startAfterCancel {
 			m.toFront[i] = append(m.toFront[i], refuseMsg)
 			return
 		}
@@ -212,28 +213,29 @@
 	m.toFront[i] = append(m.toFront[i], answerMsg)
 }
 
-func (m *model) lapse(i int, tick bool) {
+func (m *model) expireGrant(i int, tick bool) {
 	g := m.guards[i]
-	g.now, g.frozen = g.now.Add(2*grantLife), true
+	g.now, g.paused = g.now.Add(2*grantLife), true
 	if tick && len(g.queue.Tick(g.now)) > 0 {
 		m.toFront[i] = append(m.toFront[i], refuseMsg)
 	}
 }
 
-// kill loses the guard's memory and its streams: the front sees the link lost.
+// kill discards the guard's state and its streams. The front sees a lost
+// connection.
 func (m *model) kill(i int) {
 	m.kills--
 	ran := m.guards[i].ran
 	m.guards[i] = newGuard()
 	m.guards[i].ran = ran
 	m.toGuard[i], m.toFront[i] = nil, nil
-	if m.attempts[i].Phase() != once.Done && i < m.begun {
+	if m.attempts[i].Phase() != once.Done && i < m.started {
 		m.attempts[i].GiveUp()
 		m.settle(i)
 	}
 }
 
-func (m *model) front(i int, message string) {
+func (m *model) deliverToFront(i int, message string) {
 	a := &m.attempts[i]
 	switch message {
 	case grantMsg:
@@ -247,24 +249,24 @@
 	m.settle(i)
 }
 
-// violation names a broken promise, "" where all hold.
+// violation describes the invariant that is violated, "" if all hold.
 func (m *model) violation() string {
 	ran := m.guards[0].ran + m.guards[1].ran
 	switch {
 	case ran > 1:
 		return "the request ran twice"
-	case m.over && m.final == verdict.NotRun && ran > 0:
-		return "the caller was told not-run, and the request ran"
-	case m.over && m.attempts[m.begun-1].Whole() && ran != 1:
-		return "the caller got an answer, and the request did not run"
+	case m.done && m.final == verdict.NotRun && ran > 0:
+		return "the caller got the verdict not-run, but the request ran"
+	case m.done && m.attempts[m.started-1].Whole() && ran != 1:
+		return "the caller got a response, but the request did not run"
 	}
 	return ""
 }
 
-// key is the state, for telling states that were seen.
+// key identifies the state, to recognise states that were visited.
 func (m *model) key() string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "%+v %d %v %v %d %d %d", m.attempts, m.begun, m.over, m.final, m.losses, m.repeats, m.kills)
+	fmt.Fprintf(&b, "%+v %d %v %v %d %d %d", m.attempts, m.started, m.done, m.final, m.losses, m.duplicates, m.kills)
 	for i, g := range m.guards {
 		sort.Strings(m.toGuard[i])
 		sort.Strings(m.toFront[i])
@@ -273,9 +275,9 @@
 	return b.String()
 }
 
-// explore walks every interleaving and returns the number of states, or the
-// events that lead to a broken promise.
-func explore(p plant) (states int, broken []string) {
+// explore visits every interleaving. It returns the number of states and, if an
+// invariant is violated, the events that lead to the violation.
+func explore(p mutation) (states int, trace []string) {
 	seen := map[string]bool{}
 	var walk func(path []int) bool
 	walk = func(path []int) bool {
@@ -284,7 +286,7 @@
 			m.steps()[choice].do(m)
 		}
 		if v := m.violation(); v != "" {
-			broken = append(tell(p, path), v)
+			trace = append(describe(p, path), v)
 			return false
 		}
 		if k := m.key(); seen[k] {
@@ -300,11 +302,11 @@
 		return true
 	}
 	walk(nil)
-	return len(seen), broken
+	return len(seen), trace
 }
 
-// tell names the events of a path.
-func tell(p plant, path []int) []string {
+// describe returns the names of the events on a path.
+func describe(p mutation, path []int) []string {
 	m := newModel(p)
 	var names []string
 	for _, choice := range path {
@@ -316,21 +318,21 @@
 }
 
 func TestEveryInterleavingRunsAtMostOnce(t *testing.T) {
-	states, broken := explore(plant{})
-	assert.Assert(t, broken == nil, "%s", strings.Join(broken, "\n"))
+	states, trace := explore(mutation{})
+	assert.Assert(t, trace == nil, "%s", strings.Join(trace, "\n"))
 	assert.Assert(t, states > 1000, "only %d states were explored", states)
 	t.Logf("%d states", states)
 }
 
 func TestModelCatchesPlantedFaults(t *testing.T) {
-	for name, p := range map[string]plant{
-		"guard starts after cancel":       {startAfterCancel: true},
-		"front repeats what may have run": {retryMayHaveRun: true},
+	for name, p := range map[string]mutation{
+		"guard starts after cancel":                 {startAfterCancel: true},
+		"front retries a request that may have run": {retryMayHaveRun: true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			_, broken := explore(p)
-			assert.Assert(t, broken != nil, "the planted fault was not caught")
-			t.Logf("caught by:\n%s", strings.Join(broken, "\n"))
+			_, trace := explore(p)
+			assert.Assert(t, trace != nil, "the injected bug was not detected")
+			t.Logf("detected by:\n%s", strings.Join(trace, "\n"))
 		})
 	}
 }
--- a/internal/core/once/owner.go
+++ b/internal/core/once/owner.go
@@ -10,27 +10,29 @@
 	"github.com/radishhoist/radishhoist/record"
 )
 
-// Owner holds the shards that the shard maps give to this host. It does no
-// I/O: the caller sends the asks that Tick gives, and steps in the replies.
+// Owner manages the shards that the shard maps assign to this host. It does no
+// I/O: the caller sends the lease requests that Tick returns and passes the
+// replies to HandleLeaseReply.
 type Owner struct {
 	host string
-	// start is this process's start, as the shard maps name it.
-	start  uint64
-	life   time.Duration
-	config func(service string) TableConfig
-	shards map[ShardID]*ownedShard
-	// incoming are tables handed over for an epoch not owned yet.
+	// incarnation is the start time of this process in Unix milliseconds. The shard
+	// maps use it to tell apart the incarnations of a host.
+	incarnation   uint64
+	leaseDuration time.Duration
+	config        func(service string) TableConfig
+	shards        map[ShardID]*ownedShard
+	// incoming holds tables handed over for epochs that are not owned yet.
 	incoming map[handoverKey]*incomingTable
 }
 
 type ownedShard struct {
-	authority *Authority
-	table     *Table
-	nextAsk   time.Time
-	// frozen means that the table was handed over: no claim is taken until
+	authority   *Authority
+	table       *Table
+	nextRenewal time.Time
+	// frozen means that the table was handed over: claims are refused until
 	// the map gives the shard a new epoch.
 	frozen bool
-	// held remembers the last answer of Held, for events.
+	// held is the result of Held at the last tick, to detect changes.
 	held bool
 }
 
@@ -40,39 +42,40 @@
 }
 
 type incomingTable struct {
-	entries  []msg.KeyEntry
-	since    int64
-	opaqueMS int64
-	at       time.Time
-	whole    bool
-	// count is the number of parts that have come, in order.
-	count uint32
+	entries   []msg.KeyEntry
+	since     int64
+	opaqueMS  int64
+	updatedAt time.Time
+	complete  bool
+	// nextPart is the number of the next part to receive; parts arrive in order.
+	nextPart uint32
 }
 
-// Ask is one promise to ask for.
-type Ask struct {
+// LeaseRequest is a request for a lease, to be sent to one guard.
+type LeaseRequest struct {
 	Guard string
 	Shard ShardID
 	Epoch uint64
 }
 
-// NewOwner makes an Owner without shards, for a process that started at start,
-// in Unix milliseconds. life is the life of a promise;
-// config gives a service's table bounds.
-func NewOwner(host string, start uint64, life time.Duration, config func(service string) TableConfig) *Owner {
+// NewOwner creates an Owner without shards for a process that started at
+// incarnation, in Unix milliseconds. config returns the limits of a service's
+// tables.
+func NewOwner(host string, incarnation uint64, leaseDuration time.Duration, config func(service string) TableConfig) *Owner {
 	return &Owner{
-		host: host, start: start, life: life, config: config,
+		host: host, incarnation: incarnation, leaseDuration: leaseDuration, config: config,
 		shards: make(map[ShardID]*ownedShard), incoming: make(map[handoverKey]*incomingTable),
 	}
 }
 
-// SetMap takes a service's shard map. A shard at a new epoch starts with the
-// table that was handed over for it, or else with one that knows nothing.
+// SetMap applies a service's shard map. A shard at a new epoch starts with the
+// table that was handed over for that epoch, or else with an empty one, unless
+// this host owned the shard at the preceding epoch.
 func (o *Owner) SetMap(now time.Time, service string, m *record.ShardMap) {
 	for i, s := range m.Shards {
 		id := ShardID{service, uint32(i)}
 		have, owned := o.shards[id]
-		if s.Owner != o.host || s.Life != o.start {
+		if s.Owner != o.host || s.Life != o.incarnation {
 			delete(o.shards, id)
 			continue
 		}
@@ -92,8 +95,9 @@
 	}
 }
 
-// changeGuards takes new guards at the same epoch: authority is gathered anew,
-// the table stays.
+// changeGuards applies a change of the guard set within an epoch. Authority is
+// evaluated against the new set, keeping the leases already held; the table is
+// kept.
 func (o *Owner) changeGuards(s *ownedShard, m *record.ShardMap) {
 	if slices.Equal(s.authority.guards, m.Guards) && slices.Equal(s.authority.prev, m.Prev) {
 		return
@@ -101,19 +105,19 @@
 	fresh := NewAuthority(s.authority.Epoch(), m.Guards, m.Prev)
 	fresh.until = s.authority.until
 	s.authority = fresh
-	s.nextAsk = time.Time{}
+	s.nextRenewal = time.Time{}
 }
 
-// takeOver starts a shard at a new epoch. An owner that follows itself keeps
-// its table: nobody else had authority in between, since each epoch has one
-// owner and epochs follow one another.
+// takeOver starts a shard at a new epoch. An owner that already owned the
+// preceding epoch keeps its table: no other host can have had authority in
+// between, since each epoch has one owner.
 func (o *Owner) takeOver(now time.Time, id ShardID, epoch uint64, m *record.ShardMap, have *ownedShard) *ownedShard {
 	s := &ownedShard{authority: NewAuthority(epoch, m.Guards, m.Prev)}
 	in, ok := o.incoming[handoverKey{id, epoch}]
 	switch {
 	case have != nil && have.authority.Epoch()+1 == epoch:
 		s.table = have.table
-	case ok && in.whole:
+	case ok && in.complete:
 		s.table = ImportTable(o.config(id.Service), now, in.entries, in.since, in.opaqueMS)
 	default:
 		s.table = NewTable(o.config(id.Service))
@@ -126,64 +130,65 @@
 	return s
 }
 
-// asksPerLife is how often a promise is renewed within its life.
-const asksPerLife = 3
+// renewalsPerLease is the number of renewals within the duration of a lease.
+const renewalsPerLease = 3
 
-// Tick gives the promises to ask for now, ages the tables, and reports the
-// shards whose authority was won or lost.
-func (o *Owner) Tick(now time.Time, wallMS int64) (asks []Ask, won, lost []ShardID) {
+// Tick returns the lease requests that are due, expires table entries, and
+// reports the shards for which authority was acquired or lost.
+func (o *Owner) Tick(now time.Time, wallMS int64) (requests []LeaseRequest, acquired, lost []ShardID) {
 	for id, s := range o.shards {
 		s.table.Tick(now)
 		if s.authority.Held(now) {
-			s.table.Begin(now, wallMS)
+			s.table.Activate(now, wallMS)
 		}
 		if held := s.authority.Held(now); held != s.held {
 			s.held = held
 			if held {
-				won = append(won, id)
+				acquired = append(acquired, id)
 			} else {
 				lost = append(lost, id)
 			}
 		}
-		if now.Before(s.nextAsk) {
+		if now.Before(s.nextRenewal) {
 			continue
 		}
-		s.nextAsk = now.Add(o.life / asksPerLife)
+		s.nextRenewal = now.Add(o.leaseDuration / renewalsPerLease)
 		for _, g := range s.authority.Guards() {
-			asks = append(asks, Ask{Guard: g, Shard: id, Epoch: s.authority.Epoch()})
+			requests = append(requests, LeaseRequest{Guard: g, Shard: id, Epoch: s.authority.Epoch()})
 		}
 	}
 	for key, in := range o.incoming {
-		if now.Sub(in.at) > incomingLife {
+		if now.Sub(in.updatedAt) > incomingTTL {
 			delete(o.incoming, key)
 		}
 	}
-	slices.SortFunc(asks, func(a, b Ask) int {
+	slices.SortFunc(requests, func(a, b LeaseRequest) int {
 		return cmp.Or(cmp.Compare(a.Guard, b.Guard), cmp.Compare(a.Shard.Service, b.Shard.Service), cmp.Compare(a.Shard.Shard, b.Shard.Shard))
 	})
-	return asks, won, lost
+	return requests, acquired, lost
 }
 
-// incomingLife is how long a table that was handed over waits for its epoch.
-const incomingLife = 10 * time.Minute
+// incomingTTL is how long a handed-over table is kept while its epoch has not
+// started.
+const incomingTTL = 10 * time.Minute
 
-// Promised takes a guard's reply to an Ask that was sent at a time.
-func (o *Owner) Promised(a Ask, asked time.Time, r PromiseReply) {
-	s, ok := o.shards[a.Shard]
-	if !ok || s.authority.Epoch() != a.Epoch || !r.Granted {
+// HandleLeaseReply handles a guard's reply to req, which was sent at requested.
+func (o *Owner) HandleLeaseReply(req LeaseRequest, requested time.Time, r LeaseReply) {
+	s, ok := o.shards[req.Shard]
+	if !ok || s.authority.Epoch() != req.Epoch || !r.Granted {
 		return
 	}
-	s.authority.Promised(a.Guard, asked, r.Life)
+	s.authority.AddLease(req.Guard, requested, r.TTL)
 }
 
-// Claim decides about a keyed request. The clock must have been read after
-// the last wait.
+// Claim decides whether a keyed request may run. now must have been read after
+// the last blocking operation, since authority may have expired meanwhile.
 func (o *Owner) Claim(now time.Time, wallMS int64, c *msg.KeyClaim) *msg.KeyClaimed {
 	s, ok := o.shards[ShardID{c.Service, c.Shard}]
 	if !ok || s.frozen || !s.authority.Held(now) {
-		return &msg.KeyClaimed{Outcome: uint8(ClaimRefused), RetryAfterMS: uint32(o.life.Milliseconds() / 2)}
+		return &msg.KeyClaimed{Outcome: uint8(ClaimRefused), RetryAfterMS: uint32(o.leaseDuration.Milliseconds() / 2)}
 	}
-	s.table.Begin(now, wallMS)
+	s.table.Activate(now, wallMS)
 	outcome, replay := s.table.Claim(now, wallMS, c)
 	reply := &msg.KeyClaimed{}
 	if replay != nil {
@@ -193,9 +198,9 @@
 	return reply
 }
 
-// Done takes the end of a claimed request and reports whether this host owns
-// the shard; else the front tells the present owner. It needs no authority:
-// it only adds knowledge.
+// Done records the result of a claimed request. It returns false if this host
+// does not own the shard or has handed it over; the front then retries with the
+// current owner. No authority is needed, since a result permits no execution.
 func (o *Owner) Done(now time.Time, d *msg.KeyDone) bool {
 	s, ok := o.shards[ShardID{d.Service, d.Shard}]
 	if !ok || s.frozen {
@@ -205,9 +210,9 @@
 	return true
 }
 
-// Freeze stops claims on a shard and gives the table for its next owner, who
-// takes it at the next epoch. A frozen shard is never thawed within its epoch:
-// the next owner may already rely on the table.
+// Freeze stops claims on a shard and exports its table for the next owner, who
+// uses it from the next epoch on. A shard stays frozen for the rest of its
+// epoch, since the next owner may already rely on the exported table.
 func (o *Owner) Freeze(now time.Time, id ShardID) (entries []msg.KeyEntry, since, opaqueMS int64, epoch uint64, ok bool) {
 	s, ok := o.shards[id]
 	if !ok || !s.authority.Held(now) {
@@ -218,7 +223,8 @@
 	return entries, since, opaqueMS, s.authority.Epoch(), true
 }
 
-// Accept takes a part of a table handed over for an epoch.
+// Accept stores one part of a table handed over for an epoch. It returns false
+// for a part that is out of order or for an epoch that has already started.
 func (o *Owner) Accept(now time.Time, h *msg.Handover) bool {
 	key := handoverKey{ShardID{h.Service, h.Shard}, h.Epoch}
 	if s, ok := o.shards[key.ShardID]; ok && s.authority.Epoch() >= h.Epoch {
@@ -229,17 +235,18 @@
 		in = &incomingTable{since: h.Since, opaqueMS: h.OpaqueMS}
 		o.incoming[key] = in
 	}
-	if h.Part != in.count {
+	if h.Part != in.nextPart {
 		return false
 	}
 	in.entries = append(in.entries, h.Entries...)
-	in.at = now
-	in.whole = h.Last
-	in.count++
+	in.updatedAt = now
+	in.complete = h.Last
+	in.nextPart++
 	return true
 }
 
-// Shards lists the shards this host owns, for drain and the state dump.
+// Shards returns the shards this host owns, sorted by service and number, for
+// draining and the state dump.
 func (o *Owner) Shards(now time.Time) []OwnedState {
 	out := []OwnedState{}
 	for id, s := range o.shards {
@@ -257,7 +264,7 @@
 	return out
 }
 
-// OwnedState is one owned shard in the state dump.
+// OwnedState describes an owned shard in the state dump.
 type OwnedState struct {
 	Service string `json:"service"`
 	Shard   uint32 `json:"shard"`
--- a/internal/core/once/placement.go
+++ b/internal/core/once/placement.go
@@ -10,46 +10,47 @@
 	"github.com/radishhoist/radishhoist/record"
 )
 
-// maxGuards bounds the guards of a service: seven tolerate three at once, and
-// keep the promises few.
+// maxGuards limits the guards of a service. Seven guards tolerate three
+// simultaneous failures and keep the lease traffic low.
 const maxGuards = 7
 
-// Candidate is a host that could guard or own a service's shards.
+// Candidate is a host that can be chosen as guard or owner of a service's
+// shards.
 type Candidate struct {
 	Host string
 	DC   string
-	// Life is the start of its process, in Unix milliseconds.
-	Life uint64
-	// Usable says that it lives and is not leaving.
+	// Incarnation is the start time of the host's process in Unix milliseconds.
+	Incarnation uint64
+	// Usable is set if the host is alive and not leaving.
 	Usable bool
-	// Lost says that it has not been usable for so long that the guards
-	// should do without it.
+	// Lost is set if the host has been unusable for so long that it should be
+	// removed from the guards.
 	Lost bool
 }
 
-// FirstMap makes a service's first shard map; nil where no host is usable. Its
-// epochs start at the wall time in seconds, so that a map which an operator has
-// removed is followed by greater epochs.
-func FirstMap(service string, shards uint32, hosts []Candidate, wall time.Time) *record.ShardMap {
+// InitialMap returns a service's initial shard map, or nil if no host is usable.
+// Epochs start at the wall time in seconds, so that they are greater than those
+// of an earlier map that an operator has deleted.
+func InitialMap(service string, shards uint32, hosts []Candidate, wall time.Time) *record.ShardMap {
 	guards := pickGuards(service, hosts, maxGuards)
 	if len(guards) == 0 {
 		return nil
 	}
 	m := &record.ShardMap{Guards: guards}
 	for i := range shards {
-		owner := preferred(service, i, guards, nil)
-		m.Shards = append(m.Shards, record.Shard{Owner: owner, Life: lifeOf(hosts, owner), Epoch: uint64(wall.Unix())})
+		owner := preferredOwner(service, i, guards, nil)
+		m.Shards = append(m.Shards, record.Shard{Owner: owner, Life: incarnationOf(hosts, owner), Epoch: uint64(wall.Unix())})
 	}
 	return m
 }
 
-// NextMap proposes the next change of a map, at most one move of the guards
-// and any number of owners; nil where nothing is to change. self proposes only
-// shards that it would own itself, so that a write comes from whoever takes
-// over.
+// NextMap returns the next version of a map, or nil if nothing has to change.
+// One version changes either any number of owners or a single guard. self
+// reassigns only shards that it will own itself, so that the new owner writes
+// the change.
 func NextMap(service, self string, m *record.ShardMap, hosts []Candidate) *record.ShardMap {
-	next := clone(m)
-	if changeOwners(service, self, next, hosts) {
+	next := cloneMap(m)
+	if reassignOwners(service, self, next, hosts) {
 		return next
 	}
 	if changeGuards(service, self, next, hosts) {
@@ -58,17 +59,17 @@
 	return nil
 }
 
-// changeOwners moves shards whose owner is gone or leaving to this host, where
-// it is the preferred successor.
-func changeOwners(service, self string, m *record.ShardMap, hosts []Candidate) bool {
+// reassignOwners assigns to self the shards whose owner is unusable or has
+// restarted, if self is the preferred successor.
+func reassignOwners(service, self string, m *record.ShardMap, hosts []Candidate) bool {
 	changed := false
 	for i := range m.Shards {
 		s := &m.Shards[i]
-		if usable(hosts, s.Owner) && lifeOf(hosts, s.Owner) == s.Life {
+		if usable(hosts, s.Owner) && incarnationOf(hosts, s.Owner) == s.Life {
 			continue
 		}
-		if preferred(service, uint32(i), m.Guards, hosts) == self {
-			s.Owner, s.Life = self, lifeOf(hosts, self)
+		if preferredOwner(service, uint32(i), m.Guards, hosts) == self {
+			s.Owner, s.Life = self, incarnationOf(hosts, self)
 			s.Epoch++
 			changed = true
 		}
@@ -76,15 +77,16 @@
 	return changed
 }
 
-// changeGuards moves the guards by one host: it adds one where there are too
-// few, or else removes one that is lost. Every shard gets a new epoch, and the
-// guards before the change stay needed until all owners hold again. The first
-// usable guard by name proposes it, so that few compete.
+// changeGuards changes the guard set by one host: it adds one if there are too
+// few, or else removes one that is lost. Every shard gets a new epoch, and a
+// majority of the previous guards is also required until all owners hold
+// authority again. Only the first usable guard by name makes the change, which
+// limits conflicting writes.
 func changeGuards(service, self string, m *record.ShardMap, hosts []Candidate) bool {
-	if self != firstUsable(m.Guards, hosts) || !settled(m) {
+	if self != firstUsable(m.Guards, hosts) || !allHeld(m) {
 		return false
 	}
-	was := m.Guards
+	previous := m.Guards
 	lost := lostGuard(m.Guards, hosts)
 	add := nextGuard(service, m.Guards, hosts)
 	kept := len(m.Guards)
@@ -99,16 +101,17 @@
 	default:
 		return false
 	}
-	m.Prev = was
+	m.Prev = previous
 	for i := range m.Shards {
 		m.Shards[i].Epoch++
 	}
 	return true
 }
 
-// settled says that every owner has held authority under the present guards
-// and those before, so that no older majority can still be in force.
-func settled(m *record.ShardMap) bool {
+// allHeld reports whether every owner has held authority under both the current
+// and the previous guards, so that no lease majority of an older guard set can
+// still be valid.
+func allHeld(m *record.ShardMap) bool {
 	for _, s := range m.Shards {
 		if s.Held != s.Epoch {
 			return false
@@ -117,8 +120,9 @@
 	return true
 }
 
-// ConfirmHeld notes in a map that this host's shards hold authority; nil where
-// that is known already. Only a map whose guards have changed needs it.
+// ConfirmHeld returns a map that records the shards for which this host holds
+// authority, or nil if the map records them already. Only a guard change
+// depends on this record.
 func ConfirmHeld(self string, m *record.ShardMap, held map[uint32]uint64) *record.ShardMap {
 	next := editOwned(self, m, func(i uint32, s *record.Shard) bool {
 		if s.Held == s.Epoch || held[i] != s.Epoch {
@@ -127,16 +131,16 @@
 		s.Held = s.Epoch
 		return true
 	})
-	if next != nil && settled(next) {
+	if next != nil && allHeld(next) {
 		next.Prev = nil
 	}
 	return next
 }
 
-// Thaw gives a new epoch to shards that this host still owns after it has
-// handed their tables over: the tables elsewhere are then of no use. nil where
-// there are none.
-func Thaw(self string, m *record.ShardMap, frozen map[uint32]uint64) *record.ShardMap {
+// ReclaimFrozen returns a map with new epochs for the shards that this host still owns
+// although it has handed over their tables, or nil if there are none. The new
+// epochs invalidate the tables that were handed over.
+func ReclaimFrozen(self string, m *record.ShardMap, frozen map[uint32]uint64) *record.ShardMap {
 	return editOwned(self, m, func(i uint32, s *record.Shard) bool {
 		if frozen[i] != s.Epoch {
 			return false
@@ -146,10 +150,10 @@
 	})
 }
 
-// editOwned edits a copy of a map at the shards that this host owns; edit says
-// whether it changed the shard. nil where it changed none.
+// editOwned applies edit to the shards that self owns in a copy of m. edit
+// reports whether it changed the shard; the result is nil if none changed.
 func editOwned(self string, m *record.ShardMap, edit func(i uint32, s *record.Shard) bool) *record.ShardMap {
-	next := clone(m)
+	next := cloneMap(m)
 	changed := false
 	for i := range next.Shards {
 		if s := &next.Shards[i]; s.Owner == self && edit(uint32(i), s) {
@@ -162,14 +166,14 @@
 	return next
 }
 
-// Successor is the host that should own a shard once its owner leaves.
+// Successor returns the host that should own a shard after its owner leaves.
 func Successor(service string, shard uint32, m *record.ShardMap, hosts []Candidate) string {
-	return preferred(service, shard, m.Guards, hosts)
+	return preferredOwner(service, shard, m.Guards, hosts)
 }
 
-// preferred picks the owner of a shard among guards by rendezvous hashing;
-// hosts limits it to usable ones, nil takes all guards.
-func preferred(service string, shard uint32, guards []string, hosts []Candidate) string {
+// preferredOwner selects the owner of a shard among the guards by rendezvous
+// hashing. If hosts is not nil, only usable hosts are considered.
+func preferredOwner(service string, shard uint32, guards []string, hosts []Candidate) string {
 	best, bestScore := "", uint64(0)
 	for _, g := range guards {
 		if hosts != nil && !usable(hosts, g) {
@@ -183,8 +187,8 @@
 	return best
 }
 
-// pickGuards picks up to n usable hosts, data centres in turn, so that one
-// data centre never holds a majority where there are three or more.
+// pickGuards selects up to n usable hosts, taking data centres in turn, so that
+// no data centre holds a majority if there are three or more.
 func pickGuards(service string, hosts []Candidate, n int) []string {
 	var out []string
 	for len(out) < n {
@@ -197,7 +201,7 @@
 	return out
 }
 
-// nextGuard picks the usable host to add: from the data centre with fewest
+// nextGuard selects the usable host to add: from the data centre with the fewest
 // guards, then by rendezvous hashing.
 func nextGuard(service string, have []string, hosts []Candidate) string {
 	perDC := make(map[string]int)
@@ -219,10 +223,11 @@
 	return best
 }
 
-// lostGuard finds a guard to do without; a host that nobody knows is lost too.
+// lostGuard returns a guard to remove. A guard that is not among hosts counts
+// as lost.
 func lostGuard(guards []string, hosts []Candidate) string {
 	for _, g := range guards {
-		c, ok := find(hosts, g)
+		c, ok := findCandidate(hosts, g)
 		if !ok || c.Lost {
 			return g
 		}
@@ -240,7 +245,7 @@
 	return first
 }
 
-func find(hosts []Candidate, name string) (Candidate, bool) {
+func findCandidate(hosts []Candidate, name string) (Candidate, bool) {
 	for _, c := range hosts {
 		if c.Host == name {
 			return c, true
@@ -250,16 +255,16 @@
 }
 
 func usable(hosts []Candidate, name string) bool {
-	c, ok := find(hosts, name)
+	c, ok := findCandidate(hosts, name)
 	return ok && c.Usable
 }
 
-func lifeOf(hosts []Candidate, name string) uint64 {
-	c, _ := find(hosts, name)
-	return c.Life
+func incarnationOf(hosts []Candidate, name string) uint64 {
+	c, _ := findCandidate(hosts, name)
+	return c.Incarnation
 }
 
-func clone(m *record.ShardMap) *record.ShardMap {
+func cloneMap(m *record.ShardMap) *record.ShardMap {
 	return &record.ShardMap{
 		Guards: slices.Clone(m.Guards), Prev: slices.Clone(m.Prev), Shards: slices.Clone(m.Shards),
 	}
--- a/internal/core/once/sim_test.go
+++ b/internal/core/once/sim_test.go
@@ -15,50 +15,51 @@
 	"github.com/radishhoist/radishhoist/verdict"
 )
 
-// The simulation: hosts with the real Owner, Promiser and placement over a
-// small in-memory message fake in virtual time, a platform with conditional
-// update that can be away or lose answers, and callers that repeat keyed
-// requests through any host. Hosts are killed, frozen and cut off one way.
+// This file simulates hosts that run the production Owner, LeaseGranter and
+// placement code in virtual time over an in-memory message network. The platform
+// supports conditional updates and may be unavailable or lose replies. Callers
+// repeat keyed requests through any host. Hosts are killed, paused and
+// partitioned in one direction.
 
 const (
-	simLife    = time.Second
-	simHosts   = 5
-	simShards  = 2
-	simService = "coach"
-	simEnd     = 60 * time.Second
+	leaseDuration = time.Second
+	simHosts      = 5
+	simShards     = 2
+	simService    = "coach"
+	simEnd        = 60 * time.Second
 )
 
 var simStart = time.Unix(100000, 0)
 
-// simFault is one fault of a run.
+// simFault is a kind of fault injected into a run.
 type simFault uint8
 
 const (
 	faultKill simFault = iota
-	faultFreeze
-	faultCut
+	faultPause
+	faultPartition
 	faultOutage
-	faultLostAnswer
+	faultLostReply
 	faultDrain
-	faults
+	numFaults
 )
 
-// simPlant is a fault put into the code on purpose.
-type simPlant struct {
-	// staleLease makes owners trust a lease that they once held.
+// simMutation is a bug injected to verify that the history check detects it.
+type simMutation struct {
+	// staleLease makes owners rely on a lease that may have expired.
 	staleLease bool
-	// forget makes successors trust that they know every key.
-	forget bool
-	// sharedPromise makes guards promise two epochs at once.
-	sharedPromise bool
+	// claimUnknownKeys makes successors run keys that they cannot know.
+	claimUnknownKeys bool
+	// conflictingLeases makes guards grant the leases of two epochs at once.
+	conflictingLeases bool
 }
 
 type event struct {
-	at   time.Time
-	seq  int
-	host int // -1: not bound to a host's life
-	life int
-	do   func()
+	at          time.Time
+	seq         int
+	host        int // -1: not bound to an incarnation of a host
+	incarnation int
+	do          func()
 }
 
 type eventHeap []*event
@@ -80,32 +81,32 @@
 }
 
 type simHost struct {
-	id       int
-	name     string
-	life     int // counts restarts; events of an earlier life are dropped
-	up       bool
-	leaving  bool
-	frozen   time.Time // runs nothing before this time
-	deaf     time.Time // learns of no map before this time
-	heldAt   time.Time // when it last held a shard
-	owner    *once.Owner
-	promiser *once.Promiser
-	view     *record.ShardMap
-	version  int64
+	id               int
+	name             string
+	incarnation      int // counts restarts; events of earlier incarnations are dropped
+	up               bool
+	leaving          bool
+	pausedUntil      time.Time // executes no events before this time
+	mapsDelayedUntil time.Time // receives no maps before this time
+	heldAt           time.Time // when it last had authority over a shard
+	owner            *once.Owner
+	granter          *once.LeaseGranter
+	view             *record.ShardMap
+	version          int64
 }
 
 type sim struct {
-	rng    *rand.Rand
-	plant  simPlant
-	now    time.Time
-	seq    int
-	queue  eventHeap
-	hosts  []*simHost
-	cut    map[[2]int]time.Time // one way, until
-	away   time.Time
-	lose   int
-	stored *record.ShardMap
-	rev    int64
+	rng              *rand.Rand
+	mutation         simMutation
+	now              time.Time
+	seq              int
+	queue            eventHeap
+	hosts            []*simHost
+	partitionedUntil map[[2]int]time.Time // end of the partition from one host to another
+	unavailableUntil time.Time
+	repliesToLose    int
+	stored           *record.ShardMap
+	rev              int64
 
 	executed map[string]int
 	ops      []porcupine.Operation
@@ -113,12 +114,12 @@
 }
 
 func (s *sim) at(d time.Duration, host int, do func()) {
-	life := 0
+	incarnation := 0
 	if host >= 0 {
-		life = s.hosts[host].life
+		incarnation = s.hosts[host].incarnation
 	}
 	s.seq++
-	heap.Push(&s.queue, &event{at: s.now.Add(d), seq: s.seq, host: host, life: life, do: do})
+	heap.Push(&s.queue, &event{at: s.now.Add(d), seq: s.seq, host: host, incarnation: incarnation, do: do})
 }
 
 func (s *sim) run() {
@@ -127,12 +128,12 @@
 		s.now = e.at
 		if e.host >= 0 {
 			h := s.hosts[e.host]
-			if !h.up || h.life != e.life {
+			if !h.up || h.incarnation != e.incarnation {
 				continue
 			}
-			if e.at.Before(h.frozen) {
-				// A frozen host does its work when it wakes.
-				e.at = h.frozen
+			if e.at.Before(h.pausedUntil) {
+				// The event runs when the paused host resumes.
+				e.at = h.pausedUntil
 				heap.Push(&s.queue, e)
 				continue
 			}
@@ -143,22 +144,22 @@
 
 func (s *sim) delay() time.Duration { return time.Duration(1+s.rng.IntN(20)) * time.Millisecond }
 
-// message delivers to a host after a delay, unless the way is cut or it is
-// lost on the way.
+// message delivers to a host after a delay, unless the two hosts are partitioned
+// or the message is lost.
 func (s *sim) message(from, to int, do func()) {
-	if s.now.Before(s.cut[[2]int{from, to}]) || s.rng.IntN(50) == 0 {
+	if s.now.Before(s.partitionedUntil[[2]int{from, to}]) || s.rng.IntN(50) == 0 {
 		return
 	}
 	s.at(s.delay(), to, do)
 }
 
 func (s *sim) start(h *simHost) {
-	h.life++
+	h.incarnation++
 	h.up, h.leaving = true, false
-	h.promiser = once.NewPromiser(s.now, simLife)
-	h.owner = once.NewOwner(h.name, uint64(h.life), simLife, func(string) once.TableConfig {
+	h.granter = once.NewLeaseGranter(s.now, leaseDuration)
+	h.owner = once.NewOwner(h.name, uint64(h.incarnation), leaseDuration, func(string) once.TableConfig {
 		cfg := once.DefaultTableConfig()
-		cfg.Window, cfg.ClaimLife, cfg.Skew = 30*time.Second, 20*time.Second, 2*time.Second
+		cfg.Window, cfg.ClaimTimeout, cfg.MaxSkew = 30*time.Second, 20*time.Second, 2*time.Second
 		return cfg
 	})
 	h.view, h.version = nil, 0
@@ -167,27 +168,27 @@
 	s.at(s.delay(), h.id, func() { s.place(h) })
 }
 
-// sync reads the map from the platform, as a host does when it starts.
+// sync reads the map from the platform, as a host does at startup.
 func (s *sim) sync(h *simHost) {
-	if s.now.Before(s.away) {
+	if s.now.Before(s.unavailableUntil) {
 		s.at(200*time.Millisecond, h.id, func() { s.sync(h) })
 		return
 	}
 	stored, rev := s.stored, s.rev
 	s.at(s.delay(), h.id, func() {
-		s.learn(h, stored, rev)
-		h.promiser.Synced()
+		s.receiveMap(h, stored, rev)
+		h.granter.MarkSynced()
 	})
 }
 
-func (s *sim) learn(h *simHost, m *record.ShardMap, rev int64) {
+func (s *sim) receiveMap(h *simHost, m *record.ShardMap, rev int64) {
 	if m == nil || rev <= h.version {
 		return
 	}
 	h.view, h.version = m, rev
 	for i, sh := range m.Shards {
-		if !s.plant.sharedPromise {
-			h.promiser.LearnEpoch(once.ShardID{Service: simService, Shard: uint32(i)}, sh.Epoch)
+		if !s.mutation.conflictingLeases {
+			h.granter.ObserveEpoch(once.ShardID{Service: simService, Shard: uint32(i)}, sh.Epoch)
 		}
 	}
 	h.owner.SetMap(s.now, simService, m)
@@ -199,16 +200,16 @@
 			h.heldAt = s.now
 		}
 	}
-	asks, _, _ := h.owner.Tick(s.now, s.now.UnixMilli())
-	for _, a := range asks {
-		asked, to := s.now, s.index(a.Guard)
+	requests, _, _ := h.owner.Tick(s.now, s.now.UnixMilli())
+	for _, req := range requests {
+		requested, to := s.now, s.index(req.Guard)
 		s.message(h.id, to, func() {
 			g := s.hosts[to]
-			r := g.promiser.Ask(s.now, a.Shard, a.Epoch, h.name)
-			if s.plant.sharedPromise && !r.Granted {
-				r = once.PromiseReply{Granted: true, Epoch: a.Epoch, Life: simLife}
+			r := g.granter.Acquire(s.now, req.Shard, req.Epoch, h.name)
+			if s.mutation.conflictingLeases && !r.Granted {
+				r = once.LeaseReply{Granted: true, Epoch: req.Epoch, TTL: leaseDuration}
 			}
-			s.message(to, h.id, func() { h.owner.Promised(a, asked, r) })
+			s.message(to, h.id, func() { h.owner.HandleLeaseReply(req, requested, r) })
 		})
 	}
 	s.at(50*time.Millisecond, h.id, func() { s.tick(h) })
@@ -218,14 +219,14 @@
 	return slices.IndexFunc(s.hosts, func(h *simHost) bool { return h.name == name })
 }
 
-// candidates is membership's view: a host that is down, frozen or cut off is
-// seen as gone, at times wrongly.
+// candidates returns the hosts as seen by the viewer's membership. A host that
+// is down, paused or partitioned appears unusable and at random times lost.
 func (s *sim) candidates(viewer int) []once.Candidate {
 	var out []once.Candidate
 	for _, h := range s.hosts {
-		reachable := h.up && !s.now.Before(h.frozen) && !s.now.Before(s.cut[[2]int{h.id, viewer}])
+		reachable := h.up && !s.now.Before(h.pausedUntil) && !s.now.Before(s.partitionedUntil[[2]int{h.id, viewer}])
 		out = append(out, once.Candidate{
-			Host: h.name, DC: fmt.Sprint(h.id % 3), Life: uint64(h.life),
+			Host: h.name, DC: fmt.Sprint(h.id % 3), Incarnation: uint64(h.incarnation),
 			Usable: reachable && !h.leaving, Lost: !reachable && s.rng.IntN(4) == 0,
 		})
 	}
@@ -237,7 +238,7 @@
 	var next *record.ShardMap
 	hosts := s.candidates(h.id)
 	if h.view == nil {
-		next = once.FirstMap(simService, simShards, hosts, s.now)
+		next = once.InitialMap(simService, simShards, hosts, s.now)
 	} else {
 		held, frozen := map[uint32]uint64{}, map[uint32]uint64{}
 		for _, o := range h.owner.Shards(s.now) {
@@ -247,7 +248,7 @@
 				held[o.Shard] = o.Epoch
 			}
 		}
-		if next = once.Thaw(h.name, h.view, frozen); next == nil {
+		if next = once.ReclaimFrozen(h.name, h.view, frozen); next == nil {
 			next = once.NextMap(simService, h.name, h.view, hosts)
 		}
 		if next == nil {
@@ -259,53 +260,53 @@
 	}
 }
 
-// put writes the map on condition; its answer may be lost after it took
-// effect, and the host then reads back.
+// put writes the map if its revision is ifVersion, and the writer then learns
+// the stored map. The reply may be lost after the write took effect.
 func (s *sim) put(h *simHost, next *record.ShardMap, ifVersion int64) {
 	s.at(s.delay(), -1, func() {
-		if s.now.Before(s.away) {
+		if s.now.Before(s.unavailableUntil) {
 			return
 		}
 		if s.rev == ifVersion {
 			s.rev++
 			s.stored = next
-			s.spread()
+			s.distribute()
 		}
 		stored, rev := s.stored, s.rev
-		if s.lose > 0 {
-			s.lose--
+		if s.repliesToLose > 0 {
+			s.repliesToLose--
 			return
 		}
-		s.at(s.delay(), h.id, func() { s.learn(h, stored, rev) })
+		s.at(s.delay(), h.id, func() { s.receiveMap(h, stored, rev) })
 	})
 }
 
-// spread brings a map to the hosts, each after its own time, some late.
-func (s *sim) spread() {
+// distribute sends a map to the hosts with random delays, some of them long.
+func (s *sim) distribute() {
 	stored, rev := s.stored, s.rev
 	for _, h := range s.hosts {
-		late := time.Duration(s.rng.IntN(300)) * time.Millisecond
+		delay := time.Duration(s.rng.IntN(300)) * time.Millisecond
 		if s.rng.IntN(8) == 0 {
-			late += 3 * time.Second
+			delay += 3 * time.Second
 		}
-		late = max(late, h.deaf.Sub(s.now))
-		s.at(late, h.id, func() { s.learn(h, stored, rev) })
+		delay = max(delay, h.mapsDelayedUntil.Sub(s.now))
+		s.at(delay, h.id, func() { s.receiveMap(h, stored, rev) })
 	}
 }
 
-// keyInput and keyOutput are one caller's operation in the history.
+// keyInput and keyOutput are a caller's operation in the history.
 type keyInput struct{ key string }
 
 type keyOutput struct {
 	outcome once.ClaimOutcome
 	answer  string
-	// ran says the caller itself got its answer; lost that its run may have
-	// happened without an answer.
+	// ran is set if the caller's own request ran and was answered, lost if it
+	// may have run without a response.
 	ran, lost bool
 }
 
-// request is one caller's keyed request through a host.
-func (s *sim) request(client int, key string, minted int64, front int) {
+// request sends a caller's keyed request through a host.
+func (s *sim) request(client int, key string, created int64, front int) {
 	call := s.now
 	id := fmt.Sprintf("%s/%d/%d", key, client, s.seq)
 	finish := func(o keyOutput) {
@@ -328,20 +329,21 @@
 		}
 	}
 	owner := s.index(f.view.Shards[shard].Owner)
-	claim := &msg.KeyClaim{Service: simService, Shard: shard, Key: key, RequestID: id, MintedMS: minted}
+	claim := &msg.KeyClaim{Service: simService, Shard: shard, Key: key, RequestID: id, MintedMS: created}
 	s.message(front, owner, func() {
 		o := s.hosts[owner]
 		now := s.now
-		if s.plant.staleLease && !o.heldAt.IsZero() {
+		if s.mutation.staleLease && !o.heldAt.IsZero() {
 			now = o.heldAt
 		}
 		r := o.owner.Claim(now, s.now.UnixMilli(), claim)
-		if s.plant.forget && once.ClaimOutcome(r.Outcome) == once.ClaimUnknown {
+		if s.mutation.claimUnknownKeys && once.ClaimOutcome(r.Outcome) == once.ClaimUnknown {
 			r.Outcome = uint8(once.ClaimRun)
 		}
 		s.message(owner, front, func() { s.claimed(f, claim, r, settle) })
 	})
-	// The caller gives up; a run may still come, so the outcome is open.
+	// The caller times out. The request may still run later, so the outcome is
+	// unknown.
 	s.at(8*time.Second, -1, func() { settle(keyOutput{outcome: once.ClaimMayHaveRun, lost: true}) })
 }
 
@@ -351,7 +353,7 @@
 		settle(keyOutput{outcome: outcome, answer: string(r.Body)})
 		return
 	}
-	// The run itself: somewhere, after some time, even with the front paused.
+	// The request runs after a random time, even while the front is paused.
 	s.at(time.Duration(s.rng.IntN(1500))*time.Millisecond, -1, func() {
 		if s.rng.IntN(10) == 0 {
 			settle(keyOutput{outcome: once.ClaimRefused})
@@ -378,31 +380,31 @@
 	s.message(f.id, owner, func() { s.hosts[owner].owner.Done(s.now, d) })
 }
 
-// break1 starts one fault on a random host.
-func (s *sim) break1(f simFault) {
+// injectFault starts a fault on a random host.
+func (s *sim) injectFault(f simFault) {
 	h := s.hosts[s.rng.IntN(simHosts)]
 	span := time.Duration(500+s.rng.IntN(5000)) * time.Millisecond
 	switch f {
 	case faultKill:
 		h.up = false
 		s.at(span, -1, func() { s.start(h) })
-	case faultFreeze:
-		h.frozen = s.now.Add(span)
-	case faultCut:
-		h.deaf = s.now.Add(span)
+	case faultPause:
+		h.pausedUntil = s.now.Add(span)
+	case faultPartition:
+		h.mapsDelayedUntil = s.now.Add(span)
 		for i := range s.hosts {
-			way := [2]int{h.id, i}
+			direction := [2]int{h.id, i}
 			if s.rng.IntN(2) == 0 {
-				way = [2]int{i, h.id}
+				direction = [2]int{i, h.id}
 			}
 			if i != h.id {
-				s.cut[way] = s.now.Add(span)
+				s.partitionedUntil[direction] = s.now.Add(span)
 			}
 		}
 	case faultOutage:
-		s.away = s.now.Add(span)
-	case faultLostAnswer:
-		s.lose += 2
+		s.unavailableUntil = s.now.Add(span)
+	case faultLostReply:
+		s.repliesToLose += 2
 	case faultDrain:
 		if h.up && h.view != nil {
 			s.drain(h, span)
@@ -410,7 +412,7 @@
 	}
 }
 
-// drain hands every shard over and stops the host, then starts it anew.
+// drain hands over every shard, stops the host and restarts it.
 func (s *sim) drain(h *simHost, span time.Duration) {
 	hosts := s.candidates(h.id)
 	hosts[h.id].Usable = false
@@ -422,7 +424,7 @@
 			s.message(h.id, to, func() {
 				if s.hosts[to].owner.Accept(s.now, part) {
 					for _, g := range s.hosts {
-						s.message(h.id, g.id, func() { g.promiser.Release(s.now, id, epoch, h.name) })
+						s.message(h.id, g.id, func() { g.granter.Release(s.now, id, epoch, h.name) })
 					}
 				}
 			})
@@ -432,11 +434,12 @@
 	s.at(500*time.Millisecond+span, h.id, func() { s.start(h) })
 }
 
-// simulate runs one seed with two kinds of fault and returns what went wrong.
-func simulate(seed uint64, a, b simFault, p simPlant) (*sim, string) {
+// simulate runs one seed with two kinds of fault. It returns a description of
+// the violation, "" if there is none.
+func simulate(seed uint64, a, b simFault, p simMutation) (*sim, string) {
 	s := &sim{
-		rng: rand.New(rand.NewPCG(seed, 7)), plant: p, now: simStart,
-		cut: make(map[[2]int]time.Time), executed: make(map[string]int), counts: make(map[once.ClaimOutcome]int),
+		rng: rand.New(rand.NewPCG(seed, 7)), mutation: p, now: simStart,
+		partitionedUntil: make(map[[2]int]time.Time), executed: make(map[string]int), counts: make(map[once.ClaimOutcome]int),
 	}
 	for i := range simHosts {
 		s.hosts = append(s.hosts, &simHost{id: i, name: fmt.Sprintf("h%d", i)})
@@ -449,19 +452,20 @@
 		if s.rng.IntN(2) == 0 {
 			f = b
 		}
-		s.at(at, -1, func() { s.break1(f) })
+		s.at(at, -1, func() { s.injectFault(f) })
 	}
 	for n := range 300 {
-		// Each key is sent several times, over a few seconds, anywhere.
+		// Each key is sent several times within a few seconds, through random
+		// hosts.
 		key := fmt.Sprintf("k%d-%d", n, seed)
 		first := 2*time.Second + time.Duration(n)*150*time.Millisecond
-		minted := simStart.Add(first).UnixMilli() + int64(s.rng.IntN(2000)) - 1000
+		created := simStart.Add(first).UnixMilli() + int64(s.rng.IntN(2000)) - 1000
 		if n%4 == 0 {
-			minted = 0
+			created = 0
 		}
 		for repeat := range 4 {
 			wait := time.Duration(s.rng.IntN(1+repeat*2500)) * time.Millisecond
-			s.at(first+wait, -1, func() { s.request(n*4+repeat, key, minted, s.rng.IntN(simHosts)) })
+			s.at(first+wait, -1, func() { s.request(n*4+repeat, key, created, s.rng.IntN(simHosts)) })
 		}
 	}
 	s.at(simEnd, -1, func() { s.queue = nil })
@@ -472,7 +476,7 @@
 		}
 	}
 	if !porcupine.CheckOperations(keyModel.ToModel(), s.ops) {
-		return s, fmt.Sprintf("seed %d: the history is not one of a key that runs once", seed)
+		return s, fmt.Sprintf("seed %d: the history violates at-most-once execution", seed)
 	}
 	return s, ""
 }
--- a/internal/core/once/table.go
+++ b/internal/core/once/table.go
@@ -7,33 +7,34 @@
 	"github.com/radishhoist/radishhoist/verdict"
 )
 
-// ClaimOutcome is the owner's word on a keyed request.
+// ClaimOutcome is the owner's decision about a keyed request.
 type ClaimOutcome uint8
 
 const (
-	// ClaimRefused means the owner has no authority now, or no room; nothing
-	// has run.
+	// ClaimRefused means that the owner has no authority at present or that its
+	// table is full. The request was not run.
 	ClaimRefused ClaimOutcome = iota
-	// ClaimRun lets this request run, and no other with the key.
+	// ClaimRun permits this request to run, and no other with the key.
 	ClaimRun
-	// ClaimBusy means a request with the key is in progress.
+	// ClaimBusy means that a request with the key is in progress.
 	ClaimBusy
-	// ClaimReplay gives the finished answer again.
+	// ClaimReplay returns the stored response.
 	ClaimReplay
-	// ClaimReused means the key stands for a request with another body.
+	// ClaimReused means that the key was used for a request with another body.
 	ClaimReused
-	// ClaimMayHaveRun means a request with the key may have run.
+	// ClaimMayHaveRun means that a request with the key may have run.
 	ClaimMayHaveRun
-	// ClaimRanUnkept means the request ran, but its answer is not kept.
+	// ClaimRanUnkept means that the request ran, but its response was not
+	// stored.
 	ClaimRanUnkept
-	// ClaimUnknown means the key may be one that an earlier owner knew, and
+	// ClaimUnknown means that an earlier owner may have known the key while
 	// this one does not.
 	ClaimUnknown
-	// ClaimTooOld means the key was minted before what the owner remembers.
+	// ClaimTooOld means that the key was created before the window in which
+	// the owner remembers keys.
 	ClaimTooOld
 )
 
-// keyState is a key's place in its life.
 type keyState uint8
 
 const (
@@ -46,80 +47,82 @@
 	bodyHash  uint64
 	requestID string
 	state     keyState
-	// at is when the state began; due is when a claim without end counts as
-	// may-have-run.
-	at, due time.Time
-	status  uint16
-	header  []msg.Field
-	body    []byte
-	kept    bool
+	// enteredAt is when the state was entered; expiresAt is when a claim without a result
+	// becomes keyMayHaveRun.
+	enteredAt, expiresAt time.Time
+	status               uint16
+	header               []msg.Field
+	body                 []byte
+	stored               bool
 }
 
-// TableConfig bounds a Table.
+// TableConfig holds the limits of a Table.
 type TableConfig struct {
 	// Window is how long a finished key is remembered.
 	Window time.Duration
-	// MaxKeys bounds the keys; beyond it claims are refused, because
-	// forgetting one early could run its work twice.
+	// MaxKeys limits the number of keys. When it is reached, new keys are
+	// refused: evicting a key early could run its request twice.
 	MaxKeys int
-	// MaxBytes bounds the kept answers; beyond it an answer is not kept, and
-	// its repeat is told that it ran.
+	// MaxBytes limits the total size of stored response bodies. A response that
+	// does not fit is not stored, and a repeated request gets ClaimRanUnkept.
 	MaxBytes int
-	// Skew bounds how far callers' clocks may be off from the owner's.
-	Skew time.Duration
-	// ClaimLife is how long a claim may go without an end.
-	ClaimLife time.Duration
+	// MaxSkew is the maximum tolerated difference between the clocks of callers
+	// and owner.
+	MaxSkew time.Duration
+	// ClaimTimeout is how long a claim may remain without a result.
+	ClaimTimeout time.Duration
 }
 
-// DefaultTableConfig suits a host with 128 MB for control.
+// DefaultTableConfig returns limits for a host with 128 MB for the control
+// plane.
 func DefaultTableConfig() TableConfig {
-	return TableConfig{Window: 10 * time.Minute, MaxKeys: 20000, MaxBytes: 8 << 20, Skew: time.Second, ClaimLife: 11 * time.Minute}
+	return TableConfig{Window: 10 * time.Minute, MaxKeys: 20000, MaxBytes: 8 << 20, MaxSkew: time.Second, ClaimTimeout: 11 * time.Minute}
 }
 
-// Table is the memory of one shard's owner. Wall times are Unix milliseconds;
-// they are compared with the time stamps of keys alone.
+// Table holds the idempotency keys of one shard at its owner. Wall times are in
+// Unix milliseconds and are only compared with the timestamps in keys.
 type Table struct {
 	cfg     TableConfig
 	entries map[string]*keyEntry
 	bytes   int
-	// since is the wall time before which this table knows nothing, and
-	// opaqueFrom the time from which keys without a time stamp are taken.
-	since      int64
-	opaqueFrom time.Time
-	begun      bool
+	// completeSince is the wall time up to which keys may be missing from this table.
+	// opaqueFrom is the time from which keys without a timestamp are accepted.
+	completeSince int64
+	opaqueFrom    time.Time
+	active        bool
 }
 
-// NewTable makes the table of an owner that takes over without the earlier
-// owner's table. It knows nothing of keys minted before Begin, also where it
-// is the shard's first: an operator may have removed an earlier map.
+// NewTable creates the table of an owner that has not received the previous
+// owner's table. Keys created before Activate are treated as unknown, even for the
+// first map of a service: an operator may have deleted an earlier map.
 func NewTable(cfg TableConfig) *Table {
 	return &Table{cfg: cfg, entries: make(map[string]*keyEntry)}
 }
 
-// Begin marks the moment at which the owner first has authority. The earlier
-// owner may have taken claims until then, and none after: keys minted later
-// cannot have been claimed. Only the first call counts.
-func (t *Table) Begin(now time.Time, wallMS int64) {
-	if t.begun {
+// Activate records when the owner first has authority. The previous owner may have
+// accepted claims up to that time but not later, so keys created later cannot
+// have been claimed elsewhere. Only the first call has an effect.
+func (t *Table) Activate(now time.Time, wallMS int64) {
+	if t.active {
 		return
 	}
-	t.begun = true
-	t.since = wallMS + t.cfg.Skew.Milliseconds()
-	t.opaqueFrom = now.Add(max(t.cfg.Window, t.cfg.ClaimLife))
+	t.active = true
+	t.completeSince = wallMS + t.cfg.MaxSkew.Milliseconds()
+	t.opaqueFrom = now.Add(max(t.cfg.Window, t.cfg.ClaimTimeout))
 }
 
-// Len counts the keys.
+// Len returns the number of keys.
 func (t *Table) Len() int { return len(t.entries) }
 
-// Claim decides about one keyed request. A claim that the same request repeats
-// is given again.
+// Claim decides whether a keyed request may run. Repeating the claim of a
+// request that holds the key returns ClaimRun again.
 func (t *Table) Claim(now time.Time, wallMS int64, c *msg.KeyClaim) (ClaimOutcome, *msg.KeyClaimed) {
 	e, known := t.entries[c.Key]
 	if !known {
 		outcome := t.admitNew(now, wallMS, c)
 		if outcome == ClaimRun {
 			t.entries[c.Key] = &keyEntry{
-				bodyHash: c.BodyHash, requestID: c.RequestID, state: keyClaimed, at: now, due: now.Add(t.cfg.ClaimLife),
+				bodyHash: c.BodyHash, requestID: c.RequestID, state: keyClaimed, enteredAt: now, expiresAt: now.Add(t.cfg.ClaimTimeout),
 			}
 		}
 		return outcome, nil
@@ -133,25 +136,25 @@
 		return ClaimBusy, nil
 	case e.state == keyMayHaveRun:
 		return ClaimMayHaveRun, nil
-	case !e.kept:
+	case !e.stored:
 		return ClaimRanUnkept, nil
 	default:
 		return ClaimReplay, &msg.KeyClaimed{Status: e.status, Header: e.header, Body: e.body}
 	}
 }
 
-// admitNew decides about a key that the table does not hold.
+// admitNew decides about a key that is not in the table.
 func (t *Table) admitNew(now time.Time, wallMS int64, c *msg.KeyClaim) ClaimOutcome {
-	minted := c.MintedMS
-	if minted > wallMS+t.cfg.Skew.Milliseconds() {
-		minted = 0 // a clock that is so far ahead proves nothing
+	created := c.MintedMS
+	if created > wallMS+t.cfg.MaxSkew.Milliseconds() {
+		created = 0 // the caller's clock is too far ahead to be trusted
 	}
 	switch {
-	case minted == 0 && now.Before(t.opaqueFrom):
+	case created == 0 && now.Before(t.opaqueFrom):
 		return ClaimUnknown
-	case minted != 0 && minted <= t.since:
+	case created != 0 && created <= t.completeSince:
 		return ClaimUnknown
-	case minted != 0 && wallMS-minted > (t.cfg.Window-t.cfg.Skew).Milliseconds():
+	case created != 0 && wallMS-created > (t.cfg.Window-t.cfg.MaxSkew).Milliseconds():
 		return ClaimTooOld
 	case len(t.entries) >= t.cfg.MaxKeys:
 		return ClaimRefused
@@ -160,8 +163,8 @@
 	}
 }
 
-// Done takes the end of a claimed request. A request that did not run gives
-// its key back.
+// Done records the result of a claimed request. The key of a request that did
+// not run is released.
 func (t *Table) Done(now time.Time, d *msg.KeyDone) {
 	e, ok := t.entries[d.Key]
 	if !ok || e.requestID != d.RequestID || e.state == keyFinished {
@@ -176,49 +179,52 @@
 	default:
 		e.state = keyFinished
 		e.status, e.header = d.Status, d.Header
-		if e.kept = d.Kept && t.bytes+len(d.Body) <= t.cfg.MaxBytes; e.kept {
+		if e.stored = d.Kept && t.bytes+len(d.Body) <= t.cfg.MaxBytes; e.stored {
 			e.body = d.Body
 			t.bytes += len(d.Body)
 		}
 	}
-	e.at = now
+	e.enteredAt = now
 }
 
-// Tick forgets keys after the window and closes claims that never ended.
+// Tick removes keys whose window has passed and marks claims without a result
+// as keyMayHaveRun once they expire.
 func (t *Table) Tick(now time.Time) {
 	for key, e := range t.entries {
 		switch {
-		case e.state == keyClaimed && !now.Before(e.due):
-			e.state, e.at = keyMayHaveRun, now
-		case e.state != keyClaimed && now.Sub(e.at) >= t.cfg.Window:
+		case e.state == keyClaimed && !now.Before(e.expiresAt):
+			e.state, e.enteredAt = keyMayHaveRun, now
+		case e.state != keyClaimed && now.Sub(e.enteredAt) >= t.cfg.Window:
 			t.bytes -= len(e.body)
 			delete(t.entries, key)
 		}
 	}
 }
 
-// Export lists the table for its next owner, with what it does not know.
+// Export returns the entries for the next owner, together with the limits of
+// what the table knows: since in Unix milliseconds, and opaqueMS, the time in
+// milliseconds until keys without a timestamp are accepted.
 func (t *Table) Export(now time.Time) (entries []msg.KeyEntry, since, opaqueMS int64) {
 	for key, e := range t.entries {
 		entries = append(entries, msg.KeyEntry{
 			Key: key, BodyHash: e.bodyHash, RequestID: e.requestID, State: uint8(e.state),
-			AgeMS: now.Sub(e.at).Milliseconds(), Kept: e.kept, Status: e.status, Header: e.header, Body: e.body,
+			AgeMS: now.Sub(e.enteredAt).Milliseconds(), Kept: e.stored, Status: e.status, Header: e.header, Body: e.body,
 		})
 	}
-	return entries, t.since, max(t.opaqueFrom.Sub(now).Milliseconds(), 0)
+	return entries, t.completeSince, max(t.opaqueFrom.Sub(now).Milliseconds(), 0)
 }
 
-// ImportTable rebuilds a table that was handed over.
+// ImportTable restores a table from the result of Export.
 func ImportTable(cfg TableConfig, now time.Time, entries []msg.KeyEntry, since, opaqueMS int64) *Table {
-	t := &Table{cfg: cfg, entries: make(map[string]*keyEntry, len(entries)), since: since, begun: true}
+	t := &Table{cfg: cfg, entries: make(map[string]*keyEntry, len(entries)), completeSince: since, active: true}
 	if opaqueMS > 0 {
 		t.opaqueFrom = now.Add(time.Duration(opaqueMS) * time.Millisecond)
 	}
 	for _, m := range entries {
 		at := now.Add(-time.Duration(m.AgeMS) * time.Millisecond)
 		t.entries[m.Key] = &keyEntry{
-			bodyHash: m.BodyHash, requestID: m.RequestID, state: keyState(m.State), at: at, due: at.Add(cfg.ClaimLife),
-			kept: m.Kept, status: m.Status, header: m.Header, body: m.Body,
+			bodyHash: m.BodyHash, requestID: m.RequestID, state: keyState(m.State), enteredAt: at, expiresAt: at.Add(cfg.ClaimTimeout),
+			stored: m.Kept, status: m.Status, header: m.Header, body: m.Body,
 		}
 		t.bytes += len(m.Body)
 	}
--- a/internal/keys/keys.go
+++ b/internal/keys/keys.go
@@ -46,7 +46,7 @@
 
 	mu       sync.Mutex
 	owner    *once.Owner
-	promiser *once.Promiser
+	granter  *once.LeaseGranter
 	view     *directory.Directory
 	windows  map[string]time.Duration
 	lostAt   map[string]time.Time
@@ -73,7 +73,7 @@
 func New(cfg Config, hooks Hooks, store objects.Store, log *slog.Logger) *Manager {
 	m := &Manager{
 		cfg: cfg, hooks: hooks, log: log, store: store, view: &directory.Directory{},
-		promiser: once.NewPromiser(time.Now(), cfg.PromiseLife),
+		granter:  once.NewLeaseGranter(time.Now(), cfg.PromiseLife),
 		windows:  make(map[string]time.Duration),
 		lostAt:   make(map[string]time.Time),
 		settling: make(map[string]settling),
@@ -90,7 +90,7 @@
 func (m *Manager) Synced() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.promiser.Synced()
+	m.granter.MarkSynced()
 }
 
 // tableConfig gives the bounds of a service's tables. The caller holds the
@@ -114,7 +114,7 @@
 	}
 	for service, sm := range d.Maps {
 		for i, s := range sm.Shards {
-			m.promiser.LearnEpoch(once.ShardID{Service: service, Shard: uint32(i)}, s.Epoch)
+			m.granter.ObserveEpoch(once.ShardID{Service: service, Shard: uint32(i)}, s.Epoch)
 		}
 		m.owner.SetMap(now, service, sm.ShardMap)
 	}
@@ -124,7 +124,7 @@
 func (m *Manager) MayRun(service string, shard uint32, epoch uint64) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.promiser.MayRun(once.ShardID{Service: service, Shard: shard}, epoch)
+	return m.granter.MayRun(once.ShardID{Service: service, Shard: shard}, epoch)
 }
 
 // Run works until the context ends.
@@ -170,7 +170,7 @@
 
 // ask asks one guard for a promise. The time is read before the message is
 // sent: the promise counts from there.
-func (m *Manager) ask(ctx context.Context, a once.Ask) {
+func (m *Manager) ask(ctx context.Context, a once.LeaseRequest) {
 	asked := time.Now()
 	p := &msg.Promise{Service: a.Shard.Service, Shard: a.Shard.Shard, Epoch: a.Epoch, Owner: m.cfg.Host}
 	reply, err := m.call(ctx, a.Guard, p)
@@ -183,8 +183,8 @@
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.owner.Promised(a, asked, once.PromiseReply{
-		Granted: r.Granted, Epoch: r.Epoch, Life: time.Duration(r.LifeMS) * time.Millisecond,
+	m.owner.HandleLeaseReply(a, asked, once.LeaseReply{
+		Granted: r.Granted, Epoch: r.Epoch, TTL: time.Duration(r.LifeMS) * time.Millisecond,
 	})
 }
 
@@ -256,13 +256,13 @@
 func (m *Manager) promise(now time.Time, r *msg.Promise) msg.Message {
 	id := once.ShardID{Service: r.Service, Shard: r.Shard}
 	if r.Release {
-		m.promiser.Release(now, id, r.Epoch, r.Owner)
+		m.granter.Release(now, id, r.Epoch, r.Owner)
 		return &msg.Promised{Epoch: r.Epoch}
 	}
-	reply := m.promiser.Ask(now, id, r.Epoch, r.Owner)
+	reply := m.granter.Acquire(now, id, r.Epoch, r.Owner)
 	return &msg.Promised{
 		Granted: reply.Granted, Epoch: reply.Epoch,
-		LifeMS: uint32(reply.Life.Milliseconds()), WaitMS: uint32(reply.Wait.Milliseconds()),
+		LifeMS: uint32(reply.TTL.Milliseconds()), WaitMS: uint32(reply.RetryAfter.Milliseconds()),
 	}
 }
 
--- a/internal/keys/place.go
+++ b/internal/keys/place.go
@@ -101,11 +101,11 @@
 		if !m.wanted[svc.Name] || !m.steady(now, svc.Name, hosts) {
 			return proposal{}, false
 		}
-		first := once.FirstMap(svc.Name, svc.Record.Shards(), hosts, now)
+		first := once.InitialMap(svc.Name, svc.Record.Shards(), hosts, now)
 		return proposal{service: svc.Name, next: first}, first != nil
 	}
 	held, frozen := m.ownedEpochs(now, svc.Name)
-	next := once.Thaw(m.cfg.Host, current.ShardMap, frozen)
+	next := once.ReclaimFrozen(m.cfg.Host, current.ShardMap, frozen)
 	if next == nil {
 		next = once.NextMap(svc.Name, m.cfg.Host, current.ShardMap, hosts)
 	}
@@ -153,7 +153,7 @@
 		if !ok {
 			continue
 		}
-		c := once.Candidate{Host: name, DC: h.DC, Life: h.Incarnation, Usable: h.Alive && !h.Leaving}
+		c := once.Candidate{Host: name, DC: h.DC, Incarnation: h.Incarnation, Usable: h.Alive && !h.Leaving}
 		c.Lost = m.lostFor(now, c) > lostAfter
 		out = append(out, c)
 	}
