--- a/internal/core/crash/crash.go
+++ b/internal/core/crash/crash.go
@@ -1,11 +1,12 @@
-// Package crash finds requests that end the instances that run them.
+// Package crash detects requests that terminate the instances that run them.
 //
-// When an instance ends, each request that it ran is suspected. A request that
-// ends every instance stands out: it has part in one end after another, while
-// those that ran beside it complete elsewhere. A Book keeps the ends of the
-// whole fleet and says which requests must not reach another instance, and for
-// how long. It is the same on all hosts that know the same ends, whatever the
-// order in which they came. The package does no I/O.
+// When an instance terminates, every request it was running becomes a suspect.
+// A request that crashes every instance is involved in one termination after
+// another, while the requests that ran concurrently with it complete elsewhere.
+// A Book records the terminations in the whole fleet and decides which requests
+// must not reach another instance, and for how long. Hosts that know the same
+// terminations reach the same decisions, whatever the order in which they
+// received them. The package does no I/O.
 package crash
 
 import (
@@ -14,63 +15,66 @@
 	"time"
 )
 
-// Software is what an instance runs. A request that ends one may do no harm to
-// another.
+// Software identifies what an instance runs. A request that crashes one version
+// may be harmless to another.
 type Software struct {
 	Service, Version string
 }
 
-// End is the end of one start of an instance.
+// End is the termination of an instance.
 type End struct {
-	// ID names the start in the fleet.
+	// ID identifies the start of the instance within the fleet.
 	ID       string
 	Software Software
-	// Host is the host that noticed it.
+	// Host is the host that detected the termination.
 	Host string
-	// At is when it was noticed, by the clock of that host, in whole milliseconds.
+	// At is the time of detection by the clock of Host, in whole milliseconds.
 	At time.Time
-	// Prints are the requests that it ran, those that had begun last first, each once.
+	// Prints are the fingerprints of the requests that the instance was running,
+	// most recently started first, without duplicates.
 	Prints []Print
 }
 
-// The bounds of what is remembered.
 const (
-	// MaxPrints bounds the suspects of one end. A request that crashes its
-	// instance does so soon after it began.
+	// MaxPrints limits the suspects of one termination. A request that crashes
+	// its instance does so soon after it starts.
 	MaxPrints = 32
-	// maxEnds bounds the ends that are remembered; the oldest go first.
+	// maxEnds limits the recorded terminations; the oldest are evicted first.
 	maxEnds = 256
-	// Keep is how long an end is remembered, longer than any pause.
+	// Keep is how long a termination is recorded. It exceeds the longest time
+	// for which a request is stopped.
 	Keep = 2 * time.Hour
 )
 
-// Book holds the ends of the fleet. It is not safe for concurrent use.
+// Book records the terminations in the fleet. It is not safe for concurrent use.
 type Book struct {
 	ends map[string]*entry
-	// cleared are the suspects that an end's requests have been cleared of, also
-	// where the end is not known yet.
-	cleared map[clearing]time.Time
+	// cleared holds the requests cleared of a termination, with the time they
+	// were cleared. The termination itself may not be known yet.
+	cleared map[clearance]time.Time
 }
 
-// entry is one end, with when it was heard of on this host's clock.
+// entry is a termination with the time at which this host learned of it.
 type entry struct {
 	End
-	heard time.Time
+	receivedAt time.Time
 }
 
-// clearing says that a request had no part in an end.
-type clearing struct {
+// clearance identifies a request that did not cause a termination.
+type clearance struct {
 	end   string
 	print Print
 }
 
-// NewBook makes an empty Book.
+// NewBook creates an empty Book.
 func NewBook() *Book {
-	return &Book{ends: make(map[string]*entry), cleared: make(map[clearing]time.Time)}
+	return &Book{ends: make(map[string]*entry), cleared: make(map[clearance]time.Time)}
 }
 
-// Add takes an end, or more of what ran there, and reports whether it was news. What is
-// kept of a stopped request names it alone.
+// Add records a termination, or further requests that the instance was running,
+// and reports whether that added any request. A stored record of a stopped
+// request lists terminations with that request alone, so a termination may
+// arrive in parts.
 func (b *Book) Add(now time.Time, e End) bool {
 	if len(e.Prints) == 0 {
 		return false
@@ -78,10 +82,10 @@
 	e.At = e.At.Truncate(time.Millisecond)
 	known, ok := b.ends[e.ID]
 	if !ok {
-		known = &entry{End: e, heard: now}
+		known = &entry{End: e, receivedAt: now}
 		known.Prints = nil
 		b.ends[e.ID] = known
-		b.forget(now)
+		b.prune(now)
 	}
 	before := len(known.Prints)
 	known.Prints = distinct(slices.Concat(known.Prints, e.Prints))
@@ -89,34 +93,34 @@
 	return len(known.Prints) > before
 }
 
-// distinct leaves the first of equal prints: an instance that runs a request several times
-// ends once under it.
+// distinct removes duplicate fingerprints, keeping the first. A termination counts
+// once against a request that the instance was running several times.
 func distinct(prints []Print) []Print {
 	seen := make(map[Print]bool, len(prints))
 	return slices.DeleteFunc(prints, func(p Print) bool {
-		again := seen[p]
+		duplicate := seen[p]
 		seen[p] = true
-		return again
+		return duplicate
 	})
 }
 
-// Clear takes the word that a request had no part in an end, because it has
-// completed at the same software, and reports whether it was news.
+// Clear records that a request did not cause a termination, because it has
+// completed on the same software. It reports whether this was new.
 func (b *Book) Clear(now time.Time, end string, p Print) bool {
-	c := clearing{end, p}
+	c := clearance{end, p}
 	if _, known := b.cleared[c]; known {
 		return false
 	}
 	b.cleared[c] = now
-	b.forget(now)
+	b.prune(now)
 	return true
 }
 
-// EndsOf lists the ends that a request is suspected of, in order of their names.
+// EndsOf returns the terminations that a request is suspected of, sorted by ID.
 func (b *Book) EndsOf(p Print) []End {
 	var out []End
 	for _, e := range b.ends {
-		if b.blames(e, p) {
+		if b.suspects(e, p) {
 			out = append(out, e.End)
 		}
 	}
@@ -124,18 +128,20 @@
 	return out
 }
 
-func (b *Book) blames(e *entry, p Print) bool {
+// suspects reports whether request p is suspected of termination e.
+func (b *Book) suspects(e *entry, p Print) bool {
 	if !slices.Contains(e.Prints, p) {
 		return false
 	}
-	_, cleared := b.cleared[clearing{e.ID, p}]
+	_, cleared := b.cleared[clearance{e.ID, p}]
 	return !cleared
 }
 
-// forget drops what is older than Keep, and the oldest ends beyond the bound.
-func (b *Book) forget(now time.Time) {
+// prune removes terminations and clearances older than Keep, and the oldest
+// terminations in excess of maxEnds.
+func (b *Book) prune(now time.Time) {
 	for id, e := range b.ends {
-		if now.Sub(e.heard) > Keep {
+		if now.Sub(e.receivedAt) > Keep {
 			delete(b.ends, id)
 		}
 	}
@@ -155,7 +161,7 @@
 func (b *Book) oldest() string {
 	var first *entry
 	for _, e := range b.ends {
-		if first == nil || e.heard.Before(first.heard) || e.heard.Equal(first.heard) && e.ID < first.ID {
+		if first == nil || e.receivedAt.Before(first.receivedAt) || e.receivedAt.Equal(first.receivedAt) && e.ID < first.ID {
 			first = e
 		}
 	}
--- a/internal/core/crash/crash_test.go
+++ b/internal/core/crash/crash_test.go
@@ -16,7 +16,7 @@
 	v1, v2 = Software{"desk", "1"}, Software{"desk", "2"}
 )
 
-// add tells a book of an end at a second.
+// add records a termination at the given second after start.
 func add(b *Book, second int, s Software, prints ...Print) {
 	at := start.Add(time.Duration(second) * time.Second)
 	b.Add(at, End{ID: fmt.Sprint(second), Software: s, At: at, Prints: prints})
@@ -26,8 +26,8 @@
 	return b.Verdicts(start.Add(time.Duration(second) * time.Second))[p]
 }
 
-// A request that has part in one end after another is stopped at the third; those that
-// ran beside it, each time others, are not, nor is one that ran beside it twice.
+// A request involved in three consecutive terminations is stopped at the third.
+// The requests that ran concurrently with it once or twice are not.
 func TestTheRequestCommonToTheEndsIsStopped(t *testing.T) {
 	b := NewBook()
 	add(b, 1, v1, 7, 10, 11, 12)
@@ -41,19 +41,13 @@
 	assert.Equal(t, v.Ends, 3)
 	assert.Assert(t, v.Stopped(now, v1) && v.Stopped(now, v2) && v.Everywhere(now))
 	for _, innocent := range []Print{10, 11, 12, 13, 14} {
-		assert.Equal(t, verdictAt(b, 3, innocent).Ends, 0, "%d: the ends are explained", innocent)
+		assert.Equal(t, verdictAt(b, 3, innocent).Ends, 0, "%d: its terminations are explained", innocent)
 	}
 }
 
-// What users would see: a request that many send is refused by all hosts for minutes,
-// after one instance has ended.
-//
-// Order of events: the instance runs the request in each of its slots, and ends.
-//
-// Cause: each of these runs was counted as an end.
-//
-// Evidence: all hosts held four ends against the request after the first, which names it
-// four times.
+// An instance that terminates while it runs the same request in several slots
+// counts as one termination. Counting each run stopped the request on all hosts
+// for minutes after a single termination that listed it four times.
 func TestAnEndCountsOnceForARequestThatRanTwice(t *testing.T) {
 	b := NewBook()
 	add(b, 1, v1, 7, 7, 7, 10)
@@ -64,20 +58,14 @@
 	assert.Assert(t, !v.Everywhere(start.Add(2*time.Second)))
 }
 
-// What users would see: a request that many send is refused by all hosts for minutes,
-// after several instances were lost at once.
-//
-// Order of events: a service has just begun, and nobody has completed the request yet. The
-// instances that run it lose their power together.
-//
-// Cause: each of these ends counted against it, though one cause explains them all.
-//
-// Evidence: four instances that ran a popular request were lost within two milliseconds
-// before any had completed it; all hosts refused it, so that nothing could clear it.
+// Instances that are lost together count as one incident. When four instances of
+// a newly started service lost power within two milliseconds, before any had
+// completed a common request, each termination counted against that request. All
+// hosts refused it for minutes, so that no completion could clear it.
 func TestInstancesThatAreLostTogetherCountOnce(t *testing.T) {
 	b := NewBook()
 	for n := range 7 {
-		at := start.Add(time.Duration(n) * OneMoment / 6)
+		at := start.Add(time.Duration(n) * IncidentWindow / 6)
 		b.Add(at, End{ID: fmt.Sprint("rack", n), Software: v1, At: at, Prints: []Print{7, Print(100 + n)}})
 	}
 	v := verdictAt(b, 1, 7)
@@ -88,19 +76,15 @@
 	add(b, 3, v1, 7)
 	v = verdictAt(b, 3, 7)
 	assert.Equal(t, v.Moments, 3)
-	assert.Assert(t, v.Everywhere(start.Add(3*time.Second)), "the ends of other moments count")
+	assert.Assert(t, v.Everywhere(start.Add(3*time.Second)), "terminations in other incidents count")
 }
 
-// What users would see: a request that had ended three instances reaches others through a
-// host that has just started.
-//
-// Order of events: two requests end instances together. The host that starts hears of the
-// ends first from what is kept of one of them, which names that one alone, and then
-// from the other hosts.
-//
-// Cause: an end that was known already was left as it was.
-//
-// Evidence: the property that hosts agree whatever the order, with ends told in parts.
+// A termination that is received in parts includes the requests of all parts. A
+// host that had just started learned of terminations first from the stored record
+// of one stopped request, which lists that request alone, and then ignored the
+// further requests reported by other hosts. A second request that had terminated
+// three instances could thus reach more instances through that host. The test of
+// agreement in any order, with terminations received in parts, found this.
 func TestAnEndThatIsToldInPartsIsWhole(t *testing.T) {
 	b := NewBook()
 	for second := range 3 {
@@ -110,11 +94,12 @@
 	add(b, 3, v1, 8)
 	now := start.Add(3 * time.Second)
 	v := verdictAt(b, 3, 8)
-	assert.Assert(t, v.Everywhere(now), "it had part in four ends")
-	assert.Assert(t, !b.Add(now, End{ID: "0", Software: v1, At: start, Prints: []Print{8, 7}}), "nothing new")
+	assert.Assert(t, v.Everywhere(now), "it was involved in four terminations")
+	assert.Assert(t, !b.Add(now, End{ID: "0", Software: v1, At: start, Prints: []Print{8, 7}}), "must not report a known termination as new")
 }
 
-// Two such requests at once are both found, also where they shared an end.
+// Two crashing requests at the same time are both stopped, even if they were
+// involved in the same termination.
 func TestTwoRequestsAtOnceAreBothStopped(t *testing.T) {
 	b := NewBook()
 	for second := range 3 {
@@ -124,12 +109,12 @@
 	add(b, 30, v1, 7, 8)
 	verdicts := b.Verdicts(start.Add(30 * time.Second))
 	assert.Equal(t, verdicts[7].Ends, 4)
-	assert.Equal(t, verdicts[8].Ends, 4, "the end that they shared counts for both")
+	assert.Equal(t, verdicts[8].Ends, 4, "a shared termination counts for both")
 	assert.Equal(t, len(verdicts), 2)
 }
 
-// A path that ran on every instance that ended, and completes elsewhere, is cleared:
-// before it is stopped, and also after.
+// A stopped request that ran on every terminated instance but completes elsewhere
+// is cleared.
 func TestACompletedRequestIsCleared(t *testing.T) {
 	b := NewBook()
 	for second := range 3 {
@@ -140,14 +125,14 @@
 	assert.Assert(t, v.Stopped(now, v1))
 	for _, e := range b.EndsOf(7) {
 		assert.Assert(t, b.Clear(now, e.ID, 7))
-		assert.Assert(t, !b.Clear(now, e.ID, 7), "once is news")
+		assert.Assert(t, !b.Clear(now, e.ID, 7), "a repeated clearance must not be reported as new")
 	}
 	assert.Equal(t, verdictAt(b, 3, 7).Ends, 0)
 	assert.Equal(t, len(b.EndsOf(7)), 0)
 }
 
-// Software that it has not ended is tried after a while, that which it has ended later,
-// and each further end makes that longer.
+// A stopped request is tried again on other software first, and later on software
+// that it has terminated. Each further incident prolongs the latter.
 func TestAStoppedRequestIsTriedAgain(t *testing.T) {
 	b := NewBook()
 	for second := range 3 {
@@ -155,16 +140,16 @@
 	}
 	v := verdictAt(b, 2, 7)
 	last := start.Add(2 * time.Second)
-	assert.Assert(t, v.Stopped(last.Add(newSoftwarePause-1), v2))
-	assert.Assert(t, !v.Stopped(last.Add(newSoftwarePause), v2), "a new version may do better")
-	assert.Assert(t, v.Stopped(last.Add(firstPause-1), v1))
-	assert.Assert(t, !v.Stopped(last.Add(firstPause), v1))
+	assert.Assert(t, v.Stopped(last.Add(otherSoftwareStop-1), v2))
+	assert.Assert(t, !v.Stopped(last.Add(otherSoftwareStop), v2), "a new version may handle the request")
+	assert.Assert(t, v.Stopped(last.Add(initialStop-1), v1))
+	assert.Assert(t, !v.Stopped(last.Add(initialStop), v1))
 	add(b, 400, v1, 7)
 	v = verdictAt(b, 400, 7)
-	assert.Assert(t, v.Stopped(start.Add(400*time.Second+2*firstPause-1), v1), "one more end, twice the pause")
+	assert.Assert(t, v.Stopped(start.Add(400*time.Second+2*initialStop-1), v1), "another incident doubles the stop duration")
 	add(b, 500, v2, 7)
 	v = verdictAt(b, 500, 7)
-	assert.Assert(t, v.Stopped(start.Add(500*time.Second+newSoftwarePause), v2), "the new version is no better")
+	assert.Assert(t, v.Stopped(start.Add(500*time.Second+otherSoftwareStop), v2), "the new version was terminated as well")
 }
 
 func TestABookForgets(t *testing.T) {
@@ -178,39 +163,40 @@
 	}
 	assert.Equal(t, len(b.ends), maxEnds)
 	_, newest := b.ends[fmt.Sprint(10000+3*maxEnds-1)]
-	assert.Assert(t, newest, "the oldest go first")
+	assert.Assert(t, newest, "the oldest terminations must be evicted first")
 }
 
-// Hosts that know the same say the same, in whatever order they have heard it; a
-// request that was cleared of every end is not stopped, and one is stopped only for as
-// many ends as stop one.
+// Hosts that know the same terminations reach the same verdicts, whatever the
+// order in which they received them. A request that was cleared of every
+// termination is not stopped, and a request is stopped only from StopAfter
+// incidents on.
 func TestHostsAgreeWhateverTheOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		software := rapid.SampledFrom([]Software{v1, v2})
 		var ends []End
 		for n := range rapid.IntRange(0, 12).Draw(t, "ends") {
 			prints := rapid.SliceOfNDistinct(rapid.Custom(func(t *rapid.T) Print { return Print(rapid.IntRange(1, 6).Draw(t, "print")) }), 0, 4, rapid.ID).Draw(t, "prints")
-			at := start.Add(time.Duration(rapid.IntRange(0, 8).Draw(t, "moment")) * 2 * OneMoment)
+			at := start.Add(time.Duration(rapid.IntRange(0, 8).Draw(t, "moment")) * 2 * IncidentWindow)
 			ends = append(ends, End{ID: fmt.Sprint(n), Software: software.Draw(t, "software"), At: at, Prints: prints})
 		}
 		completes := Print(rapid.IntRange(0, 6).Draw(t, "completes"))
-		one, other := NewBook(), NewBook()
+		first, second := NewBook(), NewBook()
 		rng := rand.New(rand.NewPCG(1, rapid.Uint64().Draw(t, "order")))
 		order := rng.Perm(len(ends))
 		for i := range ends {
-			one.Add(start, ends[i])
-			one.Clear(start, ends[i].ID, completes)
+			first.Add(start, ends[i])
+			first.Clear(start, ends[i].ID, completes)
 		}
 		for _, i := range order {
-			other.Clear(start, ends[i].ID, completes)
+			second.Clear(start, ends[i].ID, completes)
 			part := ends[i]
 			part.Prints = part.Prints[:len(part.Prints)/2]
-			other.Add(start, part)
-			other.Add(start, ends[i])
-			other.Add(start, ends[i])
+			second.Add(start, part)
+			second.Add(start, ends[i])
+			second.Add(start, ends[i])
 		}
-		verdicts := one.Verdicts(start)
-		assert.DeepEqual(t, verdicts, other.Verdicts(start))
+		verdicts := first.Verdicts(start)
+		assert.DeepEqual(t, verdicts, second.Verdicts(start))
 		assert.Equal(t, verdicts[completes].Ends, 0)
 		parts := make(map[Print]int)
 		at := make(map[Print]map[time.Time]bool)
@@ -239,27 +225,28 @@
 				assert.Assert(t, v.Moments >= StopAfter && v.Moments == len(at[p]) && v.Ends <= count)
 			case p != completes:
 				assert.Equal(t, v.Ends, unexplained[p])
-				assert.Assert(t, len(at[p]) < StopAfter || unexplained[p] == 0, "%d: explained by what is stopped", p)
+				assert.Assert(t, len(at[p]) < StopAfter || unexplained[p] == 0, "%d: must be explained by stopped requests", p)
 			}
 		}
 	})
 }
 
-// Where such requests come together, each end has several of them: one that had part in
-// three is stopped as soon as one of these is not explained by another.
+// When several crashing requests arrive together, each termination involves
+// several of them. A request with at least three incidents is stopped as soon as
+// one of them is not explained by another request.
 func TestRequestsThatCrashTogetherAreAllStopped(t *testing.T) {
 	b := NewBook()
 	for second := range 4 {
 		add(b, second, v1, 7, 8)
 	}
-	assert.Equal(t, len(b.Verdicts(start.Add(4*time.Second))), 1, "one explains them all")
+	assert.Equal(t, len(b.Verdicts(start.Add(4*time.Second))), 1, "one request explains all terminations")
 	add(b, 5, v1, 8, 100)
 	verdicts := b.Verdicts(start.Add(5 * time.Second))
 	assert.Equal(t, verdicts[8].Ends, 5)
 	add(b, 6, v1, 7, 101)
 	verdicts = b.Verdicts(start.Add(6 * time.Second))
 	assert.Assert(t, !verdicts[7].Until.IsZero() && !verdicts[8].Until.IsZero())
-	assert.Equal(t, len(verdicts), 2, "which explain all the ends")
+	assert.Equal(t, len(verdicts), 2, "the two requests explain all terminations")
 }
 
 func TestAPrintIsOfWhatTheCallerSends(t *testing.T) {
--- a/internal/core/crash/print.go
+++ b/internal/core/crash/print.go
@@ -8,34 +8,34 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Print identifies a request by what a target sees of it; 0 is none. Requests
-// with one Print are one request that comes again.
+// Print is the fingerprint of a request as the target sees it; 0 means none.
+// Requests with equal fingerprints are treated as repeats of one request.
 type Print uint64
 
-// String gives the print as operators see it.
+// String returns the fingerprint in the form shown to operators.
 func (p Print) String() string { return fmt.Sprintf("%016x", uint64(p)) }
 
-// ParsePrint reads a print as String gives it.
+// ParsePrint parses a fingerprint in the format of String.
 func ParsePrint(s string) (Print, error) {
 	p, err := strconv.ParseUint(s, 16, 64)
 	return Print(p), err
 }
 
-// Request is what a Print is made of: the caller's own words, not what differs
-// from one send of a request to the next or from host to host.
+// Request holds the input of a fingerprint: what the caller sent, without
+// anything that differs between repeats of a request or between hosts.
 type Request struct {
-	// Host is that of the route, empty where it holds for every host.
+	// Host is the host name of the route, empty if the route matches any.
 	Method, Host, URI string
 	// Team is the caller's team, empty for none.
 	Team string
-	// Body is the body as far as it is kept, and Length its whole length in bytes,
-	// -1 where that is not known.
+	// Body is the buffered part of the body, and Length the length of the whole
+	// body in bytes, -1 if unknown.
 	Body   []byte
 	Length int64
 }
 
-// Print gives the request's print. Bodies that are too large to keep differ by
-// what is kept and by their length.
+// Print returns the request's fingerprint. Bodies that are too large to buffer
+// are distinguished by their buffered part and their length.
 func (r *Request) Print() Print {
 	var d xxhash.Digest
 	d.Reset()
--- a/internal/core/crash/verdict.go
+++ b/internal/core/crash/verdict.go
@@ -8,56 +8,62 @@
 )
 
 const (
-	// StopAfter is at how many moments with ends a request is stopped. Fewer would stop
-	// one that ran by chance on two instances that ended for another reason.
+	// StopAfter is the number of incidents after which a request is stopped. A
+	// lower number would stop a request that happened to run on two instances
+	// that terminated for another reason.
 	StopAfter = 3
-	// RepeatBelow is under how many such moments a suspected request is still offered
-	// again: the second may be chance, a third instance is not risked for it.
+	// RepeatBelow is the number of incidents from which a suspected request is
+	// no longer retried: the second may be a coincidence, but a third instance
+	// is not put at risk.
 	RepeatBelow = 2
-	// OneMoment is how far apart the ends of instances that are lost together are
-	// noticed. They have one cause, such as a rack's loss of power, and count once: a
-	// request that ends its instances runs for longer than that before each.
-	OneMoment = 10 * time.Millisecond
-	// SettleFor is how long after the last of its ends a request waits before it is
-	// refused or given up: a host that has seen it complete says so by then nearly always.
+	// IncidentWindow is the period within which terminations are counted as one
+	// incident. They then have a common cause, such as a power failure in a
+	// rack: a request that crashes its instances runs for longer than that
+	// before each termination.
+	IncidentWindow = 10 * time.Millisecond
+	// SettleFor is how long after its last termination a request waits before it
+	// is refused or abandoned. By then a host that has seen the request complete
+	// has nearly always cleared it.
 	SettleFor = 250 * time.Millisecond
 )
 
 const (
-	// newSoftwarePause is how long after its last end a stopped request may be
-	// tried by instances whose software it has not ended.
-	newSoftwarePause = time.Minute
-	// firstPause is how long it is kept from the software that it has ended. Each
-	// further moment with ends doubles it, up to maxPause.
-	firstPause = 5 * time.Minute
-	maxPause   = 40 * time.Minute
+	// otherSoftwareStop is how long after its last termination a stopped request
+	// is withheld from software that it has not terminated.
+	otherSoftwareStop = time.Minute
+	// initialStop is how long a stopped request is withheld from software that
+	// it has terminated. Each further incident doubles it, up to maxStop.
+	initialStop = 5 * time.Minute
+	maxStop     = 40 * time.Minute
 )
 
-// Verdict is what is known of one request. The zero value is a request that
-// nobody suspects.
+// Verdict is the assessment of one request. The zero value is that of a request
+// that is not suspected.
 type Verdict struct {
-	// Ends is in how many ends it had part that no other request explains, and Moments
-	// at how many moments these were.
+	// Ends is the number of terminations that the request was involved in and
+	// that no other request explains. Moments is the number of incidents they
+	// form, see IncidentWindow.
 	Ends, Moments int
-	// Last is when this host heard of the latest of them.
+	// Last is when this host learned of the latest of these terminations.
 	Last time.Time
-	// Until is when it may reach the software that it has ended again, and
-	// UntilOther when it may reach any other; zero where it is not stopped.
-	Until, UntilOther time.Time
-	// Ended is the software that it has ended.
+	// Until is when the request may reach software that it has terminated again,
+	// and OtherSoftwareUntil when it may reach other software. Both are zero if
+	// it is not stopped.
+	Until, OtherSoftwareUntil time.Time
+	// Ended is the software that the request has terminated.
 	Ended []Software
 }
 
-// Stopped says that the request must not reach an instance of some software.
+// Stopped reports whether the request must not reach instances of software s.
 func (v *Verdict) Stopped(now time.Time, s Software) bool {
 	if slices.Contains(v.Ended, s) {
 		return now.Before(v.Until)
 	}
-	return now.Before(v.UntilOther)
+	return now.Before(v.OtherSoftwareUntil)
 }
 
-// WaitForNews is how much longer a request waits for news that may clear it before it is
-// refused or given up: zero or less where there is nothing to wait for.
+// WaitForNews returns how much longer a request waits to be cleared before it is
+// refused or abandoned. It is zero or negative if there is no need to wait.
 func (v *Verdict) WaitForNews(now time.Time) time.Duration {
 	if v.Moments < RepeatBelow {
 		return 0
@@ -65,43 +71,46 @@
 	return v.Last.Add(SettleFor).Sub(now)
 }
 
-// Everywhere says that the request must not reach any instance.
-func (v *Verdict) Everywhere(now time.Time) bool { return now.Before(v.UntilOther) }
+// Everywhere reports whether the request must not reach any instance.
+func (v *Verdict) Everywhere(now time.Time) bool { return now.Before(v.OtherSoftwareUntil) }
 
-// Verdicts are the requests that are suspected. They do not change once given.
+// Verdicts holds the assessment of each suspected request. It is immutable once
+// returned by Book.Verdicts.
 type Verdicts map[Print]Verdict
 
-// Verdicts gives what is known of each suspected request. Of those with part in ends at
-// StopAfter moments the one that explains the most is stopped, which clears all that
-// ran beside it; then the one that explains most of the rest, and so on. One end
-// that nothing else explains is enough: where several such requests come at once,
-// each runs beside others. What is left suspects without stopping.
+// Verdicts assesses each suspected request. Among the requests involved in at
+// least StopAfter incidents, it stops the one that explains the most
+// terminations, which are then no longer held against the requests that ran
+// concurrently. It continues with the one that explains the most of the remaining
+// terminations, and so on. A single unexplained termination is sufficient here,
+// since several such requests at the same time run concurrently with each other.
+// A request with terminations that remain is suspected but not stopped.
 func (b *Book) Verdicts(now time.Time) Verdicts {
-	b.forget(now)
-	left := b.byPrint()
-	grave := maps.Clone(left)
-	maps.DeleteFunc(grave, func(_ Print, ends []*entry) bool { return moments(ends) < StopAfter })
+	b.prune(now)
+	remaining := b.byPrint()
+	eligible := maps.Clone(remaining)
+	maps.DeleteFunc(eligible, func(_ Print, ends []*entry) bool { return countIncidents(ends) < StopAfter })
 	out := make(Verdicts)
 	for {
-		worst, found := most(grave, left)
+		worst, found := mostTerminations(eligible, remaining)
 		if !found {
 			break
 		}
-		out[worst] = stopped(grave[worst])
-		explain(left, grave[worst])
+		out[worst] = stopVerdict(eligible[worst])
+		removeExplained(remaining, eligible[worst])
 	}
-	for p, ends := range left {
-		out[p] = Verdict{Ends: len(ends), Moments: moments(ends), Last: lastHeard(ends)}
+	for p, ends := range remaining {
+		out[p] = Verdict{Ends: len(ends), Moments: countIncidents(ends), Last: lastReceived(ends)}
 	}
 	return out
 }
 
-// byPrint lists the ends that each request is suspected of.
+// byPrint returns the terminations that each request is suspected of.
 func (b *Book) byPrint() map[Print][]*entry {
 	out := make(map[Print][]*entry)
 	for _, e := range b.ends {
 		for _, p := range e.Prints {
-			if b.blames(e, p) {
+			if b.suspects(e, p) {
 				out[p] = append(out[p], e)
 			}
 		}
@@ -109,42 +118,44 @@
 	return out
 }
 
-// most finds the request that explains the most ends of those left, among the grave ones;
-// of equals the one whose print is least, which is the same on every host.
-func most(grave, left map[Print][]*entry) (worst Print, found bool) {
-	for p := range grave {
-		ends, unexplained := left[p]
+// mostTerminations returns the request among the eligible ones that explains the
+// most of the remaining terminations. Ties are resolved by the smallest
+// fingerprint, so that all hosts choose the same request.
+func mostTerminations(eligible, remaining map[Print][]*entry) (worst Print, found bool) {
+	for p := range eligible {
+		ends, unexplained := remaining[p]
 		if !unexplained {
 			continue
 		}
-		if !found || len(ends) > len(left[worst]) || len(ends) == len(left[worst]) && p < worst {
+		if !found || len(ends) > len(remaining[worst]) || len(ends) == len(remaining[worst]) && p < worst {
 			worst, found = p, true
 		}
 	}
 	return worst, found
 }
 
-// explain takes ends off every request that was suspected of them.
-func explain(left map[Print][]*entry, ends []*entry) {
+// removeExplained removes the given terminations from all suspected requests.
+func removeExplained(remaining map[Print][]*entry, ends []*entry) {
 	explained := make(map[string]bool, len(ends))
 	for _, e := range ends {
 		explained[e.ID] = true
 	}
-	for p, list := range left {
+	for p, list := range remaining {
 		rest := slices.DeleteFunc(slices.Clone(list), func(e *entry) bool { return explained[e.ID] })
 		if len(rest) == 0 {
-			delete(left, p)
+			delete(remaining, p)
 		} else {
-			left[p] = rest
+			remaining[p] = rest
 		}
 	}
 }
 
-// stopped is the verdict on a request that has part in some ends.
-func stopped(ends []*entry) Verdict {
-	v := Verdict{Ends: len(ends), Moments: moments(ends), Last: lastHeard(ends)}
-	v.UntilOther = v.Last.Add(newSoftwarePause)
-	v.Until = v.Last.Add(pause(v.Moments))
+// stopVerdict returns the verdict that stops a request for the given
+// terminations.
+func stopVerdict(ends []*entry) Verdict {
+	v := Verdict{Ends: len(ends), Moments: countIncidents(ends), Last: lastReceived(ends)}
+	v.OtherSoftwareUntil = v.Last.Add(otherSoftwareStop)
+	v.Until = v.Last.Add(stopDuration(v.Moments))
 	for _, e := range ends {
 		if !slices.Contains(v.Ended, e.Software) {
 			v.Ended = append(v.Ended, e.Software)
@@ -156,8 +167,9 @@
 	return v
 }
 
-// moments counts the moments at which some ends were noticed.
-func moments(ends []*entry) int {
+// countIncidents returns the number of incidents that the terminations form. An
+// incident spans IncidentWindow from its first termination.
+func countIncidents(ends []*entry) int {
 	times := make([]time.Time, 0, len(ends))
 	for _, e := range ends {
 		times = append(times, e.At)
@@ -166,7 +178,7 @@
 	n := 0
 	var first time.Time
 	for _, at := range times {
-		if n == 0 || at.Sub(first) > OneMoment {
+		if n == 0 || at.Sub(first) > IncidentWindow {
 			n++
 			first = at
 		}
@@ -174,16 +186,17 @@
 	return n
 }
 
-// lastHeard is when the latest of some ends was heard of.
-func lastHeard(ends []*entry) time.Time {
-	return slices.MaxFunc(ends, func(x, y *entry) int { return x.heard.Compare(y.heard) }).heard
+// lastReceived returns when this host learned of the latest of the terminations.
+func lastReceived(ends []*entry) time.Time {
+	return slices.MaxFunc(ends, func(x, y *entry) int { return x.receivedAt.Compare(y.receivedAt) }).receivedAt
 }
 
-// pause is how long a request is kept from what it has ended at some moments.
-func pause(moments int) time.Duration {
-	p := firstPause
-	for range moments - StopAfter {
-		p = min(2*p, maxPause)
+// stopDuration returns how long a request is withheld from software that it has
+// terminated in a number of incidents.
+func stopDuration(incidents int) time.Duration {
+	p := initialStop
+	for range incidents - StopAfter {
+		p = min(2*p, maxStop)
 	}
 	return p
 }
