--- a/internal/keys/claim.go
+++ b/internal/keys/claim.go
@@ -14,33 +14,35 @@
 )
 
 const (
-	// claimPatience is how long a claim is tried again while its shard has no
-	// owner: a planned move takes less, a takeover after a death far more.
-	claimPatience = time.Second
-	// claimPause is the pause between two tries.
-	claimPause = 100 * time.Millisecond
-	// donePatience is how long the end of a request is offered to the owner.
-	donePatience = 15 * time.Second
-	// doneTimeout bounds one offer.
-	doneTimeout = 2 * time.Second
+	// claimRetryTimeout is how long a refused claim is retried. A planned
+	// handover of the shard takes less, a takeover after a host failure far
+	// more.
+	claimRetryTimeout = time.Second
+	// retryInterval is the delay between two tries of a claim or a result.
+	retryInterval = 100 * time.Millisecond
+	// doneRetryTimeout is how long sending a request's result is retried.
+	doneRetryTimeout = 15 * time.Second
+	// doneCallTimeout limits one try.
+	doneCallTimeout = 2 * time.Second
 )
 
-// shardOf finds the shard of a key and its present owner. The first key of a
-// service has this host write the service's shard map.
+// shardOf returns the shard of a key and its current owner. If the service has
+// no shard map yet, it requests that one be written and returns false.
 func (m *Manager) shardOf(service, key string) (shard uint32, owner string, ok bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	sm, ok := mapOf(m.view, service)
+	sm, ok := currentMap(m.view, service)
 	if !ok {
-		m.wanted[service] = true
+		m.needsMap[service] = true
 		return 0, "", false
 	}
 	shard = uint32(xxhash.Sum64String(key) % uint64(len(sm.Shards)))
 	return shard, sm.Shards[shard].Owner, true
 }
 
-// Claim implements front.Keys: it asks the owner of the key's shard, and again
-// for a short while where there is none with authority.
+// Claim implements front.Keys. It sends the claim to the owner of the key's
+// shard and retries for a short time while the claim is refused, in particular
+// while no owner has authority.
 func (m *Manager) Claim(ctx context.Context, service *directory.Service, k front.KeyRequest) front.KeyAnswer {
 	end := claimUntil(ctx, time.Now())
 	ctx, cancel := context.WithDeadline(ctx, end)
@@ -51,20 +53,20 @@
 			return a
 		}
 		select {
-		case <-time.After(claimPause):
+		case <-time.After(retryInterval):
 		case <-ctx.Done():
 		}
 	}
 }
 
-// claimUntil is when to give a claim up: after claimPatience, and early enough
-// before the caller's deadline to tell it why.
+// claimUntil returns when to stop retrying a claim: after claimRetryTimeout, and
+// early enough before the caller's deadline to report the reason.
 func claimUntil(ctx context.Context, now time.Time) time.Time {
-	patience := claimPatience
+	timeout := claimRetryTimeout
 	if deadline, ok := ctx.Deadline(); ok {
-		patience = min(patience, deadline.Sub(now)*3/4)
+		timeout = min(timeout, deadline.Sub(now)*3/4)
 	}
-	return now.Add(patience)
+	return now.Add(timeout)
 }
 
 func (m *Manager) claimOnce(ctx context.Context, service string, k front.KeyRequest) front.KeyAnswer {
@@ -74,7 +76,7 @@
 		return refused
 	}
 	reply, err := m.call(ctx, owner, &msg.KeyClaim{
-		Service: service, Shard: shard, Key: k.Key, BodyHash: k.BodyHash, RequestID: k.RequestID, MintedMS: minted(k.Key),
+		Service: service, Shard: shard, Key: k.Key, BodyHash: k.BodyHash, RequestID: k.RequestID, MintedMS: keyTimestamp(k.Key),
 	})
 	c, isClaimed := reply.(*msg.KeyClaimed)
 	if err != nil || !isClaimed {
@@ -86,9 +88,9 @@
 	}
 }
 
-// minted reads a key's own time stamp in Unix milliseconds, 0 where it has
-// none. Only UUIDs of version 7 (RFC 9562) are trusted to carry one.
-func minted(key string) int64 {
+// keyTimestamp returns the timestamp in a key in Unix milliseconds, 0 if it has
+// none. Only version 7 UUIDs (RFC 9562) are considered to have one.
+func keyTimestamp(key string) int64 {
 	id, err := uuid.Parse(key)
 	if err != nil || id.Version() != 7 {
 		return 0
@@ -100,17 +102,18 @@
 	return ms
 }
 
-// Done implements front.Keys: it tells the key's owner how the request ended,
-// again for a while where the shard is just moving. Where nobody can be told,
-// the owner's claim turns into may-have-run by itself.
+// Done implements front.Keys. It reports the result of a request to the key's
+// owner and retries for a while in case the shard is changing owner. If no owner
+// accepts the result, the claim times out at the owner and counts as
+// may-have-run.
 func (m *Manager) Done(service *directory.Service, k front.KeyRequest, end front.KeyEnd) {
-	until := time.Now().Add(donePatience)
+	until := time.Now().Add(doneRetryTimeout)
 	for time.Now().Before(until) {
 		shard, owner, ok := m.shardOf(service.Name, k.Key)
 		if !ok {
 			return
 		}
-		ctx, cancel := context.WithTimeout(context.Background(), doneTimeout)
+		ctx, cancel := context.WithTimeout(context.Background(), doneCallTimeout)
 		reply, err := m.call(ctx, owner, &msg.KeyDone{
 			Service: service.Name, Shard: shard, Key: k.Key, RequestID: k.RequestID, Verdict: end.Verdict,
 			Whole: end.Whole, Kept: end.Kept, Status: end.Status, Header: end.Header, Body: end.Body,
@@ -119,6 +122,6 @@
 		if d, ok := reply.(*msg.HandoverDone); err == nil && ok && d.Accepted {
 			return
 		}
-		time.Sleep(claimPause)
+		time.Sleep(retryInterval)
 	}
 }
--- a/internal/keys/keys.go
+++ b/internal/keys/keys.go
@@ -1,7 +1,7 @@
-// Package keys makes sure that repeats with one Idempotency-Key run once: it
-// owns shards of keys, promises as a guard, hands tables over, and claims for
-// the front. The decisions are in package once; here are the messages, the
-// timers and the writes of the shard maps.
+// Package keys ensures that repeated requests with the same Idempotency-Key run
+// at most once. It owns shards of keys, grants leases as a guard, hands over key
+// tables, and claims keys for the front. The decisions are made by package once;
+// this package sends the messages, runs the timers and writes the shard maps.
 package keys
 
 import (
@@ -20,23 +20,24 @@
 	"github.com/radishhoist/radishhoist/record"
 )
 
-// Config has the parameters of a Manager.
+// Config holds the parameters of a Manager.
 type Config struct {
 	Host string
-	// Life is the process's start, in Unix milliseconds.
+	// Life is the start time of the process in Unix milliseconds.
 	Life uint64
-	// PromiseLife is how long a promise lasts.
+	// PromiseLife is the duration of a lease.
 	PromiseLife time.Duration
 }
 
-// Hooks are what a Manager needs of the other roles.
+// Hooks holds the functions that a Manager needs from other components.
 type Hooks struct {
-	// Wrote takes a shard map that this host has written, to spread it at once.
+	// Wrote distributes a shard map at once: one that this host has written, or
+	// the one that was stored when its own write conflicted.
 	Wrote func(obj objects.Object)
 }
 
-// Manager is one host's share in the ownership of keys. It is safe for
-// concurrent use.
+// Manager implements the key ownership of one host, as an owner of shards, as a
+// guard and for the front. It is safe for concurrent use.
 type Manager struct {
 	cfg   Config
 	hooks Hooks
@@ -44,57 +45,58 @@
 	store objects.Store
 	pool  *peer.Pool
 
-	mu       sync.Mutex
-	owner    *once.Owner
-	granter  *once.LeaseGranter
-	view     *directory.Directory
-	windows  map[string]time.Duration
-	lostAt   map[string]time.Time
-	settling map[string]settling
-	// wanted are the services that a key was used with at this host before they
-	// had a shard map. Services without keys cost nothing.
-	wanted  map[string]bool
-	stopped bool
-	asks    sync.WaitGroup
+	mu            sync.Mutex
+	owner         *once.Owner
+	granter       *once.LeaseGranter
+	view          *directory.Directory
+	windows       map[string]time.Duration
+	unusableSince map[string]time.Time
+	unchanged     map[string]stableHosts
+	// needsMap holds the services that received a key at this host before they had
+	// a shard map. Services that never use keys get none.
+	needsMap        map[string]bool
+	leaving         bool
+	pendingRequests sync.WaitGroup
 }
 
 const (
-	// tickInterval is how often promises are looked at.
+	// tickInterval is how often leases are checked for renewal and expiry.
 	tickInterval = 50 * time.Millisecond
-	// placeInterval is how often the shard maps are looked at.
-	placeInterval = 250 * time.Millisecond
-	// callTimeout bounds one message to another host and its answer.
+	// mapCheckInterval is the mean interval at which shard maps are checked.
+	mapCheckInterval = 250 * time.Millisecond
+	// callTimeout limits one message to another host and its reply.
 	callTimeout = 700 * time.Millisecond
-	// lostAfter is how long a guard may be gone before the guards do without.
-	lostAfter = time.Minute
+	// guardLostAfter is how long a guard may be unusable before it is removed.
+	guardLostAfter = time.Minute
 )
 
-// New makes a Manager; Run starts it.
+// New creates a Manager, which Run starts.
 func New(cfg Config, hooks Hooks, store objects.Store, log *slog.Logger) *Manager {
 	m := &Manager{
 		cfg: cfg, hooks: hooks, log: log, store: store, view: &directory.Directory{},
-		granter:  once.NewLeaseGranter(time.Now(), cfg.PromiseLife),
-		windows:  make(map[string]time.Duration),
-		lostAt:   make(map[string]time.Time),
-		settling: make(map[string]settling),
-		wanted:   make(map[string]bool),
+		granter:       once.NewLeaseGranter(time.Now(), cfg.PromiseLife),
+		windows:       make(map[string]time.Duration),
+		unusableSince: make(map[string]time.Time),
+		unchanged:     make(map[string]stableHosts),
+		needsMap:      make(map[string]bool),
 	}
 	m.owner = once.NewOwner(cfg.Host, cfg.Life, cfg.PromiseLife, m.tableConfig)
 	return m
 }
 
-// SetPool sets the connections to the other hosts, before Run.
+// SetPool sets the connections to the other hosts. It must be called before Run.
 func (m *Manager) SetPool(p *peer.Pool) { m.pool = p }
 
-// Synced says that the shard maps were read from the platform in this life.
+// Synced records that the shard maps were read from the platform since the
+// process started.
 func (m *Manager) Synced() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.granter.MarkSynced()
 }
 
-// tableConfig gives the bounds of a service's tables. The caller holds the
-// lock.
+// tableConfig returns the limits of a service's tables. The caller must hold
+// m.mu.
 func (m *Manager) tableConfig(service string) once.TableConfig {
 	cfg := once.DefaultTableConfig()
 	if w, ok := m.windows[service]; ok {
@@ -103,7 +105,7 @@
 	return cfg
 }
 
-// SetDirectory takes a new directory.
+// SetDirectory applies a new version of the directory.
 func (m *Manager) SetDirectory(d *directory.Directory) {
 	now := time.Now()
 	m.mu.Lock()
@@ -127,13 +129,13 @@
 	return m.granter.MayRun(once.ShardID{Service: service, Shard: shard}, epoch)
 }
 
-// Run works until the context ends.
+// Run renews leases and maintains the shard maps until ctx is done.
 func (m *Manager) Run(ctx context.Context) {
 	var wg sync.WaitGroup
 	wg.Add(1)
 	go func() {
 		defer wg.Done()
-		m.placeLoop(ctx)
+		m.placementLoop(ctx)
 	}()
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
@@ -144,36 +146,36 @@
 		case <-ctx.Done():
 		}
 	}
-	m.asks.Wait()
+	m.pendingRequests.Wait()
 	wg.Wait()
 }
 
 func (m *Manager) tick(ctx context.Context, now time.Time) {
 	m.mu.Lock()
-	asks, won, lost := m.owner.Tick(now, now.UnixMilli())
+	requests, acquired, lost := m.owner.Tick(now, now.UnixMilli())
 	m.mu.Unlock()
-	for _, id := range won {
+	for _, id := range acquired {
 		event.Log(m.log, event.ShardOwned, slog.String("service", id.Service), slog.Int("shard", int(id.Shard)))
 	}
 	for _, id := range lost {
 		event.Log(m.log, event.ShardLost, slog.String("service", id.Service), slog.Int("shard", int(id.Shard)),
-			slog.String("cause", "no majority of the guards has promised it"))
+			slog.String("cause", "no lease from a majority of the guards"))
 	}
-	for _, a := range asks {
-		m.asks.Add(1)
+	for _, req := range requests {
+		m.pendingRequests.Add(1)
 		go func() {
-			defer m.asks.Done()
-			m.ask(ctx, a)
+			defer m.pendingRequests.Done()
+			m.requestLease(ctx, req)
 		}()
 	}
 }
 
-// ask asks one guard for a promise. The time is read before the message is
-// sent: the promise counts from there.
-func (m *Manager) ask(ctx context.Context, a once.LeaseRequest) {
-	asked := time.Now()
-	p := &msg.Promise{Service: a.Shard.Service, Shard: a.Shard.Shard, Epoch: a.Epoch, Owner: m.cfg.Host}
-	reply, err := m.call(ctx, a.Guard, p)
+// requestLease requests a lease from one guard. The time is read before the
+// message is sent, since the lease counts from then at the owner.
+func (m *Manager) requestLease(ctx context.Context, req once.LeaseRequest) {
+	requested := time.Now()
+	p := &msg.Promise{Service: req.Shard.Service, Shard: req.Shard.Shard, Epoch: req.Epoch, Owner: m.cfg.Host}
+	reply, err := m.call(ctx, req.Guard, p)
 	if err != nil {
 		return
 	}
@@ -183,16 +185,16 @@
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.owner.HandleLeaseReply(a, asked, once.LeaseReply{
+	m.owner.HandleLeaseReply(req, requested, once.LeaseReply{
 		Granted: r.Granted, Epoch: r.Epoch, TTL: time.Duration(r.LifeMS) * time.Millisecond,
 	})
 }
 
-// call sends one message to a host and waits for the answer; to this host it
-// is a function call.
+// call sends a message to a host and waits for the reply. A message to this host
+// is handled directly.
 func (m *Manager) call(ctx context.Context, host string, request msg.Message) (msg.Message, error) {
 	if host == m.cfg.Host {
-		return m.answer(request), nil
+		return m.handle(request), nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -217,31 +219,31 @@
 	}
 	reply, err := s.Recv(ctx)
 	if ctx.Err() != nil && conn.LastRead().Before(sent) {
-		// The next call goes over a new connection: this one may be silent for good.
+		// Have the next call use a new connection, since this one may be broken.
 		conn.Doubt()
 	}
 	return reply, err
 }
 
-// Serve answers a stream that another host opened.
+// Serve handles a stream opened by another host.
 func (m *Manager) Serve(s wire.Stream, first msg.Message) {
 	defer s.Close()
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
-	if reply := m.answer(first); reply != nil {
+	if reply := m.handle(first); reply != nil {
 		_ = s.Send(ctx, reply)
 	}
 }
 
-// answer decides about one request of a front, an owner or a leaving owner.
-// The clock is read under the lock, after any wait for it.
-func (m *Manager) answer(request msg.Message) msg.Message {
+// handle processes a request from a front, an owner or a leaving owner. The clock
+// is read after the lock was acquired, since waiting for it may take long.
+func (m *Manager) handle(request msg.Message) msg.Message {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := time.Now()
 	switch r := request.(type) {
 	case *msg.Promise:
-		return m.promise(now, r)
+		return m.handleLease(now, r)
 	case *msg.KeyClaim:
 		return m.owner.Claim(now, now.UnixMilli(), r)
 	case *msg.KeyDone:
@@ -253,7 +255,7 @@
 	}
 }
 
-func (m *Manager) promise(now time.Time, r *msg.Promise) msg.Message {
+func (m *Manager) handleLease(now time.Time, r *msg.Promise) msg.Message {
 	id := once.ShardID{Service: r.Service, Shard: r.Shard}
 	if r.Release {
 		m.granter.Release(now, id, r.Epoch, r.Owner)
@@ -266,15 +268,15 @@
 	}
 }
 
-// State lists the owned shards for the state dump.
+// State returns the owned shards for the state dump.
 func (m *Manager) State() []once.OwnedState {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.owner.Shards(time.Now())
 }
 
-// mapOf gives a service's present shard map; false where there is none.
-func mapOf(d *directory.Directory, service string) (*record.ShardMap, bool) {
+// currentMap returns a service's current shard map, false if there is none.
+func currentMap(d *directory.Directory, service string) (*record.ShardMap, bool) {
 	sm, ok := d.Maps[service]
 	if !ok || len(sm.Shards) == 0 {
 		return nil, false
--- a/internal/keys/place.go
+++ b/internal/keys/place.go
@@ -17,38 +17,38 @@
 	"github.com/radishhoist/radishhoist/record"
 )
 
-var errUnknownHost = errors.New("no such host is known")
+var errUnknownHost = errors.New("host is not in the directory")
 
 const (
-	// placePause and placePauseMax bound the jittered pause after a failed
-	// or contested write of a shard map.
-	placePause    = 500 * time.Millisecond
-	placePauseMax = 10 * time.Second
+	// minWriteBackoff and maxWriteBackoff limit the backoff, before jitter, after a
+	// failed write of a shard map.
+	minWriteBackoff = 500 * time.Millisecond
+	maxWriteBackoff = 10 * time.Second
 )
 
-// placeLoop writes the changes of shard maps that fall to this host.
-func (m *Manager) placeLoop(ctx context.Context) {
-	pause := placeInterval
+// placementLoop periodically writes the shard map changes that are up to this host.
+func (m *Manager) placementLoop(ctx context.Context) {
+	pause := mapCheckInterval
 	for ctx.Err() == nil {
-		if m.place(ctx) {
-			pause = placeInterval
+		if m.updateMaps(ctx) {
+			pause = mapCheckInterval
 		} else {
-			pause = min(max(2*pause, placePause), placePauseMax)
+			pause = min(max(2*pause, minWriteBackoff), maxWriteBackoff)
 		}
 		sleep.For(ctx, pause/2+time.Duration(rand.Int64N(int64(pause))))
 	}
 }
 
-// proposal is one shard map to write.
+// proposal is a shard map to write if the stored version is ifVersion.
 type proposal struct {
 	service   string
 	ifVersion int64
 	next      *record.ShardMap
 }
 
-// place looks at the maps of the services on this host and writes what falls
-// to it. It reports false where the platform gave no answer.
-func (m *Manager) place(ctx context.Context) bool {
+// updateMaps checks the shard maps that concern this host and writes the changes
+// that are up to it. It returns false if a write failed other than by a conflict.
+func (m *Manager) updateMaps(ctx context.Context) bool {
 	for _, p := range m.proposals(time.Now()) {
 		if err := m.write(ctx, p); err != nil {
 			var conflict *objects.ConflictError
@@ -63,12 +63,12 @@
 func (m *Manager) proposals(now time.Time) []proposal {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.stopped || !m.view.Whole {
+	if m.leaving || !m.view.Whole {
 		return nil
 	}
 	var out []proposal
 	for _, svc := range m.view.Services {
-		if !m.concerns(svc) {
+		if !m.isInvolved(svc) {
 			continue
 		}
 		if p, ok := m.propose(now, svc); ok {
@@ -78,12 +78,13 @@
 	return out
 }
 
-// concerns says that this host has, or guards, the service, or had a key for it.
-func (m *Manager) concerns(svc *directory.Service) bool {
-	if m.wanted[svc.Name] {
+// isInvolved reports whether this host has targets of the service, is one of its
+// guards, or has received a key for it. The caller must hold m.mu.
+func (m *Manager) isInvolved(svc *directory.Service) bool {
+	if m.needsMap[svc.Name] {
 		return true
 	}
-	if sm, ok := mapOf(m.view, svc.Name); ok && slices.Contains(sm.Guards, m.cfg.Host) {
+	if sm, ok := currentMap(m.view, svc.Name); ok && slices.Contains(sm.Guards, m.cfg.Host) {
 		return true
 	}
 	for _, t := range svc.Targets {
@@ -98,7 +99,7 @@
 	hosts := m.candidates(now, svc)
 	current, ok := m.view.Maps[svc.Name]
 	if !ok {
-		if !m.wanted[svc.Name] || !m.steady(now, svc.Name, hosts) {
+		if !m.needsMap[svc.Name] || !m.hostsStable(now, svc.Name, hosts) {
 			return proposal{}, false
 		}
 		first := once.InitialMap(svc.Name, svc.Record.Shards(), hosts, now)
@@ -115,28 +116,31 @@
 	return proposal{service: svc.Name, ifVersion: current.Version, next: next}, next != nil
 }
 
-// steady says that a service's hosts have not changed for a while: a first map
-// written too early would have too few guards. The caller holds the lock.
-func (m *Manager) steady(now time.Time, service string, hosts []once.Candidate) bool {
-	was, ok := m.settling[service]
-	if !ok || !slices.Equal(was.hosts, hosts) {
-		m.settling[service] = settling{hosts: hosts, since: now}
+// hostsStable reports whether a service's hosts have not changed for
+// stablePeriod. An initial map written too early would have too few guards. The
+// caller must hold m.mu.
+func (m *Manager) hostsStable(now time.Time, service string, hosts []once.Candidate) bool {
+	previous, ok := m.unchanged[service]
+	if !ok || !slices.Equal(previous.hosts, hosts) {
+		m.unchanged[service] = stableHosts{hosts: hosts, since: now}
 		return false
 	}
-	return now.Sub(was.since) >= steadyFor
+	return now.Sub(previous.since) >= stablePeriod
 }
 
-// settling is the hosts of a service that has no shard map yet.
-type settling struct {
+// stableHosts holds the hosts of a service without a shard map, and since when
+// they have been unchanged.
+type stableHosts struct {
 	hosts []once.Candidate
 	since time.Time
 }
 
-// steadyFor is how long a service's hosts must stay the same before its first
-// shard map is written.
-const steadyFor = 2 * time.Second
+// stablePeriod is how long a service's hosts must remain unchanged before its
+// initial shard map is written.
+const stablePeriod = 2 * time.Second
 
-// candidates lists the hosts that have the service, and its guards.
+// candidates returns the hosts that have targets of the service, and its guards,
+// sorted by name.
 func (m *Manager) candidates(now time.Time, svc *directory.Service) []once.Candidate {
 	names := make(map[string]bool)
 	for _, t := range svc.Targets {
@@ -154,7 +158,7 @@
 			continue
 		}
 		c := once.Candidate{Host: name, DC: h.DC, Incarnation: h.Incarnation, Usable: h.Alive && !h.Leaving}
-		c.Lost = m.lostFor(now, c) > lostAfter
+		c.Lost = m.unusableFor(now, c) > guardLostAfter
 		out = append(out, c)
 	}
 	slices.SortFunc(out, func(a, b once.Candidate) int {
@@ -166,22 +170,23 @@
 	return out
 }
 
-// lostFor is how long a host has not been usable.
-func (m *Manager) lostFor(now time.Time, c once.Candidate) time.Duration {
+// unusableFor returns how long a host has been unusable, and records when that was first
+// observed.
+func (m *Manager) unusableFor(now time.Time, c once.Candidate) time.Duration {
 	if c.Usable {
-		delete(m.lostAt, c.Host)
+		delete(m.unusableSince, c.Host)
 		return 0
 	}
-	at, ok := m.lostAt[c.Host]
+	at, ok := m.unusableSince[c.Host]
 	if !ok {
-		m.lostAt[c.Host] = now
+		m.unusableSince[c.Host] = now
 		return 0
 	}
 	return now.Sub(at)
 }
 
-// ownedEpochs gives the epochs of a service's shards that this host holds with
-// authority, and of those it has handed over. The caller holds the lock.
+// ownedEpochs returns the epochs of a service's shards over which this host has
+// authority, and of those that it has handed over. The caller must hold m.mu.
 func (m *Manager) ownedEpochs(now time.Time, service string) (held, frozen map[uint32]uint64) {
 	held, frozen = make(map[uint32]uint64), make(map[uint32]uint64)
 	for _, s := range m.owner.Shards(now) {
@@ -196,8 +201,9 @@
 	return held, frozen
 }
 
-// write stores a map on condition and spreads it at once. After a lost answer
-// it takes the write for its own only by its nonce.
+// write stores a map if the stored version is still ifVersion, and distributes it
+// at once. If the reply was lost, the nonce tells whether the stored map is the
+// one from this write.
 func (m *Manager) write(ctx context.Context, p proposal) error {
 	p.next.Nonce = uuid.NewString()
 	key := record.Key{Kind: record.KindShardMap, Name: p.service}
@@ -205,7 +211,7 @@
 	if err != nil {
 		return err
 	}
-	mine := func(stored []byte) bool {
+	isOwnWrite := func(stored []byte) bool {
 		r, err := record.Parse(stored)
 		if err != nil {
 			return false
@@ -213,25 +219,24 @@
 		sm, ok := r.Spec.(*record.ShardMap)
 		return ok && sm.Nonce == p.next.Nonce
 	}
-	obj, err := objects.PutSettled(ctx, m.store, key, value, p.ifVersion, mine)
+	obj, err := objects.PutSettled(ctx, m.store, key, value, p.ifVersion, isOwnWrite)
 	var conflict *objects.ConflictError
 	switch {
 	case err == nil:
 		m.hooks.Wrote(obj)
 	case errors.As(err, &conflict) && conflict.Current.Version > 0:
-		// Somebody else's change: bring it into force here too.
+		// Another host has written the map: apply its version here.
 		m.hooks.Wrote(conflict.Current)
 	}
 	return err
 }
 
-// HandOver freezes every owned shard and sends its table to the host that
-// comes next, before this host tells anybody that it leaves. What could not
-// be handed over is lost with the process, and its keys are refused by the
-// successor.
+// HandOver freezes every owned shard and sends its table to the successor. It is
+// called before this host announces that it is leaving. A table that cannot be
+// handed over is lost with the process, and the successor refuses its keys.
 func (m *Manager) HandOver(ctx context.Context) {
 	m.mu.Lock()
-	m.stopped = true
+	m.leaving = true
 	owned := m.owner.Shards(time.Now())
 	m.mu.Unlock()
 	for _, s := range owned {
@@ -239,18 +244,21 @@
 	}
 }
 
-// Resume undoes HandOver for a planned stop that was taken back. Shards that
-// nobody has taken over get a new epoch with the same owner.
+// Resume reverts HandOver after a planned stop was cancelled. Shards that were
+// not taken over get a new epoch with this host as owner.
 func (m *Manager) Resume() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.stopped = false
+	m.leaving = false
 }
 
-// handoverPart bounds the entries and bytes of one part of a table.
+// Limits of one part of a handed-over table.
 const (
-	handoverPart  = 500
-	handoverBytes = 1 << 20
+	// maxPartEntries limits the number of entries.
+	maxPartEntries = 500
+	// maxPartBytes limits the total size of the response bodies, unless a single
+	// entry exceeds it.
+	maxPartBytes = 1 << 20
 )
 
 func (m *Manager) handOverShard(ctx context.Context, id once.ShardID) {
@@ -284,18 +292,18 @@
 	bytes := 0
 	for i, e := range entries {
 		bytes += len(e.Body)
-		if i == handoverPart || (i > 0 && bytes > handoverBytes) {
+		if i == maxPartEntries || (i > 0 && bytes > maxPartBytes) {
 			return i
 		}
 	}
 	return len(entries)
 }
 
-// successor names who owns a shard once this host leaves, and the guards. The
-// caller holds the lock.
+// successor returns the host that should own a shard after this host leaves, and
+// the guards of the service. The caller must hold m.mu.
 func (m *Manager) successor(id once.ShardID) (string, []string) {
 	svc, ok := m.view.Services[id.Service]
-	sm, known := mapOf(m.view, id.Service)
+	sm, known := currentMap(m.view, id.Service)
 	if !ok || !known {
 		return "", nil
 	}
