--- a/internal/core/once/owner.go
+++ b/internal/core/once/owner.go
@@ -15,8 +15,8 @@
 // replies to HandleLeaseReply.
 type Owner struct {
 	host string
-	// incarnation is the start time of this process in Unix milliseconds. The shard
-	// maps use it to tell apart the incarnations of a host.
+	// incarnation is the start time of this process in Unix milliseconds, by
+	// which shard maps distinguish the incarnations of a host.
 	incarnation   uint64
 	leaseDuration time.Duration
 	config        func(service string) TableConfig
@@ -69,8 +69,9 @@
 }
 
 // SetMap applies a service's shard map. A shard at a new epoch starts with the
-// table that was handed over for that epoch, or else with an empty one, unless
-// this host owned the shard at the preceding epoch.
+// table that was handed over for that epoch, or else with an empty one that
+// treats older keys as unknown. If this host owned the shard at the preceding
+// epoch, it keeps its table.
 func (o *Owner) SetMap(now time.Time, service string, m *record.ShardMap) {
 	for i, s := range m.Shards {
 		id := ShardID{service, uint32(i)}
@@ -110,7 +111,7 @@
 
 // takeOver starts a shard at a new epoch. An owner that already owned the
 // preceding epoch keeps its table: no other host can have had authority in
-// between, since each epoch has one owner.
+// between, since epochs are consecutive and each has one owner.
 func (o *Owner) takeOver(now time.Time, id ShardID, epoch uint64, m *record.ShardMap, have *ownedShard) *ownedShard {
 	s := &ownedShard{authority: NewAuthority(epoch, m.Guards, m.Prev)}
 	in, ok := o.incoming[handoverKey{id, epoch}]
--- a/internal/core/once/placement.go
+++ b/internal/core/once/placement.go
@@ -137,9 +137,9 @@
 	return next
 }
 
-// ReclaimFrozen returns a map with new epochs for the shards that this host still owns
-// although it has handed over their tables, or nil if there are none. The new
-// epochs invalidate the tables that were handed over.
+// ReclaimFrozen returns a map with new epochs for the shards that this host
+// still owns although it has handed over their tables, or nil if there are none.
+// The new epochs invalidate the tables that were handed over.
 func ReclaimFrozen(self string, m *record.ShardMap, frozen map[uint32]uint64) *record.ShardMap {
 	return editOwned(self, m, func(i uint32, s *record.Shard) bool {
 		if frozen[i] != s.Epoch {
--- a/internal/core/once/table.go
+++ b/internal/core/once/table.go
@@ -47,8 +47,8 @@
 	bodyHash  uint64
 	requestID string
 	state     keyState
-	// enteredAt is when the state was entered; expiresAt is when a claim without a result
-	// becomes keyMayHaveRun.
+	// enteredAt is when the state was entered; expiresAt is when a claim without
+	// a result becomes keyMayHaveRun.
 	enteredAt, expiresAt time.Time
 	status               uint16
 	header               []msg.Field
