--- a/internal/core/quota/account.go
+++ b/internal/core/quota/account.go
@@ -6,221 +6,225 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// account is what one host knows of a team's use.
+// account is one host's view of a team's usage.
 type account struct {
-	node  *Node
-	team  string
-	hash  uint64
-	limit Limit
-	// touched is when the account was used last.
-	touched time.Time
-
-	// used is the level as far as it is known here; assumed is what it is taken for at
-	// the least after a start, until a host that has run for longer tells it.
+	node     *Node
+	team     string
+	hash     uint64
+	limit    Limit
+	lastUsed time.Time
+
+	// used is the level known to this host. assumed is a lower bound on the level that
+	// applies after a start, until a host that has been running longer reports the real
+	// one.
 	used, assumed bucket
-	// promised is the level at which the callers who were told to come back arrive.
-	promised bucket
-	// alone is what this host has let pass, against its own share, and standIn what it
-	// has granted in the place of a silent home, against the share of those who asked.
-	alone, standIn bucket
-	// stoodIn is when this host was last asked in the place of the home.
-	stoodIn time.Time
-
-	// homes are the hosts that keep the account and succeed to it, as of epoch.
+	// reserved is the level at which callers that were told to retry will arrive.
+	reserved bucket
+	// standalone counts what this host admitted against its own share. successorUse
+	// counts what it granted in place of an unresponsive home, against the share of the
+	// requesting hosts.
+	standalone, successorUse bucket
+	// lastAsSuccessor is when this host was last queried in place of the home.
+	lastAsSuccessor time.Time
+
+	// homes holds the account's home and its successor, as of epoch.
 	homes [2]string
 	epoch uint64
 
-	// count is what this host let pass without asking, less what did not run; told is
-	// the part that a home, confirmedBy, has confirmed.
-	count, told int64
-	confirmedBy string
-	// seq numbers the uses told, and heardSeq is the last that was confirmed.
-	seq, heardSeq uint32
-	// sentAt is when a use was sent that is not confirmed yet, zero for none; silent
-	// counts those before it that were not.
-	sentAt time.Time
-	silent int
-
-	closeUntil, refusedUntil, aloneUntil time.Time
-	refusedWait                          time.Duration
-	// passes and refusals count this host's requests.
-	passes, refusals uint64
-
-	// fronts are the counts of the hosts that tell this one of their use, and noticed is
-	// when all hosts were told that the team is close to its limit.
-	fronts  map[string]*front
-	noticed time.Time
-}
-
-// asksKept is how many grants to one host are remembered, so that an ask that comes
-// again is answered and not counted again.
-const asksKept = 8
-
-// front is what a host has told of its use.
-type front struct {
+	// count is the number of requests this host admitted without a query, less those
+	// that did not run. confirmed is the part of it that the home confirmedBy has
+	// acknowledged.
+	count, confirmed int64
+	confirmedBy      string
+	// seq numbers the usage reports sent; confirmedSeq is the last one acknowledged.
+	seq, confirmedSeq uint32
+	// unconfirmedSince is when the oldest unacknowledged report was sent, zero for none.
+	// timeouts counts the consecutive reports before it that timed out.
+	unconfirmedSince time.Time
+	timeouts         int
+
+	nearLimitUntil, refusedUntil, standaloneUntil time.Time
+	refusalWait                                   time.Duration
+	// admitted and refused count this host's requests.
+	admitted, refused uint64
+
+	// reporters holds the usage counts of the hosts that report to this one. lastNotice
+	// is when all hosts were last notified that the team is near its limit.
+	reporters  map[string]*reporter
+	lastNotice time.Time
+}
+
+// grantsKept is the number of grants remembered per host, so that a repeated query is
+// answered without being counted twice.
+const grantsKept = 8
+
+// reporter is the usage that one host has reported.
+type reporter struct {
 	incarnation uint64
 	seq         uint32
 	count, base int64
-	heardAt     time.Time
-	// granted are the last requests that it asked for and got.
-	granted [asksKept]uint32
+	reportedAt  time.Time
+	// granted holds the IDs of the host's latest granted queries.
+	granted [grantsKept]uint32
 }
 
-// account finds or opens the account of a team.
+// account returns the account of a team, creating it if needed.
 func (n *Node) account(now time.Time, team string, limit Limit) *account {
 	a, ok := n.accounts[team]
 	if !ok {
 		a = &account{node: n, team: team, hash: xxhash.Sum64String(team), limit: limit}
-		a.assumed.set(n.started, a.room()-startLend*n.cfg.Lend)
+		a.assumed.set(n.started, a.capacity()-startupExtraFraction*n.cfg.ExtraBurst)
 		n.accounts[team] = a
 	}
 	if a.limit != limit {
-		a.change(now, limit)
+		a.setLimit(now, limit)
 	}
-	a.touched = now
+	a.lastUsed = now
 	return a
 }
 
-// change takes a new limit. What was used beyond it is not held against the team.
-func (a *account) change(now time.Time, limit Limit) {
+// setLimit applies a new limit. Usage beyond the new limit is not held against the team.
+func (a *account) setLimit(now time.Time, limit Limit) {
 	before := a.level(now)
 	a.limit = limit
-	a.used.set(now, min(before, a.room()))
+	a.used.set(now, min(before, a.capacity()))
 	a.assumed.set(now, 0)
-	a.promised.set(now, 0)
+	a.reserved.set(now, 0)
 	a.refusedUntil = time.Time{}
 }
 
-// rate is the team's rate among the hosts in sight, and room how much its level
-// may be.
-func (a *account) rate() float64 { return a.node.lent(a.limit.Rate) * a.node.share() }
-func (a *account) room() float64 {
-	return max((a.limit.Burst+a.node.cfg.Lend)*a.node.share(), 1)
+// rate returns the team's drain rate, and capacity its maximum level, for the visible
+// hosts.
+func (a *account) rate() float64 { return a.node.withExtra(a.limit.Rate) * a.node.visibleShare() }
+func (a *account) capacity() float64 {
+	return max((a.limit.Burst+a.node.cfg.ExtraBurst)*a.node.visibleShare(), 1)
 }
 
-// lent is a rate with what is lent beyond it.
-func (n *Node) lent(rate float64) float64 { return rate*(1+n.cfg.LendPart) + n.cfg.LendRate }
+// withExtra adds the configured extra rate to a rate.
+func (n *Node) withExtra(rate float64) float64 {
+	return rate*(1+n.cfg.ExtraRateFraction) + n.cfg.ExtraRate
+}
 
-// partOf is the rate and the room of hosts that have a part of the whole.
-func (a *account) partOf(part float64) (rate, room float64) {
-	return a.node.lent(a.limit.Rate) * part, max((a.limit.Burst+a.node.cfg.Lend)*part, 1)
+// portion returns the rate and capacity of hosts that hold the given part of the whole.
+func (a *account) portion(part float64) (rate, capacity float64) {
+	return a.node.withExtra(a.limit.Rate) * part, max((a.limit.Burst+a.node.cfg.ExtraBurst)*part, 1)
 }
 
-// own is this host's share of the whole.
-func (n *Node) own() float64 { return 1 / float64(n.known) }
+// ownShare is this host's share of each limit.
+func (n *Node) ownShare() float64 { return 1 / float64(n.knownHosts) }
 
-// level is the team's use as far as it is known or must be assumed.
+// level is the team's usage, known or assumed.
 func (a *account) level(now time.Time) float64 {
 	return max(a.used.now(now, a.rate()), a.assumed.now(now, a.rate()))
 }
 
-// isKnown says that nothing needs to be assumed any more.
+// isKnown reports whether the level no longer depends on an assumption.
 func (a *account) isKnown(now time.Time) bool { return a.assumed.now(now, a.rate()) == 0 }
 
-// add counts requests that pass, or that did not run where n is negative. What
-// passed beyond the limit, because hosts did not know of each other, is made up for
-// in part only.
+// add counts n admitted requests, or takes back requests that did not run if n is
+// negative. The level is bounded, so requests admitted beyond the limit because hosts did
+// not know of each other are compensated only in part.
 func (a *account) add(now time.Time, n float64) {
-	a.used.set(now, min(a.used.now(now, a.rate())+n, a.room()+a.node.cfg.Lend))
+	a.used.set(now, min(a.used.now(now, a.rate())+n, a.capacity()+a.node.cfg.ExtraBurst))
 	if !a.isKnown(now) {
 		a.assumed.add(now, a.rate(), n)
 	}
 }
 
-// hear takes the level that another host tells.
-func (a *account) hear(now time.Time, level float64, known bool) {
-	a.used.raise(now, a.rate(), min(level, a.room()+a.node.cfg.Lend))
+// mergeLevel raises the level to one reported by another host.
+func (a *account) mergeLevel(now time.Time, level float64, known bool) {
+	a.used.raise(now, a.rate(), min(level, a.capacity()+a.node.cfg.ExtraBurst))
 	if known {
 		a.assumed.set(now, 0)
 	}
 }
 
-// near says that the team is close to its limit.
-func (a *account) near(now time.Time) bool { return a.level(now) >= closeAt*a.room() }
+// isNearLimit reports whether the team is near its limit.
+func (a *account) isNearLimit(now time.Time) bool { return a.level(now) >= nearLimitEnter*a.capacity() }
 
-// take lets a request pass where the level allows, else says when to come back.
-func (a *account) take(now time.Time) (bool, time.Duration) {
+// admit admits a request if the level allows it, and otherwise returns when to retry.
+func (a *account) admit(now time.Time) (bool, time.Duration) {
 	level := a.level(now)
-	if level+1 <= a.room() {
+	if level+1 <= a.capacity() {
 		a.add(now, 1)
 		return true, 0
 	}
-	ahead := max(level, a.promised.now(now, a.rate())) + 1
-	a.promised.set(now, ahead)
-	return false, wait(ahead-a.room(), a.rate())
+	ahead := max(level, a.reserved.now(now, a.rate())) + 1
+	a.reserved.set(now, ahead)
+	return false, drainTime(ahead-a.capacity(), a.rate())
 }
 
-// takeAlone lets a request pass within this host's own share of the rate.
-func (a *account) takeAlone(now time.Time) (bool, time.Duration) {
-	rate, room := a.partOf(a.node.own())
-	level := a.alone.now(now, rate)
-	if level+1 <= room {
+// admitStandalone admits a request within this host's own share of the rate.
+func (a *account) admitStandalone(now time.Time) (bool, time.Duration) {
+	rate, capacity := a.portion(a.node.ownShare())
+	level := a.standalone.now(now, rate)
+	if level+1 <= capacity {
 		return true, 0
 	}
-	return false, wait(level+1-room, rate)
+	return false, drainTime(level+1-capacity, rate)
 }
 
-// takeStandIn lets a request pass in the place of a silent home: within half of the
-// part of the rate that belongs to the hosts which ask here, since others may reach
-// the home, which grants the whole rate until it learns of the split.
-func (a *account) takeStandIn(now time.Time) (bool, time.Duration) {
-	asking := 1
-	for _, f := range a.fronts {
-		if now.Sub(f.heardAt) < askingFor {
-			asking++
+// admitAsSuccessor admits a request in place of an unresponsive home. It grants at most
+// half of the share of the hosts that query this one, because other hosts may still reach
+// the home, which grants the whole rate until it learns of the partition.
+func (a *account) admitAsSuccessor(now time.Time) (bool, time.Duration) {
+	requesting := 1
+	for _, r := range a.reporters {
+		if now.Sub(r.reportedAt) < requestingPeriod {
+			requesting++
 		}
 	}
-	part := standInPart * min(float64(asking)/float64(a.node.known), 1)
-	rate, room := a.partOf(part)
-	if now.Sub(a.stoodIn) > askingFor {
-		// The share begins as used as the whole was.
-		a.standIn.raise(now, rate, a.level(now)/a.room()*room)
+	part := successorFraction * min(float64(requesting)/float64(a.node.knownHosts), 1)
+	rate, capacity := a.portion(part)
+	if now.Sub(a.lastAsSuccessor) > requestingPeriod {
+		// The share starts at the same relative usage as the whole.
+		a.successorUse.raise(now, rate, a.level(now)/a.capacity()*capacity)
 	}
-	a.stoodIn = now
-	level := a.standIn.now(now, rate)
-	if level+1 > room {
-		return false, wait(level+1-room, rate)
+	a.lastAsSuccessor = now
+	level := a.successorUse.now(now, rate)
+	if level+1 > capacity {
+		return false, drainTime(level+1-capacity, rate)
 	}
-	ok, wait := a.take(now)
+	ok, wait := a.admit(now)
 	if ok {
-		a.standIn.add(now, rate, 1)
+		a.successorUse.add(now, rate, 1)
 	}
 	return ok, wait
 }
 
-// goAlone makes this host go by its own share for some time; the share begins as used
-// as the whole was.
-func (a *account) goAlone(now time.Time) {
-	if !now.Before(a.aloneUntil) {
-		rate, room := a.partOf(a.node.own())
-		a.alone.raise(now, rate, a.level(now)/a.room()*room)
+// enterStandalone makes this host enforce its own share for standalonePeriod. The share
+// starts at the same relative usage as the whole.
+func (a *account) enterStandalone(now time.Time) {
+	if !now.Before(a.standaloneUntil) {
+		rate, capacity := a.portion(a.node.ownShare())
+		a.standalone.raise(now, rate, a.level(now)/a.capacity()*capacity)
 	}
-	a.aloneUntil = now.Add(aloneFor)
+	a.standaloneUntil = now.Add(standalonePeriod)
 }
 
-// passed notes a request that this host lets pass.
-func (a *account) passed(now time.Time) {
-	a.passes++
-	rate, _ := a.partOf(a.node.own())
-	a.alone.add(now, rate, 1)
+// recordAdmitted counts a request admitted by this host.
+func (a *account) recordAdmitted(now time.Time) {
+	a.admitted++
+	rate, _ := a.portion(a.node.ownShare())
+	a.standalone.add(now, rate, 1)
 }
 
-// wait is how long some requests take to drain.
-func wait(n, perSecond float64) time.Duration {
+// drainTime returns how long n requests take to drain, bounded by maxWait.
+func drainTime(n, perSecond float64) time.Duration {
 	d := time.Duration(n / max(perSecond, 1e-9) * float64(time.Second))
 	return min(max(d, time.Millisecond), maxWait)
 }
 
-// homesOf gives the host that keeps a team's account and its successor, "" where
-// there is none.
-func (n *Node) homesOf(a *account) [2]string {
+// homes returns the home of a team's account and its successor, "" for none. It uses
+// rendezvous hashing.
+func (n *Node) homes(a *account) [2]string {
 	if a.epoch == n.epoch && a.homes[0] != "" {
 		return a.homes
 	}
 	var best [2]uint64
 	a.homes, a.epoch = [2]string{}, n.epoch
 	for i, h := range n.hosts {
-		score := mix(a.hash ^ n.hashes[i])
+		score := mixHash(a.hash ^ n.hashes[i])
 		switch {
 		case a.homes[0] == "" || score > best[0]:
 			a.homes[1], best[1] = a.homes[0], best[0]
@@ -232,8 +236,8 @@
 	return a.homes
 }
 
-// mix spreads the bits of a hash (the finalizer of MurmurHash3).
-func mix(x uint64) uint64 {
+// mixHash is the finalizer of MurmurHash3.
+func mixHash(x uint64) uint64 {
 	x ^= x >> 33
 	x *= 0xff51afd7ed558ccd
 	x ^= x >> 33
@@ -241,8 +245,8 @@
 	return x ^ x>>33
 }
 
-// keeps says that this host is the home of the account.
-func (n *Node) keeps(a *account) bool { return n.homesOf(a)[0] == n.cfg.Host }
+// isHome reports whether this host is the home of the account.
+func (n *Node) isHome(a *account) bool { return n.homes(a)[0] == n.cfg.Host }
 
-// standsIn says that this host is asked in the place of a home that is silent.
-func (n *Node) standsIn(a *account) bool { return n.homesOf(a)[1] == n.cfg.Host && a.silent > 0 }
+// actsForHome reports whether this host is the successor of a home that does not respond.
+func (n *Node) actsForHome(a *account) bool { return n.homes(a)[1] == n.cfg.Host && a.timeouts > 0 }
--- /dev/null
+++ b/internal/core/quota/admit.go
@@ -0,0 +1,252 @@
+package quota
+
+import (
+	"maps"
+	"slices"
+	"time"
+
+	"github.com/radishhoist/radishhoist/internal/msg"
+)
+
+// query is a request for a decision, sent to the home of the account.
+type query struct {
+	account *account
+	sentAt  time.Time
+	tries   int
+}
+
+// resolvedQuery is a query that has been decided by a host, or by this one if by is
+// empty.
+type resolvedQuery struct {
+	by string
+	at time.Time
+}
+
+// Admit decides on a request of a team, or queries the team's home.
+func (n *Node) Admit(now time.Time, team string, limit Limit) Verdict {
+	a := n.account(now, team, limit)
+	switch {
+	case n.isHome(a):
+		ok, wait := n.admitAsHome(now, a)
+		n.checkNearLimit(now, a)
+		return a.verdict(now, ok, wait)
+	case now.Before(a.refusedUntil):
+		return a.verdict(now, false, a.refusalWait)
+	case now.Before(a.standaloneUntil):
+		ok, wait := a.admitStandalone(now)
+		if ok {
+			n.admitUnconfirmed(now, a)
+		}
+		return a.verdict(now, ok, wait)
+	case n.mustQuery(now, a):
+		return Verdict{Decision: Pending, QueryID: n.sendQuery(now, a)}
+	default:
+		n.admitUnconfirmed(now, a)
+		return a.verdict(now, true, 0)
+	}
+}
+
+// admitAsHome decides on a request of this host's own callers if it is the home of the
+// account. Shortly after its start the other hosts may still consider it dead and use
+// another home, so its own share applies as well.
+func (n *Node) admitAsHome(now time.Time, a *account) (bool, time.Duration) {
+	if n.inStartup(now) && len(n.hosts) > 1 {
+		if ok, wait := a.admitStandalone(now); !ok {
+			return false, wait
+		}
+	}
+	return a.admit(now)
+}
+
+// inStartup reports whether this host started less than startupPeriod ago.
+func (n *Node) inStartup(now time.Time) bool { return now.Sub(n.started) < startupPeriod }
+
+func (a *account) verdict(now time.Time, ok bool, wait time.Duration) Verdict {
+	if !ok {
+		a.refused++
+		return Verdict{Decision: Refused, Wait: wait}
+	}
+	a.recordAdmitted(now)
+	return Verdict{Decision: Admitted}
+}
+
+// mustQuery reports whether the home must be queried before a request is admitted: this
+// host may lack knowledge, the team is near its limit, or too many requests that this
+// host admitted are not yet confirmed by the home.
+func (n *Node) mustQuery(now time.Time, a *account) bool {
+	unconfirmed := float64(a.count - a.confirmed)
+	maxUnconfirmed := max(1, nearLimitEnter*a.capacity()/float64(max(len(n.hosts), 1)))
+	if a.level(now) < nearLimitExit*a.capacity() {
+		maxUnconfirmed = max(maxUnconfirmed, maxUnconfirmedFarFromLimit)
+	}
+	return n.inStartup(now) || now.Before(a.nearLimitUntil) || unconfirmed+1 > maxUnconfirmed || a.isNearLimit(now)
+}
+
+// admitUnconfirmed counts a request that is admitted without a query.
+func (n *Node) admitUnconfirmed(now time.Time, a *account) {
+	a.count++
+	a.add(now, 1)
+	n.unconfirmed[a.team] = a
+}
+
+// Return takes back an admitted request that did not run.
+func (n *Node) Return(now time.Time, team string) {
+	a, ok := n.accounts[team]
+	if !ok {
+		return
+	}
+	a.add(now, -1)
+	if n.isHome(a) {
+		return
+	}
+	a.count--
+	n.unconfirmed[team] = a
+}
+
+func (n *Node) sendQuery(now time.Time, a *account) uint32 {
+	n.lastQueryID++
+	n.queries[n.lastQueryID] = &query{account: a, sentAt: now, tries: 1}
+	n.sendUse(now, a, n.homes(a)[0], n.lastQueryID)
+	return n.lastQueryID
+}
+
+// sendUse reports the usage to a home, and queries it for a request if queryID is not 0.
+func (n *Node) sendUse(now time.Time, a *account, to string, queryID uint32) {
+	a.seq++
+	p := n.packet(to)
+	p.Uses = append(p.Uses, msg.TeamUse{
+		Team: a.team, Seq: a.seq, Count: a.count, Base: a.confirmed,
+		Level: float32(max(a.used.now(now, a.rate())-float64(a.count-a.confirmed), 0)), Known: a.isKnown(now),
+		Same: a.confirmedBy == to, Relayed: n.isRelay(a), Ask: queryID,
+	})
+	if a.count != a.confirmed && a.unconfirmedSince.IsZero() {
+		a.unconfirmedSince = now
+	}
+}
+
+// isRelay reports whether other hosts report the team's usage to this one although it is
+// not the account's home.
+func (n *Node) isRelay(a *account) bool { return len(a.reporters) > 0 && !n.isHome(a) }
+
+// reportUse reports usage that no home has confirmed. If the home does not respond, it
+// alternates between the successor and the home.
+func (n *Node) reportUse(now time.Time, a *account) {
+	if n.isHome(a) {
+		// This host has become the home: its level includes the usage already.
+		a.confirmed = a.count
+	}
+	if a.count == a.confirmed {
+		delete(n.unconfirmed, a.team)
+		a.unconfirmedSince, a.timeouts = time.Time{}, 0
+		return
+	}
+	if !a.unconfirmedSince.IsZero() {
+		if now.Sub(a.unconfirmedSince) < useTimeout {
+			return
+		}
+		a.timeouts++
+		a.unconfirmedSince = time.Time{}
+		if a.timeouts >= len(a.homes) {
+			a.enterStandalone(now)
+		}
+	}
+	to := n.homes(a)[a.timeouts%len(a.homes)]
+	if to == "" || to == n.cfg.Host {
+		to = a.homes[0]
+	}
+	n.sendUse(now, a, to, 0)
+}
+
+// retryQueries repeats queries that timed out, first to the home and then to its
+// successor. If neither responds, this host decides by its own share.
+func (n *Node) retryQueries(now time.Time) {
+	for _, id := range slices.Sorted(maps.Keys(n.queries)) {
+		q := n.queries[id]
+		if now.Sub(q.sentAt) < queryTimeout {
+			continue
+		}
+		a := q.account
+		to := n.homes(a)[min(q.tries/2, 1)]
+		if q.tries >= maxQueryTries || to == "" || to == n.cfg.Host {
+			n.decideStandalone(now, id, a)
+			continue
+		}
+		q.tries++
+		q.sentAt = now
+		n.sendUse(now, a, to, id)
+	}
+}
+
+func (n *Node) decideStandalone(now time.Time, id uint32, a *account) {
+	delete(n.queries, id)
+	n.resolved[id] = resolvedQuery{at: now}
+	var ok bool
+	var wait time.Duration
+	if n.isHome(a) {
+		ok, wait = n.admitAsHome(now, a)
+	} else {
+		a.enterStandalone(now)
+		if ok, wait = a.admitStandalone(now); ok {
+			n.admitUnconfirmed(now, a)
+		}
+	}
+	n.resolve(now, id, a, ok, wait)
+}
+
+func (n *Node) resolve(now time.Time, id uint32, a *account, ok bool, wait time.Duration) {
+	if ok {
+		a.recordAdmitted(now)
+	} else {
+		a.refused++
+	}
+	n.answers = append(n.answers, Answer{QueryID: id, Granted: ok, Wait: wait})
+}
+
+// handleLevel processes a home's answer.
+func (n *Node) handleLevel(now time.Time, from string, l *msg.TeamLevel) {
+	a, ok := n.accounts[l.Team]
+	if !ok {
+		return
+	}
+	a.standaloneUntil = time.Time{}
+	if l.Seq > a.confirmedSeq {
+		a.confirmed, a.confirmedBy, a.confirmedSeq = l.Count, from, l.Seq
+		a.unconfirmedSince, a.timeouts = time.Time{}, 0
+	}
+	level := float64(l.Level) + float64(a.count-a.confirmed)
+	if l.Known {
+		a.assumed.set(now, 0)
+		a.used.set(now, level)
+	} else {
+		a.used.raise(now, a.rate(), level)
+	}
+	a.extendNearLimit(now, l.CloseMS)
+	if l.Ask == 0 {
+		return
+	}
+	if _, pending := n.queries[l.Ask]; !pending {
+		// The query was resolved elsewhere; a second grant, by a late home or its
+		// successor, is returned.
+		if resolved, known := n.resolved[l.Ask]; known && l.Granted && resolved.by != from {
+			delete(n.resolved, l.Ask)
+			a.count--
+			n.unconfirmed[a.team] = a
+		}
+		return
+	}
+	delete(n.queries, l.Ask)
+	n.resolved[l.Ask] = resolvedQuery{by: from, at: now}
+	wait := time.Duration(l.WaitMS) * time.Millisecond
+	if !l.Granted {
+		a.refusalWait, a.refusedUntil = wait, now.Add(min(wait, maxRefusalCache))
+	}
+	n.resolve(now, l.Ask, a, l.Granted, wait)
+}
+
+// extendNearLimit makes this host query the home for each request for the next ms
+// milliseconds.
+func (a *account) extendNearLimit(now time.Time, ms uint32) {
+	if until := now.Add(time.Duration(ms) * time.Millisecond); ms > 0 && until.After(a.nearLimitUntil) {
+		a.nearLimitUntil = until
+	}
+}
--- a/internal/core/quota/home.go
+++ b/internal/core/quota/home.go
@@ -6,33 +6,32 @@
 	"github.com/radishhoist/radishhoist/internal/msg"
 )
 
-// takeUse takes what a front has let pass, and decides where it asks for one
-// request more.
-func (n *Node) takeUse(now time.Time, p *msg.TeamPacket, u *msg.TeamUse) {
+// handleUse processes a usage report and decides on the query that it may carry.
+func (n *Node) handleUse(now time.Time, p *msg.TeamPacket, u *msg.TeamUse) {
 	limit, limited := n.cfg.Limit(u.Team)
 	if !limited {
 		n.answer(p.From, msg.TeamLevel{Team: u.Team, Seq: u.Seq, Count: u.Count, Known: true, Ask: u.Ask, Granted: true})
 		return
 	}
 	a := n.account(now, u.Team, limit)
-	f := a.front(p)
-	if more := a.heard(now, f, u); more != 0 {
-		a.add(now, float64(more))
-		if !n.keeps(a) && !u.Relayed {
-			a.count += more
-			n.due[a.team] = a
+	r := a.reporter(p)
+	if added := a.newRequests(now, r, u); added != 0 {
+		a.add(now, float64(added))
+		if !n.isHome(a) && !u.Relayed {
+			a.count += added
+			n.unconfirmed[a.team] = a
 		}
 	}
 	l := msg.TeamLevel{Team: u.Team, Seq: u.Seq, Count: u.Count, Ask: u.Ask}
 	if u.Ask != 0 {
-		if n.learning(now) {
+		if n.relearning(now) {
 			return
 		}
-		n.grant(now, a, f, u, &l)
+		n.grant(now, a, r, u, &l)
 	}
-	n.watch(now, a)
-	if n.close[a.team] != nil {
-		l.CloseMS = uint32(closeFor.Milliseconds())
+	n.checkNearLimit(now, a)
+	if n.nearLimit[a.team] != nil {
+		l.CloseMS = uint32(nearLimitPeriod.Milliseconds())
 	}
 	l.Level, l.Known = float32(a.level(now)), a.isKnown(now)
 	n.answer(p.From, l)
@@ -43,124 +42,127 @@
 	p.Levels = append(p.Levels, l)
 }
 
-// front finds what a host has told, nothing where it has started again since.
-func (a *account) front(p *msg.TeamPacket) *front {
-	f, ok := a.fronts[p.From]
-	if ok && f.incarnation == p.Incarnation {
-		return f
-	}
-	if a.fronts == nil {
-		a.fronts = make(map[string]*front)
-	}
-	f = &front{incarnation: p.Incarnation}
-	a.fronts[p.From] = f
-	return f
+// reporter returns the usage reported by a host. A host that has restarted begins at
+// zero.
+func (a *account) reporter(p *msg.TeamPacket) *reporter {
+	r, ok := a.reporters[p.From]
+	if ok && r.incarnation == p.Incarnation {
+		return r
+	}
+	if a.reporters == nil {
+		a.reporters = make(map[string]*reporter)
+	}
+	r = &reporter{incarnation: p.Incarnation}
+	a.reporters[p.From] = r
+	return r
 }
 
-// heard gives how many requests a use tells of that are not in the level yet. An
-// older use than the last tells nothing.
-func (a *account) heard(now time.Time, f *front, u *msg.TeamUse) int64 {
-	if u.Seq <= f.seq {
+// newRequests returns the number of reported requests that the level does not include
+// yet. Reports older than the last one count for nothing.
+func (a *account) newRequests(now time.Time, r *reporter, u *msg.TeamUse) int64 {
+	if u.Seq <= r.seq {
 		return 0
 	}
-	more := u.Count - f.count
-	if f.seq == 0 || !u.Same && u.Base != f.base {
-		// The host told another home meanwhile, and brings its level.
-		a.hear(now, float64(u.Level), u.Known)
-		more = u.Count - u.Base
+	added := u.Count - r.count
+	if r.seq == 0 || !u.Same && u.Base != r.base {
+		// The host has reported to another home in the meantime and carries that home's
+		// level.
+		a.mergeLevel(now, float64(u.Level), u.Known)
+		added = u.Count - u.Base
 	}
-	f.seq, f.count, f.base, f.heardAt = u.Seq, u.Count, u.Base, now
-	return more
+	r.seq, r.count, r.base, r.reportedAt = u.Seq, u.Count, u.Base, now
+	return added
 }
 
-// grant decides about a request that was asked for, once for each number.
-func (n *Node) grant(now time.Time, a *account, f *front, u *msg.TeamUse, l *msg.TeamLevel) {
-	if f.granted[u.Ask%asksKept] == u.Ask {
+// grant decides on a query. A repeated query that was granted before is granted again
+// without being counted.
+func (n *Node) grant(now time.Time, a *account, r *reporter, u *msg.TeamUse, l *msg.TeamLevel) {
+	if r.granted[u.Ask%grantsKept] == u.Ask {
 		l.Granted = true
 		return
 	}
-	take := a.take
-	if n.standsIn(a) {
-		take = a.takeStandIn
+	admit := a.admit
+	if n.actsForHome(a) {
+		admit = a.admitAsSuccessor
 	}
-	ok, wait := take(now)
-	if ok && !n.keeps(a) && !u.Relayed {
+	ok, wait := admit(now)
+	if ok && !n.isHome(a) && !u.Relayed {
 		a.count++
-		n.due[a.team] = a
+		n.unconfirmed[a.team] = a
 	}
 	if ok {
-		f.granted[u.Ask%asksKept] = u.Ask
+		r.granted[u.Ask%grantsKept] = u.Ask
 	}
 	l.Granted, l.WaitMS = ok, uint32(wait.Milliseconds())
 }
 
-// watch tells all hosts once a team comes close to its limit, where this host
-// keeps its account.
-func (n *Node) watch(now time.Time, a *account) {
-	if n.close[a.team] != nil || !a.near(now) || !n.keeps(a) && !n.standsIn(a) {
+// checkNearLimit notifies all hosts when a team comes near its limit, if this host is the
+// account's home or acts for it.
+func (n *Node) checkNearLimit(now time.Time, a *account) {
+	if n.nearLimit[a.team] != nil || !a.isNearLimit(now) || !n.isHome(a) && !n.actsForHome(a) {
 		return
 	}
-	n.close[a.team] = a
+	n.nearLimit[a.team] = a
 	n.notify(now, a)
 }
 
-// directly is the size of a fleet up to which a home tells each host itself;
-// beyond it some hosts of each other data centre pass the notice on.
+// Up to maxDirectHosts hosts, a home notifies each host itself. In larger fleets,
+// relaysPerDC hosts of each other data centre forward the notice.
 const (
-	directly = 128
-	passOn   = 2
+	maxDirectHosts = 128
+	relaysPerDC    = 2
 )
 
-// shadow tells the successor of a home how far a team that is close to its limit
-// has come.
-func (n *Node) shadow(now time.Time, a *account) {
-	if next := n.homesOf(a)[1]; next != "" && next != n.cfg.Host {
-		p := n.packet(next)
-		p.Notices = append(p.Notices, msg.TeamNotice{Team: a.team, Level: float32(a.level(now)), CloseMS: uint32(closeFor.Milliseconds())})
+// updateSuccessor sends the level of a team that is near its limit to the successor of
+// its home.
+func (n *Node) updateSuccessor(now time.Time, a *account) {
+	if successor := n.homes(a)[1]; successor != "" && successor != n.cfg.Host {
+		p := n.packet(successor)
+		p.Notices = append(p.Notices, msg.TeamNotice{Team: a.team, Level: float32(a.level(now)), CloseMS: uint32(nearLimitPeriod.Milliseconds())})
 	}
 }
 
 func (n *Node) notify(now time.Time, a *account) {
-	a.noticed = now
-	notice := msg.TeamNotice{Team: a.team, Level: float32(a.level(now)), CloseMS: uint32(closeFor.Milliseconds())}
-	if len(n.hosts) <= directly {
-		n.tell(notice, func(Host) bool { return true })
+	a.lastNotice = now
+	notice := msg.TeamNotice{Team: a.team, Level: float32(a.level(now)), CloseMS: uint32(nearLimitPeriod.Milliseconds())}
+	if len(n.hosts) <= maxDirectHosts {
+		n.sendNotice(notice, func(Host) bool { return true })
 		return
 	}
-	n.tell(notice, func(h Host) bool { return h.DC == n.dc })
+	n.sendNotice(notice, func(h Host) bool { return h.DC == n.dc })
 	notice.Relay = true
-	told := make(map[string]int)
+	sent := make(map[string]int)
 	first := n.rng.IntN(len(n.hosts))
 	for i := range n.hosts {
 		h := n.hosts[(first+i)%len(n.hosts)]
-		if h.DC != n.dc && told[h.DC] < passOn {
-			told[h.DC]++
+		if h.DC != n.dc && sent[h.DC] < relaysPerDC {
+			sent[h.DC]++
 			p := n.packet(h.Name)
 			p.Notices = append(p.Notices, notice)
 		}
 	}
 }
 
-func (n *Node) tell(notice msg.TeamNotice, whom func(Host) bool) {
+func (n *Node) sendNotice(notice msg.TeamNotice, include func(Host) bool) {
 	for _, h := range n.hosts {
-		if h.Name != n.cfg.Host && whom(h) {
+		if h.Name != n.cfg.Host && include(h) {
 			p := n.packet(h.Name)
 			p.Notices = append(p.Notices, notice)
 		}
 	}
 }
 
-func (n *Node) takeNotice(now time.Time, m *msg.TeamNotice) {
+func (n *Node) handleNotice(now time.Time, m *msg.TeamNotice) {
 	limit, limited := n.cfg.Limit(m.Team)
 	if !limited {
 		return
 	}
 	a := n.account(now, m.Team, limit)
 	a.used.raise(now, a.rate(), float64(m.Level))
-	a.heedClose(now, m.CloseMS)
+	a.extendNearLimit(now, m.CloseMS)
 	if m.Relay {
-		pass := *m
-		pass.Relay = false
-		n.tell(pass, func(h Host) bool { return h.DC == n.dc })
+		relayed := *m
+		relayed.Relay = false
+		n.sendNotice(relayed, func(h Host) bool { return h.DC == n.dc })
 	}
 }
--- a/internal/core/quota/quota.go
+++ b/internal/core/quota/quota.go
@@ -1,18 +1,19 @@
-// Package quota holds the rate of each team as one over all hosts, without a
-// server for it and without I/O.
+// Package quota enforces one rate limit per team across all hosts, without a central
+// server. It performs no I/O.
 //
-// A team's account is kept by one of the hosts, its home, drawn by rendezvous
-// hashing from the hosts that live. The account is a level: requests let pass,
-// drained at the team's rate. A front lets the requests of a team that is far
-// below its limit pass at once and tells the home within a tick; what it tells
-// is a running count, so that lost, late and repeated datagrams do no harm. The
-// home tells all hosts when a team comes close to its limit; until that is over
-// they ask it for each request. The level travels with every message, so that a
-// new home learns it from whoever speaks to it first.
+// A team's account is held by one host, its home, which is chosen by rendezvous hashing
+// among the live hosts. The account is a leaky bucket: admitted requests raise its level,
+// which drains at the team's rate. While a team is far below its limit, a host admits its
+// requests at once and reports them to the home within a tick. Reports carry a cumulative
+// count, so lost, delayed and repeated datagrams do no harm. When a team comes near its
+// limit, the home notifies all hosts, which then query it for each request until the team
+// is far from the limit again. Every message carries the level, so that a new home learns
+// it from the first host that contacts it.
 //
-// A host that reaches no home lets a team have its share of the rate alone. One
-// that has just started takes every account for used up, draining from its
-// start on, until it is told better: a stop of all gives no burst anew.
+// A host that reaches no home admits requests of a team within its own share of the rate
+// (standalone mode). A host that has just started assumes that every account is used up
+// as of its start, until another host reports the real level: restarting the whole fleet
+// grants no new burst.
 package quota
 
 import (
@@ -26,159 +27,169 @@
 	"github.com/radishhoist/radishhoist/internal/msg"
 )
 
-// Limit is what a team may have over all hosts.
+// Limit is a team's rate limit over all hosts.
 type Limit struct {
-	// Rate is in requests a second, and Burst how many may come at once.
+	// Rate is in requests per second; Burst is the number of requests that may arrive at
+	// once.
 	Rate, Burst float64
 }
 
-// Config has the parameters of a Node.
+// Config holds the parameters of a Node.
 type Config struct {
-	// Host is this host's name and Incarnation its start, in Unix milliseconds.
+	// Host is this host's name. Incarnation is its start time in Unix milliseconds.
 	Host        string
 	Incarnation uint64
-	// Lend is how many requests beyond its burst a team may have, LendRate how many a
-	// second and LendPart which part of its rate beyond its rate: what is allowed beyond
-	// the limit and is not needed for what hosts do not know of each other.
-	Lend, LendRate, LendPart float64
-	// Limit gives a team's limit, false where it has none.
+	// ExtraBurst is the number of requests a team may use beyond its burst. ExtraRate
+	// (requests per second) and ExtraRateFraction (a fraction of the rate) are added to
+	// its rate. Together they are the permitted excess over the limit that is not needed
+	// to cover what hosts do not know of each other.
+	ExtraBurst, ExtraRate, ExtraRateFraction float64
+	// Limit returns a team's limit, or false if it has none.
 	Limit func(team string) (Limit, bool)
 }
 
 const (
-	// settle is how long a host that has just started asks for each request: it may
-	// have missed that a team is close to its limit.
-	settle = 5 * time.Second
-	// askTimeout is how long a home has to answer before it is asked again, and
-	// askTries how often it and its successor are asked in all.
-	askTimeout = 60 * time.Millisecond
-	askTries   = 3
-	// useTimeout is how long a home has to confirm a use before its successor is told.
+	// startupPeriod is how long a host queries for each request after its start, since
+	// it may have missed a notice that a team is near its limit.
+	startupPeriod = 5 * time.Second
+	// queryTimeout is how long to wait for a home before a query is repeated;
+	// maxQueryTries is the number of attempts, including those at the successor.
+	queryTimeout  = 60 * time.Millisecond
+	maxQueryTries = 3
+	// useTimeout is how long a home has to confirm a report before the successor is
+	// tried.
 	useTimeout = 150 * time.Millisecond
-	// aloneFor is how long a host goes by its own share after homes were silent.
-	aloneFor = 400 * time.Millisecond
-	// closeFor is how long a notice holds, and closeAgain how often it is repeated.
-	closeFor   = 2500 * time.Millisecond
-	closeAgain = time.Second
-	// closeAt and calmAt are the parts of a limit at which a team counts as close to
-	// it, and as far from it again.
-	closeAt, calmAt = 0.5, 0.25
-	// startLend is the part of Lend that a host which knows nothing gives at its start.
-	startLend = 0.5
-	// standInPart is what a successor grants of the share of those who ask it while it
-	// holds the home for alive.
-	standInPart = 0.5
-	// fewGone is the part of the hosts in sight that must stay for a loss to count as one
-	// of single hosts.
-	fewGone = 0.9
-	// blindCalm is how many requests of a team far from its limit a front lets pass
-	// before the home has confirmed the first of them.
-	blindCalm = 2
-	// pause is how long a host is not called before it takes others to have stood in for
-	// it, and learnFor how long it grants nothing then.
-	pause    = 500 * time.Millisecond
-	learnFor = 250 * time.Millisecond
-	// askingFor is how long a host counts among those who ask a successor.
-	askingFor = 2 * time.Second
-	// refusedFor bounds how long a front refuses by a home's last refusal alone.
-	refusedFor = 50 * time.Millisecond
-	// maxWait bounds the time after which a refused caller is told to come back.
+	// standalonePeriod is how long a host enforces its own share after no home
+	// responded.
+	standalonePeriod = 400 * time.Millisecond
+	// nearLimitPeriod is how long a near-limit notice is valid; noticeInterval is how
+	// often it is repeated.
+	nearLimitPeriod = 2500 * time.Millisecond
+	noticeInterval  = time.Second
+	// nearLimitEnter and nearLimitExit are the fractions of the capacity at which a team
+	// starts and stops counting as near its limit.
+	nearLimitEnter, nearLimitExit = 0.5, 0.25
+	// startupExtraFraction is the part of ExtraBurst that a host grants at its start,
+	// when it knows no levels.
+	startupExtraFraction = 0.5
+	// successorFraction is the part of the requesting hosts' share that a successor
+	// grants while it considers the home alive.
+	successorFraction = 0.5
+	// singleLossFraction is the fraction of visible hosts that must remain for a loss to
+	// be treated as that of single hosts.
+	singleLossFraction = 0.9
+	// maxUnconfirmedFarFromLimit is the number of requests that a host may admit before
+	// the home has confirmed the first, for a team far from its limit.
+	maxUnconfirmedFarFromLimit = 2
+	// pauseThreshold is the time without calls after which a host assumes that others
+	// acted in its place; relearnPeriod is how long it then grants nothing.
+	pauseThreshold = 500 * time.Millisecond
+	relearnPeriod  = 250 * time.Millisecond
+	// requestingPeriod is how long a host counts among those that query a successor.
+	requestingPeriod = 2 * time.Second
+	// maxRefusalCache bounds how long a host refuses requests by the home's last refusal
+	// without a new query.
+	maxRefusalCache = 50 * time.Millisecond
+	// maxWait bounds the retry delay given to refused callers.
 	maxWait = 5 * time.Second
-	// keepIdle is how long an account is kept that nobody uses.
-	keepIdle = time.Minute
-	// sweepEvery is the time between two looks for such accounts.
-	sweepEvery = 5 * time.Second
+	// accountIdleTimeout is how long an unused account is kept.
+	accountIdleTimeout = time.Minute
+	// sweepInterval is the time between two removals of idle accounts.
+	sweepInterval = 5 * time.Second
 )
 
-// Decision says whether a request may pass.
+// Decision is the outcome of Admit for one request.
 type Decision uint8
 
 const (
-	// Admitted lets the request pass.
+	// Admitted means that the request may run.
 	Admitted Decision = iota
-	// Refused does not; Verdict.Wait says when another may.
+	// Refused means that it may not; Verdict.Wait says when to retry.
 	Refused
-	// Asked means that an Answer follows.
-	Asked
+	// Pending means that the home was queried and an Answer follows.
+	Pending
 )
 
-// Verdict is the outcome of Admit.
+// Verdict is the result of Admit.
 type Verdict struct {
 	Decision Decision
-	// Wait is when to come back, where refused.
+	// Wait is the time until a retry, if refused.
 	Wait time.Duration
-	// Ask is the number of the Answer that follows, where asked.
-	Ask uint32
+	// QueryID identifies the Answer that follows, if pending.
+	QueryID uint32
 }
 
-// Answer is the outcome of a request that was asked for.
+// Answer is the decision on a pending request.
 type Answer struct {
-	Ask     uint32
+	QueryID uint32
 	Granted bool
-	// Wait is when to come back, where not granted.
+	// Wait is the time until a retry, if not granted.
 	Wait time.Duration
 }
 
-// Outbound is a datagram to a host.
+// Outbound is a datagram to send to a host.
 type Outbound struct {
 	To     string
 	Packet *msg.TeamPacket
 }
 
-// Host is a host that lives.
+// Host is a live host.
 type Host struct{ Name, DC string }
 
-// Node is one host's part. It is not safe for concurrent use.
+// Node is the state of one host. It is not safe for concurrent use.
 type Node struct {
 	cfg     Config
 	started time.Time
 	rng     *rand.Rand
 
-	hosts  []Host
-	hashes []uint64
-	dc     string
-	known  int
-	// most is the greatest share of hosts in sight of late, and mostAt when it was.
-	most   float64
-	mostAt time.Time
-	// epoch counts the changes of the hosts.
+	hosts      []Host
+	hashes     []uint64
+	dc         string
+	knownHosts int
+	// peakShare is the largest recent visible share, and peakShareAt when it was seen.
+	peakShare   float64
+	peakShareAt time.Time
+	// epoch is incremented whenever the set of hosts changes.
 	epoch uint64
 
 	accounts map[string]*account
-	// due are the accounts with a use that no home has confirmed, and close those that
-	// this host, as their home, holds for close to their limit.
-	due, close map[string]*account
-	asks       map[uint32]*ask
-	lastAsk    uint32
-	// settled are the asks that were decided of late: what another host grants them goes
-	// back.
-	settled map[uint32]settled
-	swept   time.Time
-	// ran is when the node was last called, and resumed when that was after a pause.
-	ran, resumed time.Time
+	// unconfirmed holds the accounts with usage that no home has confirmed. nearLimit
+	// holds the accounts near their limit for which this host is the home or acts for
+	// it.
+	unconfirmed, nearLimit map[string]*account
+	queries                map[uint32]*query
+	lastQueryID            uint32
+	// resolved holds recently decided queries: a further grant by another host is
+	// returned.
+	resolved  map[uint32]resolvedQuery
+	lastSweep time.Time
+	// lastCall is when the node was last called. resumedAt is when it was last called
+	// after a pause.
+	lastCall, resumedAt time.Time
 
-	// out are the datagrams to be sent, and open the place of each host's last one.
-	out     []Outbound
-	open    map[string]int
-	answers []Answer
+	// out holds the datagrams to send; openPackets maps each host to the index of its
+	// last one.
+	out         []Outbound
+	openPackets map[string]int
+	answers     []Answer
 }
 
-// New makes a Node for a host that starts now.
+// New returns a Node for a host that starts now.
 func New(cfg Config, now time.Time, rng *rand.Rand) *Node {
 	return &Node{
-		cfg: cfg, started: now, swept: now, ran: now, rng: rng, known: 1,
+		cfg: cfg, started: now, lastSweep: now, lastCall: now, rng: rng, knownHosts: 1,
 		hosts: []Host{{Name: cfg.Host}}, hashes: []uint64{xxhash.Sum64String(cfg.Host)},
-		accounts: make(map[string]*account),
-		due:      make(map[string]*account), close: make(map[string]*account),
-		asks: make(map[uint32]*ask), settled: make(map[uint32]settled), open: make(map[string]int),
+		accounts:    make(map[string]*account),
+		unconfirmed: make(map[string]*account), nearLimit: make(map[string]*account),
+		queries: make(map[uint32]*query), resolved: make(map[uint32]resolvedQuery), openPackets: make(map[string]int),
 	}
 }
 
-// SetHosts takes the hosts that live, this one among them, and how many there
-// are with those that are held for dead.
+// SetHosts sets the live hosts, including this one, and the number of known hosts,
+// including those considered dead.
 func (n *Node) SetHosts(now time.Time, alive []Host, known int) {
-	if before := n.share(); before >= n.most || now.Sub(n.mostAt) >= settle {
-		n.most, n.mostAt = before, now
+	if before := n.visibleShare(); before >= n.peakShare || now.Sub(n.peakShareAt) >= startupPeriod {
+		n.peakShare, n.peakShareAt = before, now
 	}
 	n.hosts, n.hashes = alive, make([]uint64, len(alive))
 	for i, h := range alive {
@@ -187,118 +198,119 @@
 			n.dc = h.DC
 		}
 	}
-	n.known = max(known, len(alive), 1)
+	n.knownHosts = max(known, len(alive), 1)
 	n.epoch++
-	if part := n.share() / n.most; part < 1 {
-		n.lostSight(now, part)
+	if remaining := n.visibleShare() / n.peakShare; remaining < 1 {
+		n.compensateLostHosts(now, remaining)
 	}
 }
 
-// lostSight makes up for hosts that have gone out of sight, for teams that were close
-// to their limit: nothing was heard of what they let pass, and the level has drained
-// as if that were nothing. part is the new share over the old; where many have gone
-// at once the bucket counts as used up.
-func (n *Node) lostSight(now time.Time, part float64) {
+// compensateLostHosts raises the levels of teams that were near their limit when hosts
+// become unreachable: the requests those hosts admitted were not reported, and the level
+// has drained as if there had been none. remaining is the new visible share over the old
+// one. If many hosts were lost at once, the bucket counts as used up.
+func (n *Node) compensateLostHosts(now time.Time, remaining float64) {
 	for _, a := range n.accounts {
-		if now.Before(a.closeUntil.Add(settle)) || n.close[a.team] != nil {
-			level := a.room()
-			if part > fewGone {
-				level = min(a.level(now)+(1-part)*level, level)
+		if now.Before(a.nearLimitUntil.Add(startupPeriod)) || n.nearLimit[a.team] != nil {
+			level := a.capacity()
+			if remaining > singleLossFraction {
+				level = min(a.level(now)+(1-remaining)*level, level)
 			}
 			a.used.raise(now, a.rate(), level)
 		}
 	}
 }
 
-// share is the part of each rate that the hosts in sight have together: where
-// a fleet is split, the sides have the whole rate between them.
-func (n *Node) share() float64 { return float64(max(len(n.hosts), 1)) / float64(n.known) }
+// visibleShare is the part of each rate that the visible hosts hold together. In a
+// partitioned fleet, the shares of all sides add up to the whole rate.
+func (n *Node) visibleShare() float64 { return float64(max(len(n.hosts), 1)) / float64(n.knownHosts) }
 
-// Take gives the datagrams to be sent and the answers to requests asked for.
+// Take returns and clears the datagrams to send and the answers to pending requests.
 func (n *Node) Take() ([]Outbound, []Answer) {
 	out, answers := n.out, n.answers
 	n.out, n.answers = nil, nil
-	clear(n.open)
+	clear(n.openPackets)
 	return out, answers
 }
 
-// maxEntries bounds a datagram, so that it fits one packet of the network.
+// maxEntries bounds the entries of a datagram, so that it fits into one network packet.
 const maxEntries = 16
 
-// packet is the datagram under way to a host.
+// packet returns the datagram to a host that still has room for an entry.
 func (n *Node) packet(to string) *msg.TeamPacket {
-	if i, ok := n.open[to]; ok {
+	if i, ok := n.openPackets[to]; ok {
 		if p := n.out[i].Packet; len(p.Uses)+len(p.Levels)+len(p.Notices) < maxEntries {
 			return p
 		}
 	}
 	p := &msg.TeamPacket{From: n.cfg.Host, Incarnation: n.cfg.Incarnation}
-	n.open[to] = len(n.out)
+	n.openPackets[to] = len(n.out)
 	n.out = append(n.out, Outbound{To: to, Packet: p})
 	return p
 }
 
-// Step takes a datagram of another host.
+// Step processes a datagram from another host.
 func (n *Node) Step(now time.Time, p *msg.TeamPacket) {
-	n.wake(now)
+	n.detectPause(now)
 	for i := range p.Uses {
-		n.takeUse(now, p, &p.Uses[i])
+		n.handleUse(now, p, &p.Uses[i])
 	}
 	for i := range p.Levels {
-		n.takeLevel(now, p.From, &p.Levels[i])
+		n.handleLevel(now, p.From, &p.Levels[i])
 	}
 	for i := range p.Notices {
-		n.takeNotice(now, &p.Notices[i])
+		n.handleNotice(now, &p.Notices[i])
 	}
 }
 
-// Tick sends what is due and gives up what was not answered.
+// Tick sends due messages and handles timeouts.
 func (n *Node) Tick(now time.Time) {
-	n.wake(now)
-	n.tickAsks(now)
-	for _, team := range slices.Sorted(maps.Keys(n.due)) {
-		n.tellUse(now, n.due[team])
+	n.detectPause(now)
+	n.retryQueries(now)
+	for _, team := range slices.Sorted(maps.Keys(n.unconfirmed)) {
+		n.reportUse(now, n.unconfirmed[team])
 	}
-	for _, team := range slices.Sorted(maps.Keys(n.close)) {
-		a := n.close[team]
-		if !n.keeps(a) && !n.standsIn(a) || a.level(now) < calmAt*a.room() {
-			delete(n.close, team)
+	for _, team := range slices.Sorted(maps.Keys(n.nearLimit)) {
+		a := n.nearLimit[team]
+		if !n.isHome(a) && !n.actsForHome(a) || a.level(now) < nearLimitExit*a.capacity() {
+			delete(n.nearLimit, team)
 			continue
 		}
-		if now.Sub(a.noticed) >= closeAgain {
+		if now.Sub(a.lastNotice) >= noticeInterval {
 			n.notify(now, a)
 		} else {
-			n.shadow(now, a)
+			n.updateSuccessor(now, a)
 		}
 	}
-	if now.Sub(n.swept) >= sweepEvery {
+	if now.Sub(n.lastSweep) >= sweepInterval {
 		n.sweep(now)
 	}
 }
 
-// wake notes that this host has been kept from running: others stood in for it
-// meanwhile, and what it was asked for waits no more.
-func (n *Node) wake(now time.Time) {
-	if now.Sub(n.ran) > pause {
-		n.resumed = now
+// detectPause notes that this host was kept from running. Others have acted in its place
+// in the meantime, and the queries sent to it are no longer waiting.
+func (n *Node) detectPause(now time.Time) {
+	if now.Sub(n.lastCall) > pauseThreshold {
+		n.resumedAt = now
 	}
-	n.ran = now
+	n.lastCall = now
 }
 
-// learning says that this host hears first what was done in its place.
-func (n *Node) learning(now time.Time) bool {
-	return !n.resumed.IsZero() && now.Sub(n.resumed) < learnFor
+// relearning reports whether this host is still collecting what others did in its place
+// after a pause.
+func (n *Node) relearning(now time.Time) bool {
+	return !n.resumedAt.IsZero() && now.Sub(n.resumedAt) < relearnPeriod
 }
 
 func (n *Node) sweep(now time.Time) {
-	n.swept = now
-	for id, by := range n.settled {
-		if now.Sub(by.at) > sweepEvery {
-			delete(n.settled, id)
+	n.lastSweep = now
+	for id, r := range n.resolved {
+		if now.Sub(r.at) > sweepInterval {
+			delete(n.resolved, id)
 		}
 	}
 	for team, a := range n.accounts {
-		if now.Sub(a.touched) > keepIdle && a.count == a.told && n.close[team] == nil {
+		if now.Sub(a.lastUsed) > accountIdleTimeout && a.count == a.confirmed && n.nearLimit[team] == nil {
 			delete(n.accounts, team)
 		}
 	}
--- a/internal/core/quota/sim_test.go
+++ b/internal/core/quota/sim_test.go
@@ -11,30 +11,30 @@
 	"github.com/radishhoist/radishhoist/internal/msg"
 )
 
-// The world of the simulations: a fleet in virtual time.
+// Parameters of the simulated fleet, in virtual time.
 const (
-	simTick   = 50 * time.Millisecond
-	simDelay  = time.Millisecond
-	simFar    = 3 * time.Millisecond
-	simWindow = 5 * time.Second
-	simDCs    = 3
-	// noticeDeath is how long membership takes to hold a silent host for dead, or to
-	// hear that it is back.
-	noticeDeath = 2 * time.Second
+	simTick         = 50 * time.Millisecond
+	simDelay        = time.Millisecond
+	simCrossDCDelay = 3 * time.Millisecond
+	simWindow       = 5 * time.Second
+	simDCs          = 3
+	// membershipDelay is how long membership takes to consider a silent host dead, or to
+	// learn that it is back.
+	membershipDelay = 2 * time.Second
 )
 
-// event is something that happens at a time.
+// event is a function to run at a virtual time; seq orders events of the same time.
 type event struct {
-	at time.Duration
-	n  int
-	do func()
+	at  time.Duration
+	seq int
+	run func()
 }
 
 type events []event
 
 func (e events) Len() int { return len(e) }
 func (e events) Less(i, j int) bool {
-	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].n < e[j].n
+	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].seq < e[j].seq
 }
 func (e events) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
 func (e *events) Push(x any)   { *e = append(*e, x.(event)) }
@@ -44,94 +44,97 @@
 	return last
 }
 
-// simHost is one host of the simulation.
+// simHost is a simulated host.
 type simHost struct {
 	name, dc string
 	node     *Node
-	// up is false while its process is down; frozen holds its datagrams back.
-	up, frozen bool
-	held       []*msg.TeamPacket
-	life       int
-	// sees are the hosts that it holds for alive.
-	sees map[int]bool
-	// waits are the requests that wait for an answer.
-	waits map[uint32]func(Answer)
+	// up is false while the process is down. frozen delays its incoming datagrams in
+	// heldPackets.
+	up, frozen  bool
+	heldPackets []*msg.TeamPacket
+	generation  int
+	// visible holds the indexes of the hosts that it considers alive.
+	visible map[int]bool
+	// waiters holds the callbacks of queries without an answer, by query ID.
+	waiters map[uint32]func(Answer)
 }
 
-// sim is one run.
+// sim is one simulation run.
 type sim struct {
-	rng                      *rand.Rand
-	now                      time.Duration
-	queue                    events
-	count                    int
-	hosts                    []*simHost
-	limits                   map[string]Limit
-	lend, lendRate, lendPart float64
-	// lost is the share of datagrams that vanish, and repeated of those that come twice.
+	rng                                      *rand.Rand
+	now                                      time.Duration
+	queue                                    events
+	eventCount                               int
+	hosts                                    []*simHost
+	limits                                   map[string]Limit
+	extraBurst, extraRate, extraRateFraction float64
+	// lost is the fraction of datagrams that are dropped, repeated the fraction
+	// delivered twice.
 	lost, repeated float64
-	// cut says that no datagram goes from one host to the other.
-	cut func(from, to int) bool
-	// always and never make hosts ask for each request, or for none.
-	always, never bool
+	// blocked reports whether datagrams from one host to the other are dropped.
+	blocked func(from, to int) bool
+	// alwaysQuery and neverQuery make hosts query the home for each request, or for
+	// none.
+	alwaysQuery, neverQuery bool
 
-	passed         map[string][]time.Duration
-	refused, asked map[string]int
-	offered        map[string]int
-	waited         []time.Duration
-	packets, bytes int
+	passed           map[string][]time.Duration
+	refused, queried map[string]int
+	offered          map[string]int
+	waited           []time.Duration
+	packets, bytes   int
 }
 
-var epoch0 = time.Unix(1_000_000, 0)
+var simStart = time.Unix(1_000_000, 0)
 
-func (s *sim) time() time.Time { return epoch0.Add(s.now) }
+func (s *sim) time() time.Time { return simStart.Add(s.now) }
 
 func newSim(seed uint64, hosts int, limits map[string]Limit) *sim {
 	s := &sim{
-		rng: rand.New(rand.NewPCG(seed, 7)), limits: limits, lend: 4, lendRate: 1.8, lendPart: 0.03,
-		cut:    func(int, int) bool { return false },
-		passed: make(map[string][]time.Duration), refused: make(map[string]int),
-		asked: make(map[string]int), offered: make(map[string]int),
+		rng: rand.New(rand.NewPCG(seed, 7)), limits: limits, extraBurst: 4, extraRate: 1.8, extraRateFraction: 0.03,
+		blocked: func(int, int) bool { return false },
+		passed:  make(map[string][]time.Duration), refused: make(map[string]int),
+		queried: make(map[string]int), offered: make(map[string]int),
 	}
 	for i := range hosts {
-		h := &simHost{name: fmt.Sprintf("h%04d", i), dc: fmt.Sprintf("dc%d", i%simDCs), sees: make(map[int]bool)}
+		h := &simHost{name: fmt.Sprintf("h%04d", i), dc: fmt.Sprintf("dc%d", i%simDCs), visible: make(map[int]bool)}
 		s.hosts = append(s.hosts, h)
 	}
 	for i := range s.hosts {
 		for j := range s.hosts {
-			s.hosts[i].sees[j] = true
+			s.hosts[i].visible[j] = true
 		}
 		s.start(i)
 	}
 	return s
 }
 
-func (s *sim) at(t time.Duration, do func()) {
-	s.count++
-	heap.Push(&s.queue, event{at: t, n: s.count, do: do})
+func (s *sim) at(t time.Duration, run func()) {
+	s.eventCount++
+	heap.Push(&s.queue, event{at: t, seq: s.eventCount, run: run})
 }
 
-func (s *sim) after(d time.Duration, do func()) { s.at(s.now+d, do) }
+func (s *sim) after(d time.Duration, run func()) { s.at(s.now+d, run) }
 
-// start starts a host's process anew.
+// start starts a new process on a host.
 func (s *sim) start(i int) {
 	h := s.hosts[i]
-	h.life++
-	life := h.life
-	h.up, h.held, h.waits = true, nil, make(map[uint32]func(Answer))
-	cfg := Config{Host: h.name, Incarnation: uint64(s.time().UnixMilli()), Lend: s.lend, LendRate: s.lendRate, LendPart: s.lendPart, Limit: func(team string) (Limit, bool) {
+	h.generation++
+	generation := h.generation
+	h.up, h.heldPackets, h.waiters = true, nil, make(map[uint32]func(Answer))
+	cfg := Config{Host: h.name, Incarnation: uint64(s.time().UnixMilli()), ExtraBurst: s.extraBurst, ExtraRate: s.extraRate, ExtraRateFraction: s.extraRateFraction, Limit: func(team string) (Limit, bool) {
 		l, ok := s.limits[team]
 		return l, ok
 	}}
 	h.node = New(cfg, s.time(), rand.New(rand.NewPCG(s.rng.Uint64(), 1)))
-	s.view(i)
+	s.updateHosts(i)
 	var tick func()
 	tick = func() {
-		if !h.up || h.life != life {
+		if !h.up || h.generation != generation {
 			return
 		}
 		if !h.frozen {
-			if s.always || s.never {
-				s.bend(h.node)
+			if s.alwaysQuery || s.neverQuery {
+				s.applyMode(h.node)
 			}
 			h.node.Tick(s.time())
 			s.flush(i)
@@ -141,35 +144,35 @@
 	s.after(time.Duration(s.rng.Int64N(int64(simTick))), tick)
 }
 
-// bend makes a node one of the ways that the design is compared with.
-func (s *sim) bend(n *Node) {
+// applyMode switches a node to one of the compared strategies, alwaysQuery or neverQuery.
+func (s *sim) applyMode(n *Node) {
 	for _, a := range n.accounts {
-		if s.always {
-			a.closeUntil = s.time().Add(time.Hour)
+		if s.alwaysQuery {
+			a.nearLimitUntil = s.time().Add(time.Hour)
 		} else {
-			a.closeUntil = time.Time{}
+			a.nearLimitUntil = time.Time{}
 		}
 	}
 }
 
-// view gives a host's node the hosts that it sees.
-func (s *sim) view(i int) {
+// updateHosts passes the hosts that a host considers alive to its node.
+func (s *sim) updateHosts(i int) {
 	var alive []Host
 	for j, h := range s.hosts {
-		if s.hosts[i].sees[j] {
+		if s.hosts[i].visible[j] {
 			alive = append(alive, Host{Name: h.name, DC: h.dc})
 		}
 	}
 	s.hosts[i].node.SetHosts(s.time(), alive, len(s.hosts))
 }
 
-// know makes a host hold another for alive or dead, from some time on.
-func (s *sim) know(i, j int, alive bool) {
-	s.after(noticeDeath, func() {
-		if s.hosts[i].sees[j] != alive && i != j {
-			s.hosts[i].sees[j] = alive
+// setVisible makes host i consider host j alive or dead after membershipDelay.
+func (s *sim) setVisible(i, j int, alive bool) {
+	s.after(membershipDelay, func() {
+		if s.hosts[i].visible[j] != alive && i != j {
+			s.hosts[i].visible[j] = alive
 			if s.hosts[i].up {
-				s.view(i)
+				s.updateHosts(i)
 			}
 		}
 	})
@@ -177,14 +180,14 @@
 
 func (s *sim) kill(i int, down time.Duration) {
 	s.hosts[i].up = false
-	s.hosts[i].waits = nil
+	s.hosts[i].waiters = nil
 	for j := range s.hosts {
-		s.know(j, i, false)
+		s.setVisible(j, i, false)
 	}
 	s.after(down, func() {
 		s.start(i)
 		for j := range s.hosts {
-			s.know(j, i, true)
+			s.setVisible(j, i, true)
 		}
 	})
 }
@@ -194,21 +197,21 @@
 	s.after(length, func() {
 		h := s.hosts[i]
 		h.frozen = false
-		for _, p := range h.held {
+		for _, p := range h.heldPackets {
 			h.node.Step(s.time(), p)
 		}
-		h.held = nil
+		h.heldPackets = nil
 		s.flush(i)
 	})
 }
 
-// flush sends what a node has to say.
+// flush delivers a node's datagrams and answers.
 func (s *sim) flush(i int) {
 	h := s.hosts[i]
 	out, answers := h.node.Take()
 	for _, a := range answers {
-		if done := h.waits[a.Ask]; done != nil {
-			delete(h.waits, a.Ask)
+		if done := h.waiters[a.QueryID]; done != nil {
+			delete(h.waiters, a.QueryID)
 			done(a)
 		}
 	}
@@ -216,7 +219,7 @@
 		s.packets++
 		s.bytes += o.Packet.Msgsize()
 		to := s.index(o.To)
-		if to < 0 || s.cut(i, to) || s.rng.Float64() < s.lost {
+		if to < 0 || s.blocked(i, to) || s.rng.Float64() < s.lost {
 			continue
 		}
 		raw, err := o.Packet.MarshalMsg(nil)
@@ -236,13 +239,13 @@
 func (s *sim) deliver(from, to int, raw []byte) {
 	delay := simDelay
 	if s.hosts[from].dc != s.hosts[to].dc {
-		delay = simFar
+		delay = simCrossDCDelay
 	}
 	delay += time.Duration(s.rng.ExpFloat64() * float64(simDelay))
-	life := s.hosts[to].life
+	generation := s.hosts[to].generation
 	s.after(delay, func() {
 		h := s.hosts[to]
-		if !h.up || h.life != life {
+		if !h.up || h.generation != generation {
 			return
 		}
 		p := &msg.TeamPacket{}
@@ -250,7 +253,7 @@
 			panic(err)
 		}
 		if h.frozen {
-			h.held = append(h.held, p)
+			h.heldPackets = append(h.heldPackets, p)
 			return
 		}
 		h.node.Step(s.time(), p)
@@ -266,16 +269,16 @@
 	return i
 }
 
-// request offers a request of a team to a host; fails says that it does not run
-// although it passes.
+// request offers a team's request to a host. If fails is set, an admitted request does
+// not run and is returned.
 func (s *sim) request(i int, team string, fails bool) {
 	h := s.hosts[i]
 	if !h.up || h.frozen {
 		return
 	}
 	s.offered[team]++
-	if s.never {
-		s.bend(h.node)
+	if s.neverQuery {
+		s.applyMode(h.node)
 	}
 	began := s.now
 	done := func(ok bool) {
@@ -300,39 +303,39 @@
 	switch v.Decision {
 	case Admitted, Refused:
 		done(v.Decision == Admitted)
-	case Asked:
-		s.asked[team]++
-		h.waits[v.Ask] = func(a Answer) { done(a.Granted) }
+	case Pending:
+		s.queried[team]++
+		h.waiters[v.QueryID] = func(a Answer) { done(a.Granted) }
 	}
 	s.flush(i)
 }
 
-// load offers requests of a team at random to the hosts that where allows, from
-// one time to another.
-func (s *sim) load(team string, perSecond float64, from, to time.Duration, where func() int) {
+// load offers requests of a team as a Poisson process to the hosts chosen by pickHost,
+// between two times.
+func (s *sim) load(team string, perSecond float64, from, to time.Duration, pickHost func() int) {
 	var next func()
 	next = func() {
 		if s.now >= to {
 			return
 		}
-		s.request(where(), team, false)
+		s.request(pickHost(), team, false)
 		s.after(time.Duration(s.rng.ExpFloat64()/perSecond*float64(time.Second)), next)
 	}
 	s.at(from, next)
 }
 
-func (s *sim) anywhere() int { return s.rng.IntN(len(s.hosts)) }
+func (s *sim) randomHost() int { return s.rng.IntN(len(s.hosts)) }
 
 func (s *sim) run(until time.Duration) {
 	for len(s.queue) > 0 && s.queue[0].at <= until {
 		e := heap.Pop(&s.queue).(event)
 		s.now = e.at
-		e.do()
+		e.run()
 	}
 }
 
-// over gives by how much the worst window of a team exceeds what its limit allows
-// in it, in requests; below 0 it is within.
+// over returns by how many requests the worst window of a team exceeds its limit;
+// negative values are within the limit.
 func (s *sim) over(team string) float64 {
 	l := s.limits[team]
 	most, first := 0, 0
@@ -346,13 +349,14 @@
 	return float64(most) - (l.Rate*simWindow.Seconds() + l.Burst)
 }
 
-// allowed is what a team may exceed its limit by in any window.
+// allowed returns by how many requests a team may exceed its limit in any window.
 func (s *sim) allowed(team string) float64 {
 	l := s.limits[team]
 	return 0.1*(l.Rate*simWindow.Seconds()+l.Burst) + 20
 }
 
-// p99 is the time that requests of teams other than "hot" waited for a decision.
+// p99 returns the 99th percentile of the decision time for requests of teams other than
+// "hot".
 func (s *sim) p99() time.Duration {
 	sort.Slice(s.waited, func(i, j int) bool { return s.waited[i] < s.waited[j] })
 	if len(s.waited) == 0 {
--- a/internal/core/quota/state.go
+++ b/internal/core/quota/state.go
@@ -6,33 +6,34 @@
 	"time"
 )
 
-// State is what one host knows of a team's use, for operators.
+// State is one host's view of a team's usage, for operators.
 type State struct {
 	Team string `json:"team"`
-	// Rate and Burst are the limit, Level what is used of Room: both in requests.
+	// Rate and Burst are the limit. Level is the used part of Room; both are in
+	// requests.
 	Rate  float64 `json:"ratePerSecond"`
 	Burst float64 `json:"burst"`
 	Level float64 `json:"level"`
 	Room  float64 `json:"room"`
-	// Home keeps the account.
+	// Home is the host that holds the account.
 	Home string `json:"home"`
-	// Close says that hosts ask the home for each request, Alone that this host goes by
-	// its own share because no home answers.
+	// Close reports whether hosts query the home for each request, Alone whether this
+	// host enforces its own share because no home responds.
 	Close bool `json:"close"`
 	Alone bool `json:"alone"`
-	// Passed and Refused count this host's requests since the account was opened.
+	// Passed and Refused count this host's requests since the account was created.
 	Passed  uint64 `json:"passed"`
 	Refused uint64 `json:"refused"`
 }
 
-// State lists the accounts of this host by team.
+// State returns the accounts of this host, sorted by team.
 func (n *Node) State(now time.Time) []State {
 	out := make([]State, 0, len(n.accounts))
 	for _, a := range n.accounts {
 		out = append(out, State{
-			Team: a.team, Rate: a.limit.Rate, Burst: a.limit.Burst, Level: a.level(now), Room: a.room(), Home: n.homesOf(a)[0],
-			Close: now.Before(a.closeUntil) || n.close[a.team] != nil, Alone: now.Before(a.aloneUntil),
-			Passed: a.passes, Refused: a.refusals,
+			Team: a.team, Rate: a.limit.Rate, Burst: a.limit.Burst, Level: a.level(now), Room: a.capacity(), Home: n.homes(a)[0],
+			Close: now.Before(a.nearLimitUntil) || n.nearLimit[a.team] != nil, Alone: now.Before(a.standaloneUntil),
+			Passed: a.admitted, Refused: a.refused,
 		})
 	}
 	slices.SortFunc(out, func(x, y State) int { return cmp.Compare(x.Team, y.Team) })
--- a/internal/teams/teams.go
+++ b/internal/teams/teams.go
@@ -1,5 +1,5 @@
-// Package teams puts clocks, datagrams and waiting requests round the core that
-// holds each team's rate as one over all hosts (internal/core/quota).
+// Package teams connects the rate limiter of package quota to the clock, the network and
+// the requests that wait for a decision.
 package teams
 
 import (
@@ -15,61 +15,62 @@
 	"github.com/radishhoist/radishhoist/record"
 )
 
-// Config has the parameters of a Rates.
+// Config holds the parameters of a Rates.
 type Config struct {
-	// Host is this host's name and Incarnation its start, in Unix milliseconds.
+	// Host is this host's name. Incarnation is its start time in Unix milliseconds.
 	Host        string
 	Incarnation uint64
-	// Allowance and Over are what a team may have beyond its limit in any Window over
-	// all hosts: requests, and a part of what the limit allows. Most of it is lent; the
-	// rest is for what hosts do not know of each other yet.
+	// Allowance and Over are what a team may use beyond its limit in any Window over all
+	// hosts: a number of requests, and a fraction of what the limit allows. Most of it
+	// is granted as extra burst and rate; the rest covers what hosts do not know of each
+	// other yet.
 	Allowance, Over float64
 	Window          time.Duration
-	// Send sends a datagram to a host; it may vanish.
+	// Send sends a datagram to a host; it may be lost.
 	Send func(to string, p *msg.TeamPacket)
 }
 
-// The parts of Config.Allowance that are lent at once and evenly over the window,
-// and that of Config.Over.
+// Fractions of Config.Allowance that are granted as extra burst and, evenly over the
+// window, as extra rate, and the fraction of Config.Over that is granted.
 const (
-	lendAtOnce = 0.2
-	lendEvenly = 0.45
-	lendOver   = 0.3
+	allowanceAsBurst = 0.2
+	allowanceAsRate  = 0.45
+	overAsRate       = 0.3
 )
 
-// Rates holds teams to their rates. It is safe for concurrent use.
+// Rates enforces the rate limits of teams. It is safe for concurrent use.
 type Rates struct {
 	cfg   Config
 	teams atomic.Pointer[map[string]*record.Team]
 
-	mu    sync.Mutex
-	node  *quota.Node
-	hosts []quota.Host
-	known int
-	waits map[uint32]*waiter
+	mu         sync.Mutex
+	node       *quota.Node
+	hosts      []quota.Host
+	knownHosts int
+	waiters    map[uint32]*waiter
 }
 
-// waiter is a request that waits for a home's word.
+// waiter is a request that waits for a home's answer.
 type waiter struct {
 	team   string
 	answer chan quota.Answer
 }
 
-// New makes a Rates of one host; SetHosts adds the others.
+// New returns the Rates of one host; SetHosts adds the others.
 func New(cfg Config) *Rates {
-	r := &Rates{cfg: cfg, waits: make(map[uint32]*waiter)}
+	r := &Rates{cfg: cfg, waiters: make(map[uint32]*waiter)}
 	r.teams.Store(&map[string]*record.Team{})
 	r.node = quota.New(quota.Config{
 		Host: cfg.Host, Incarnation: cfg.Incarnation, Limit: r.limit,
-		Lend: lendAtOnce * cfg.Allowance, LendRate: lendEvenly * cfg.Allowance / max(cfg.Window.Seconds(), 1), LendPart: lendOver * cfg.Over,
+		ExtraBurst: allowanceAsBurst * cfg.Allowance, ExtraRate: allowanceAsRate * cfg.Allowance / max(cfg.Window.Seconds(), 1), ExtraRateFraction: overAsRate * cfg.Over,
 	}, time.Now(), rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
 	return r
 }
 
-// SetTeams takes the teams in force. The map is not changed afterwards.
+// SetTeams sets the teams in force. The map must not be modified afterwards.
 func (r *Rates) SetTeams(teams map[string]*record.Team) { r.teams.Store(&teams) }
 
-// limit gives a team's limit, false where it has none.
+// limit returns a team's limit, or false if it has none.
 func (r *Rates) limit(team string) (quota.Limit, bool) {
 	t, ok := (*r.teams.Load())[team]
 	if !ok || t.RatePerSecond == 0 {
@@ -82,21 +83,21 @@
 	return quota.Limit{Rate: t.RatePerSecond, Burst: burst}, true
 }
 
-// SetHosts takes the hosts that live, and how many there are with those that have
-// died of late.
+// SetHosts sets the live hosts, and the number of known hosts, including those that died
+// recently.
 func (r *Rates) SetHosts(alive []quota.Host, known int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if known == r.known && slices.Equal(alive, r.hosts) {
+	if known == r.knownHosts && slices.Equal(alive, r.hosts) {
 		return
 	}
-	r.hosts, r.known = alive, known
+	r.hosts, r.knownHosts = alive, known
 	r.node.SetHosts(time.Now(), alive, known)
 }
 
-// Admit says whether a request of a team may pass; where not, when to come back.
-// It waits where the team is close to its limit and another host keeps its account.
-// Limited says that the request counts, so that Return may take it back.
+// Admit decides whether a request of a team may run, and otherwise returns when to retry.
+// It blocks while the home of the team's account is queried. limited reports whether the
+// team has a limit: an admitted request then counts, and Return may take it back.
 func (r *Rates) Admit(ctx context.Context, team string) (ok, limited bool, wait time.Duration) {
 	limit, limited := r.limit(team)
 	if !limited {
@@ -104,14 +105,14 @@
 	}
 	r.mu.Lock()
 	v := r.node.Admit(time.Now(), team, limit)
-	if v.Decision != quota.Asked {
+	if v.Decision != quota.Pending {
 		out := r.take()
 		r.mu.Unlock()
 		r.send(out)
 		return v.Decision == quota.Admitted, true, v.Wait
 	}
 	w := &waiter{team: team, answer: make(chan quota.Answer, 1)}
-	r.waits[v.Ask] = w
+	r.waiters[v.QueryID] = w
 	out := r.take()
 	r.mu.Unlock()
 	r.send(out)
@@ -119,16 +120,16 @@
 	case a := <-w.answer:
 		return a.Granted, true, a.Wait
 	case <-ctx.Done():
-		r.forget(v.Ask, w)
+		r.abandon(v.QueryID, w)
 		return false, true, time.Second
 	}
 }
 
-// forget drops a waiter whose request is gone; what was granted goes back.
-func (r *Rates) forget(ask uint32, w *waiter) {
+// abandon drops the waiter of a request that was cancelled; a grant is returned.
+func (r *Rates) abandon(queryID uint32, w *waiter) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if _, waits := r.waits[ask]; waits {
+	if _, pending := r.waiters[queryID]; pending {
 		w.answer = nil
 		return
 	}
@@ -137,14 +138,14 @@
 	}
 }
 
-// Return takes a request back that was let pass and did not run.
+// Return takes back an admitted request that did not run.
 func (r *Rates) Return(team string) {
 	r.mu.Lock()
 	r.node.Return(time.Now(), team)
 	r.mu.Unlock()
 }
 
-// Receive takes a datagram of another host.
+// Receive processes a datagram from another host.
 func (r *Rates) Receive(p *msg.TeamPacket) {
 	r.mu.Lock()
 	r.node.Step(time.Now(), p)
@@ -153,7 +154,7 @@
 	r.send(out)
 }
 
-// Tick is called every 50 ms or so.
+// Tick handles timeouts and due messages; it must be called about every 50 ms.
 func (r *Rates) Tick() {
 	r.mu.Lock()
 	r.node.Tick(time.Now())
@@ -162,16 +163,15 @@
 	r.send(out)
 }
 
-// take hands on the node's answers and gives its datagrams. The caller holds the
-// lock.
+// take delivers the node's answers and returns its datagrams. The caller holds the lock.
 func (r *Rates) take() []quota.Outbound {
 	out, answers := r.node.Take()
 	for _, a := range answers {
-		w, ok := r.waits[a.Ask]
+		w, ok := r.waiters[a.QueryID]
 		if !ok {
 			continue
 		}
-		delete(r.waits, a.Ask)
+		delete(r.waiters, a.QueryID)
 		switch {
 		case w.answer != nil:
 			w.answer <- a
@@ -188,10 +188,10 @@
 	}
 }
 
-// State is what this host knows of one team's use.
+// State is this host's view of one team's usage.
 type State = quota.State
 
-// State lists the teams that this host knows to use their rate, for operators.
+// State returns the accounts of this host, for operators.
 func (r *Rates) State() []State {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/teams/teams_test.go
+++ b/internal/teams/teams_test.go
@@ -14,14 +14,14 @@
 	"github.com/radishhoist/radishhoist/record"
 )
 
-// settled is how long a host runs until it no longer takes accounts for used up.
-const settled = time.Minute
+// warmUp is how long a host runs until it no longer assumes that accounts are used up.
+const warmUp = time.Minute
 
 func TestATeamOverItsRateIsToldWhenToComeBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := New(Config{Host: "h1"})
 		r.SetTeams(map[string]*record.Team{"desk": {Office: "o", RatePerSecond: 2, Burst: 3}})
-		time.Sleep(settled)
+		time.Sleep(warmUp)
 		ctx := context.Background()
 		for range 3 {
 			ok, limited, _ := r.Admit(ctx, "desk")
@@ -34,14 +34,15 @@
 		assert.Assert(t, ok)
 		ok, limited, _ := r.Admit(ctx, "unknown")
 		assert.Assert(t, ok && !limited)
-		// A changed record counts from the next request on.
+		// A changed record applies from the next request.
 		r.SetTeams(map[string]*record.Team{"desk": {Office: "o", RatePerSecond: 100}})
 		ok, _, _ = r.Admit(ctx, "desk")
 		assert.Assert(t, ok)
 	})
 }
 
-// What has just started gives no burst: it may have been given before a stop of all.
+// A host that has just started grants no burst: it may have been granted before the whole
+// fleet stopped.
 func TestAStartGivesNoBurstAnew(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := New(Config{Host: "h1"})
@@ -59,17 +60,17 @@
 	})
 }
 
-// pair is two hosts whose datagrams arrive after a time, or never.
+// pair is two hosts whose datagrams arrive after a delay, or not at all.
 type pair struct {
-	rates map[string]*Rates
-	cut   bool
+	rates   map[string]*Rates
+	blocked bool
 }
 
 func newPair(delay time.Duration) *pair {
 	p := &pair{rates: make(map[string]*Rates)}
 	for _, name := range []string{"h1", "h2"} {
 		p.rates[name] = New(Config{Host: name, Send: func(to string, m *msg.TeamPacket) {
-			if p.cut {
+			if p.blocked {
 				return
 			}
 			go func() {
@@ -85,8 +86,8 @@
 	return p
 }
 
-// away is the host that does not keep the team's account.
-func (p *pair) away() *Rates {
+// notHome returns the host that is not the home of the team's account.
+func (p *pair) notHome() *Rates {
 	r := p.rates["h1"]
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -97,21 +98,21 @@
 	return r
 }
 
-// A caller that leaves while its request is asked for costs its team nothing.
+// A request cancelled while its query is pending does not count against its team.
 func TestAGrantForACallerWhoLeftGoesBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newPair(20 * time.Millisecond)
-		away := p.away()
-		p.run(settled)
+		notHome := p.notHome()
+		p.run(warmUp)
 		ctx, cancel := context.WithCancel(context.Background())
 		cancel()
-		for range blind {
-			ok, _, _ := away.Admit(context.Background(), "desk")
+		for range maxUnconfirmed {
+			ok, _, _ := notHome.Admit(context.Background(), "desk")
 			assert.Assert(t, ok)
 		}
-		ok, _, _ := away.Admit(ctx, "desk")
+		ok, _, _ := notHome.Admit(ctx, "desk")
 		assert.Assert(t, !ok)
-		p.run(blind * time.Second)
+		p.run(maxUnconfirmed * time.Second)
 		for _, r := range p.rates {
 			for _, s := range r.State() {
 				assert.Assert(t, s.Level < 1, "%+v", s)
@@ -120,11 +121,11 @@
 	})
 }
 
-// blind is how many requests of a team far below its limit pass before the home has
-// heard of them; the next is asked for.
-const blind = 2
+// maxUnconfirmed is the number of requests that a host admits before the home has
+// confirmed any, for a team far from its limit; the next one queries the home.
+const maxUnconfirmed = 2
 
-// run ticks both hosts for a time.
+// run ticks both hosts for a period.
 func (p *pair) run(d time.Duration) {
 	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
 		for _, r := range p.rates {
@@ -133,20 +134,19 @@
 	}
 }
 
-// Where no home answers, a host decides by its own share, each time within a fifth of a
-// second.
+// If no home responds, a host decides by its own share, each time within 250 ms.
 func TestAHostThatReachesNoHomeGoesByItsShare(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newPair(time.Millisecond)
-		away := p.away()
-		p.run(settled)
-		p.cut = true
+		notHome := p.notHome()
+		p.run(warmUp)
+		p.blocked = true
 		var wg sync.WaitGroup
 		wg.Go(func() { p.run(20 * time.Second) })
 		passed := 0
 		for range 100 {
 			began := time.Now()
-			if ok, _, _ := away.Admit(context.Background(), "desk"); ok {
+			if ok, _, _ := notHome.Admit(context.Background(), "desk"); ok {
 				passed++
 			}
 			assert.Assert(t, time.Since(began) <= 250*time.Millisecond, "decided after %s", time.Since(began))
