--- a/internal/core/team/index.go
+++ b/internal/core/team/index.go
@@ -1,4 +1,4 @@
-// Package team finds the team of a key. Keys are held as hashes only.
+// Package team looks up the team that owns an API key. Keys are stored as hashes only.
 package team
 
 import (
@@ -11,19 +11,19 @@
 	"github.com/radishhoist/radishhoist/record"
 )
 
-// shards is the number of parts of an Index; a change copies the parts that it
-// touches.
+// shards is the number of shards of an Index. A change copies only the shards that it
+// modifies.
 const shards = 1024
 
-// Index finds the team of a key. It is immutable: With gives a changed one.
+// Index maps keys to teams. It is immutable: With returns a modified copy.
 type Index struct {
 	shards [shards][]entry
-	// teams are those that it was made of.
+	// teams are the teams that the index was built from.
 	teams map[string]*record.Team
 	size  int
 }
 
-// entry is one key's hash; entries of a shard are in order of hash and team.
+// entry is the hash of one key. The entries of a shard are sorted by hash and team.
 type entry struct {
 	hash record.KeyHash
 	team string
@@ -38,8 +38,8 @@
 
 func shardOf(h record.KeyHash) int { return (int(h[0])<<8 | int(h[1])) % shards }
 
-// Of gives the team that holds a key, false where none does. What it takes to
-// compare does not depend on the key's bytes, only on those of its hash.
+// Of returns the team that holds a key, or false if there is none. The time of the
+// comparison depends on the bytes of the key's hash only, not on those of the key.
 func (x *Index) Of(key string) (string, bool) {
 	if x == nil || key == "" || len(key) > record.MaxKey {
 		return "", false
@@ -53,7 +53,7 @@
 	return shard[i].team, true
 }
 
-// Len is the number of keys.
+// Len returns the number of keys.
 func (x *Index) Len() int {
 	if x == nil {
 		return 0
@@ -61,9 +61,9 @@
 	return x.size
 }
 
-// With gives an Index of the keys of all teams, which are not changed afterwards.
-// Parts in which nothing has changed are shared with x, which may be nil. A key that two teams hold belongs
-// to the first by name.
+// With returns an Index of the keys of all teams. The teams must not be modified
+// afterwards. Unchanged shards are shared with x, which may be nil. A key held by two
+// teams belongs to the first by name.
 func (x *Index) With(teams map[string]*record.Team) *Index {
 	if x == nil {
 		x = &Index{}
@@ -75,28 +75,28 @@
 		switch {
 		case before == t:
 		case !known:
-			edit.each(name, t.KeyHashes, edit.put)
+			edit.forEach(name, t.KeyHashes, edit.insert)
 		case !slices.Equal(before.KeyHashes, t.KeyHashes):
-			edit.each(name, before.KeyHashes, edit.drop)
-			edit.each(name, t.KeyHashes, edit.put)
+			edit.forEach(name, before.KeyHashes, edit.remove)
+			edit.forEach(name, t.KeyHashes, edit.insert)
 		}
 	}
 	for name, before := range x.teams {
 		if _, still := teams[name]; !still {
-			edit.each(name, before.KeyHashes, edit.drop)
+			edit.forEach(name, before.KeyHashes, edit.remove)
 		}
 	}
 	return out
 }
 
-// editor changes an Index that nobody else has yet.
+// editor modifies an Index that is not yet visible to others.
 type editor struct {
 	index *Index
-	// own marks the shards that are no longer shared.
-	own [shards]bool
+	// copied marks the shards that are no longer shared.
+	copied [shards]bool
 }
 
-func (e *editor) each(team string, hashes []string, do func(entry)) {
+func (e *editor) forEach(team string, hashes []string, do func(entry)) {
 	for _, s := range hashes {
 		if h, err := record.ParseKeyHash(s); err == nil {
 			do(entry{hash: h, team: team})
@@ -104,27 +104,28 @@
 	}
 }
 
-// shard gives the part of an entry, copied where it is shared, and its place there.
-func (e *editor) shard(n entry) (shard *[]entry, place int, found bool) {
-	s := shardOf(n.hash)
-	if !e.own[s] {
-		e.own[s] = true
+// shard returns the shard of an entry, copied if it is still shared, and the entry's
+// position in it.
+func (e *editor) shard(item entry) (shard *[]entry, pos int, found bool) {
+	s := shardOf(item.hash)
+	if !e.copied[s] {
+		e.copied[s] = true
 		e.index.shards[s] = slices.Clone(e.index.shards[s])
 	}
 	shard = &e.index.shards[s]
-	place, found = slices.BinarySearchFunc(*shard, n, entry.compare)
-	return shard, place, found
+	pos, found = slices.BinarySearchFunc(*shard, item, entry.compare)
+	return shard, pos, found
 }
 
-func (e *editor) put(n entry) {
-	if shard, i, found := e.shard(n); !found {
-		*shard = slices.Insert(*shard, i, n)
+func (e *editor) insert(item entry) {
+	if shard, i, found := e.shard(item); !found {
+		*shard = slices.Insert(*shard, i, item)
 		e.index.size++
 	}
 }
 
-func (e *editor) drop(n entry) {
-	if shard, i, found := e.shard(n); found {
+func (e *editor) remove(item entry) {
+	if shard, i, found := e.shard(item); found {
 		*shard = slices.Delete(*shard, i, i+1)
 		e.index.size--
 	}
--- a/internal/core/team/index_test.go
+++ b/internal/core/team/index_test.go
@@ -43,8 +43,8 @@
 	assert.Equal(t, third.Len(), 1)
 }
 
-// An index that was changed step by step finds what one built at once does, and what it was
-// made from still finds what it did.
+// An index changed step by step must answer like one built at once, and the indexes it
+// was derived from must not change.
 func TestChangedStepByStepOrBuiltAtOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		key := rapid.SampledFrom([]string{"k0", "k1", "k2", "k3", "k4", "k5", "k6", "k7"})
@@ -76,8 +76,8 @@
 	return out
 }
 
-// many is a set of teams as large as the target, with two keys each.
-func many() map[string]*record.Team {
+// manyTeams returns as many teams as the capacity target, with two keys each.
+func manyTeams() map[string]*record.Team {
 	teams := make(map[string]*record.Team, 81000)
 	for i := range 81000 {
 		teams[fmt.Sprintf("team-%05d", i)] = &record.Team{KeyHashes: hashes(fmt.Sprintf("first key of %d", i), fmt.Sprintf("second key of %d", i))}
@@ -86,7 +86,7 @@
 }
 
 func BenchmarkTeamOfAKey(b *testing.B) {
-	index := (*Index)(nil).With(many())
+	index := (*Index)(nil).With(manyTeams())
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
 		if _, ok := index.Of("second key of 4711"); !ok {
@@ -96,7 +96,7 @@
 }
 
 func BenchmarkOneKeyChanged(b *testing.B) {
-	teams := many()
+	teams := manyTeams()
 	index := (*Index)(nil).With(teams)
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
