--- a/internal/core/config/ends_test.go
+++ b/internal/core/config/ends_test.go
@@ -10,8 +10,8 @@
 	"github.com/radishhoist/radishhoist/internal/msg"
 )
 
-// On a calm day no host says anything of ends. A host that starts gets those that there
-// are with the hosts that it asks for.
+// Hosts send no digests of instance ends while there are none. A host that starts
+// receives the existing ends together with the host entries it asks for.
 func TestEndsCostNothingWhereThereAreNone(t *testing.T) {
 	peers := Peers{Near: []string{"other"}}
 	n := NewNode(DefaultConfig(), rand.New(rand.NewPCG(1, 2)))
--- a/internal/core/config/node.go
+++ b/internal/core/config/node.go
@@ -8,82 +8,81 @@
 	"github.com/radishhoist/radishhoist/internal/msg"
 )
 
-// Config has the parameters of a Node.
+// Config holds the parameters of a Node.
 type Config struct {
-	// FanOut is how many peers a rumor is pushed to. More reaches further in
-	// the first round and sends more; repair finds the rest.
+	// FanOut is the number of peers that a rumor is pushed to. A larger value reaches
+	// more hosts in the first round and sends more; repair covers the rest.
 	FanOut int
 	// RepairInterval is the time between two digests to a random peer.
 	RepairInterval time.Duration
-	// FarCopies is how many hosts of each other data centre a host's own
-	// news is pushed to. Two ride out one that has just died.
-	FarCopies int
-	// FarShare is the least share of digests that go to another data centre;
-	// in a small data centre the share is larger, so that each data centre
-	// opens at least about one such repair in every interval.
-	FarShare float64
-	// MaxBatch bounds the entries' bytes in one message.
-	MaxBatch int
+	// RemoteFanOut is the number of hosts in each other data centre that a host's own
+	// updates are pushed to. Two tolerate one host that has just died.
+	RemoteFanOut int
+	// RemoteRepairShare is the minimum share of digests sent to another data centre. In
+	// a small data centre the share is larger, so that each data centre starts at least
+	// about one such repair per interval.
+	RemoteRepairShare float64
+	// MaxBatchBytes bounds the size of the entries in one message.
+	MaxBatchBytes int
 }
 
-// DefaultConfig suits a fleet of up to a few thousand hosts.
+// DefaultConfig returns parameters for a fleet of up to a few thousand hosts.
 func DefaultConfig() Config {
-	return Config{FanOut: 3, RepairInterval: 5 * time.Second, FarCopies: 2, FarShare: 0.1, MaxBatch: 256 << 10}
+	return Config{FanOut: 3, RepairInterval: 5 * time.Second, RemoteFanOut: 2, RemoteRepairShare: 0.1, MaxBatchBytes: 256 << 10}
 }
 
-// Peers gives the live peers to choose from, by host name.
+// Peers holds the names of the live peers.
 type Peers struct {
-	// Near are those in the same data centre.
+	// Near are the hosts in the same data centre.
 	Near []string
-	// Far are the others, a list for each data centre.
+	// Far are the hosts in other data centres, one list per data centre.
 	Far [][]string
 }
 
-// empty says there is nobody.
 func (p Peers) empty() bool { return len(p.Near)+len(p.Far) == 0 }
 
-// Outbound is one message to send.
+// Outbound is a message to send.
 type Outbound struct {
 	To  string
 	Msg msg.Message
 }
 
-// Applied is one entry that has come into force in a set.
+// Applied is an entry that has been applied to a set.
 type Applied struct {
 	Set   msg.SetID
 	Entry msg.Entry
-	// From is the peer it came from, empty for the platform or this host.
+	// From is the peer that sent it, empty for the platform or this host.
 	From string
 }
 
-// Node is one host's share in the replication. It is not safe for concurrent
-// use: the caller steps it, ticks it, and takes what it has to send.
+// Node is the replication state of one host. It is not safe for concurrent use: the
+// caller drives it with Step and Tick and sends what Take returns.
 type Node struct {
-	cfg   Config
-	rng   *rand.Rand
-	sets  [msg.Sets]*Set
-	whole [msg.Sets]bool
+	cfg      Config
+	rng      *rand.Rand
+	sets     [msg.Sets]*Set
+	complete [msg.Sets]bool
 
 	// now is the time of the last Tick.
 	now time.Time
-	// pulled are the entries asked of a peer, and when.
-	pulled     map[pullKey]time.Time
-	nextRepair time.Time
-	pullingAll [msg.Sets]time.Time
-	snapshot   [msg.Sets]snapshot
-	relays     relays
-	retellings []retelling
-	out        []Outbound
-	applied    []Applied
+	// pendingPulls holds the entries requested from a peer, and when.
+	pendingPulls    map[pullKey]time.Time
+	nextRepair      time.Time
+	fullPullStarted [msg.Sets]time.Time
+	snapshots       [msg.Sets]incomingSnapshot
+	relayQueue      relayQueue
+	resends         []resend
+	out             []Outbound
+	applied         []Applied
 }
 
-// snapshot is a whole set on its way in.
-type snapshot struct {
-	from string
-	next uint32
+// incomingSnapshot is the progress of a full set being received.
+type incomingSnapshot struct {
+	from     string
+	nextPart uint32
 }
 
-// pullKey names one version of an entry.
+// pullKey identifies one version of an entry.
 type pullKey struct {
 	set     msg.SetID
 	key     Key
@@ -91,63 +90,64 @@
 }
 
 const (
-	// largeValue is from what size on, in bytes, a fresh entry is announced
-	// instead of pushed: a rumor reaches most hosts several times.
-	largeValue = 2 << 10
-	// pullAgain is how long an entry that was asked for is not asked of others.
-	pullAgain = 300 * time.Millisecond
+	// minAnnouncedBytes is the value size from which a new entry is announced instead of
+	// pushed, because a rumor reaches most hosts several times.
+	minAnnouncedBytes = 2 << 10
+	// pullTimeout is how long a requested entry is not requested from other peers.
+	pullTimeout = 300 * time.Millisecond
 )
 
-// pullRetry is how long a whole set may be on its way before another peer is
-// asked.
-const pullRetry = 3 * time.Second
+// fullPullTimeout is how long to wait for a full set before another peer is asked.
+const fullPullTimeout = 3 * time.Second
 
-// NewNode makes a Node with empty sets.
+// NewNode returns a Node with empty sets.
 func NewNode(cfg Config, rng *rand.Rand) *Node {
-	n := &Node{cfg: cfg, rng: rng, pulled: make(map[pullKey]time.Time)}
+	n := &Node{cfg: cfg, rng: rng, pendingPulls: make(map[pullKey]time.Time)}
 	for i := range n.sets {
 		n.sets[i] = NewSet()
 	}
-	// What hosts say of themselves and of ends needs no complete start: repair fills it.
-	n.whole[msg.SetHosts], n.whole[msg.SetEnds] = true, true
+	// The sets of hosts and ends need no complete snapshot at the start: repair fills
+	// them.
+	n.complete[msg.SetHosts], n.complete[msg.SetEnds] = true, true
 	return n
 }
 
-// Set gives one replicated set, to read.
+// Set returns one replicated set for reading.
 func (n *Node) Set(id msg.SetID) *Set { return n.sets[id] }
 
-// Whole says the record set was complete at least once, so that traffic may
-// be served from it.
-func (n *Node) Whole() bool { return n.whole[msg.SetRecords] }
+// Whole reports whether the record set has been complete at least once, so that traffic
+// may be served from it.
+func (n *Node) Whole() bool { return n.complete[msg.SetRecords] }
 
-// Take gives what is to be sent and what has come into force since last time.
+// Take returns and clears the messages to send and the entries applied since the last
+// call.
 func (n *Node) Take() ([]Outbound, []Applied) {
 	out, applied := n.out, n.applied
 	n.out, n.applied = nil, nil
 	return out, applied
 }
 
-// Local applies entries from the platform or of this host and spreads them.
+// Local applies entries from the platform or from this host and pushes them to peers.
 func (n *Node) Local(peers Peers, set msg.SetID, entries []msg.Entry) {
-	n.take(peers, set, "", entries)
+	n.applyAndPush(peers, set, "", entries)
 }
 
-// Retell sends an entry once more to as many peers as when it was news, for peers that
-// were not known then.
+// Retell pushes an entry again, to as many peers as when it was new, for peers that were
+// unknown at the time.
 func (n *Node) Retell(peers Peers, set msg.SetID, key Key) {
 	e, held := n.sets[set].Get(key)
 	if !held {
 		return
 	}
-	for _, to := range n.targets(peers, "") {
+	for _, to := range n.pushPeers(peers, "") {
 		n.push(to, set, []msg.Entry{e})
 	}
 }
 
-// LoadList takes a complete list from the platform at a revision. Entries that
-// are not in it and are no newer were deleted unseen: they get tombstones. covers
-// says of which kinds the list is complete; nil means of all, which makes the set
-// whole.
+// LoadList applies a complete list from the platform at a revision. Entries that are not
+// listed and not newer than the revision were deleted without notice: they become
+// tombstones. covers reports for which kinds the list is complete; nil means all kinds,
+// which makes the set complete.
 func (n *Node) LoadList(peers Peers, entries []msg.Entry, revision int64, covers func(kind string) bool) {
 	s := n.sets[msg.SetRecords]
 	listed := make(map[Key]bool, len(entries))
@@ -160,38 +160,38 @@
 			entries = append(entries, msg.Entry{Kind: e.Kind, Name: e.Name, Version: revision, Deleted: true})
 		}
 	})
-	n.take(peers, msg.SetRecords, "", entries)
-	n.whole[msg.SetRecords] = n.whole[msg.SetRecords] || covers == nil
+	n.applyAndPush(peers, msg.SetRecords, "", entries)
+	n.complete[msg.SetRecords] = n.complete[msg.SetRecords] || covers == nil
 }
 
-// take applies entries and pushes on those that were news.
-func (n *Node) take(peers Peers, set msg.SetID, from string, entries []msg.Entry) {
-	var news []msg.Entry
+// applyAndPush applies entries and pushes those that were new.
+func (n *Node) applyAndPush(peers Peers, set msg.SetID, from string, entries []msg.Entry) {
+	var updates []msg.Entry
 	for _, e := range entries {
 		if n.sets[set].Apply(e) {
-			news = append(news, e)
+			updates = append(updates, e)
 			n.applied = append(n.applied, Applied{Set: set, Entry: e, From: from})
 		}
 	}
-	if len(news) == 0 {
+	if len(updates) == 0 {
 		return
 	}
 	if from != "" && set == msg.SetHosts {
-		n.relays.wait(from, news)
-		n.relay(peers)
+		n.relayQueue.add(from, updates)
+		n.flushRelays(peers)
 		return
 	}
 	if set == msg.SetEnds {
-		n.retellLater(from, news)
+		n.scheduleResend(from, updates)
 	}
-	for _, to := range n.targets(peers, from) {
-		n.push(to, set, news)
+	for _, to := range n.pushPeers(peers, from) {
+		n.push(to, set, updates)
 	}
 }
 
-// targets picks FanOut near peers, and FarCopies in each other data centre
-// for news that starts here.
-func (n *Node) targets(peers Peers, from string) []string {
+// pushPeers picks FanOut near peers and, for updates that originate here, RemoteFanOut
+// peers in each other data centre.
+func (n *Node) pushPeers(peers Peers, from string) []string {
 	var out []string
 	near := peers.Near
 	for _, i := range n.sample(len(near), n.cfg.FanOut+1) {
@@ -203,14 +203,14 @@
 		return out
 	}
 	for _, dc := range peers.Far {
-		for _, i := range n.sample(len(dc), n.cfg.FarCopies) {
+		for _, i := range n.sample(len(dc), n.cfg.RemoteFanOut) {
 			out = append(out, dc[i])
 		}
 	}
 	return out
 }
 
-// sample draws up to k different indexes below size.
+// sample returns min(k, size) distinct random indexes below size.
 func (n *Node) sample(size, k int) []int {
 	if k >= size {
 		return n.rng.Perm(size)
@@ -225,12 +225,12 @@
 	return out
 }
 
-// push sends entries as rumors; of large ones only that they are there.
+// push sends entries as rumors; entries with large values are only announced.
 func (n *Node) push(to string, set msg.SetID, entries []msg.Entry) {
 	var small []msg.Entry
 	var large []msg.VersionItem
 	for _, e := range entries {
-		if len(e.Value) >= largeValue {
+		if len(e.Value) >= minAnnouncedBytes {
 			large = append(large, msg.VersionItem{Kind: e.Kind, Name: e.Name, Version: e.Version})
 		} else {
 			small = append(small, e)
@@ -240,12 +240,12 @@
 		n.send(to, &msg.Versions{Set: set, Items: large})
 	}
 	if len(small) > 0 {
-		n.pushWhole(to, set, small)
+		n.pushValues(to, set, small)
 	}
 }
 
-// pushWhole sends entries as rumors, in batches.
-func (n *Node) pushWhole(to string, set msg.SetID, entries []msg.Entry) {
+// pushValues sends entries as rumors in batches, including large values.
+func (n *Node) pushValues(to string, set msg.SetID, entries []msg.Entry) {
 	for _, batch := range n.batches(entries) {
 		n.send(to, &msg.Rumor{Set: set, Entries: batch})
 	}
@@ -259,7 +259,7 @@
 	start, size := 0, 0
 	for i, e := range entries {
 		size += e.Msgsize()
-		if i > start && (size > n.cfg.MaxBatch || i-start >= maxBatchEntries) {
+		if i > start && (size > n.cfg.MaxBatchBytes || i-start >= maxBatchEntries) {
 			out = append(out, entries[start:i])
 			start, size = i, e.Msgsize()
 		}
@@ -271,19 +271,19 @@
 	n.out = append(n.out, Outbound{To: to, Msg: m})
 }
 
-// Tick opens repairs and, until the record set is whole, asks peers for it.
+// Tick starts repairs and, until the record set is complete, requests it from peers.
 func (n *Node) Tick(now time.Time, peers Peers) {
 	n.now = now
-	n.relay(peers)
-	n.retell(peers)
-	n.forgetPulls()
-	n.pullWhole(now, peers)
+	n.flushRelays(peers)
+	n.sendDueResends(peers)
+	n.expirePulls()
+	n.pullSnapshot(now, peers)
 	if now.Before(n.nextRepair) {
 		return
 	}
-	// Jitter keeps a fleet that started at once from repairing at once.
+	// Jitter spreads the repairs of hosts that started at the same time.
 	n.nextRepair = now.Add(n.cfg.RepairInterval/2 + time.Duration(n.rng.Int64N(int64(n.cfg.RepairInterval))))
-	to, ok := n.partner(peers)
+	to, ok := n.repairPeer(peers)
 	if !ok {
 		return
 	}
@@ -291,27 +291,27 @@
 		if msg.SetID(id) == msg.SetEnds && len(s.entries) == 0 {
 			continue // there are none on most days, and a peer that has some opens a repair
 		}
-		n.send(to, &msg.Digest{Set: msg.SetID(id), Root: s.Root(), Whole: n.whole[id]})
+		n.send(to, &msg.Digest{Set: msg.SetID(id), Root: s.Root(), Whole: n.complete[id]})
 	}
 }
 
-// forgetPulls drops what was asked for long ago.
-func (n *Node) forgetPulls() {
-	for key, at := range n.pulled {
-		if n.now.Sub(at) >= pullAgain {
-			delete(n.pulled, key)
+// expirePulls drops requests older than pullTimeout.
+func (n *Node) expirePulls() {
+	for key, at := range n.pendingPulls {
+		if n.now.Sub(at) >= pullTimeout {
+			delete(n.pendingPulls, key)
 		}
 	}
 }
 
-// partner picks whom to repair with.
-func (n *Node) partner(peers Peers) (string, bool) {
+// repairPeer picks the peer for the next repair.
+func (n *Node) repairPeer(peers Peers) (string, bool) {
 	if peers.empty() {
 		return "", false
 	}
-	share := max(n.cfg.FarShare, 1/float64(len(peers.Near)+1))
+	remoteShare := max(n.cfg.RemoteRepairShare, 1/float64(len(peers.Near)+1))
 	list := peers.Near
-	if len(peers.Far) > 0 && (len(list) == 0 || n.rng.Float64() < share) {
+	if len(peers.Far) > 0 && (len(list) == 0 || n.rng.Float64() < remoteShare) {
 		list = peers.Far[n.rng.IntN(len(peers.Far))]
 	}
 	if len(list) == 0 {
@@ -320,16 +320,16 @@
 	return list[n.rng.IntN(len(list))], true
 }
 
-func (n *Node) pullWhole(now time.Time, peers Peers) {
+func (n *Node) pullSnapshot(now time.Time, peers Peers) {
 	const id = msg.SetRecords
-	if n.whole[id] || now.Sub(n.pullingAll[id]) < pullRetry {
+	if n.complete[id] || now.Sub(n.fullPullStarted[id]) < fullPullTimeout {
 		return
 	}
-	to, ok := n.partner(peers)
+	to, ok := n.repairPeer(peers)
 	if !ok {
 		return
 	}
-	n.pullingAll[id] = now
-	n.snapshot[id] = snapshot{from: to}
+	n.fullPullStarted[id] = now
+	n.snapshots[id] = incomingSnapshot{from: to}
 	n.send(to, &msg.Pull{Set: id, All: true})
 }
--- a/internal/core/config/node_test.go
+++ b/internal/core/config/node_test.go
@@ -21,8 +21,8 @@
 	return msg.Entry{Kind: "Configuration", Name: name, Version: version, Value: bytes.Repeat([]byte("x"), size)}
 }
 
-// deliver hands what one node sends to another over, and counts the bytes of
-// values that went.
+// deliver passes the messages of one node to another and returns the bytes of values
+// sent.
 func deliver(t *testing.T, from, to *Node, fromName, toName string) (values int) {
 	t.Helper()
 	out, _ := from.Take()
@@ -40,24 +40,24 @@
 	return values
 }
 
-// A large entry reaches most hosts from several sides: it is announced, and
-// pulled once.
+// A large entry would reach most hosts from several peers: it is announced, and pulled
+// once.
 func TestALargeEntryIsAnnouncedAndPulledOnce(t *testing.T) {
 	a, b, c := newTestNode(1), newTestNode(2), newTestNode(3)
 	for _, n := range []*Node{a, b} {
-		n.Local(Peers{Near: []string{"c"}}, msg.SetRecords, []msg.Entry{entry("main", 7, 10*largeValue)})
+		n.Local(Peers{Near: []string{"c"}}, msg.SetRecords, []msg.Entry{entry("main", 7, 10*minAnnouncedBytes)})
 	}
 	assert.Equal(t, deliver(t, a, c, "a", "c"), 0)
 	assert.Equal(t, deliver(t, b, c, "b", "c"), 0)
 	out, _ := c.Take()
 	assert.Equal(t, len(out), 1)
 	a.Step(Peers{}, "c", out[0].Msg)
-	assert.Equal(t, deliver(t, a, c, "a", "c"), 10*largeValue)
+	assert.Equal(t, deliver(t, a, c, "a", "c"), 10*minAnnouncedBytes)
 	e, ok := c.Set(msg.SetRecords).Get(Key{"Configuration", "main"})
 	assert.Assert(t, ok && e.Version == 7)
 }
 
-// Where the first pull is lost, a later announcement has it asked for again.
+// If the first pull is lost, a later announcement triggers another one.
 func TestALostPullIsMadeAgain(t *testing.T) {
 	c := newTestNode(3)
 	announced := &msg.Versions{Set: msg.SetRecords, Items: []msg.VersionItem{{Kind: "Configuration", Name: "main", Version: 7}}}
@@ -66,7 +66,7 @@
 	c.Step(Peers{}, "b", announced)
 	out, _ := c.Take()
 	assert.Equal(t, len(out), 1)
-	c.Tick(start.Add(pullAgain), Peers{})
+	c.Tick(start.Add(pullTimeout), Peers{})
 	c.Step(Peers{}, "b", announced)
 	out, _ = c.Take()
 	assert.Equal(t, len(out), 1)
@@ -79,7 +79,7 @@
 	assert.Equal(t, deliver(t, a, c, "a", "c"), 100)
 }
 
-// Two hosts with different small sets repair both ways by one list.
+// Two hosts with different small sets repair both directions with a single list.
 func TestASmallSetIsRepairedByItsList(t *testing.T) {
 	a, b := newTestNode(1), newTestNode(2)
 	a.Local(Peers{}, msg.SetHosts, []msg.Entry{entry("only-a", 1, 10), entry("both", 5, 10)})
@@ -96,8 +96,8 @@
 	assert.Equal(t, e.Version, int64(9))
 }
 
-// A list of some kinds says nothing of the others: they stay, and the set is whole only
-// once a list of everything was taken.
+// A list of some kinds leaves entries of other kinds unchanged; only a list of all kinds
+// makes the set complete.
 func TestAListOfSomeKindsDeletesNoOthers(t *testing.T) {
 	n := newTestNode(1)
 	route := msg.Entry{Kind: "Route", Name: "r", Version: 3}
@@ -106,8 +106,8 @@
 	onlyRoutes := func(kind string) bool { return kind == "Route" }
 	n.LoadList(Peers{}, nil, 9, onlyRoutes)
 	set := n.Set(msg.SetRecords)
-	gone, _ := set.Get(Key{"Route", "r"})
-	assert.Assert(t, gone.Deleted && gone.Version == 9)
+	deleted, _ := set.Get(Key{"Route", "r"})
+	assert.Assert(t, deleted.Deleted && deleted.Version == 9)
 	kept, _ := set.Get(Key{"Configuration", "main"})
 	assert.Assert(t, !kept.Deleted)
 
--- a/internal/core/config/relay.go
+++ b/internal/core/config/relay.go
@@ -6,56 +6,56 @@
 	"github.com/radishhoist/radishhoist/internal/msg"
 )
 
-// relayPause is the least time between two messages that pass on what other hosts
-// say of themselves; what comes meanwhile goes into one. A fleet that starts as one
-// has several times as many such news as hosts within two seconds, each of which
-// reaches a host a few times. A single news is passed on at once, and news in a flood
-// reaches the last of 1,600 hosts some six pauses later.
-const relayPause = 100 * time.Millisecond
+// relayInterval is the minimum time between two messages that forward host entries of
+// other hosts; entries that arrive in between are batched. When a fleet starts at once,
+// there are several times as many such updates as hosts within two seconds, and each
+// reaches a host a few times. A single update is forwarded at once. Under load, an update
+// reaches the last of 1,600 hosts after about six intervals.
+const relayInterval = 100 * time.Millisecond
 
-// relays are the news of other hosts that wait to be passed on.
-type relays struct {
-	// due is when news may be passed on again.
-	due time.Time
-	// keys are the entries in the order they came, and from the hosts that told of
-	// them.
-	keys []Key
-	from map[Key]string
+// relayQueue holds the host entries of other hosts that wait to be forwarded.
+type relayQueue struct {
+	// nextFlush is when entries may be forwarded again.
+	nextFlush time.Time
+	// keys holds the entries in order of arrival, source the hosts that sent them.
+	keys   []Key
+	source map[Key]string
 }
 
-func (r *relays) wait(from string, news []msg.Entry) {
-	if r.from == nil {
-		r.from = make(map[Key]string)
+func (r *relayQueue) add(from string, updates []msg.Entry) {
+	if r.source == nil {
+		r.source = make(map[Key]string)
 	}
-	for _, e := range news {
+	for _, e := range updates {
 		key := Key{e.Kind, e.Name}
-		if _, waits := r.from[key]; !waits {
+		if _, queued := r.source[key]; !queued {
 			r.keys = append(r.keys, key)
 		}
-		r.from[key] = from
+		r.source[key] = from
 	}
 }
 
-// relay passes on what waits, in its newest version, once it is due.
-func (n *Node) relay(peers Peers) {
-	if len(n.relays.keys) == 0 || n.now.Before(n.relays.due) {
+// flushRelays forwards the newest versions of the queued entries once nextFlush is
+// reached.
+func (n *Node) flushRelays(peers Peers) {
+	if len(n.relayQueue.keys) == 0 || n.now.Before(n.relayQueue.nextFlush) {
 		return
 	}
-	waiting := n.relays
-	n.relays = relays{due: n.now.Add(relayPause)}
+	queue := n.relayQueue
+	n.relayQueue = relayQueue{nextFlush: n.now.Add(relayInterval)}
 	for _, i := range n.sample(len(peers.Near), n.cfg.FanOut) {
 		to := peers.Near[i]
-		if news := n.newsFor(to, waiting); len(news) > 0 {
-			n.push(to, msg.SetHosts, news)
+		if entries := n.updatesFor(to, queue); len(entries) > 0 {
+			n.push(to, msg.SetHosts, entries)
 		}
 	}
 }
 
-// newsFor lists what a host is told: not what came from it.
-func (n *Node) newsFor(to string, waiting relays) []msg.Entry {
+// updatesFor returns the queued entries for a host, without those it sent itself.
+func (n *Node) updatesFor(to string, queue relayQueue) []msg.Entry {
 	var out []msg.Entry
-	for _, key := range waiting.keys {
-		if waiting.from[key] == to {
+	for _, key := range queue.keys {
+		if queue.source[key] == to {
 			continue
 		}
 		if e, held := n.sets[msg.SetHosts].Get(key); held {
--- a/internal/core/config/relay_test.go
+++ b/internal/core/config/relay_test.go
@@ -10,14 +10,14 @@
 	"github.com/radishhoist/radishhoist/internal/msg"
 )
 
-// hostEntry is what a host says of itself.
+// hostEntry returns the entry that a host writes about itself.
 func hostEntry(name string, version int64) msg.Entry {
 	return msg.Entry{Kind: "Host", Name: name, Version: version, Value: make([]byte, 300)}
 }
 
 var nearPeers = Peers{Near: []string{"b", "c", "d", "e", "f", "g"}}
 
-// rumors counts the messages and entries that a node sends, by receiver.
+// rumors counts the rumors and entries that a node sends.
 func rumors(n *Node) (messages, entries int) {
 	out, _ := n.Take()
 	for _, o := range out {
@@ -29,9 +29,9 @@
 	return messages, entries
 }
 
-// While 354 hosts started at once, each passed on some 700 news, three messages for
-// each. A flood of news goes on in a few messages, whole and in its newest version; a
-// single news goes on at once.
+// When 354 hosts started at once, each forwarded some 700 updates with three messages
+// each. Many updates are batched into a few messages, complete and in their newest
+// version; a single update is forwarded at once.
 func TestAFloodOfNewsIsPassedOnTogether(t *testing.T) {
 	const hosts = 200
 	n := newTestNode(1)
@@ -39,7 +39,7 @@
 	n.Take()
 	n.Step(nearPeers, "z", &msg.Rumor{Set: msg.SetHosts, Entries: []msg.Entry{hostEntry("first", 1)}})
 	messages, _ := rumors(n)
-	assert.Equal(t, messages, n.cfg.FanOut, "a single news goes on at once")
+	assert.Equal(t, messages, n.cfg.FanOut, "a single update is forwarded at once")
 	for version := range int64(2) {
 		for i := range hosts {
 			e := hostEntry(fmt.Sprint("h", i), version+1)
@@ -47,15 +47,15 @@
 		}
 	}
 	messages, _ = rumors(n)
-	assert.Equal(t, messages, 0, "the flood waits")
-	n.Tick(start.Add(relayPause), nearPeers)
+	assert.Equal(t, messages, 0, "further updates are batched")
+	n.Tick(start.Add(relayInterval), nearPeers)
 	messages, entries := rumors(n)
 	assert.Equal(t, messages, n.cfg.FanOut)
 	assert.Equal(t, entries, n.cfg.FanOut*hosts)
 }
 
-// What a host has asked for is not passed on, and what the platform says is not held
-// up by news of hosts.
+// Entries a host requested itself are not forwarded, and updates from the platform are
+// not delayed by host entries.
 func TestOnlyNewsOfHostsWaits(t *testing.T) {
 	n := newTestNode(1)
 	n.Tick(start, nearPeers)
@@ -74,18 +74,18 @@
 	}
 	n.Local(nearPeers, msg.SetHosts, []msg.Entry{hostEntry("self", 1)})
 	messages, _ = rumors(n)
-	assert.Equal(t, messages, n.cfg.FanOut, "a host's own news is sent at once")
+	assert.Equal(t, messages, n.cfg.FanOut, "a host's own update is sent at once")
 }
 
-// A host is not told what it has told, in a flood either.
+// A host does not receive its own updates back, also when they are batched.
 func TestNobodyIsToldItsOwnNews(t *testing.T) {
 	n := newTestNode(1)
 	peers := Peers{Near: []string{"b", "c"}}
 	n.Tick(start, peers)
-	n.relays.due = start.Add(relayPause)
+	n.relayQueue.nextFlush = start.Add(relayInterval)
 	n.Step(peers, "b", &msg.Rumor{Set: msg.SetHosts, Entries: []msg.Entry{hostEntry("x", 1)}})
 	n.Take()
-	n.Tick(start.Add(relayPause+time.Millisecond), peers)
+	n.Tick(start.Add(relayInterval+time.Millisecond), peers)
 	out, _ := n.Take()
 	for _, o := range out {
 		if r, ok := o.Msg.(*msg.Rumor); ok {
--- a/internal/core/config/set.go
+++ b/internal/core/config/set.go
@@ -1,11 +1,11 @@
-// Package config replicates versioned entries among the hosts: the operators'
-// records, and what each host says of itself.
+// Package config replicates versioned entries among the hosts: the operators' records,
+// what each host publishes about itself, and instance ends.
 //
-// Fresh entries are pushed as rumors to a few random peers; digests to one
-// random peer at a time repair what was lost. A process applies an entry only
-// where its version is greater than the one it has, wherever it comes from,
-// and deletions leave tombstones, so that no process goes back and no peer
-// brings a deleted entry back. The package does no I/O.
+// New entries are pushed as rumors to a few random peers; periodic digests to a random
+// peer repair losses (anti-entropy). A process applies an entry only if its version is
+// greater than the one it holds, whatever its source, and deletions leave tombstones, so
+// that no process goes back to an older version and no peer restores a deleted entry. The
+// package performs no I/O.
 package config
 
 import (
@@ -17,31 +17,31 @@
 )
 
 const (
-	// BucketCount is the number of buckets a digest compares: enough that a
-	// differing bucket of the largest set (106,000 entries) lists about 100.
+	// BucketCount is the number of buckets compared by a digest. A differing bucket of
+	// the largest set (106,000 entries) lists about 100 entries.
 	BucketCount = 1024
-	// maxTombstones bounds the deletions a set remembers.
+	// maxTombstones bounds the number of deletions a set remembers.
 	maxTombstones = 50000
 )
 
-// Key names an entry within a set.
+// Key identifies an entry within a set.
 type Key struct {
 	Kind string
 	Name string
 }
 
-// Set is one replicated set.
+// Set is a replicated set.
 type Set struct {
-	entries map[Key]msg.Entry
-	buckets [BucketCount]bucket
-	root    uint64
-	live    int
-	newest  int64
-	// tombs holds the deleted keys in the order they came, for their bound.
-	tombs []Key
-	// forgotten is the greatest version of a dropped tombstone: an entry not
-	// held at or below it may be a deleted one and is refused.
-	forgotten int64
+	entries   map[Key]msg.Entry
+	buckets   [BucketCount]bucket
+	root      uint64
+	liveCount int
+	newest    int64
+	// tombstones holds the deleted keys in order of arrival, to bound their number.
+	tombstones []Key
+	// maxDroppedVersion is the greatest version of a dropped tombstone. Entries not held
+	// with this version or an older one may have been deleted and are refused.
+	maxDroppedVersion int64
 }
 
 type bucket struct {
@@ -49,18 +49,17 @@
 	keys map[Key]struct{}
 }
 
-// NewSet makes an empty set.
+// NewSet returns an empty set.
 func NewSet() *Set { return &Set{entries: make(map[Key]msg.Entry)} }
 
-// Apply takes an entry where it is newer than what the set has, and reports
-// whether it did.
+// Apply stores an entry if it is newer than the one held, and reports whether it did.
 func (s *Set) Apply(e msg.Entry) bool {
 	key := Key{e.Kind, e.Name}
 	old, held := s.entries[key]
 	if held && e.Version <= old.Version {
 		return false
 	}
-	if !held && e.Version <= s.forgotten {
+	if !held && e.Version <= s.maxDroppedVersion {
 		return false
 	}
 	s.put(key, old, held, e)
@@ -76,35 +75,35 @@
 		s.toggle(b, old)
 	}
 	if held && !old.Deleted {
-		s.live--
+		s.liveCount--
 	}
 	s.toggle(b, e)
 	b.keys[key] = struct{}{}
 	s.entries[key] = e
 	s.newest = max(s.newest, e.Version)
 	if !e.Deleted {
-		s.live++
+		s.liveCount++
 		return
 	}
-	s.tombs = append(s.tombs, key)
-	for len(s.tombs) > maxTombstones {
-		s.forget(s.tombs[0])
-		s.tombs = s.tombs[1:]
+	s.tombstones = append(s.tombstones, key)
+	for len(s.tombstones) > maxTombstones {
+		s.dropTombstone(s.tombstones[0])
+		s.tombstones = s.tombstones[1:]
 	}
 }
 
-// forget drops one tombstone.
-func (s *Set) forget(key Key) {
+// dropTombstone drops one tombstone.
+func (s *Set) dropTombstone(key Key) {
 	e, ok := s.entries[key]
 	if !ok || !e.Deleted {
 		return
 	}
 	s.Remove(key)
-	s.forgotten = max(s.forgotten, e.Version)
+	s.maxDroppedVersion = max(s.maxDroppedVersion, e.Version)
 }
 
-// Remove drops an entry without a tombstone, for entries that their only
-// writer can bring back with a greater version alone.
+// Remove drops an entry without a tombstone. It is meant for entries that only their
+// single writer can restore, with a greater version.
 func (s *Set) Remove(key Key) {
 	e, ok := s.entries[key]
 	if !ok {
@@ -115,40 +114,40 @@
 	delete(b.keys, key)
 	delete(s.entries, key)
 	if !e.Deleted {
-		s.live--
+		s.liveCount--
 	}
 }
 
-// toggle adds or removes an entry's hash; the exclusive or is its own inverse.
+// toggle adds or removes an entry's hash; XOR is its own inverse.
 func (s *Set) toggle(b *bucket, e msg.Entry) {
 	h := entryHash(e)
 	b.hash ^= h
 	s.root ^= h
 }
 
-// Get reads an entry; a tombstone counts as held.
+// Get returns an entry; a tombstone counts as held.
 func (s *Set) Get(key Key) (msg.Entry, bool) {
 	e, ok := s.entries[key]
 	return e, ok
 }
 
-// Root is the hash of all keys and versions.
+// Root returns the hash of all keys and versions.
 func (s *Set) Root() uint64 { return s.root }
 
-// Len counts the entries that are not deleted.
-func (s *Set) Len() int { return s.live }
+// Len returns the number of entries that are not deleted.
+func (s *Set) Len() int { return s.liveCount }
 
-// Newest is the greatest version applied.
+// Newest returns the greatest version applied.
 func (s *Set) Newest() int64 { return s.newest }
 
-// Each calls f for every entry, tombstones included, in no order.
+// Each calls f for every entry, including tombstones, in no particular order.
 func (s *Set) Each(f func(msg.Entry)) {
 	for _, e := range s.entries {
 		f(e)
 	}
 }
 
-// Hashes lists the hash of every bucket.
+// Hashes returns the hashes of all buckets.
 func (s *Set) Hashes() []uint64 {
 	out := make([]uint64, BucketCount)
 	for i := range s.buckets {
@@ -157,8 +156,8 @@
 	return out
 }
 
-// Differ lists the buckets whose hash is another than the peer's.
-func (s *Set) Differ(peer []uint64) []uint32 {
+// DifferingBuckets returns the buckets whose hash differs from the peer's.
+func (s *Set) DifferingBuckets(peer []uint64) []uint32 {
 	var out []uint32
 	for i := range min(len(peer), BucketCount) {
 		if s.buckets[i].hash != peer[i] {
@@ -168,7 +167,7 @@
 	return out
 }
 
-// Items lists the keys and versions in some buckets.
+// Items returns the keys and versions in the given buckets.
 func (s *Set) Items(buckets []uint32) []msg.VersionItem {
 	var out []msg.VersionItem
 	for _, b := range buckets {
@@ -182,7 +181,7 @@
 	return out
 }
 
-// CompareAll is Compare for a list of everything the peer has.
+// CompareAll is like Compare for a list of all the peer's entries.
 func (s *Set) CompareAll(items []msg.VersionItem) (pull []msg.VersionItem, push []msg.Entry) {
 	pull, _ = s.Compare(nil, items)
 	theirs := make(map[Key]int64, len(items))
@@ -197,7 +196,7 @@
 	return pull, push
 }
 
-// AllItems lists every key and version.
+// AllItems returns all keys and versions.
 func (s *Set) AllItems() []msg.VersionItem {
 	out := make([]msg.VersionItem, 0, len(s.entries))
 	for key, e := range s.entries {
@@ -206,15 +205,15 @@
 	return out
 }
 
-// Compare sorts out a peer's list for some buckets: what the peer has newer,
-// to pull, and what is newer here, to push.
+// Compare compares a peer's list for the given buckets with the set. It returns the items
+// to pull, which are newer at the peer, and the entries to push, which are newer here.
 func (s *Set) Compare(buckets []uint32, items []msg.VersionItem) (pull []msg.VersionItem, push []msg.Entry) {
 	theirs := make(map[Key]int64, len(items))
 	for _, it := range items {
 		key := Key{it.Kind, it.Name}
 		theirs[key] = it.Version
 		e, held := s.entries[key]
-		if it.Version > e.Version && (held || it.Version > s.forgotten) {
+		if it.Version > e.Version && (held || it.Version > s.maxDroppedVersion) {
 			pull = append(pull, it)
 		}
 	}
