--- a/internal/core/member/live.go
+++ b/internal/core/member/live.go
@@ -2,26 +2,27 @@
 
 import "slices"
 
-// liveLists are the names of the hosts not held for dead, kept in order as single
-// hosts come and go: whoever needs a few peers asks for them with every message.
-// Built anew after each change, they took 22 % of the processor time of a fleet of
-// 354 hosts that started as one.
+// liveLists holds the sorted names of the hosts not considered dead. The lists are
+// updated incrementally, since they are read for every message that needs a few peers:
+// rebuilding them after each change took 22 % of the processor time of a fleet of 354
+// hosts that started at once.
 type liveLists struct {
-	// own is the own data centre.
-	own string
-	// near are the hosts of the own data centre.
+	// ownDC is this host's data centre.
+	ownDC string
+	// near holds the hosts of this data centre.
 	near []string
-	// far has a list for each other data centre that has a live host, in the order
-	// of dcs.
+	// far holds one list for each other data centre with a live host, in the order of
+	// dcs.
 	far [][]string
 	dcs []string
 }
 
-// keep lists a member where it belongs.
-func (l *liveLists) keep(m *Member) {
+// update adds a member to its list, moves it or removes it, depending on its status and
+// data centre.
+func (l *liveLists) update(m *Member) {
 	live := m.Status != Dead
 	if m.listed && (!live || m.listedDC != m.DC) {
-		l.drop(m)
+		l.removeMember(m)
 	}
 	if live && !m.listed {
 		l.add(m.Host, m.DC)
@@ -29,8 +30,8 @@
 	}
 }
 
-// drop takes a member out of the lists.
-func (l *liveLists) drop(m *Member) {
+// removeMember removes a member from the lists.
+func (l *liveLists) removeMember(m *Member) {
 	if m.listed {
 		l.remove(m.Host, m.listedDC)
 		m.listed = false
@@ -38,7 +39,7 @@
 }
 
 func (l *liveLists) add(host, dc string) {
-	if dc == l.own {
+	if dc == l.ownDC {
 		l.near = insert(l.near, host)
 		return
 	}
@@ -51,7 +52,7 @@
 }
 
 func (l *liveLists) remove(host, dc string) {
-	if dc == l.own {
+	if dc == l.ownDC {
 		l.near = without(l.near, host)
 		return
 	}
--- a/internal/core/member/live_test.go
+++ b/internal/core/member/live_test.go
@@ -19,8 +19,8 @@
 
 func hostName(i int) string { return fmt.Sprintf("h%04d", i) }
 
-// listed is what Live must give, built from all members at once.
-func listed(n *Node) (near []string, far [][]string) {
+// expectedLive computes the expected result of Live from all members.
+func expectedLive(n *Node) (near []string, far [][]string) {
 	byDC := make(map[string][]string)
 	for _, m := range n.members {
 		switch {
@@ -44,8 +44,8 @@
 	return near, far
 }
 
-// Whatever happens to members, the lists name those that live, each once and in
-// order, and suspects are those that may still refute.
+// After any sequence of changes, the lists contain each live host once, in order, and
+// suspects are exactly the members that may still refute.
 func TestTheListsFollowTheMembers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n, now := newTestNode(), time.Unix(1000, 0)
@@ -64,7 +64,7 @@
 				n.Forget(host)
 			}
 			near, far := n.Live()
-			wantNear, wantFar := listed(n)
+			wantNear, wantFar := expectedLive(n)
 			assert.Assert(t, slices.Equal(near, wantNear), "%v, not %v", near, wantNear)
 			assert.Assert(t, slices.EqualFunc(far, wantFar, slices.Equal), "%v, not %v", far, wantFar)
 			for _, m := range n.members {
@@ -75,18 +75,18 @@
 	})
 }
 
-// Callers of a fleet that had lost its power waited while it started: every host
-// sorted the names of all others with nearly every message that told of one more,
-// 22 % of a start's processor time at 354 hosts. What a message costs must not grow
-// with the fleet, so the list of a large one is not copied.
+// Guards against rebuilding the host lists for each change: after a power loss, every
+// host sorted the names of all others with nearly every message about a new one, which
+// took 22 % of the processor time of a start of 354 hosts and delayed callers. The cost
+// of a message must not grow with the fleet, so a large list is not copied.
 func TestOneMoreHostCostsTheSameInALargeFleet(t *testing.T) {
-	small, large := allocationsOfOneChange(t, 24), allocationsOfOneChange(t, 1600)
+	small, large := allocsPerChange(t, 24), allocsPerChange(t, 1600)
 	assert.Assert(t, large <= small, "%.1f allocations at 1,600 hosts, %.1f at 24", large, small)
 }
 
-// allocationsOfOneChange is what it takes that a host dies, is heard of again, and
-// peers are asked for after each.
-func allocationsOfOneChange(t *testing.T, hosts int) float64 {
+// allocsPerChange returns the allocations for a host that dies and is heard of again,
+// with the live peers read after each change.
+func allocsPerChange(t *testing.T, hosts int) float64 {
 	t.Helper()
 	n, now := newTestNode(), time.Unix(1000, 0)
 	for i := range hosts {
@@ -104,9 +104,9 @@
 	})
 }
 
-// Nanoseconds for a host that dies, comes back, and peers asked for after each, at
-// 24, 354 and 1,600 hosts: 206, 226 and 469 (5,527, 95,377 and 540,185 with the lists
-// built anew after each change).
+// One host dies and comes back, with the live peers read after each change. Reference at
+// 24, 354 and 1,600 hosts: 206, 226 and 469 ns (5,527, 95,377 and 540,185 ns if the lists
+// are rebuilt after each change).
 func BenchmarkOneHostComesAndGoes(b *testing.B) {
 	for _, hosts := range []int{24, 354, 1600} {
 		b.Run(fmt.Sprint(hosts), func(b *testing.B) {
--- a/internal/core/member/member.go
+++ b/internal/core/member/member.go
@@ -1,11 +1,10 @@
-// Package member finds out which hosts live, in the manner of SWIM: direct
-// and indirect probes, suspicion before death, and refutation by the accused.
+// Package member detects which hosts are alive, based on SWIM: direct and indirect
+// probes, suspicion before death, and refutation by the suspect.
 //
-// What a host says of itself travels as a versioned entry with the host as its
-// only writer (package config); here a version is only compared. A claim about
-// a host is about one version of it, and the host refutes by writing a greater
-// one. Probes are dense within a data centre and sparse across. The package
-// does no I/O.
+// Each host publishes a versioned entry about itself, of which it is the only writer
+// (package config); this package only compares versions. A claim refers to one version of
+// a host, and the host refutes it by publishing a greater one. Probes are frequent within
+// a data centre and rare across data centres. The package performs no I/O.
 package member
 
 import (
@@ -16,19 +15,19 @@
 	"github.com/radishhoist/radishhoist/internal/msg"
 )
 
-// Status is a host's life as this process sees it.
+// Status is the state of a host as seen by this process.
 type Status uint8
 
 const (
-	// Alive is the state of a host that answers.
+	// Alive is a host that responds.
 	Alive Status = iota
-	// Suspect is a host that did not answer and may still refute.
+	// Suspect is a host that did not respond and may still refute the suspicion.
 	Suspect
 	// Dead is a host that did not refute in time.
 	Dead
 )
 
-// String names the status.
+// String returns the name of the status.
 func (s Status) String() string {
 	switch s {
 	case Suspect:
@@ -40,75 +39,75 @@
 	}
 }
 
-// Config has the parameters of a Node.
+// Config holds the parameters of a Node.
 type Config struct {
 	// Host is this host's name.
 	Host string
-	// ProbeInterval is the time between two probes. Shorter finds dead hosts
-	// sooner and sends more.
+	// ProbeInterval is the time between two probes. A shorter interval detects dead
+	// hosts sooner and sends more.
 	ProbeInterval time.Duration
-	// ProbeTimeout is how long a direct probe may go unanswered before
-	// others are asked; it must exceed the round trip across data centres.
+	// ProbeTimeout is the time without an answer after which a direct probe is followed
+	// by indirect ones. It must exceed the round trip across data centres.
 	ProbeTimeout time.Duration
-	// Suspicion is how long a suspect may refute. Shorter is quicker and
-	// wrong more often.
+	// Suspicion is how long a suspect may refute. A shorter time detects deaths sooner
+	// and is wrong more often.
 	Suspicion time.Duration
-	// Helpers is how many hosts are asked to probe indirectly.
-	Helpers int
-	// FarShare is the share of probes that go to another data centre.
-	FarShare float64
-	// DeadProbe is the time between two probes of a host held for dead, which
-	// heal a split whose both sides hold each other for dead.
-	DeadProbe time.Duration
-	// NotesPerPacket bounds the claims in one packet.
+	// IndirectProbes is the number of hosts asked to probe indirectly.
+	IndirectProbes int
+	// RemoteProbeShare is the fraction of probes sent to another data centre.
+	RemoteProbeShare float64
+	// DeadProbeInterval is the time between two probes of hosts considered dead. These
+	// probes heal a partition in which both sides consider each other dead.
+	DeadProbeInterval time.Duration
+	// NotesPerPacket is the maximum number of claims in one packet.
 	NotesPerPacket int
 }
 
-// DefaultConfig suits data centres a few milliseconds apart.
+// DefaultConfig returns parameters for data centres a few milliseconds apart.
 func DefaultConfig(host string) Config {
 	return Config{
-		Host:           host,
-		ProbeInterval:  time.Second,
-		ProbeTimeout:   300 * time.Millisecond,
-		Suspicion:      4 * time.Second,
-		Helpers:        3,
-		FarShare:       0.1,
-		DeadProbe:      5 * time.Second,
-		NotesPerPacket: 12,
+		Host:              host,
+		ProbeInterval:     time.Second,
+		ProbeTimeout:      300 * time.Millisecond,
+		Suspicion:         4 * time.Second,
+		IndirectProbes:    3,
+		RemoteProbeShare:  0.1,
+		DeadProbeInterval: 5 * time.Second,
+		NotesPerPacket:    12,
 	}
 }
 
-// Member is one host as this process sees it.
+// Member is a host as seen by this process.
 type Member struct {
 	Host    string
 	DC      string
 	Peer    string
 	Version int64
 	Status  Status
-	// Since is when the status began.
+	// Since is when the status last changed.
 	Since time.Time
-	// LastHeard is when a packet of the host last came.
+	// LastHeard is when the last packet from the host arrived.
 	LastHeard time.Time
-	// learnt is the version that DC and Peer are of; Version may be newer.
-	learnt int64
-	// listed says that the host is in the lists of live ones, under listedDC.
+	// descriptorVersion is the version that DC and Peer belong to; Version may be newer.
+	descriptorVersion int64
+	// listed reports whether the host is in the live lists, under listedDC.
 	listed   bool
 	listedDC string
 }
 
-// Change is a status that has changed.
+// Change is a change of a host's status.
 type Change struct {
 	Host   string
 	Status Status
 }
 
-// Datagram is one packet to send, to an address.
+// Datagram is a packet to send to an address.
 type Datagram struct {
 	To     string
 	Packet *msg.Packet
 }
 
-// Node is one host's membership. It is not safe for concurrent use.
+// Node is the membership state of one host. It is not safe for concurrent use.
 type Node struct {
 	cfg     Config
 	rng     *rand.Rand
@@ -118,76 +117,75 @@
 
 	members map[string]*Member
 	live    liveLists
-	// suspects are the members that may still refute.
-	suspects map[string]*Member
-	ring     []string
+	// suspects holds the members that may still refute.
+	suspects  map[string]*Member
+	probeRing []string
 
-	seq       uint64
-	probes    map[uint64]*probe
-	relays    map[uint64]relay
-	nextProbe time.Time
-	nextDead  time.Time
-	failed    int
-	notes     map[string]*rumor
+	seq                 uint64
+	probes              map[uint64]*probe
+	relays              map[uint64]relay
+	nextProbe           time.Time
+	nextDead            time.Time
+	consecutiveFailures int
+	rumors              map[string]*rumor
 
 	accused bool
 	out     []Datagram
 	changes []Change
 }
 
-// probe is one probe under way.
+// probe is a probe without an answer yet.
 type probe struct {
 	host     string
 	sent     time.Time
 	indirect bool
 }
 
-// relay is a probe made for another host.
+// relay is an indirect probe made for another host.
 type relay struct {
 	peer string
 	seq  uint64
 	sent time.Time
 }
 
-// rumor is a claim still to be spread.
+// rumor is a claim that is still being disseminated.
 type rumor struct {
-	note msg.Note
-	left int
+	note      msg.Note
+	sendsLeft int
 }
 
-// New makes a Node for a host at an address.
+// New returns a Node for a host at an address.
 func New(cfg Config, dc, peer string, version int64, rng *rand.Rand) *Node {
 	return &Node{
 		cfg: cfg, rng: rng, dc: dc, peer: peer, version: version,
 		members:  make(map[string]*Member),
-		live:     liveLists{own: dc},
+		live:     liveLists{ownDC: dc},
 		suspects: make(map[string]*Member),
 		probes:   make(map[uint64]*probe),
 		relays:   make(map[uint64]relay),
-		notes:    make(map[string]*rumor),
+		rumors:   make(map[string]*rumor),
 	}
 }
 
-// SetVersion tells the Node that this host has written a new version of
-// itself.
+// SetVersion records that this host has published a new version of its entry.
 func (n *Node) SetVersion(v int64) {
 	n.version = v
 	n.accused = false
 }
 
-// Accused says that others claim this host's present version is not alive:
-// the caller writes a greater version to refute.
+// Accused reports whether others claim that this host's current version is not alive. The
+// caller publishes a greater version to refute the claim.
 func (n *Node) Accused() bool { return n.accused }
 
-// Isolated says that this host hears almost nobody, so that its judgement of
-// others is worth nothing.
-func (n *Node) Isolated() bool { return n.failed >= isolatedAfter }
+// Isolated reports whether this host receives so few answers that it cannot judge other
+// hosts.
+func (n *Node) Isolated() bool { return n.consecutiveFailures >= isolationThreshold }
 
-// isolatedAfter is how many probes in a row, of different hosts, may fail
-// before the fault is sought here.
-const isolatedAfter = 3
+// isolationThreshold is the number of consecutive failed probes, of different hosts, from
+// which the fault is assumed to be local.
+const isolationThreshold = 3
 
-// Members lists the known hosts by name, without this one.
+// Members returns the known hosts except this one, sorted by name.
 func (n *Node) Members() []Member {
 	out := make([]Member, 0, len(n.members))
 	for _, m := range n.members {
@@ -197,7 +195,7 @@
 	return out
 }
 
-// Status reads one host's status; an unknown host is Dead.
+// Status returns the status of a host; an unknown host is Dead.
 func (n *Node) Status(host string) Status {
 	if host == n.cfg.Host {
 		return Alive
@@ -208,26 +206,26 @@
 	return Dead
 }
 
-// Live lists the hosts not held for dead, each list in order of name: those of
-// the own data centre, and a list for each other one. The lists hold until the
-// Node is next called and are not to be changed.
+// Live returns the hosts not considered dead, sorted by name: those of this data centre,
+// and one list for each other data centre. The lists are valid until the next call of a
+// method of the Node and must not be modified.
 func (n *Node) Live() (near []string, far [][]string) { return n.live.near, n.live.far }
 
-// Alone says that no other host is known to live.
+// Alone reports whether no other host is known to be alive.
 func (n *Node) Alone() bool {
 	near, far := n.Live()
 	return len(near)+len(far) == 0
 }
 
-// Take gives what is to be sent and which statuses have changed.
+// Take returns and clears the datagrams to send and the status changes.
 func (n *Node) Take() ([]Datagram, []Change) {
 	out, changes := n.out, n.changes
 	n.out, n.changes = nil, nil
 	return out, changes
 }
 
-// Learn takes what a host says of itself. A greater version than known is
-// proof of life and refutes older claims.
+// Learn processes a host's published entry. A version greater than the known one proves
+// that the host is alive and refutes older claims.
 func (n *Node) Learn(now time.Time, host, dc, peer string, version int64) {
 	if host == n.cfg.Host {
 		return
@@ -237,33 +235,32 @@
 		m = &Member{Host: host, Status: Dead}
 		n.members[host] = m
 	}
-	if ok && version <= m.learnt {
+	if ok && version <= m.descriptorVersion {
 		return
 	}
-	m.DC, m.Peer, m.learnt = dc, peer, version
-	n.revive(now, m, version)
-	n.live.keep(m)
+	m.DC, m.Peer, m.descriptorVersion = dc, peer, version
+	n.confirmAlive(now, m, version)
+	n.live.update(m)
 }
 
-// revive takes a version of a host as proof of life where it is newer than
-// every claim about the host.
-func (n *Node) revive(now time.Time, m *Member, version int64) {
+// confirmAlive marks a host alive if the version is newer than all claims about it.
+func (n *Node) confirmAlive(now time.Time, m *Member, version int64) {
 	if version <= m.Version {
 		return
 	}
 	m.Version = version
-	delete(n.notes, m.Host)
+	delete(n.rumors, m.Host)
 	n.setStatus(now, m, Alive)
 }
 
-// Forget drops a host that has left for good.
+// Forget removes a host that has left permanently.
 func (n *Node) Forget(host string) {
 	if m, ok := n.members[host]; ok {
-		n.live.drop(m)
+		n.live.removeMember(m)
 	}
 	delete(n.members, host)
 	delete(n.suspects, host)
-	delete(n.notes, host)
+	delete(n.rumors, host)
 }
 
 func (n *Node) setStatus(now time.Time, m *Member, s Status) {
@@ -277,6 +274,6 @@
 	} else {
 		delete(n.suspects, m.Host)
 	}
-	n.live.keep(m)
+	n.live.update(m)
 	n.changes = append(n.changes, Change{Host: m.Host, Status: s})
 }
--- a/internal/core/member/probe.go
+++ b/internal/core/member/probe.go
@@ -7,13 +7,13 @@
 	"github.com/radishhoist/radishhoist/internal/msg"
 )
 
-// Tick sends the probes that are due and judges those that went unanswered.
+// Tick sends the probes that are due and handles those that timed out.
 func (n *Node) Tick(now time.Time) {
-	n.judgeProbes(now)
-	n.burySuspects(now)
+	n.checkProbes(now)
+	n.expireSuspects(now)
 	if !now.Before(n.nextProbe) {
 		n.nextProbe = now.Add(n.cfg.ProbeInterval)
-		if host, ok := n.nextTarget(); ok {
+		if host, ok := n.nextProbeHost(); ok {
 			n.probe(now, host)
 		}
 	}
@@ -22,24 +22,24 @@
 	}
 }
 
-// nextTarget goes round the near hosts in random order, so that each is
-// probed once a round; now and then it takes a far one.
-func (n *Node) nextTarget() (string, bool) {
+// nextProbeHost iterates over the near hosts in random order, so that each is probed once
+// per round. Occasionally it returns a host of another data centre.
+func (n *Node) nextProbeHost() (string, bool) {
 	near, far := n.Live()
-	if len(far) > 0 && (len(near) == 0 || n.rng.Float64() < n.cfg.FarShare) {
+	if len(far) > 0 && (len(near) == 0 || n.rng.Float64() < n.cfg.RemoteProbeShare) {
 		dc := far[n.rng.IntN(len(far))]
 		return dc[n.rng.IntN(len(dc))], true
 	}
 	for {
-		if len(n.ring) == 0 {
+		if len(n.probeRing) == 0 {
 			if len(near) == 0 {
 				return "", false
 			}
-			n.ring = append(n.ring[:0], near...)
-			n.rng.Shuffle(len(n.ring), func(i, j int) { n.ring[i], n.ring[j] = n.ring[j], n.ring[i] })
+			n.probeRing = append(n.probeRing[:0], near...)
+			n.rng.Shuffle(len(n.probeRing), func(i, j int) { n.probeRing[i], n.probeRing[j] = n.probeRing[j], n.probeRing[i] })
 		}
-		host := n.ring[0]
-		n.ring = n.ring[1:]
+		host := n.probeRing[0]
+		n.probeRing = n.probeRing[1:]
 		if m, ok := n.members[host]; ok && m.Status != Dead {
 			return host, true
 		}
@@ -53,31 +53,31 @@
 	n.send(m.Peer, &msg.Packet{Kind: msg.PacketPing, Seq: n.seq, Target: host})
 }
 
-// recentlyDead is how long a host held for dead is probed often: most come back
-// soon after a restart, and one that starts while the platform is away is found
-// only by its old peers.
-const recentlyDead = time.Minute
+// recentDeathPeriod is how long a dead host is probed frequently: most hosts return soon
+// after a restart, and one that starts while the platform is unreachable is found only by
+// its former peers.
+const recentDeathPeriod = time.Minute
 
-// probeDead pings one host that is held for dead. An answer at the version of
-// the claim is no proof of life; the host learns of the claim and refutes it,
-// and answers the next ping with a newer version. So a host that was heard of
-// late is asked again soon.
+// probeDead pings one host that is considered dead. An answer with the version of the
+// claim does not prove that the host is alive: the host learns of the claim, refutes it,
+// and answers the next ping with a newer version. Hosts heard from recently are therefore
+// probed again soon.
 func (n *Node) probeDead(now time.Time) {
-	// Jitter keeps two sides of a healed split from meeting in step.
-	n.nextDead = now.Add(n.cfg.DeadProbe/2 + time.Duration(n.rng.Int64N(int64(n.cfg.DeadProbe))))
-	var dead, heard []string
+	// Jitter keeps the two sides of a healed partition from probing in step.
+	n.nextDead = now.Add(n.cfg.DeadProbeInterval/2 + time.Duration(n.rng.Int64N(int64(n.cfg.DeadProbeInterval))))
+	var dead, recent []string
 	for _, m := range n.members {
 		if m.Status != Dead || m.Peer == "" {
 			continue
 		}
 		dead = append(dead, m.Host)
-		if now.Sub(m.LastHeard) < 2*n.cfg.DeadProbe || now.Sub(m.Since) < recentlyDead {
-			heard = append(heard, m.Host)
+		if now.Sub(m.LastHeard) < 2*n.cfg.DeadProbeInterval || now.Sub(m.Since) < recentDeathPeriod {
+			recent = append(recent, m.Host)
 		}
 	}
-	if len(heard) > 0 {
+	if len(recent) > 0 {
 		n.nextDead = now.Add(n.cfg.ProbeInterval)
-		dead = heard
+		dead = recent
 	}
 	if len(dead) == 0 {
 		return
@@ -91,13 +91,14 @@
 	n.send(m.Peer, p)
 }
 
-// judgeProbes asks helpers after ProbeTimeout and accuses after ProbeInterval.
-func (n *Node) judgeProbes(now time.Time) {
+// checkProbes sends ping requests after ProbeTimeout, and fails the probe after
+// ProbeInterval or three times ProbeTimeout, whichever is longer.
+func (n *Node) checkProbes(now time.Time) {
 	for seq, p := range n.probes {
 		age := now.Sub(p.sent)
 		if age >= n.cfg.ProbeTimeout && !p.indirect {
 			p.indirect = true
-			n.askHelpers(seq, p)
+			n.sendPingRequests(seq, p)
 		}
 		if age >= max(n.cfg.ProbeInterval, 3*n.cfg.ProbeTimeout) {
 			delete(n.probes, seq)
@@ -111,90 +112,91 @@
 	}
 }
 
-func (n *Node) askHelpers(seq uint64, p *probe) {
+func (n *Node) sendPingRequests(seq uint64, p *probe) {
 	m, ok := n.members[p.host]
 	near, _ := n.Live()
 	if !ok || len(near) == 0 {
 		return
 	}
-	asked := 0
+	sent := 0
 	for _, i := range n.rng.Perm(len(near)) {
 		helper := n.members[near[i]]
 		if helper.Host == p.host || helper.Status != Alive {
 			continue
 		}
 		n.send(helper.Peer, &msg.Packet{Kind: msg.PacketPingRequest, Seq: seq, Target: p.host, TargetPeer: m.Peer})
-		if asked++; asked == n.cfg.Helpers {
+		if sent++; sent == n.cfg.IndirectProbes {
 			return
 		}
 	}
 }
 
-// probeFailed accuses a host, unless the fault is likely this host's own: a
-// host that hears nobody accuses nobody.
+// probeFailed marks a host as suspect, unless the fault is probably local: a host that
+// receives no answers suspects nobody.
 func (n *Node) probeFailed(now time.Time, host string) {
-	n.failed++
+	n.consecutiveFailures++
 	m, ok := n.members[host]
 	if !ok || m.Status != Alive || n.Isolated() {
 		return
 	}
-	n.accuse(now, m, Suspect)
+	n.declare(now, m, Suspect)
 }
 
-func (n *Node) accuse(now time.Time, m *Member, s Status) {
+func (n *Node) declare(now time.Time, m *Member, s Status) {
 	n.setStatus(now, m, s)
-	n.spread(msg.Note{Host: m.Host, Version: m.Version, Status: uint8(s)})
+	n.addRumor(msg.Note{Host: m.Host, Version: m.Version, Status: uint8(s)})
 }
 
-// burySuspects holds suspects for dead that did not refute in time.
-func (n *Node) burySuspects(now time.Time) {
+// expireSuspects declares suspects dead that did not refute in time.
+func (n *Node) expireSuspects(now time.Time) {
 	if n.Isolated() {
 		return
 	}
 	for _, m := range n.suspects {
 		if now.Sub(m.Since) >= n.cfg.Suspicion {
-			n.accuse(now, m, Dead)
+			n.declare(now, m, Dead)
 		}
 	}
 }
 
-// spreadFactor is how many packets per doubling of the fleet carry a claim.
-const spreadFactor = 3
+// retransmitFactor is the number of packets, per doubling of the fleet size, that carry a
+// claim.
+const retransmitFactor = 3
 
-func (n *Node) spread(note msg.Note) {
-	left := spreadFactor
+func (n *Node) addRumor(note msg.Note) {
+	sends := retransmitFactor
 	for size := len(n.members); size > 0; size /= 2 {
-		left += spreadFactor
+		sends += retransmitFactor
 	}
-	n.notes[note.Host] = &rumor{note: note, left: left}
+	n.rumors[note.Host] = &rumor{note: note, sendsLeft: sends}
 }
 
-// takeNotes picks the claims for one packet: first what is said of the target
-// itself, then those least spread.
-func (n *Node) takeNotes(target string) []msg.Note {
-	if len(n.notes) == 0 {
+// selectNotes picks the claims for one packet: first those about the destination itself,
+// then those sent least often.
+func (n *Node) selectNotes(destination string) []msg.Note {
+	if len(n.rumors) == 0 {
 		return nil
 	}
-	order := make([]*rumor, 0, len(n.notes))
-	for _, r := range n.notes {
-		order = append(order, r)
+	byPriority := make([]*rumor, 0, len(n.rumors))
+	for _, r := range n.rumors {
+		byPriority = append(byPriority, r)
 	}
-	sort.Slice(order, func(i, j int) bool {
-		a, b := order[i], order[j]
-		if (a.note.Host == target) != (b.note.Host == target) {
-			return a.note.Host == target
+	sort.Slice(byPriority, func(i, j int) bool {
+		a, b := byPriority[i], byPriority[j]
+		if (a.note.Host == destination) != (b.note.Host == destination) {
+			return a.note.Host == destination
 		}
-		if a.left != b.left {
-			return a.left > b.left
+		if a.sendsLeft != b.sendsLeft {
+			return a.sendsLeft > b.sendsLeft
 		}
 		return a.note.Host < b.note.Host
 	})
-	order = order[:min(len(order), n.cfg.NotesPerPacket)]
-	out := make([]msg.Note, 0, len(order))
-	for _, r := range order {
+	byPriority = byPriority[:min(len(byPriority), n.cfg.NotesPerPacket)]
+	out := make([]msg.Note, 0, len(byPriority))
+	for _, r := range byPriority {
 		out = append(out, r.note)
-		if r.left--; r.left <= 0 {
-			delete(n.notes, r.note.Host)
+		if r.sendsLeft--; r.sendsLeft <= 0 {
+			delete(n.rumors, r.note.Host)
 		}
 	}
 	return out
@@ -202,15 +204,15 @@
 
 func (n *Node) send(to string, p *msg.Packet) {
 	p.From, p.FromVersion, p.FromPeer = n.cfg.Host, n.version, n.peer
-	p.Notes = append(p.Notes, n.takeNotes(p.Target)...)
+	p.Notes = append(p.Notes, n.selectNotes(p.Target)...)
 	n.out = append(n.out, Datagram{To: to, Packet: p})
 }
 
-// Step takes one packet that came from an address.
+// Step processes a packet.
 func (n *Node) Step(now time.Time, p *msg.Packet) {
 	if m, ok := n.members[p.From]; ok {
 		m.LastHeard = now
-		n.revive(now, m, p.FromVersion)
+		n.confirmAlive(now, m, p.FromVersion)
 	}
 	for _, note := range p.Notes {
 		n.stepNote(now, note)
@@ -225,8 +227,8 @@
 	}
 }
 
-// stepPing answers, and tells a sender that is held for dead or suspect what
-// is claimed of it, so that it can refute.
+// stepPing answers a ping. A sender considered suspect or dead is told of the claim, so
+// that it can refute it.
 func (n *Node) stepPing(p *msg.Packet) {
 	if p.Target != n.cfg.Host {
 		return
@@ -250,21 +252,21 @@
 		n.send(r.peer, &msg.Packet{Kind: msg.PacketAck, Seq: r.seq})
 		return
 	}
-	probe, ok := n.probes[p.Seq]
+	sentProbe, ok := n.probes[p.Seq]
 	if !ok {
 		return
 	}
 	delete(n.probes, p.Seq)
-	n.failed = 0
-	// An answer in time takes this host's own suspicion back where nothing
-	// newer is claimed; others' suspicions need the accused's refutation.
-	if m, ok := n.members[probe.host]; ok && m.Status == Suspect && p.From == probe.host {
+	n.consecutiveFailures = 0
+	// An answer clears this host's own suspicion if nothing newer is claimed; other
+	// hosts' suspicions require a refutation by the suspect.
+	if m, ok := n.members[sentProbe.host]; ok && m.Status == Suspect && p.From == sentProbe.host {
 		n.setStatus(now, m, Alive)
-		delete(n.notes, m.Host)
+		delete(n.rumors, m.Host)
 	}
 }
 
-// stepNote takes a claim about one version of a host.
+// stepNote processes a claim about one version of a host.
 func (n *Node) stepNote(now time.Time, note msg.Note) {
 	status := Status(note.Status)
 	if status != Suspect && status != Dead {
@@ -280,5 +282,5 @@
 	if !ok || note.Version < m.Version || status <= m.Status {
 		return
 	}
-	n.accuse(now, m, status)
+	n.declare(now, m, status)
 }
