--- a/internal/core/contact/contact.go
+++ b/internal/core/contact/contact.go
@@ -1,11 +1,12 @@
-// Package contact decides which hosts a host calls that it knows by address only:
-// those that the platform names, those that probe it, and the seeds of its settings.
-// A call tells the other host of this one and asks for something in return, so that
-// no two parts of a fleet stay apart.
+// Package contact decides which hosts to call that are known by address only: those
+// listed by the platform, those that have sent probes, and the configured seeds. A call
+// announces this host to the other one and requests entries in return, so that no two
+// parts of a fleet stay separated.
 //
-// What a start costs must not grow with the square of the fleet where all hosts start
-// at once: a few are called at a time, since news of each spreads from host to host,
-// and one near host at a time is asked for all that it knows. The package does no I/O.
+// The cost of a start must not grow with the square of the fleet size when all hosts
+// start at once. Therefore few hosts are called at a time, since updates about each
+// spread from host to host, and only one near host at a time is asked for its complete set.
+// The package performs no I/O.
 package contact
 
 import (
@@ -16,38 +17,40 @@
 )
 
 const (
-	// callsAtOnce bounds the hosts called in one round: one of the own data centre
-	// and two far ones, so that the news of a start reaches the other data centres
-	// within some rounds.
-	callsAtOnce = 3
-	// roundInterval is the time between two rounds: news of a host reaches its data
-	// centre meanwhile, and most hosts need no call any more.
+	// maxCallsPerRound is the number of hosts called per round: one of this data centre
+	// and two remote ones, so that the other data centres learn of a start within a few
+	// rounds.
+	maxCallsPerRound = 3
+	// roundInterval is the time between two rounds. In the meantime updates about a host
+	// reach its data centre, and most hosts need no call any more.
 	roundInterval = 150 * time.Millisecond
-	// callAgain is the time between two calls to one host.
-	callAgain = 2 * time.Second
-	// maxTries bounds the calls to one host, which may be long gone.
-	maxTries = 5
-	// maxStrangers bounds the hosts that are waited for by their packets alone.
-	maxStrangers = 256
-	// fewMissing is up to how many hosts are asked for one by one. Where more are
-	// missing, all that another host knows is asked for.
-	fewMissing = 3
-	// wholeAgainMin and wholeAgainMax bound the time between two questions for all
-	// that a host knows: the answer has the length of the fleet, and in a start of all
-	// the first hosts know little themselves.
-	wholeAgainMin = 500 * time.Millisecond
-	wholeAgainMax = 4 * time.Second
+	// callInterval is the time between two calls to one host.
+	callInterval = 2 * time.Second
+	// maxCallsPerHost bounds the calls to one host, which may no longer exist.
+	maxCallsPerHost = 5
+	// maxCandidates is the number of candidates from which hosts known only from their
+	// packets are no longer added.
+	maxCandidates = 256
+	// maxSinglePulls is the number of missing hosts up to which they are requested one
+	// by one. If more are missing, another host's complete set is requested.
+	maxSinglePulls = 3
+	// minFullPullInterval and maxFullPullInterval bound the time between two requests
+	// for a complete set: the answer grows with the fleet, and when all hosts start at
+	// once, the first ones asked know little themselves.
+	minFullPullInterval = 500 * time.Millisecond
+	maxFullPullInterval = 4 * time.Second
 )
 
-// Call is one host to call.
+// Call is a call to one host.
 type Call struct {
-	// Addr is where it listens for other hosts, and Host its name, empty for a seed.
+	// Addr is the address on which it listens for other hosts. Host is its name, empty
+	// for a seed.
 	Addr, Host string
-	// Whole says that it is asked for all hosts that it knows, not for itself alone.
+	// Whole requests all hosts that it knows instead of only its own entry.
 	Whole bool
 }
 
-// Ask is the question of the call, for what hosts of a kind of entry say.
+// Ask returns the pull request of the call, for host entries of the given kind.
 func (c Call) Ask(kind string) *msg.Pull {
 	if c.Whole {
 		return &msg.Pull{Set: msg.SetHosts, All: true}
@@ -55,36 +58,36 @@
 	return &msg.Pull{Set: msg.SetHosts, Items: []msg.VersionItem{{Kind: kind, Name: c.Host}}}
 }
 
-// stranger is a host that is known by its address only.
-type stranger struct {
+// candidate is a host that is known by its address only.
+type candidate struct {
 	name, addr string
 	near       bool
-	tries      int
-	next       time.Time
+	calls      int
+	nextCall   time.Time
 }
 
-// Book holds whom to call. It is not safe for concurrent use.
+// Book holds the hosts to call. It is not safe for concurrent use.
 type Book struct {
 	dc  string
 	rng *rand.Rand
 
-	strangers map[string]*stranger
-	// order is that in which strangers are looked at: those called go to the end.
-	order []*stranger
+	candidates map[string]*candidate
+	// order is the order in which candidates are examined.
+	order []*candidate
 	seeds []string
-	// isSeed is the set of seeds.
-	isSeed    map[string]bool
-	nextRound time.Time
-	seedAt    time.Time
-	wholeAt   time.Time
-	wholeWait time.Duration
-	// calling says that strangers were called since Met last said so.
-	calling bool
+	// isSeed is the set of seed addresses.
+	isSeed           map[string]bool
+	nextRound        time.Time
+	nextSeedCall     time.Time
+	nextFullPull     time.Time
+	fullPullInterval time.Duration
+	// callsPending reports whether candidates were called since Met last returned true.
+	callsPending bool
 }
 
-// New makes a Book for a host of a data centre.
+// New returns a Book for a host in a data centre.
 func New(dc string, seeds []string, rng *rand.Rand) *Book {
-	b := &Book{dc: dc, rng: rng, strangers: make(map[string]*stranger), isSeed: make(map[string]bool), wholeWait: wholeAgainMin}
+	b := &Book{dc: dc, rng: rng, candidates: make(map[string]*candidate), isSeed: make(map[string]bool), fullPullInterval: minFullPullInterval}
 	for _, addr := range seeds {
 		b.addSeed(addr)
 	}
@@ -98,8 +101,8 @@
 	}
 }
 
-// Listed takes a host that the platform names. known says that the fleet has told of
-// it already.
+// Listed adds a host listed by the platform. known reports whether an update about it has
+// been received already.
 func (b *Book) Listed(name, dc, addr string, known bool) {
 	b.addSeed(addr)
 	if !known {
@@ -107,130 +110,132 @@
 	}
 }
 
-// Probed takes a host that is not known and that has sent a packet.
+// Probed adds an unknown host that has sent a packet.
 func (b *Book) Probed(name, addr string) {
-	if _, waits := b.strangers[name]; !waits && len(b.strangers) < maxStrangers {
+	if _, pending := b.candidates[name]; !pending && len(b.candidates) < maxCandidates {
 		b.add(name, addr, false)
 	}
 }
 
-// Strangers counts the hosts that are waited for.
-func (b *Book) Strangers() int { return len(b.strangers) }
+// Strangers returns the number of candidates.
+func (b *Book) Strangers() int { return len(b.candidates) }
 
-// add takes a stranger in at a random place, so that hosts that start at once and
-// read the same list do not all call the same hosts.
+// add inserts a candidate at a random position, so that hosts that start at once and read
+// the same list do not all call the same hosts.
 func (b *Book) add(name, addr string, near bool) {
-	if old, waits := b.strangers[name]; waits {
-		old.addr, old.near, old.tries = addr, near, 0
+	if old, pending := b.candidates[name]; pending {
+		old.addr, old.near, old.calls = addr, near, 0
 		return
 	}
-	s := &stranger{name: name, addr: addr, near: near}
-	b.strangers[name] = s
-	b.order = append(b.order, s)
+	c := &candidate{name: name, addr: addr, near: near}
+	b.candidates[name] = c
+	b.order = append(b.order, c)
 	i := b.rng.IntN(len(b.order))
 	last := len(b.order) - 1
 	b.order[i], b.order[last] = b.order[last], b.order[i]
 }
 
-// Due lists whom to call now. known says which hosts the fleet has told of, and alone
-// that there is none.
+// Due returns the calls to make now. known reports whether an update about a host has
+// been received, and alone whether no other host is known.
 func (b *Book) Due(now time.Time, known func(name string) bool, alone bool) []Call {
 	if now.Before(b.nextRound) {
 		return nil
 	}
-	b.forget(known)
-	calls := b.callStrangers(now, alone)
+	b.prune(known)
+	calls := b.callCandidates(now, alone)
 	if alone && len(calls) == 0 {
 		calls = b.callSeeds(now)
 	}
 	if len(calls) > 0 {
 		b.nextRound = now.Add(roundInterval)
-		b.calling = true
+		b.callsPending = true
 	}
 	return calls
 }
 
-// Met says, once, that the hosts that were called are known now, or given up. Most of
-// them learn of this host only if it tells the fleet of itself anew: what it said
-// before reached those alone that it knew then.
+// Met returns true once, when all called hosts have become known or were given up. The
+// caller then publishes this host's entry again: the earlier one reached only the hosts
+// known at that time.
 func (b *Book) Met(known func(name string) bool, alone bool) bool {
-	if !b.calling || alone {
+	if !b.callsPending || alone {
 		return false
 	}
-	b.forget(known)
-	if len(b.strangers) > 0 {
+	b.prune(known)
+	if len(b.candidates) > 0 {
 		return false
 	}
-	b.calling = false
+	b.callsPending = false
 	return true
 }
 
-// forget drops the strangers that are known by now, and those that do not answer.
-func (b *Book) forget(known func(name string) bool) {
+// prune removes the candidates that have become known and those that do not answer.
+func (b *Book) prune(known func(name string) bool) {
 	kept := b.order[:0]
-	for _, s := range b.order {
-		if s.tries >= maxTries || known(s.name) {
-			delete(b.strangers, s.name)
+	for _, c := range b.order {
+		if c.calls >= maxCallsPerHost || known(c.name) {
+			delete(b.candidates, c.name)
 			continue
 		}
-		kept = append(kept, s)
+		kept = append(kept, c)
 	}
 	clear(b.order[len(kept):])
 	b.order = kept
 }
 
-// callStrangers picks a round's calls: one near host first, then any.
-func (b *Book) callStrangers(now time.Time, alone bool) []Call {
+// callCandidates picks the calls of one round: first a near host, then others, preferably
+// remote ones.
+func (b *Book) callCandidates(now time.Time, alone bool) []Call {
 	var calls []Call
-	call := func(s *stranger) {
-		s.tries++
-		s.next = now.Add(callAgain)
-		calls = append(calls, Call{Addr: s.addr, Host: s.name, Whole: len(calls) == 0 && b.wholeDue(now, alone)})
-	}
-	if s := b.firstDue(now, func(s *stranger) bool { return s.near }); s != nil {
-		call(s)
-	}
-	for len(calls) < callsAtOnce {
-		s := b.firstDue(now, func(s *stranger) bool { return !s.near })
-		if s == nil {
-			s = b.firstDue(now, func(*stranger) bool { return true })
+	call := func(c *candidate) {
+		c.calls++
+		c.nextCall = now.Add(callInterval)
+		calls = append(calls, Call{Addr: c.addr, Host: c.name, Whole: len(calls) == 0 && b.fullPullDue(now, alone)})
+	}
+	if c := b.firstDue(now, func(c *candidate) bool { return c.near }); c != nil {
+		call(c)
+	}
+	for len(calls) < maxCallsPerRound {
+		c := b.firstDue(now, func(c *candidate) bool { return !c.near })
+		if c == nil {
+			c = b.firstDue(now, func(*candidate) bool { return true })
 		}
-		if s == nil {
+		if c == nil {
 			break
 		}
-		call(s)
+		call(c)
 	}
 	return calls
 }
 
-func (b *Book) firstDue(now time.Time, fits func(*stranger) bool) *stranger {
-	for _, s := range b.order {
-		if !now.Before(s.next) && s.tries < maxTries && fits(s) {
-			return s
+func (b *Book) firstDue(now time.Time, match func(*candidate) bool) *candidate {
+	for _, c := range b.order {
+		if !now.Before(c.nextCall) && c.calls < maxCallsPerHost && match(c) {
+			return c
 		}
 	}
 	return nil
 }
 
-// wholeDue says that the next call is to ask for all hosts, and counts it.
-func (b *Book) wholeDue(now time.Time, alone bool) bool {
-	enough := alone || len(b.strangers) > fewMissing
-	if !enough || now.Before(b.wholeAt) {
+// fullPullDue reports whether the next call requests a complete set, and schedules the
+// one after.
+func (b *Book) fullPullDue(now time.Time, alone bool) bool {
+	needed := alone || len(b.candidates) > maxSinglePulls
+	if !needed || now.Before(b.nextFullPull) {
 		return false
 	}
-	b.wholeAt = now.Add(b.wholeWait)
-	b.wholeWait = min(2*b.wholeWait, wholeAgainMax)
+	b.nextFullPull = now.Add(b.fullPullInterval)
+	b.fullPullInterval = min(2*b.fullPullInterval, maxFullPullInterval)
 	return true
 }
 
-// callSeeds picks seeds in turn, for a host that knows nobody else.
+// callSeeds picks seeds in turn, for a host that knows no other host.
 func (b *Book) callSeeds(now time.Time) []Call {
-	if now.Before(b.seedAt) {
+	if now.Before(b.nextSeedCall) {
 		return nil
 	}
-	b.seedAt = now.Add(callAgain)
+	b.nextSeedCall = now.Add(callInterval)
 	var calls []Call
-	for range min(callsAtOnce, len(b.seeds)) {
+	for range min(maxCallsPerRound, len(b.seeds)) {
 		addr := b.seeds[0]
 		b.seeds = append(b.seeds[1:], addr)
 		calls = append(calls, Call{Addr: addr, Whole: true})
--- a/internal/core/contact/contact_test.go
+++ b/internal/core/contact/contact_test.go
@@ -16,39 +16,39 @@
 	return New("dc0", seeds, rand.New(rand.NewPCG(1, 2)))
 }
 
-func nobody(string) bool { return false }
+func knowsNone(string) bool { return false }
 
-// listAll names some hosts of five data centres.
+// listAll lists hosts in five data centres.
 func listAll(b *Book, hosts int) {
 	for i := range hosts {
 		b.Listed(fmt.Sprint("h", i), fmt.Sprint("dc", i%5), fmt.Sprint("addr", i), false)
 	}
 }
 
-// However many hosts a start finds listed, it calls few at a time, one of its own
-// data centre first, and asks one host now and then for all that it knows.
+// Regardless of how many hosts are listed at a start, few are called at a time, the first
+// in the own data centre, and a complete set is requested only at intervals.
 func TestAFewAreCalledAtATime(t *testing.T) {
 	b := newBook()
 	listAll(b, 354)
-	calls, whole := 0, 0
+	calls, fullPulls := 0, 0
 	for at := time.Duration(0); at < time.Second; at += 50 * time.Millisecond {
-		due := b.Due(start.Add(at), nobody, false)
-		assert.Assert(t, len(due) <= callsAtOnce)
+		due := b.Due(start.Add(at), knowsNone, false)
+		assert.Assert(t, len(due) <= maxCallsPerRound)
 		for i, c := range due {
 			calls++
 			if c.Whole {
-				whole++
+				fullPulls++
 				assert.Equal(t, i, 0)
 			}
 		}
 	}
 	rounds := 1 + int(time.Second/roundInterval)
-	assert.Assert(t, calls <= callsAtOnce*rounds, "%d calls in a second", calls)
-	assert.Equal(t, whole, 2, "at once, and after the shortest pause")
+	assert.Assert(t, calls <= maxCallsPerRound*rounds, "%d calls in a second", calls)
+	assert.Equal(t, fullPulls, 2, "at once, and after the minimum interval")
 }
 
-// Each host that is listed and stays unknown is called in the end, so that no two
-// parts of a fleet stay apart, and no more often than it is tried.
+// Every listed host that stays unknown is called eventually, so that no two parts of a
+// fleet stay separated, and at most maxCallsPerHost times.
 func TestEveryStrangerIsCalledUntilItIsKnown(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := newBook()
@@ -65,34 +65,34 @@
 		}
 		for i := range hosts {
 			n := called[fmt.Sprint("h", i)]
-			assert.Assert(t, n >= 1 && n <= maxTries, "h%d was called %d times", i, n)
+			assert.Assert(t, n >= 1 && n <= maxCallsPerHost, "h%d was called %d times", i, n)
 		}
 		assert.Equal(t, b.Strangers(), 0)
 	})
 }
 
-// A host that knows nobody asks whoever it hears of for all hosts; seeds are called
-// only where nobody else is heard of.
+// A host that knows no other host requests complete sets from the hosts it hears of;
+// seeds are called only if there are no candidates.
 func TestAHostAloneAsksForEverybody(t *testing.T) {
 	b := newBook("seed1", "seed2", "seed1")
-	due := b.Due(start, nobody, true)
+	due := b.Due(start, knowsNone, true)
 	assert.DeepEqual(t, due, []Call{{Addr: "seed1", Whole: true}, {Addr: "seed2", Whole: true}})
-	assert.Equal(t, len(b.Due(start.Add(roundInterval), nobody, true)), 0)
+	assert.Equal(t, len(b.Due(start.Add(roundInterval), knowsNone, true)), 0)
 
 	b.Probed("h1", "addr1")
-	due = b.Due(start.Add(2*roundInterval), nobody, true)
+	due = b.Due(start.Add(2*roundInterval), knowsNone, true)
 	assert.DeepEqual(t, due, []Call{{Addr: "addr1", Host: "h1", Whole: true}})
-	assert.Equal(t, len(b.Due(start.Add(callAgain+2*roundInterval), func(string) bool { return true }, false)), 0)
+	assert.Equal(t, len(b.Due(start.Add(callInterval+2*roundInterval), func(string) bool { return true }, false)), 0)
 }
 
-// That the hosts called are known now is told once, and not while nobody is known.
+// Met returns true once, and never while no other host is known.
 func TestAMeetingIsToldOnce(t *testing.T) {
 	b := newBook()
 	b.Listed("h1", "dc0", "addr1", false)
 	everybody := func(string) bool { return true }
 	assert.Assert(t, !b.Met(everybody, false), "nobody was called")
-	b.Due(start, nobody, true)
-	assert.Assert(t, !b.Met(nobody, false))
+	b.Due(start, knowsNone, true)
+	assert.Assert(t, !b.Met(knowsNone, false))
 	assert.Assert(t, !b.Met(everybody, true))
 	assert.Assert(t, b.Met(everybody, false))
 	assert.Assert(t, !b.Met(everybody, false))
