--- a/internal/core/quota/account.go
+++ b/internal/core/quota/account.go
@@ -20,10 +20,10 @@
 	used, assumed bucket
 	// reserved is the level at which callers that were told to retry will arrive.
 	reserved bucket
-	// standalone counts what this host admitted against its own share. successorUse
+	// standalone counts what this host admitted against its own share. successorUsed
 	// counts what it granted in place of an unresponsive home, against the share of the
 	// requesting hosts.
-	standalone, successorUse bucket
+	standalone, successorUsed bucket
 	// lastAsSuccessor is when this host was last queried in place of the home.
 	lastAsSuccessor time.Time
 
@@ -38,8 +38,9 @@
 	confirmedBy      string
 	// seq numbers the usage reports sent; confirmedSeq is the last one acknowledged.
 	seq, confirmedSeq uint32
-	// unconfirmedSince is when the oldest unacknowledged report was sent, zero for none.
-	// timeouts counts the consecutive reports before it that timed out.
+	// unconfirmedSince is when the first report since the last acknowledgement or
+	// timeout was sent, zero for none. timeouts counts the consecutive reports before it
+	// that timed out.
 	unconfirmedSince time.Time
 	timeouts         int
 
@@ -178,16 +179,16 @@
 	rate, capacity := a.portion(part)
 	if now.Sub(a.lastAsSuccessor) > requestingPeriod {
 		// The share starts at the same relative usage as the whole.
-		a.successorUse.raise(now, rate, a.level(now)/a.capacity()*capacity)
+		a.successorUsed.raise(now, rate, a.level(now)/a.capacity()*capacity)
 	}
 	a.lastAsSuccessor = now
-	level := a.successorUse.now(now, rate)
+	level := a.successorUsed.now(now, rate)
 	if level+1 > capacity {
 		return false, drainTime(level+1-capacity, rate)
 	}
 	ok, wait := a.admit(now)
 	if ok {
-		a.successorUse.add(now, rate, 1)
+		a.successorUsed.add(now, rate, 1)
 	}
 	return ok, wait
 }
@@ -248,5 +249,6 @@
 // isHome reports whether this host is the home of the account.
 func (n *Node) isHome(a *account) bool { return n.homes(a)[0] == n.cfg.Host }
 
-// actsForHome reports whether this host is the successor of a home that does not respond.
+// actsForHome reports whether this host is the successor of a home that does not answer
+// its reports.
 func (n *Node) actsForHome(a *account) bool { return n.homes(a)[1] == n.cfg.Host && a.timeouts > 0 }
--- a/internal/core/quota/admit.go
+++ b/internal/core/quota/admit.go
@@ -106,12 +106,13 @@
 func (n *Node) sendQuery(now time.Time, a *account) uint32 {
 	n.lastQueryID++
 	n.queries[n.lastQueryID] = &query{account: a, sentAt: now, tries: 1}
-	n.sendUse(now, a, n.homes(a)[0], n.lastQueryID)
+	n.sendUsage(now, a, n.homes(a)[0], n.lastQueryID)
 	return n.lastQueryID
 }
 
-// sendUse reports the usage to a home, and queries it for a request if queryID is not 0.
-func (n *Node) sendUse(now time.Time, a *account, to string, queryID uint32) {
+// sendUsage reports the usage to a home, and queries it for a request if queryID is not
+// 0.
+func (n *Node) sendUsage(now time.Time, a *account, to string, queryID uint32) {
 	a.seq++
 	p := n.packet(to)
 	p.Uses = append(p.Uses, msg.TeamUse{
@@ -128,9 +129,9 @@
 // not the account's home.
 func (n *Node) isRelay(a *account) bool { return len(a.reporters) > 0 && !n.isHome(a) }
 
-// reportUse reports usage that no home has confirmed. If the home does not respond, it
+// reportUsage reports usage that no home has confirmed. If the home does not respond, it
 // alternates between the successor and the home.
-func (n *Node) reportUse(now time.Time, a *account) {
+func (n *Node) reportUsage(now time.Time, a *account) {
 	if n.isHome(a) {
 		// This host has become the home: its level includes the usage already.
 		a.confirmed = a.count
@@ -141,7 +142,7 @@
 		return
 	}
 	if !a.unconfirmedSince.IsZero() {
-		if now.Sub(a.unconfirmedSince) < useTimeout {
+		if now.Sub(a.unconfirmedSince) < usageTimeout {
 			return
 		}
 		a.timeouts++
@@ -154,7 +155,7 @@
 	if to == "" || to == n.cfg.Host {
 		to = a.homes[0]
 	}
-	n.sendUse(now, a, to, 0)
+	n.sendUsage(now, a, to, 0)
 }
 
 // retryQueries repeats queries that timed out, first to the home and then to its
@@ -173,10 +174,12 @@
 		}
 		q.tries++
 		q.sentAt = now
-		n.sendUse(now, a, to, id)
+		n.sendUsage(now, a, to, id)
 	}
 }
 
+// decideStandalone decides on a query without another host: none answered, or this host is
+// now the one to ask.
 func (n *Node) decideStandalone(now time.Time, id uint32, a *account) {
 	delete(n.queries, id)
 	n.resolved[id] = resolvedQuery{at: now}
--- a/internal/core/quota/home.go
+++ b/internal/core/quota/home.go
@@ -6,8 +6,8 @@
 	"github.com/radishhoist/radishhoist/internal/msg"
 )
 
-// handleUse processes a usage report and decides on the query that it may carry.
-func (n *Node) handleUse(now time.Time, p *msg.TeamPacket, u *msg.TeamUse) {
+// handleUsage processes a usage report and decides on the query that it may carry.
+func (n *Node) handleUsage(now time.Time, p *msg.TeamPacket, u *msg.TeamUse) {
 	limit, limited := n.cfg.Limit(u.Team)
 	if !limited {
 		n.answer(p.From, msg.TeamLevel{Team: u.Team, Seq: u.Seq, Count: u.Count, Known: true, Ask: u.Ask, Granted: true})
--- a/internal/core/quota/quota.go
+++ b/internal/core/quota/quota.go
@@ -56,9 +56,9 @@
 	// maxQueryTries is the number of attempts, including those at the successor.
 	queryTimeout  = 60 * time.Millisecond
 	maxQueryTries = 3
-	// useTimeout is how long a home has to confirm a report before the successor is
-	// tried.
-	useTimeout = 150 * time.Millisecond
+	// usageTimeout is how long a home has to confirm a usage report before the successor
+	// is tried.
+	usageTimeout = 150 * time.Millisecond
 	// standalonePeriod is how long a host enforces its own share after no home
 	// responded.
 	standalonePeriod = 400 * time.Millisecond
@@ -253,7 +253,7 @@
 func (n *Node) Step(now time.Time, p *msg.TeamPacket) {
 	n.detectPause(now)
 	for i := range p.Uses {
-		n.handleUse(now, p, &p.Uses[i])
+		n.handleUsage(now, p, &p.Uses[i])
 	}
 	for i := range p.Levels {
 		n.handleLevel(now, p.From, &p.Levels[i])
@@ -268,7 +268,7 @@
 	n.detectPause(now)
 	n.retryQueries(now)
 	for _, team := range slices.Sorted(maps.Keys(n.unconfirmed)) {
-		n.reportUse(now, n.unconfirmed[team])
+		n.reportUsage(now, n.unconfirmed[team])
 	}
 	for _, team := range slices.Sorted(maps.Keys(n.nearLimit)) {
 		a := n.nearLimit[team]
--- a/internal/teams/teams.go
+++ b/internal/teams/teams.go
@@ -106,14 +106,14 @@
 	r.mu.Lock()
 	v := r.node.Admit(time.Now(), team, limit)
 	if v.Decision != quota.Pending {
-		out := r.take()
+		out := r.deliverAnswers()
 		r.mu.Unlock()
 		r.send(out)
 		return v.Decision == quota.Admitted, true, v.Wait
 	}
 	w := &waiter{team: team, answer: make(chan quota.Answer, 1)}
 	r.waiters[v.QueryID] = w
-	out := r.take()
+	out := r.deliverAnswers()
 	r.mu.Unlock()
 	r.send(out)
 	select {
@@ -149,7 +149,7 @@
 func (r *Rates) Receive(p *msg.TeamPacket) {
 	r.mu.Lock()
 	r.node.Step(time.Now(), p)
-	out := r.take()
+	out := r.deliverAnswers()
 	r.mu.Unlock()
 	r.send(out)
 }
@@ -158,13 +158,14 @@
 func (r *Rates) Tick() {
 	r.mu.Lock()
 	r.node.Tick(time.Now())
-	out := r.take()
+	out := r.deliverAnswers()
 	r.mu.Unlock()
 	r.send(out)
 }
 
-// take delivers the node's answers and returns its datagrams. The caller holds the lock.
-func (r *Rates) take() []quota.Outbound {
+// deliverAnswers delivers the node's answers and returns its datagrams. The caller holds
+// the lock.
+func (r *Rates) deliverAnswers() []quota.Outbound {
 	out, answers := r.node.Take()
 	for _, a := range answers {
 		w, ok := r.waiters[a.QueryID]
