--- a/internal/core/team/index_test.go
+++ b/internal/core/team/index_test.go
@@ -57,9 +57,9 @@
 			before := answers(index)
 			next := index.With(teams)
 			assert.DeepEqual(t, answers(index), before)
-			whole := (*Index)(nil).With(teams)
-			assert.DeepEqual(t, answers(next), answers(whole))
-			assert.Equal(t, next.Len(), whole.Len())
+			rebuilt := (*Index)(nil).With(teams)
+			assert.DeepEqual(t, answers(next), answers(rebuilt))
+			assert.Equal(t, next.Len(), rebuilt.Len())
 			index = next
 		}
 	})
