--- a/internal/core/contact/contact.go
+++ b/internal/core/contact/contact.go
@@ -5,8 +5,8 @@
 //
 // The cost of a start must not grow with the square of the fleet size when all hosts
 // start at once. Therefore few hosts are called at a time, since updates about each
-// spread from host to host, and only one near host at a time is asked for its complete set.
-// The package performs no I/O.
+// spread from host to host, and only one near host at a time is asked for its complete
+// set. The package performs no I/O.
 package contact
 
 import (
