--- a/internal/front/answer.go
+++ b/internal/front/answer.go
@@ -15,105 +15,106 @@
 	"github.com/radishhoist/radishhoist/verdict"
 )
 
-// answer is a target's answer: whole and kept, or open, which means that it
-// is too large to keep and goes to the caller as it comes.
+// answer is a target's answer. It is buffered as a whole, or, where it is too large to
+// buffer, streamed to the caller as it arrives.
 type answer struct {
-	try    *try
-	head   *msg.Head
-	kept   []byte
-	length uint64
-	hash   *xxhash.Digest
-	open   bool
-	// cancel ends the attempt's context, for an open answer.
+	attempt   *attempt
+	head      *msg.Head
+	buffered  []byte
+	length    uint64
+	hash      *xxhash.Digest
+	streaming bool
+	// cancel ends the attempt's context. It is set for a streamed answer only.
 	cancel context.CancelFunc
 }
 
-func newAnswer(y *try, head *msg.Head) *answer {
-	a := &answer{try: y, head: head, hash: xxhash.New()}
+func newAnswer(att *attempt, head *msg.Head) *answer {
+	ans := &answer{attempt: att, head: head, hash: xxhash.New()}
 	if head.Length > 0 {
-		a.kept = make([]byte, 0, min(head.Length, int64(y.req.service.Record.AnswerBuffer())))
+		ans.buffered = make([]byte, 0, min(head.Length, int64(att.req.service.Record.AnswerBuffer())))
 	}
-	return a
+	return ans
 }
 
-func (a *answer) add(b []byte) {
-	_, _ = a.hash.Write(b)
-	a.length += uint64(len(b))
-	a.kept = append(a.kept, b...)
+func (ans *answer) add(b []byte) {
+	_, _ = ans.hash.Write(b)
+	ans.length += uint64(len(b))
+	ans.buffered = append(ans.buffered, b...)
 }
 
-// whole checks the answer against its end and its declared length.
-func (a *answer) whole(end *msg.End) bool {
-	if end.Length != a.length || end.Hash != a.hash.Sum64() {
+// complete checks the received body against the length and hash in end and against the
+// declared length.
+func (ans *answer) complete(end *msg.End) bool {
+	if end.Length != ans.length || end.Hash != ans.hash.Sum64() {
 		return false
 	}
-	return a.head.Length < 0 || a.bodiless() || uint64(a.head.Length) == a.length
+	return ans.head.Length < 0 || ans.omitsBody() || uint64(ans.head.Length) == ans.length
 }
 
-// bodiless says that the declared length describes a body that is not sent.
-func (a *answer) bodiless() bool {
-	return a.try.req.http.Method == http.MethodHead || a.head.Status == http.StatusNotModified
+// omitsBody reports whether the declared length describes a body that is not sent.
+func (ans *answer) omitsBody() bool {
+	return ans.attempt.req.http.Method == http.MethodHead || ans.head.Status == http.StatusNotModified
 }
 
-// finish writes the answer to the caller. Once a byte is out, a failure can
-// only be shown by aborting the connection, so that a short answer never
-// looks whole.
-func (a *answer) finish(w http.ResponseWriter, req *request) *verdict.Error {
+// writeTo writes the answer to the caller. Once a byte has been written, a failure can only
+// be signalled by aborting the connection, so that the caller never takes a truncated
+// answer for a complete one.
+func (ans *answer) writeTo(w http.ResponseWriter, req *request) *verdict.Error {
 	h := w.Header()
-	for _, f := range a.head.Header {
+	for _, f := range ans.head.Header {
 		if f.Name != header.RequestID {
 			h.Add(f.Name, f.Value)
 		}
 	}
-	if a.try != nil {
-		h.Set(header.Target, a.try.target.Name)
+	if ans.attempt != nil {
+		h.Set(header.Target, ans.attempt.target.Name)
 	}
-	h.Set(header.Attempts, strconv.Itoa(req.account.attempts))
-	if !a.open && !a.hasLength() {
-		h.Set("Content-Length", strconv.Itoa(len(a.kept)))
+	h.Set(header.Attempts, strconv.Itoa(req.summary.attempts))
+	if !ans.streaming && !ans.hasLength() {
+		h.Set("Content-Length", strconv.Itoa(len(ans.buffered)))
 	}
-	armWrite(w)
-	w.WriteHeader(int(a.head.Status))
-	if _, err := w.Write(a.kept); err != nil || !a.open {
-		a.close()
+	setWriteDeadline(w)
+	w.WriteHeader(int(ans.head.Status))
+	if _, err := w.Write(ans.buffered); err != nil || !ans.streaming {
+		ans.close()
 		return nil
 	}
-	if fail := a.relay(w, req); fail != nil {
-		event.Log(a.try.front.log, event.AnswerAborted, slog.String("request", req.id),
-			slog.String("target", a.try.target.Name), slog.String("reason", string(fail.Reason)))
-		a.try.front.counts.aborted.Inc()
+	if fail := ans.relay(w, req); fail != nil {
+		event.Log(ans.attempt.front.log, event.AnswerAborted, slog.String("request", req.id),
+			slog.String("target", ans.attempt.target.Name), slog.String("reason", string(fail.Reason)))
+		ans.attempt.front.counts.aborted.Inc()
 		panic(http.ErrAbortHandler)
 	}
 	return nil
 }
 
-func (a *answer) hasLength() bool {
-	return a.head.Length >= 0 || a.head.Status == http.StatusNoContent || a.head.Status == http.StatusNotModified
+func (ans *answer) hasLength() bool {
+	return ans.head.Length >= 0 || ans.head.Status == http.StatusNoContent || ans.head.Status == http.StatusNotModified
 }
 
-// relay passes the rest of an open answer on.
-func (a *answer) relay(w http.ResponseWriter, req *request) *verdict.Error {
-	defer a.close()
+// relay streams the rest of the answer to the caller.
+func (ans *answer) relay(w http.ResponseWriter, req *request) *verdict.Error {
+	defer ans.close()
 	ctx, cancel := context.WithDeadline(req.http.Context(), req.deadline)
 	defer cancel()
 	for {
-		m, err := a.try.stream.Recv(ctx)
+		m, err := ans.attempt.stream.Recv(ctx)
 		if err != nil {
 			return verdict.New(verdict.Ran, verdict.ReasonLinkLost, err.Error())
 		}
 		switch m := m.(type) {
 		case *msg.Data:
-			_, _ = a.hash.Write(m.Bytes)
-			a.length += uint64(len(m.Bytes))
-			armWrite(w)
+			_, _ = ans.hash.Write(m.Bytes)
+			ans.length += uint64(len(m.Bytes))
+			setWriteDeadline(w)
 			if _, err := w.Write(m.Bytes); err != nil {
 				return verdict.New(verdict.Ran, verdict.ReasonCancelled, err.Error())
 			}
 		case *msg.End:
-			if !a.whole(m) {
-				return verdict.New(verdict.Ran, verdict.ReasonTargetBroke, "the answer arrived damaged")
+			if !ans.complete(m) {
+				return verdict.New(verdict.Ran, verdict.ReasonTargetBroke, "the answer does not match its length or hash")
 			}
-			a.try.state.End(true)
+			ans.attempt.state.End(true)
 			return nil
 		case *msg.Fail:
 			return verdict.New(verdict.Ran, m.Reason, m.Detail)
@@ -121,22 +122,22 @@
 	}
 }
 
-// slowCaller bounds one write to a caller that does not read.
-const slowCaller = 30 * time.Second
+// callerWriteTimeout bounds one write to a caller that does not read.
+const callerWriteTimeout = 30 * time.Second
 
-// armWrite bounds the next writes to a caller. It is set anew for every answer,
-// because a deadline outlives the answer it was set for.
-func armWrite(w http.ResponseWriter) {
-	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(slowCaller))
+// setWriteDeadline bounds the next writes to a caller. It is set again for every answer,
+// because the deadline stays on the connection after the answer it was set for.
+func setWriteDeadline(w http.ResponseWriter) {
+	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(callerWriteTimeout))
 }
 
-// close tells the guard where the answer is not wanted any more.
-func (a *answer) close() {
-	if a.try == nil || !a.open {
+// close cancels a streamed answer at the guard. It does nothing for a buffered one.
+func (ans *answer) close() {
+	if ans.attempt == nil || !ans.streaming {
 		return
 	}
-	a.try.giveUp(nil)
-	if a.cancel != nil {
-		a.cancel()
+	ans.attempt.abort(nil)
+	if ans.cancel != nil {
+		ans.cancel()
 	}
 }
--- a/internal/front/attempt.go
+++ b/internal/front/attempt.go
@@ -12,285 +12,285 @@
 	"github.com/radishhoist/radishhoist/verdict"
 )
 
-// outcome is how one attempt ended.
+// outcome is the result of one attempt.
 type outcome struct {
 	target *target
-	// fail is nil where answer holds a whole answer, or one too large to keep
-	// that is still under way.
+	// fail is nil where answer holds a complete answer, or a streamed one that is still
+	// being received.
 	fail   *verdict.Error
 	answer *answer
 	load   msg.Load
-	// judged says that the target's own behaviour was seen: serviceTime and
-	// failed are worth passing on.
-	judged      bool
-	failed      bool
-	serviceTime time.Duration
+	// targetObserved reports that the target itself succeeded or failed, so that
+	// serviceTime and failed are valid observations of it.
+	targetObserved bool
+	failed         bool
+	serviceTime    time.Duration
 }
 
-// try is one attempt under way.
-type try struct {
-	front  *Front
-	req    *request
-	target *target
-	sample msg.Sample
-	claim  *claimTask
-	epoch  uint64
-	shard  uint32
-	as     sending
+// attempt is one attempt in progress.
+type attempt struct {
+	front   *Front
+	req     *request
+	target  *target
+	sample  msg.Sample
+	claim   *claimTask
+	epoch   uint64
+	shard   uint32
+	options attemptOptions
 
-	state  once.Attempt
-	stream wire.Stream
-	conn   *wire.Conn
-	sent   time.Time
-	answer *answer
-	// quietAt is when the host's silence is looked at next.
-	quietAt     time.Time
-	quietChecks int
+	state     once.Attempt
+	stream    wire.Stream
+	conn      *wire.Conn
+	startedAt time.Time
+	answer    *answer
+	// frameCheckAt is the next time to check whether the host has sent a frame.
+	frameCheckAt time.Time
+	frameChecks  int
 }
 
-// sending is what one attempt asks of the guard besides its work.
-type sending struct {
-	// insist asks for a place in the queue also where the answer will be late.
-	insist bool
-	// repeat says that the request may have arrived at an instance before, and
-	// hedge that it is under way at one.
+// attemptOptions are the options that one attempt passes to the guard.
+type attemptOptions struct {
+	// allowLate asks for a place in the queue even if the answer will miss the objective.
+	allowLate bool
+	// repeat says that the request may have reached an instance before, so that the attempt
+	// draws on the retry budget. hedge says that another attempt is still running.
 	repeat, hedge bool
 }
 
-// claimTask is a claim under way at the key's owner; answer is set once done
-// is closed.
+// claimTask is a claim in progress at the key's owner. answer is set once done is closed.
 type claimTask struct {
 	done   chan struct{}
 	answer KeyAnswer
 }
 
 const (
-	// silence is how long a host may send no frame at all before it is asked
-	// for a sign of life, and then again before its path counts as cut.
-	silence = 150 * time.Millisecond
+	// frameTimeout is how long a host may send no frame before it is pinged, and then how
+	// long it has to answer the ping before its path counts as broken.
+	frameTimeout = 150 * time.Millisecond
 	// cancelTimeout bounds the sending of Cancel.
 	cancelTimeout = time.Second
 )
 
-// attempt makes one attempt at a target and waits for its end.
-func (f *Front) attempt(ctx context.Context, req *request, p pick, claim *claimTask) *outcome {
-	y := &try{front: f, req: req, target: p.target, sample: p.sample, as: p.as, claim: claim}
-	o := y.run(ctx)
+// runAttempt makes one attempt at a target and waits for its result.
+func (f *Front) runAttempt(ctx context.Context, req *request, p pick, claim *claimTask) *outcome {
+	a := &attempt{front: f, req: req, target: p.target, sample: p.sample, options: p.options, claim: claim}
+	o := a.run(ctx)
 	o.target = p.target
 	req.state.release(p.target)
 	return o
 }
 
-func (y *try) run(ctx context.Context) *outcome {
-	stream, conn, err := y.front.open(ctx, y.target.Host)
+func (a *attempt) run(ctx context.Context) *outcome {
+	stream, conn, err := a.front.open(ctx, a.target.Host)
 	if err != nil {
-		y.front.paths.missed(time.Now(), y.target.Host.Name)
+		a.front.paths.recordMiss(time.Now(), a.target.Host.Name)
 		return &outcome{fail: verdict.New(verdict.NotRun, verdict.ReasonLinkLost, err.Error())}
 	}
-	y.stream, y.conn, y.sent = stream, conn, time.Now()
-	if o := y.proceed(ctx, y.state.Begin(y.req.idempotent, y.claim != nil)); o != nil {
+	a.stream, a.conn, a.startedAt = stream, conn, time.Now()
+	if o := a.proceed(ctx, a.state.Begin(a.req.idempotent, a.claim != nil)); o != nil {
 		return o
 	}
-	return y.receive(ctx)
+	return a.receive(ctx)
 }
 
-// proceed sends what the state machine asks for; an outcome means that the
-// attempt is over. Where the guard has closed its end meanwhile, what it said
-// before is still to be received: it refuses a request before the body has gone
-// out, and that the request has not run must not be lost.
-func (y *try) proceed(ctx context.Context, s once.Send) *outcome {
-	err := y.act(ctx, s)
+// proceed sends the message that the state machine asks for. It returns an outcome if the
+// attempt is over. If the guard has already closed the stream, its earlier messages are
+// still received: a guard may refuse a request before the body is sent, and the verdict
+// that the request did not run must not be lost.
+func (a *attempt) proceed(ctx context.Context, s once.Send) *outcome {
+	err := a.send(ctx, s)
 	if err == nil || errors.Is(err, wire.ErrClosed) {
 		return nil
 	}
-	return y.giveUp(err)
+	return a.abort(err)
 }
 
-// receive takes the guard's messages until the attempt is over.
-func (y *try) receive(ctx context.Context) *outcome {
-	y.quietAt = y.sent.Add(silence)
+// receive handles the guard's messages until the attempt is over.
+func (a *attempt) receive(ctx context.Context) *outcome {
+	a.frameCheckAt = a.startedAt.Add(frameTimeout)
 	for {
-		m, err := y.next(ctx)
+		m, err := a.next(ctx)
 		switch {
 		case err == nil:
-			if o := y.step(ctx, m); o != nil {
+			if o := a.handle(ctx, m); o != nil {
 				return o
 			}
-		case errors.Is(err, errWoken):
-			if o := y.woken(ctx); o != nil {
+		case errors.Is(err, errWakeup):
+			if o := a.handleWakeup(ctx); o != nil {
 				return o
 			}
 		default:
-			return y.giveUp(err)
+			return a.abort(err)
 		}
 	}
 }
 
-// errWoken says that next returned for the claim or the quiet time, not for a
-// message.
-var errWoken = errors.New("woken")
+// errWakeup is returned by next when the claim or the frame check is due and no message has
+// arrived.
+var errWakeup = errors.New("woken")
 
-// next waits for a message, the claim's result or the end of the quiet time.
-func (y *try) next(ctx context.Context) (msg.Message, error) {
-	if y.quietChecks == quietDone && y.claim == nil {
-		return y.stream.Recv(ctx)
+// next waits for a message, the claim's result or the next frame check.
+func (a *attempt) next(ctx context.Context) (msg.Message, error) {
+	if a.frameChecks == maxFrameChecks && a.claim == nil {
+		return a.stream.Recv(ctx)
 	}
 	wait, cancel := context.WithCancel(ctx)
-	if y.quietChecks != quietDone {
-		wait, cancel = context.WithDeadline(ctx, y.quietAt)
+	if a.frameChecks != maxFrameChecks {
+		wait, cancel = context.WithDeadline(ctx, a.frameCheckAt)
 	}
 	defer cancel()
-	if y.claim != nil {
-		// This goroutine outlives the call; the claim is set to nil after it.
-		claimed := y.claim.done
+	if a.claim != nil {
+		// The goroutine may outlive this call, and a.claim is set to nil after it.
+		done := a.claim.done
 		go func() {
 			select {
-			case <-claimed:
+			case <-done:
 				cancel()
 			case <-wait.Done():
 			}
 		}()
 	}
-	m, err := y.stream.Recv(wait)
+	m, err := a.stream.Recv(wait)
 	if err != nil && wait.Err() != nil && ctx.Err() == nil {
-		return nil, errWoken
+		return nil, errWakeup
 	}
 	return m, err
 }
 
-// quietDone is how many quiet times are watched: after the first the host is
-// asked for a sign of life, after the second its path counts as cut.
-const quietDone = 2
+// maxFrameChecks is the number of frame checks: after the first the host is pinged, after
+// the second its path counts as broken.
+const maxFrameChecks = 2
 
-// woken looks at the claim and at the quiet time.
-func (y *try) woken(ctx context.Context) *outcome {
-	if y.claim != nil {
+// handleWakeup handles a finished claim or a due frame check.
+func (a *attempt) handleWakeup(ctx context.Context) *outcome {
+	if a.claim != nil {
 		select {
-		case <-y.claim.done:
-			answer := y.claim.answer
-			y.claim = nil
-			return y.claimed(ctx, answer)
+		case <-a.claim.done:
+			answer := a.claim.answer
+			a.claim = nil
+			return a.handleClaim(ctx, answer)
 		default:
 		}
 	}
-	if y.quietChecks == quietDone || time.Now().Before(y.quietAt) {
+	if a.frameChecks == maxFrameChecks || time.Now().Before(a.frameCheckAt) {
 		return nil
 	}
-	y.quietChecks++
-	y.quietAt = time.Now().Add(silence)
-	if y.heard() {
-		y.quietChecks = quietDone
+	a.frameChecks++
+	a.frameCheckAt = time.Now().Add(frameTimeout)
+	if a.frameReceived() {
+		a.frameChecks = maxFrameChecks
 		return nil
 	}
-	if y.quietChecks < quietDone {
-		y.conn.Ping()
+	if a.frameChecks < maxFrameChecks {
+		a.conn.Ping()
 		return nil
 	}
-	y.front.paths.missed(time.Now(), y.target.Host.Name)
-	// The next request goes over a new connection: this one may be silent for good.
-	y.conn.Doubt()
-	if y.req.idempotent || y.state.Phase() == once.Reserving {
-		return y.giveUp(errors.New("no frame comes from the host"))
+	a.front.paths.recordMiss(time.Now(), a.target.Host.Name)
+	// Send the next request over a new connection, because this one may stay silent.
+	a.conn.Doubt()
+	if a.req.idempotent || a.state.Phase() == once.Reserving {
+		return a.abort(errors.New("no frame received from the host"))
 	}
 	return nil
 }
 
-// heard says that the host has sent some frame since the attempt began.
-func (y *try) heard() bool { return y.conn == nil || y.conn.LastRead().After(y.sent) }
+// frameReceived reports whether the host has sent any frame since the attempt began.
+func (a *attempt) frameReceived() bool { return a.conn == nil || a.conn.LastRead().After(a.startedAt) }
 
-// step takes one message; an outcome means that the attempt is over.
-func (y *try) step(ctx context.Context, m msg.Message) *outcome {
+// handle processes one message. It returns an outcome if the attempt is over.
+func (a *attempt) handle(ctx context.Context, m msg.Message) *outcome {
 	switch m := m.(type) {
 	case *msg.Grant:
-		return y.proceed(ctx, y.state.Granted())
+		return a.proceed(ctx, a.state.Granted())
 	case *msg.Head:
-		if m.RequestID != y.req.id {
-			return y.broken(verdict.ReasonAnswerMismatch, "the answer is for another request")
+		if m.RequestID != a.req.id {
+			return a.rejectAnswer(verdict.ReasonAnswerMismatch, "the answer carries the id of another request")
 		}
-		y.state.Head()
-		y.answer = newAnswer(y, m)
+		a.state.Head()
+		a.answer = newAnswer(a, m)
 	case *msg.Data:
-		return y.data(m)
+		return a.handleData(m)
 	case *msg.End:
-		return y.end(m)
+		return a.handleEnd(m)
 	case *msg.Fail:
-		return y.failed(m)
+		return a.handleFail(m)
 	}
 	return nil
 }
 
-// claimed takes the key owner's word.
-func (y *try) claimed(ctx context.Context, k KeyAnswer) *outcome {
+// handleClaim processes the key owner's answer to the claim.
+func (a *attempt) handleClaim(ctx context.Context, k KeyAnswer) *outcome {
 	if k.Outcome != once.ClaimRun {
-		o := y.giveUp(nil)
+		o := a.abort(nil)
 		o.fail = keyFailure(k)
 		return o
 	}
-	y.epoch, y.shard = k.Epoch, k.Shard
-	return y.proceed(ctx, y.state.Claimed())
+	a.epoch, a.shard = k.Epoch, k.Shard
+	return a.proceed(ctx, a.state.Claimed())
 }
 
-func (y *try) data(m *msg.Data) *outcome {
-	if y.answer == nil {
-		return y.broken(verdict.ReasonTargetBroke, "body before head")
+func (a *attempt) handleData(m *msg.Data) *outcome {
+	if a.answer == nil {
+		return a.rejectAnswer(verdict.ReasonTargetBroke, "answer body received before the answer header")
 	}
-	y.answer.add(m.Bytes)
-	if len(y.answer.kept) <= y.req.service.Record.AnswerBuffer() {
+	a.answer.add(m.Bytes)
+	if len(a.answer.buffered) <= a.req.service.Record.AnswerBuffer() {
 		return nil
 	}
-	// Too large to keep: the caller gets it as it comes.
-	y.answer.open = true
-	return &outcome{answer: y.answer}
+	// Too large to buffer: stream it to the caller.
+	a.answer.streaming = true
+	return &outcome{answer: a.answer}
 }
 
-func (y *try) end(m *msg.End) *outcome {
-	if y.answer == nil {
-		return y.broken(verdict.ReasonTargetBroke, "end before head")
+func (a *attempt) handleEnd(m *msg.End) *outcome {
+	if a.answer == nil {
+		return a.rejectAnswer(verdict.ReasonTargetBroke, "answer ended before the answer header was received")
 	}
-	if !y.answer.whole(m) {
-		return y.broken(verdict.ReasonTargetBroke, "the answer arrived damaged")
+	if !a.answer.complete(m) {
+		return a.rejectAnswer(verdict.ReasonTargetBroke, "the answer does not match its length or hash")
 	}
-	y.state.End(true)
-	y.stream.Close()
-	o := &outcome{answer: y.answer, load: m.Load, judged: true}
+	a.state.End(true)
+	a.stream.Close()
+	o := &outcome{answer: a.answer, load: m.Load, targetObserved: true}
 	o.serviceTime = time.Duration(m.ServiceUS) * time.Microsecond
-	o.failed = retriableStatus(y.answer.head.Status)
+	o.failed = retriableStatus(a.answer.head.Status)
 	queue := time.Duration(m.QueueUS) * time.Microsecond
-	y.front.paths.heard(y.target.Host.Name, time.Since(y.sent)-o.serviceTime-queue)
+	a.front.paths.recordReply(a.target.Host.Name, time.Since(a.startedAt)-o.serviceTime-queue)
 	return o
 }
 
-func (y *try) failed(m *msg.Fail) *outcome {
-	y.state.Failed(m.Verdict)
-	y.stream.Close()
-	y.front.paths.heard(y.target.Host.Name, 0)
-	fail := verdict.New(y.state.Verdict(), m.Reason, m.Detail)
+func (a *attempt) handleFail(m *msg.Fail) *outcome {
+	a.state.Failed(m.Verdict)
+	a.stream.Close()
+	a.front.paths.recordReply(a.target.Host.Name, 0)
+	fail := verdict.New(a.state.Verdict(), m.Reason, m.Detail)
 	fail.RetryAfterMS = int64(m.RetryAfterMS)
 	o := &outcome{fail: fail, load: m.Load}
 	switch m.Reason {
 	case verdict.ReasonTargetDown, verdict.ReasonTargetBroke, verdict.ReasonTargetEnded, verdict.ReasonAnswerMismatch:
-		o.judged, o.failed = true, true
+		o.targetObserved, o.failed = true, true
 	}
 	return o
 }
 
-// broken ends the attempt over an answer that cannot be used.
-func (y *try) broken(reason verdict.Reason, detail string) *outcome {
-	o := y.giveUp(nil)
+// rejectAnswer ends the attempt because of an invalid answer.
+func (a *attempt) rejectAnswer(reason verdict.Reason, detail string) *outcome {
+	o := a.abort(nil)
 	o.fail = verdict.New(verdict.Ran, reason, detail)
-	o.judged, o.failed = true, true
+	o.targetObserved, o.failed = true, true
 	return o
 }
 
-// giveUp ends the attempt from this side and tells the guard.
-func (y *try) giveUp(cause error) *outcome {
-	send := y.state.GiveUp()
-	if send == once.SendCancel {
+// abort ends the attempt from this side, and sends Cancel if the guard may still be working
+// on it.
+func (a *attempt) abort(cause error) *outcome {
+	action := a.state.GiveUp()
+	if action == once.SendCancel {
 		ctx, cancel := context.WithTimeout(context.Background(), cancelTimeout)
 		defer cancel()
-		_ = y.stream.Send(ctx, &msg.Cancel{})
+		_ = a.stream.Send(ctx, &msg.Cancel{})
 	}
-	y.stream.Close()
+	a.stream.Close()
 	reason, detail := verdict.ReasonLinkLost, ""
 	switch {
 	case errors.Is(cause, context.DeadlineExceeded):
@@ -300,5 +300,5 @@
 	case cause != nil:
 		detail = cause.Error()
 	}
-	return &outcome{fail: verdict.New(y.state.Verdict(), reason, detail)}
+	return &outcome{fail: verdict.New(a.state.Verdict(), reason, detail)}
 }
--- a/internal/front/attempt_test.go
+++ b/internal/front/attempt_test.go
@@ -20,26 +20,26 @@
 	"github.com/radishhoist/radishhoist/verdict"
 )
 
-// A guard on the own host that refuses a request closes its end while the front
-// still sends the body: the caller is told what the guard said, not that the
-// request may have run.
-func TestARefusalBeforeTheBodyIsSentIsHeard(t *testing.T) {
+// A guard on the same host that refuses a request closes its stream while the front is
+// still sending the body. The caller must get the guard's reason and the verdict not-run,
+// not may-have-run.
+func TestGuardRefusalBeforeBodySentIsReported(t *testing.T) {
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	g := guard.New(guard.Config{Host: "h"}, guard.Limits{}, log, nil, guard.Hooks{Changed: func() {}, Pulse: func(*msg.Pulse, pulse.Reach) {}})
 	f := New(Config{Host: "h"}, Limits{}, log, nil, g, nil)
 	req := &request{
 		id: "r", arrived: time.Now(), deadline: time.Now().Add(time.Minute), idempotent: true,
-		route: &route.Route{Name: "r"}, state: &serviceState{routes: map[string]*latency{}},
+		route: &route.Route{Name: "r"}, state: &serviceState{latencies: map[string]*latency{}},
 		http: httptest.NewRequest("POST", "/a", strings.NewReader("body")), body: []byte("body"), length: 4,
 	}
-	near, far := wire.Pipe()
-	assert.NilError(t, far.Send(context.Background(), &msg.Fail{Verdict: verdict.NotRun, Reason: verdict.ReasonDraining}))
-	far.Close()
+	client, server := wire.Pipe()
+	assert.NilError(t, server.Send(context.Background(), &msg.Fail{Verdict: verdict.NotRun, Reason: verdict.ReasonDraining}))
+	server.Close()
 	host := &directory.Host{Name: "h"}
-	y := &try{front: f, req: req, stream: near, sent: time.Now(), target: &target{Target: &directory.Target{Instance: &directory.Instance{Name: "i"}, Host: host}, seen: &observed{}}}
-	o := y.proceed(context.Background(), y.state.Begin(true, false))
+	a := &attempt{front: f, req: req, stream: client, startedAt: time.Now(), target: &target{Target: &directory.Target{Instance: &directory.Instance{Name: "i"}, Host: host}, observed: &observations{}}}
+	o := a.proceed(context.Background(), a.state.Begin(true, false))
 	assert.Assert(t, o == nil, "%+v", o)
-	o = y.receive(context.Background())
+	o = a.receive(context.Background())
 	assert.Equal(t, o.fail.Reason, verdict.ReasonDraining)
 	assert.Equal(t, o.fail.Verdict, verdict.NotRun)
 }
--- a/internal/front/choose.go
+++ b/internal/front/choose.go
@@ -8,144 +8,145 @@
 	"github.com/radishhoist/radishhoist/internal/msg"
 )
 
-// trialShare is the share of a healthy instance's requests that an instance
-// that is left out still gets, so that it can show it is well again. Only
-// idempotent requests are used, and they are hedged like any other.
+// trialShare is the share of a healthy instance's requests that an ejected instance still
+// gets, so that its recovery can be observed. Only idempotent requests are used, and they
+// are hedged as usual.
 const trialShare = 0.05
 
 // pick is a chosen target.
 type pick struct {
 	target *target
-	// sample is to ride on the request.
+	// sample is sent to the guard with the request.
 	sample msg.Sample
-	// step is what the log tells of the choice.
-	step step
-	// as is what the attempt asks of the guard.
-	as sending
+	// entry describes the choice in the request log.
+	entry attemptEntry
+	// options are passed to the guard with the attempt.
+	options attemptOptions
 }
 
-// choose picks a target that was not tried yet and counts the request as
-// under way there. repeat says that the request may have arrived somewhere
-// before: then only guards are asked that may have a repeat left. false means
-// that no target is left.
+// choose picks a target that is not in tried and counts the request as pending there. If
+// repeat is set, only targets whose guard may have retry budget left are considered. It
+// returns false if no target is left.
 func (f *Front) choose(req *request, tried []*target, repeat bool, rng *rand.Rand) (pick, bool) {
 	st := req.state
 	now := time.Now()
 	st.mu.Lock()
 	defer st.mu.Unlock()
-	if now.Sub(st.choice.at) > rechooseAfter {
-		st.rechoose(now, req.service, f.paths, f.cfg)
+	if now.Sub(st.candidates.computedAt) > candidateMaxAge {
+		st.refreshCandidates(now, req.service, f.paths, f.cfg)
 	}
 	var t *target
 	var why string
-	if v := f.guard.Suspect(req.print); v.Ends > 0 {
-		t, why = st.pickForSuspect(now, req.print, &v, tried, repeat), whySuspect
+	if v := f.guard.Suspect(req.fingerprint); v.Ends > 0 {
+		t, why = st.pickForSuspect(now, req.fingerprint, &v, tried, repeat), whySuspect
 	} else if t, why = st.pickTrial(now, req, tried, rng, f.paths); t == nil {
 		t, why = st.pickUsable(now, req, tried, repeat, rng, f.paths, f.cfg), whyCost
 	}
 	if t == nil && !repeat {
-		t, why = st.pickAny(tried), whyLeftOut
+		t, why = st.pickFallback(tried), whyFallback
 	}
 	if t == nil {
 		return pick{}, false
 	}
-	t.seen.pending++
-	return pick{target: t, sample: st.takeSample(now, t.hash), step: st.belief(now, t, why)}, true
+	t.observed.pending++
+	return pick{target: t, sample: st.takeSample(now, t.hash), entry: st.newEntry(now, t, why)}, true
 }
 
-// pickTrial sends an idempotent request now and then over a path that is left
-// out, to an instance whose guard asks for a trial, and to one that is left out.
+// pickTrial occasionally sends an idempotent request over an excluded path or to an ejected
+// instance, and any eligible request to an instance whose guard asks for a trial.
 func (st *serviceState) pickTrial(now time.Time, req *request, tried []*target, rng *rand.Rand, p *paths) (*target, string) {
-	c := &st.choice
+	sets := &st.candidates
 	if len(tried) > 0 {
 		return nil, ""
 	}
-	paid := req.idempotent && st.mayRepeat(now)
-	if paid {
-		for _, i := range c.cut {
-			if p.trial(now, st.targets[i].Host.Name) {
+	retryable := req.idempotent && st.retryBudgetLeft(now)
+	if retryable {
+		for _, i := range sets.unreachable {
+			if p.tryAcquireTrial(now, st.targets[i].Host.Name) {
 				return st.targets[i], whyPath
 			}
 		}
 	}
-	if t := st.wanting(now, req.idempotent, paid, rng, p); t != nil {
-		t.seen.load.Wants = false
+	if t := st.trialCandidate(now, req.idempotent, retryable, rng, p); t != nil {
+		t.observed.load.Wants = false
 		return t, whyTrial
 	}
-	share := trialShare * float64(len(c.out)) / float64(max(len(st.targets), 1))
-	if !paid || len(c.out) == 0 || rng.Float64() >= share {
+	share := trialShare * float64(len(sets.ejected)) / float64(max(len(st.targets), 1))
+	if !retryable || len(sets.ejected) == 0 || rng.Float64() >= share {
 		return nil, ""
 	}
-	return st.targets[c.out[rng.IntN(len(c.out))]], whyTrial
+	return st.targets[sets.ejected[rng.IntN(len(sets.ejected))]], whyTrial
 }
 
 const (
-	// wellKnown is the estimate up to which a trial is no risk to speak of: a
-	// request goes there that could not be sent again.
-	wellKnown = 0.1
-	// wantsLong is how long a guard has asked for a trial before one may be made
-	// with work that cannot be repeated: requests that can are sent first.
-	wantsLong = 300 * time.Millisecond
-	// wishLife is how long a guard's wish counts: by then it has asked again if it
-	// still has it.
-	wishLife = 300 * time.Millisecond
-	// trialSpread blurs the estimates among which a trial is chosen, so that fronts
-	// which know the same do not all try one.
-	trialSpread = 0.2
+	// trialRiskMax is the failure estimate up to which a request that cannot be retried may
+	// be used for a trial.
+	trialRiskMax = 0.1
+	// trialWaitNonIdempotent is how long a guard must have asked for a trial before a
+	// non-idempotent request may be used, so that idempotent ones are used first.
+	trialWaitNonIdempotent = 300 * time.Millisecond
+	// trialWishMaxAge is how long a guard's request for a trial is valid. A guard that
+	// still wants one has repeated it by then.
+	trialWishMaxAge = 300 * time.Millisecond
+	// trialEstimateJitter is the random part added to failure estimates when choosing a
+	// trial target, so that fronts with the same information do not all choose the same
+	// one.
+	trialEstimateJitter = 0.2
 )
 
-// wanting finds a target whose guard would like a trial, nil for none: the one that
-// is likeliest well, because trials are few and sick instances ask for them too.
-// paid says that the request could be repeated if it fails there. Few fronts hear of a
-// wish, and each sends one request for it.
-func (st *serviceState) wanting(now time.Time, idempotent, paid bool, rng *rand.Rand, p *paths) *target {
+// trialCandidate returns a target whose guard asks for a trial, or nil. It prefers the
+// target with the lowest failure estimate, because trials are few and failing instances ask
+// for them too. retryable says that the request can be retried if the trial fails. Few
+// fronts learn of a guard's wish, and each sends one request for it.
+func (st *serviceState) trialCandidate(now time.Time, idempotent, retryable bool, rng *rand.Rand, p *paths) *target {
 	var best *target
-	least := 0.0
+	lowest := 0.0
 	for _, t := range st.targets {
-		if !t.seen.wishes(now) || !t.Usable() || !p.usable(t.Host.Name) || !t.seen.mayTry(now, idempotent, paid) {
+		if !t.observed.wantsTrial(now) || !t.Usable() || !p.usable(t.Host.Name) || !t.observed.eligibleForTrial(now, idempotent, retryable) {
 			continue
 		}
-		sick := t.seen.sick.Doubt(now, model) + trialSpread*rng.Float64()
-		if best == nil || sick < least {
-			best, least = t, sick
+		estimate := t.observed.failureEstimate.Doubt(now, failureModel) + trialEstimateJitter*rng.Float64()
+		if best == nil || estimate < lowest {
+			best, lowest = t, estimate
 		}
 	}
 	return best
 }
 
-// wishes says that the guard asks for a request, as far as is known: one that got what it
-// asked for may have told others.
-func (o *observed) wishes(now time.Time) bool {
-	return o.load.Wants && now.Sub(o.loadAt) <= wishLife
+// wantsTrial reports whether the guard is known to want a trial request. Old information
+// does not count: the guard may have got its request since and told other fronts so.
+func (o *observations) wantsTrial(now time.Time) bool {
+	return o.load.Wants && now.Sub(o.loadAt) <= trialWishMaxAge
 }
 
-// mayTry says that a request is fit for a trial: one that can be sent again at any
-// instance, one that can not only where it is hardly at risk.
-func (o *observed) mayTry(now time.Time, idempotent, paid bool) bool {
-	if paid {
+// eligibleForTrial reports whether a request may be used for a trial here. A retryable
+// request may go to any instance, another one only to an instance that is unlikely to fail
+// it.
+func (o *observations) eligibleForTrial(now time.Time, idempotent, retryable bool) bool {
+	if retryable {
 		return true
 	}
-	if o.sick.Doubt(now, model) > wellKnown {
+	if o.failureEstimate.Doubt(now, failureModel) > trialRiskMax {
 		return false
 	}
-	return idempotent || now.Sub(o.wantsAt) >= wantsLong
+	return idempotent || now.Sub(o.trialWantedAt) >= trialWaitNonIdempotent
 }
 
-// pickUsable makes the regular choice.
+// pickUsable picks the usable target with the lowest cost in a random sample.
 func (st *serviceState) pickUsable(now time.Time, req *request, tried []*target, repeat bool, rng *rand.Rand, p *paths, cfg Config) *target {
-	usable, local := st.choice.usable, st.choice.local
+	usable, local := st.candidates.usable, st.candidates.local
 	if len(tried) > 0 {
-		usable, local = st.without(usable, tried), st.without(local, tried)
+		usable, local = st.untried(usable, tried), st.untried(local, tried)
 	}
 	if repeat {
-		paid := func(t *target) bool { return t.seen.mayRepeat(now) }
-		usable, local = st.only(usable, paid), st.only(local, paid)
-	}
-	at := localPositions(usable, local)
-	typical := st.typical(now, req)
-	expected, stakes := st.expected(req), req.stakes(now, st.again(now, req, tried))
-	i := balance.Pick(rng, len(usable), at, func(k int) float64 {
-		return balance.Cost(st.targets[usable[k]].candidate(now, req, expected, typical, p, cfg), stakes)
+		withBudget := func(t *target) bool { return t.observed.retryBudgetLeft(now) }
+		usable, local = st.filter(usable, withBudget), st.filter(local, withBudget)
+	}
+	localAt := localPositions(usable, local)
+	typical := st.typicalLoad(now, req)
+	expected, weights := st.expectedServiceTimeLocked(req), req.costWeights(now, st.retryChance(now, req, tried))
+	i := balance.Pick(rng, len(usable), localAt, func(k int) float64 {
+		return balance.Cost(st.targets[usable[k]].candidate(now, req, expected, typical, p, cfg), weights)
 	})
 	if i < 0 {
 		return nil
@@ -153,19 +154,19 @@
 	return st.targets[usable[i]]
 }
 
-// again is the chance that a request can be sent again where its next attempt fails.
-// The caller holds the lock.
-func (st *serviceState) again(now time.Time, req *request, tried []*target) float64 {
+// retryChance is the probability that the request can be retried if its next attempt fails.
+// The caller must hold st.mu.
+func (st *serviceState) retryChance(now time.Time, req *request, tried []*target) float64 {
 	if !req.idempotent || len(tried) > 0 {
 		return 0
 	}
-	return st.repeatChance(now)
+	return st.retryBudgetChance(now)
 }
 
-// pickAny falls back to a target that is left out, then to one whose path is
-// left out: it beats refusing.
-func (st *serviceState) pickAny(tried []*target) *target {
-	for _, i := range st.without(st.choice.out, tried) {
+// pickFallback returns an ejected target, or else one whose path is excluded. Trying such a
+// target is better than refusing the request.
+func (st *serviceState) pickFallback(tried []*target) *target {
+	for _, i := range st.untried(st.candidates.ejected, tried) {
 		if st.targets[i].Usable() {
 			return st.targets[i]
 		}
@@ -178,8 +179,8 @@
 	return nil
 }
 
-// localPositions finds the local targets within the usable ones; both lists
-// hold ascending indexes.
+// localPositions returns the positions in usable of the targets in local. Both lists hold
+// ascending indexes.
 func localPositions(usable, local []int) []int {
 	out := make([]int, 0, len(local))
 	j := 0
@@ -192,15 +193,15 @@
 	return out
 }
 
-func (st *serviceState) without(list []int, tried []*target) []int {
-	return st.only(list, func(t *target) bool { return !wasTried(tried, t) })
+func (st *serviceState) untried(list []int, tried []*target) []int {
+	return st.filter(list, func(t *target) bool { return !wasTried(tried, t) })
 }
 
-// only keeps the targets of a list that fit.
-func (st *serviceState) only(list []int, fits func(*target) bool) []int {
+// filter returns the indexes in list whose targets satisfy keep.
+func (st *serviceState) filter(list []int, keep func(*target) bool) []int {
 	out := make([]int, 0, len(list))
 	for _, i := range list {
-		if fits(st.targets[i]) {
+		if keep(st.targets[i]) {
 			out = append(out, i)
 		}
 	}
@@ -209,16 +210,16 @@
 
 func wasTried(tried []*target, t *target) bool {
 	for _, other := range tried {
-		if other.seen == t.seen {
+		if other.observed == t.observed {
 			return true
 		}
 	}
 	return false
 }
 
-// release ends a request's count at its target.
+// release removes a request from its target's pending count.
 func (st *serviceState) release(t *target) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
-	t.seen.pending--
+	t.observed.pending--
 }
--- a/internal/front/conns.go
+++ b/internal/front/conns.go
@@ -10,16 +10,16 @@
 	"github.com/radishhoist/radishhoist/record"
 )
 
-// limitListener bounds the connections accepted at once; further ones wait in
-// the kernel's queue.
+// limitListener bounds the number of open connections. Further ones wait in the kernel's
+// accept queue.
 type limitListener struct {
 	net.Listener
 	front *Front
 	slots chan struct{}
 }
 
-// Limit bounds a listener's connections, and how long each may take or stay
-// idle by the configuration in force.
+// Limit wraps a listener. It bounds the number of connections and applies the header and
+// idle timeouts of the current configuration.
 func (f *Front) Limit(l net.Listener) net.Listener {
 	return &limitListener{Listener: l, front: f, slots: make(chan struct{}, f.cfg.MaxConns)}
 }
@@ -35,66 +35,66 @@
 	return &callerConn{Conn: c, front: l.front, release: sync.OnceFunc(func() { <-l.slots })}, nil
 }
 
-// callerConn is one caller's connection. The HTTP server sets its read deadline
-// from the settings; here it is brought forward to what the configuration in
-// force says, which may change while the connection lives.
+// callerConn is a caller's connection. The HTTP server sets its read deadline from the
+// settings. SetReadDeadline shortens it to the limits of the current configuration, which
+// may change while the connection is open.
 type callerConn struct {
 	net.Conn
 	front   *Front
 	release func()
-	// waits says what the next read deadline is for.
-	waits atomic.Uint32
+	// awaiting says what the next read deadline is for.
+	awaiting atomic.Uint32
 }
 
-// What a connection waits for.
+// Values of callerConn.awaiting.
 const (
-	waitsHeader uint32 = iota
-	waitsIdle
-	waitsNothing
+	awaitingHeader uint32 = iota
+	awaitingRequest
+	awaitingNothing
 )
 
-// noteState follows a connection's state: a new one waits for its first header,
-// an idle one for the next request and then for its header.
-func noteState(nc net.Conn, state http.ConnState) {
+// trackConnState records a connection's state: a new one awaits its first header, an idle
+// one the next request and then that request's header.
+func trackConnState(nc net.Conn, state http.ConnState) {
 	c, ok := nc.(*callerConn)
 	if !ok {
 		return
 	}
 	switch state {
 	case http.StateNew:
-		c.waits.Store(waitsHeader)
+		c.awaiting.Store(awaitingHeader)
 	case http.StateIdle:
-		c.waits.Store(waitsIdle)
+		c.awaiting.Store(awaitingRequest)
 	case http.StateActive:
-		c.waits.Store(waitsNothing)
+		c.awaiting.Store(awaitingNothing)
 	}
 }
 
 // SetReadDeadline implements net.Conn.
 func (c *callerConn) SetReadDeadline(t time.Time) error {
 	limits := c.front.view.Load().Limits
-	switch c.waits.Load() {
-	case waitsIdle:
-		// The deadline after it is that of the next header.
-		c.waits.Store(waitsHeader)
-		t = sooner(t, limits.IdleTimeoutMS)
-	case waitsHeader:
-		t = sooner(t, headerMS(t, limits))
+	switch c.awaiting.Load() {
+	case awaitingRequest:
+		// The server's next deadline is the one for the request header.
+		c.awaiting.Store(awaitingHeader)
+		t = earlierDeadline(t, limits.IdleTimeoutMS)
+	case awaitingHeader:
+		t = earlierDeadline(t, headerTimeoutMS(t, limits))
 	}
 	return c.Conn.SetReadDeadline(t)
 }
 
-// headerMS is the time for a header, 0 where the deadline is only taken away.
-func headerMS(t time.Time, limits record.Limits) int {
+// headerTimeoutMS is the header timeout, or 0 if t only clears the deadline.
+func headerTimeoutMS(t time.Time, limits record.Limits) int {
 	if t.IsZero() {
 		return 0
 	}
 	return limits.HeaderTimeoutMS
 }
 
-// sooner is the earlier of a deadline, zero for none, and a time from now in
-// milliseconds, 0 for none.
-func sooner(t time.Time, ms int) time.Time {
+// earlierDeadline returns the earlier of t and ms milliseconds from now. A zero value of
+// either means that it sets no deadline.
+func earlierDeadline(t time.Time, ms int) time.Time {
 	if ms == 0 {
 		return t
 	}
--- a/internal/front/conns_test.go
+++ b/internal/front/conns_test.go
@@ -19,8 +19,8 @@
 	"github.com/radishhoist/radishhoist/record"
 )
 
-// serveFront serves callers on a loopback address under a configuration's
-// limits, with settings that allow a minute.
+// serveFront serves callers on a loopback address with the given configuration limits. The
+// settings allow a minute for each timeout.
 func serveFront(t *testing.T, limits record.Limits) (*Front, string) {
 	t.Helper()
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
@@ -44,25 +44,25 @@
 	return f, l.Addr().String()
 }
 
-// closedAfter waits until the other end closes the connection.
-func closedAfter(t *testing.T, nc net.Conn) time.Duration {
+// timeUntilClosed waits until the other end closes the connection.
+func timeUntilClosed(t *testing.T, nc net.Conn) time.Duration {
 	t.Helper()
-	begun := time.Now()
-	assert.NilError(t, nc.SetReadDeadline(begun.Add(30*time.Second)))
+	start := time.Now()
+	assert.NilError(t, nc.SetReadDeadline(start.Add(30*time.Second)))
 	_, err := io.Copy(io.Discard, nc)
 	assert.NilError(t, err)
-	return time.Since(begun)
+	return time.Since(start)
 }
 
-// The settings allow a minute; the configuration in force says far less, also
-// to a connection that was open before.
+// The settings allow a minute, but the configuration has much shorter timeouts. They apply
+// to the first header on a connection and to the wait for its next request.
 func TestConfigurationBoundsIdleTimeAndHeaderTime(t *testing.T) {
 	_, addr := serveFront(t, record.Limits{IdleTimeoutMS: 50, HeaderTimeoutMS: 100})
 	slow, err := net.Dial("tcp", addr)
 	assert.NilError(t, err)
 	_, err = slow.Write([]byte("GET /a/ HTTP/1.1\r\nHost:"))
 	assert.NilError(t, err)
-	assert.Assert(t, closedAfter(t, slow) < 20*time.Second)
+	assert.Assert(t, timeUntilClosed(t, slow) < 20*time.Second)
 
 	idle, err := net.Dial("tcp", addr)
 	assert.NilError(t, err)
@@ -71,12 +71,12 @@
 	resp, err := http.ReadResponse(bufio.NewReader(idle), nil)
 	assert.NilError(t, err)
 	assert.Equal(t, resp.StatusCode, http.StatusNotFound)
-	assert.Assert(t, closedAfter(t, idle) < 20*time.Second)
+	assert.Assert(t, timeUntilClosed(t, idle) < 20*time.Second)
 }
 
-// The bounds are for waiting callers: a body that takes longer than a header may
-// is read to its end.
-func TestABodyMayTakeLongerThanAHeader(t *testing.T) {
+// The header and idle timeouts do not apply to the body: a body that takes longer than the
+// header timeout is read completely.
+func TestBodyMayTakeLongerThanHeaderTimeout(t *testing.T) {
 	_, addr := serveFront(t, record.Limits{IdleTimeoutMS: 50, HeaderTimeoutMS: 100})
 	nc, err := net.Dial("tcp", addr)
 	assert.NilError(t, err)
@@ -120,19 +120,19 @@
 	"0123456789012345678901234567890123456789012345678901234567890123456789012345678901234567890123456789" +
 	"0123456789012345678901234567890123456789012345678901234567890123456789012345678901234567890123456789"
 
-func TestTheHostNamesItsServiceWhateverTheCallerSays(t *testing.T) {
+func TestCallerServiceHeaderIsOverwritten(t *testing.T) {
 	f := &Front{cfg: Config{Service: "desk", Dialect: header.Default()}}
 	r := &http.Request{Header: http.Header{"Radishhoist-Caller-Service": {"forged"}, "Accept": {"x"}}}
-	fields := f.fields(&request{http: r})
+	fields := f.targetHeader(&request{http: r})
 	assert.DeepEqual(t, fields, []msg.Field{{Name: "Accept", Value: "x"}, {Name: "Radishhoist-Caller-Service", Value: "desk"}})
 }
 
-func TestASplitGoesByItsWeights(t *testing.T) {
+func TestSplitFollowsWeights(t *testing.T) {
 	f := &Front{}
-	parts := []record.Part{{Service: "a", Weight: 90}, {Service: "none", Weight: 0}, {Service: "b", Weight: 10}}
+	split := []record.Part{{Service: "a", Weight: 90}, {Service: "none", Weight: 0}, {Service: "b", Weight: 10}}
 	counts := map[string]int{}
 	for range 10000 {
-		counts[pickPart(f.rng(), parts)]++
+		counts[pickSplit(f.rng(), split)]++
 	}
 	assert.Equal(t, counts["none"], 0)
 	assert.Assert(t, counts["b"] > 800 && counts["b"] < 1200, "%v", counts)
--- /dev/null
+++ b/internal/front/cost.go
@@ -0,0 +1,126 @@
+package front
+
+import (
+	"time"
+
+	"github.com/radishhoist/radishhoist/internal/core/balance"
+	"github.com/radishhoist/radishhoist/internal/core/chance"
+	"github.com/radishhoist/radishhoist/internal/core/directory"
+	"github.com/radishhoist/radishhoist/internal/msg"
+)
+
+// candidate describes the target for the cost function. expected is the mean service time
+// of the route. The caller must hold the service's lock.
+func (t *target) candidate(now time.Time, req *request, expected time.Duration, typical balance.Typical, p *paths, cfg Config) balance.Candidate {
+	warm := 1.0
+	if left := t.WarmAt.Sub(now); left > 0 {
+		warm = max(1-left.Seconds()/directory.RampUp.Seconds(), 0)
+	}
+	return balance.Candidate{
+		Slots: t.Slots, Running: int(t.observed.load.Running), Waiting: req.queuedAhead(now, t.observed.load),
+		LoadAge: now.Sub(t.observed.loadAt), Typical: typical, Pending: t.observed.pending, Service: t.serviceTime(expected),
+		Path: p.roundTrip(t.Host.Name), Warmth: warm, Local: t.Host.DC == cfg.DC,
+		Fails: t.observed.failureChance(now),
+	}
+}
+
+// refusalFailureWeight is the weight of a refusal relative to a failure. A refused request
+// has not run and can be sent elsewhere, but that takes time and retry budget. With the
+// full weight of a failure, choices would oscillate between instances when all of a service
+// refuse.
+const refusalFailureWeight = 0.3
+
+// failureChance is the probability that a request sent to the instance is lost. The caller
+// must hold the service's lock.
+func (o *observations) failureChance(now time.Time) float64 {
+	return 1 - (1-o.failureEstimate.Fails(now, failureModel))*(1-refusalFailureWeight*o.shedShare.Now(now))
+}
+
+const (
+	// loadMaxAge is the maximum age of a load report that is used for a service's typical
+	// load and for its guards' remaining retry budget.
+	loadMaxAge = time.Second
+	// defaultSlotLoad is the load per slot assumed without a recent load report.
+	defaultSlotLoad = 0.3
+)
+
+// typicalLoad is the load per slot of the usable targets, from recent load reports. Distant
+// hosts report theirs only with answers. The caller must hold st.mu.
+func (st *serviceState) typicalLoad(now time.Time, req *request) balance.Typical {
+	slots, running, waiting := 0, 0, time.Duration(0)
+	for _, i := range st.candidates.usable {
+		t := st.targets[i]
+		if now.Sub(t.observed.loadAt) > loadMaxAge {
+			continue
+		}
+		slots += t.Slots
+		running += int(t.observed.load.Running)
+		waiting += req.queuedAhead(now, t.observed.load)
+	}
+	if slots == 0 {
+		return balance.Typical{Running: defaultSlotLoad}
+	}
+	return balance.Typical{Running: float64(running) / float64(slots), Waiting: waiting / time.Duration(slots)}
+}
+
+// queuedAhead estimates the work that will run before the request at an instance, as time
+// on one slot. It includes all queued work of higher priority, and that of the same
+// priority that is due earlier. A queue that admits only work that will meet its objective
+// holds no more of the latter than fits into the request's remaining time; half of that is
+// expected.
+//
+// Counting all queued work would send requests of the highest priority to failing instances
+// because work of lower priority is queued at healthy ones.
+func (req *request) queuedAhead(now time.Time, l msg.Load) time.Duration {
+	var higher uint32
+	for p := req.priority() + 1; p < len(l.WaitingMS); p++ {
+		higher += l.WaitingMS[p]
+	}
+	own := time.Duration(l.WaitingMS[min(req.priority(), len(l.WaitingMS)-1)]) * time.Millisecond
+	left := max(req.route.Objective()-now.Sub(req.arrived), 0)
+	due := left / 2 * time.Duration(l.Slots)
+	return time.Duration(higher)*time.Millisecond + min(own, due)
+}
+
+// failureModel describes instances that alternate between healthy and failing periods.
+var failureModel = chance.Default()
+
+const (
+	// retryableFailureWeight is the weight of a failure for a request that can be retried
+	// while budget is left. Most failures are reported within milliseconds, so the retry
+	// still answers in time, and each one reveals a failing instance before a request that
+	// cannot be retried reaches it.
+	retryableFailureWeight = 0.2
+	// crossDCWeight is the cost of traffic between data centres, relative to the request's
+	// value.
+	crossDCWeight = 0.05
+)
+
+// costWeights returns the weights of the cost function for the request. retryChance is the
+// probability that the request can be retried if it fails. The failure weight grows from
+// retryableFailureWeight to 1 as the retry budget runs out, because a request sent to an
+// instance that is probably failing will need a retry.
+func (req *request) costWeights(now time.Time, retryChance float64) balance.Stakes {
+	weight := 1 - retryChance*(1-retryableFailureWeight)
+	objective := req.route.Objective()
+	return balance.Stakes{
+		Objective: objective, Left: objective - now.Sub(req.arrived),
+		FailureWeight: weight, Distance: crossDCWeight,
+	}
+}
+
+// expectedServiceTime is expectedServiceTimeLocked for callers that do not hold st.mu.
+func (st *serviceState) expectedServiceTime(req *request) time.Duration {
+	st.mu.Lock()
+	defer st.mu.Unlock()
+	return st.expectedServiceTimeLocked(req)
+}
+
+// expectedServiceTimeLocked is the mean service time of the request's route, or a third of
+// its objective before the first answer. The caller must hold st.mu.
+func (st *serviceState) expectedServiceTimeLocked(req *request) time.Duration {
+	if l, ok := st.latencies[req.route.Name]; ok && l.mean > 0 {
+		return l.mean
+	}
+	return req.route.Objective() / 3
+}
--- a/internal/front/counters.go
+++ b/internal/front/counters.go
@@ -6,38 +6,38 @@
 	"github.com/radishhoist/radishhoist/verdict"
 )
 
-// counters are the front's metrics, in a set of their own so that several
-// fronts can live in one process.
+// counters are the front's metrics. They are in a separate set so that several fronts can
+// run in one process.
 type counters struct {
-	set      *metrics.Set
-	requests *metrics.Counter
-	answered *metrics.Counter
-	retries  *metrics.Counter
-	hedges   *metrics.Counter
-	aborted  *metrics.Counter
-	unpaid   *metrics.Counter
-	trials   *metrics.Counter
-	duration *metrics.Histogram
+	set             *metrics.Set
+	requests        *metrics.Counter
+	answered        *metrics.Counter
+	retries         *metrics.Counter
+	hedges          *metrics.Counter
+	aborted         *metrics.Counter
+	budgetExhausted *metrics.Counter
+	trials          *metrics.Counter
+	duration        *metrics.Histogram
 }
 
 func newCounters() counters {
 	set := metrics.NewSet()
 	return counters{
-		set:      set,
-		requests: set.NewCounter("radishhoist_requests_total"),
-		answered: set.NewCounter("radishhoist_answered_total"),
-		retries:  set.NewCounter("radishhoist_retries_total"),
-		hedges:   set.NewCounter("radishhoist_hedges_total"),
-		aborted:  set.NewCounter("radishhoist_aborted_total"),
-		unpaid:   set.NewCounter("radishhoist_repeats_unpaid_total"),
-		trials:   set.NewCounter("radishhoist_trials_total"),
-		duration: set.NewHistogram("radishhoist_duration_seconds"),
+		set:             set,
+		requests:        set.NewCounter("radishhoist_requests_total"),
+		answered:        set.NewCounter("radishhoist_answered_total"),
+		retries:         set.NewCounter("radishhoist_retries_total"),
+		hedges:          set.NewCounter("radishhoist_hedges_total"),
+		aborted:         set.NewCounter("radishhoist_aborted_total"),
+		budgetExhausted: set.NewCounter("radishhoist_repeats_unpaid_total"),
+		trials:          set.NewCounter("radishhoist_trials_total"),
+		duration:        set.NewHistogram("radishhoist_duration_seconds"),
 	}
 }
 
-func (c *counters) failed(e *verdict.Error) {
+func (c *counters) countFailure(e *verdict.Error) {
 	c.set.GetOrCreateCounter(`radishhoist_failed_total{reason="` + string(e.Reason) + `",verdict="` + e.Verdict.String() + `"}`).Inc()
 }
 
-// Metrics gives the front's metrics for the admin endpoint.
+// Metrics returns the front's metrics for the admin endpoint.
 func (f *Front) Metrics() *metrics.Set { return f.counts.set }
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -1,6 +1,7 @@
-// Package front takes callers' HTTP requests: it matches the route, fixes the
-// deadline, checks the team's rate, chooses targets, retries and hedges within
-// the budget, and answers with a whole answer or an honest verdict.
+// Package front handles callers' HTTP requests. It matches the route, sets the deadline,
+// enforces the team's rate, chooses targets, retries and hedges within the retry budget,
+// and returns either a complete answer or a failure with a verdict on whether the request
+// ran.
 package front
 
 import (
@@ -19,35 +20,35 @@
 	"github.com/radishhoist/radishhoist/internal/wire"
 )
 
-// Config has the parameters of a Front.
+// Config holds the parameters of a Front.
 type Config struct {
 	// Host and DC name this host and its data centre.
 	Host string
 	DC   string
-	// BufferBodyBytes is how much of a request body is kept for a retry.
+	// BufferBodyBytes is the size up to which a request body is buffered for retries.
 	BufferBodyBytes int
-	// MaxHeaderBytes bounds a request header.
+	// MaxHeaderBytes is the maximum size of a request header.
 	MaxHeaderBytes int
-	// MaxConns bounds the callers' connections.
+	// MaxConns is the maximum number of caller connections.
 	MaxConns int
-	// HeaderTimeout bounds the reading of a request header.
+	// HeaderTimeout is the time limit for reading a request header.
 	HeaderTimeout time.Duration
-	// IdleTimeout closes idle callers' connections.
+	// IdleTimeout is how long an idle caller connection is kept open.
 	IdleTimeout time.Duration
-	// Service is the service that runs on this host, which targets are told of
-	// requests that begin here; empty where none is named.
+	// Service is the service that runs on this host, if any. Targets get it as the calling
+	// service of requests received here.
 	Service string
-	// Dialect names the headers of the conversation with callers.
+	// Dialect names the HTTP headers used with callers and targets.
 	Dialect header.Dialect
 }
 
-// Limits are the parameters of a Front that may change while it runs.
+// Limits holds the parameters of a Front that can change at run time.
 type Limits struct {
-	// MaxBodyBytes bounds a request body.
+	// MaxBodyBytes is the maximum size of a request body.
 	MaxBodyBytes int64
 }
 
-// Front serves callers. It is safe for concurrent use.
+// Front serves callers' requests. It is safe for concurrent use.
 type Front struct {
 	cfg   Config
 	log   *slog.Logger
@@ -62,19 +63,19 @@
 	services services
 	draining atomic.Bool
 	refusing atomic.Bool
-	// life ends when the requests under way are to be abandoned.
-	life    context.Context
-	abandon context.CancelFunc
-	counts  counters
-	lines   event.Limiter
-	seed    atomic.Uint64
+	// lifetime is cancelled to end all requests in progress.
+	lifetime       context.Context
+	cancelLifetime context.CancelFunc
+	counts         counters
+	logLimiter     event.Limiter
+	seed           atomic.Uint64
 }
 
-// New makes a Front. guard is this host's own, reached without
-// frames; nil keys treat keyed requests like any other.
+// New creates a Front. g is the guard of this host, which is called directly and not over
+// the network. If keys is nil, idempotency keys are ignored.
 func New(cfg Config, limits Limits, log *slog.Logger, peers Peers, g *guard.Guard, keys Keys) *Front {
 	f := &Front{cfg: cfg, log: log, peers: peers, guard: g, keys: keys, paths: newPaths(log)}
-	f.life, f.abandon = context.WithCancel(context.Background())
+	f.lifetime, f.cancelLifetime = context.WithCancel(context.Background())
 	f.seed.Store(rand.Uint64())
 	f.limits.Store(&limits)
 	f.view.Store(&directory.Directory{})
@@ -83,58 +84,58 @@
 	return f
 }
 
-// SetLimits changes the limits.
+// SetLimits replaces the limits.
 func (f *Front) SetLimits(l Limits) {
 	f.limits.Store(&l)
 }
 
-// SetView replaces the directory that requests are served from.
+// SetView replaces the directory used to serve requests.
 func (f *Front) SetView(d *directory.Directory) {
 	f.services.update(d, f.paths, f.cfg)
 	f.view.Store(d)
 }
 
-// Peers are the ways to the guards of other hosts.
+// Peers opens streams to the guards of other hosts.
 type Peers interface {
-	// Open starts a stream to the host at an address. The connection is that which
-	// carries it, nil where there is none to watch for signs of life.
+	// Open starts a stream to the host at an address. The returned connection carries the
+	// stream; it is nil if there is none that can be pinged.
 	Open(ctx context.Context, address string) (wire.Stream, *wire.Conn, error)
 }
 
-// SetPeers sets the ways to the other hosts, before the first request.
+// SetPeers sets the peers. It must be called before the first request.
 func (f *Front) SetPeers(p Peers) { f.peers = p }
 
-// View gives the directory in force.
+// View returns the current directory.
 func (f *Front) View() *directory.Directory { return f.view.Load() }
 
-// Drain makes the front tell its callers' connections to close.
+// Drain makes the front ask callers to close their connections.
 func (f *Front) Drain() { f.draining.Store(true) }
 
-// endMargin is how many times as long as a request usually takes an attempt must
-// have before the end to be made: service times have a long tail. With no margin
-// a request that usually takes 2.6 s was sent to its instance 0.6 s before the
-// end and broken off there.
-const endMargin = 1.5
+// shutdownMargin is how many times the expected service time an attempt must have left
+// before shutdown, because service times have a long tail. Without a margin, a request that
+// usually takes 2.6 s was sent to its instance 0.6 s before shutdown and interrupted there.
+const shutdownMargin = 1.5
 
-// fits says that an attempt at the request has room before the process ends.
-func (f *Front) fits(now time.Time, req *request) bool {
+// fitsBeforeShutdown reports whether an attempt is expected to finish before the process
+// ends.
+func (f *Front) fitsBeforeShutdown(now time.Time, req *request) bool {
 	end, stopping := f.guard.End()
 	if !stopping {
 		return true
 	}
-	need := time.Duration(endMargin * float64(req.state.usual(req)))
+	need := time.Duration(shutdownMargin * float64(req.state.expectedServiceTime(req)))
 	return !now.Add(need).After(end)
 }
 
-// Refuse makes the front take no more requests, once callers have had time to
-// turn to other hosts.
+// Refuse makes the front refuse all new requests. It is called once callers have had time
+// to switch to other hosts.
 func (f *Front) Refuse() { f.refusing.Store(true) }
 
-// Abandon ends every request under way with what is known of it, for the end of
-// a graceful stop: an answer that says so is better than a broken connection.
-func (f *Front) Abandon() { f.abandon() }
+// Abandon ends all requests in progress at the end of a graceful shutdown. Their callers
+// get a failure with the verdict known so far, which is better than a broken connection.
+func (f *Front) Abandon() { f.cancelLifetime() }
 
-// Server makes the HTTP server for callers; the caller serves and shuts down.
+// Server returns the HTTP server for callers. The caller serves and shuts it down.
 func (f *Front) Server() *http.Server {
 	return &http.Server{
 		Handler:           f,
@@ -142,30 +143,30 @@
 		IdleTimeout:       f.cfg.IdleTimeout,
 		MaxHeaderBytes:    f.cfg.MaxHeaderBytes,
 		ErrorLog:          slog.NewLogLogger(f.log.Handler(), slog.LevelDebug),
-		ConnState:         noteState,
+		ConnState:         trackConnState,
 	}
 }
 
-// rng gives a random source for one request; requests do not share one, so
-// that they need no lock.
+// rng returns a random source for one request. Each request has its own, so that no lock is
+// needed.
 func (f *Front) rng() *rand.Rand {
 	n := f.seed.Add(1)
 	return rand.New(rand.NewPCG(n, n^0x9e3779b97f4a7c15))
 }
 
-// open starts a stream to the guard of a host: a function call on the own
-// host, frames to any other.
+// open starts a stream to the guard of a host. The guard of this host is called through an
+// in-process pipe.
 func (f *Front) open(ctx context.Context, h *directory.Host) (wire.Stream, *wire.Conn, error) {
 	if h.Name == f.cfg.Host {
-		near, far := wire.Pipe()
-		go f.serveLocal(far)
-		return near, nil, nil
+		client, server := wire.Pipe()
+		go f.serveLocal(server)
+		return client, nil, nil
 	}
 	return f.peers.Open(ctx, h.Peer)
 }
 
 func (f *Front) serveLocal(s wire.Stream) {
-	ctx, cancel := context.WithTimeout(context.Background(), localFirst)
+	ctx, cancel := context.WithTimeout(context.Background(), localFirstMessageTimeout)
 	defer cancel()
 	first, err := s.Recv(ctx)
 	if err != nil {
@@ -175,9 +176,9 @@
 	f.guard.Serve(s, first)
 }
 
-// localFirst bounds the wait for the first message on the own host.
-const localFirst = 10 * time.Second
+// localFirstMessageTimeout bounds the wait for the first message on an in-process stream.
+const localFirstMessageTimeout = 10 * time.Second
 
-func sampleOf(hash uint64, pace float64) msg.Sample {
-	return msg.Sample{Instance: hash, Pace: uint32(min(pace*msg.Thousandths, 1<<32-1))}
+func newSample(hash uint64, latencyRatio float64) msg.Sample {
+	return msg.Sample{Instance: hash, Pace: uint32(min(latencyRatio*msg.Thousandths, 1<<32-1))}
 }
--- a/internal/front/hedge.go
+++ b/internal/front/hedge.go
@@ -5,79 +5,81 @@
 	"time"
 )
 
-// hedge is the attempt that runs beside a slow one.
+// hedge is a second attempt made while a slow one is still running.
 type hedge struct {
 	cancel  context.CancelFunc
 	done    chan struct{}
 	outcome *outcome
 }
 
-// runHedge makes an attempt beside the primary one and, where it wins, ends
-// that.
-func (c *race) runHedge(whole context.Context) {
-	c.mu.Lock()
-	if c.over || c.hedge != nil || !c.req.repeatable() || whole.Err() != nil {
-		c.mu.Unlock()
+// runHedge makes a second attempt in parallel to the primary one, and cancels the primary
+// one if the hedge answers first.
+func (e *execution) runHedge(requestCtx context.Context) {
+	e.mu.Lock()
+	if e.done || e.hedge != nil || !e.req.canResend() || requestCtx.Err() != nil {
+		e.mu.Unlock()
 		return
 	}
-	p, ok := c.next(true)
+	p, ok := e.next(true)
 	if !ok {
-		c.mu.Unlock()
+		e.mu.Unlock()
 		return
 	}
-	ctx, cancel := context.WithCancel(whole)
+	ctx, cancel := context.WithCancel(requestCtx)
 	h := &hedge{cancel: cancel, done: make(chan struct{})}
-	c.hedge = h
-	c.mu.Unlock()
-	o := c.try(ctx, p, nil)
-	o.endWith(cancel)
-	if o.fail == nil || arrived(o.fail) {
-		c.front.counts.hedges.Inc()
+	e.hedge = h
+	e.mu.Unlock()
+	o := e.runAttempt(ctx, p, nil)
+	o.bindCancel(cancel)
+	if o.fail == nil || reachedInstance(o.fail) {
+		e.front.counts.hedges.Inc()
 	}
 
-	c.mu.Lock()
-	defer c.mu.Unlock()
+	e.mu.Lock()
+	defer e.mu.Unlock()
 	h.outcome = o
 	close(h.done)
 	switch {
-	case c.over:
+	case e.done:
 		o.discard()
 	case o.fail == nil && !retriableStatus(o.answer.head.Status):
-		c.cancelPrimary()
+		e.cancelPrimary()
 	}
 }
 
-// awaitHedge waits for the hedge, where one runs, and gives its outcome once.
-func (c *race) awaitHedge() *outcome {
-	c.mu.Lock()
-	h := c.hedge
-	c.mu.Unlock()
+// awaitHedge waits for the hedge, if there is one, and returns its outcome. Later calls
+// return nil.
+func (e *execution) awaitHedge() *outcome {
+	e.mu.Lock()
+	h := e.hedge
+	e.mu.Unlock()
 	if h == nil {
 		return nil
 	}
 	<-h.done
-	c.mu.Lock()
-	defer c.mu.Unlock()
+	e.mu.Lock()
+	defer e.mu.Unlock()
 	o := h.outcome
 	h.outcome = nil
 	return o
 }
 
-// finish ends a hedge that lost and gives the account, which is closed with it.
-func (c *race) finish() account {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.over = true
-	if c.hedge != nil {
-		c.hedge.cancel()
-		if o := c.hedge.outcome; o != nil {
+// finish cancels a hedge that is not used and returns the summary, which later attempts do
+// not change.
+func (e *execution) finish() attemptSummary {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.done = true
+	if e.hedge != nil {
+		e.hedge.cancel()
+		if o := e.hedge.outcome; o != nil {
 			o.discard()
 		}
 	}
-	return c.account
+	return e.summary
 }
 
-// discard lets go of an answer that nobody gets.
+// discard closes an answer that is not delivered.
 func (o *outcome) discard() {
 	if o.answer != nil {
 		o.answer.close()
@@ -87,5 +89,5 @@
 func (st *serviceState) hedgeDelay(req *request) time.Duration {
 	st.mu.Lock()
 	defer st.mu.Unlock()
-	return st.route(req.route.Name).hedgeDelay(req.route.Objective())
+	return st.routeLatency(req.route.Name).hedgeDelay(req.route.Objective())
 }
--- a/internal/front/hedge_test.go
+++ b/internal/front/hedge_test.go
@@ -21,82 +21,73 @@
 	"github.com/radishhoist/radishhoist/verdict"
 )
 
-// lateStream is a stream whose one word comes when the test says so, whatever its
-// reader has given up.
-type lateStream struct{ word chan msg.Message }
+// delayedStream is a stream whose only message arrives when the test sends it, even after
+// its reader's context has ended.
+type delayedStream struct{ message chan msg.Message }
 
-func (s lateStream) Send(context.Context, ...msg.Message) error { return nil }
-func (s lateStream) Recv(context.Context) (msg.Message, error)  { return <-s.word, nil }
-func (s lateStream) Close()                                     {}
-func (s lateStream) Open(context.Context, string) (wire.Stream, *wire.Conn, error) {
+func (s delayedStream) Send(context.Context, ...msg.Message) error { return nil }
+func (s delayedStream) Recv(context.Context) (msg.Message, error)  { return <-s.message, nil }
+func (s delayedStream) Close()                                     {}
+func (s delayedStream) Open(context.Context, string) (wire.Stream, *wire.Conn, error) {
 	return s, nil, nil
 }
 
-// racing makes a request that is sent to a guard with a late word.
-func racing(t *testing.T) (*race, pick, lateStream) {
+// newDelayedExecution returns an execution and a target whose guard answers late.
+func newDelayedExecution(t *testing.T) (*execution, pick, delayedStream) {
 	t.Helper()
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	g := guard.New(guard.Config{Host: "h"}, guard.Limits{}, log, nil, guard.Hooks{Changed: func() {}, Pulse: func(*msg.Pulse, pulse.Reach) {}})
-	stream := lateStream{word: make(chan msg.Message)}
+	stream := delayedStream{message: make(chan msg.Message)}
 	f := New(Config{Host: "h"}, Limits{}, log, stream, g, nil)
 	req := &request{
 		id: "r", arrived: time.Now(), deadline: time.Now().Add(time.Minute), idempotent: true,
-		route: &route.Route{Name: "r"}, service: &directory.Service{Name: "s"}, state: &serviceState{routes: map[string]*latency{}},
+		route: &route.Route{Name: "r"}, service: &directory.Service{Name: "s"}, state: &serviceState{latencies: map[string]*latency{}},
 		http: httptest.NewRequest("GET", "/a", nil),
 	}
-	at := &target{Target: &directory.Target{Instance: &directory.Instance{Name: "i"}, Host: &directory.Host{Name: "other"}}, seen: &observed{}}
-	return &race{front: f, req: req}, pick{target: at}, stream
+	otherHost := &target{Target: &directory.Target{Instance: &directory.Instance{Name: "i"}, Host: &directory.Host{Name: "other"}}, observed: &observations{}}
+	return &execution{front: f, req: req}, pick{target: otherHost}, stream
 }
 
-// What operators saw: nothing yet; the race detector saw it once in a fleet in
-// virtual time, where a request's last line was written.
-//
-// Order of events: a request's second attempt, made beside a slow first one, is
-// under way when the first has its answer. The answer goes out, and its line is
-// written, while the second attempt's guard says that no repeat is left, which is
-// noted with the request.
-//
-// Cause: what comes of a request's attempts stood with the request and was read at
-// its end, though an attempt may outlive the request.
-//
-// Evidence: the detector's report names the write after the guard's word and the
-// read for the line. Here the word always comes after the end.
-func TestALateAttemptChangesNothingOfItsRequest(t *testing.T) {
-	c, p, stream := racing(t)
+// An attempt may outlive its request. The race detector once reported that a slow attempt
+// recorded its refusal by the retry budget with the request while the request's log line
+// was being written. The request's end must therefore get a copy of the summary that late
+// attempts do not change. Here the guard's refusal always arrives after the request's end.
+func TestLateAttemptDoesNotChangeRequestSummary(t *testing.T) {
+	exec, p, stream := newDelayedExecution(t)
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		c.try(context.Background(), p, nil)
+		exec.runAttempt(context.Background(), p, nil)
 	}()
-	c.finish()
-	stream.word <- &msg.Fail{Verdict: verdict.NotRun, Reason: verdict.ReasonRetryBudget}
-	c.front.logAnswer(c.req, 500)
+	exec.finish()
+	stream.message <- &msg.Fail{Verdict: verdict.NotRun, Reason: verdict.ReasonRetryBudget}
+	exec.front.logAnswer(exec.req, 500)
 	<-done
 }
 
-// The same for what an attempt's choice changes: a hedge whose time comes while the
-// request's failures are summed up.
-func TestAHedgeThatComesAsTheRequestEndsStaysOut(t *testing.T) {
-	c, _, _ := racing(t)
-	c.failed(verdict.New(verdict.NotRun, verdict.ReasonQueueFull, ""))
+// A hedge that becomes due while the request's failures are combined must not start: its
+// choice of a target could add a failure.
+func TestHedgeDoesNotStartAfterRequestEnd(t *testing.T) {
+	exec, _, _ := newDelayedExecution(t)
+	exec.addFailure(verdict.New(verdict.NotRun, verdict.ReasonQueueFull, ""))
 	var hedge sync.WaitGroup
 	hedge.Go(func() {
-		c.mu.Lock()
-		defer c.mu.Unlock()
-		if !c.over {
-			c.failed(verdict.New(verdict.NotRun, verdict.ReasonDraining, ""))
+		exec.mu.Lock()
+		defer exec.mu.Unlock()
+		if !exec.done {
+			exec.addFailure(verdict.New(verdict.NotRun, verdict.ReasonDraining, ""))
 		}
 	})
-	_, fail := c.settle()
+	_, fail := exec.finalResult()
 	assert.Assert(t, fail != nil)
 	hedge.Wait()
-	assert.Assert(t, c.over, "a hedge may still begin")
+	assert.Assert(t, exec.done, "a hedge may still start")
 }
 
-// A body that is too large to keep can be sent by one attempt alone, also where two
-// come to send it at once.
-func TestABodyThatIsNotKeptIsSentByOneAttempt(t *testing.T) {
-	req := &request{rest: strings.NewReader("rest"), body: []byte("kept")}
+// A body that is too large to buffer is sent by one attempt only, even if several try to
+// send it at once.
+func TestUnbufferedBodyIsSentByOneAttempt(t *testing.T) {
+	req := &request{unbuffered: strings.NewReader("rest"), body: []byte("kept")}
 	var attempts sync.WaitGroup
 	var mu sync.Mutex
 	senders := 0
@@ -111,5 +102,5 @@
 	}
 	attempts.Wait()
 	assert.Equal(t, senders, 1)
-	assert.Assert(t, !req.repeatable())
+	assert.Assert(t, !req.canResend())
 }
--- a/internal/front/identity.go
+++ b/internal/front/identity.go
@@ -16,23 +16,24 @@
 	"github.com/radishhoist/radishhoist/verdict"
 )
 
-// Rates holds teams to their rates over all hosts.
+// Rates enforces teams' request rates across all hosts.
 type Rates interface {
-	// Admit says whether a request of a team may pass; where not, when to come back.
-	// limited says that it counts, so that Return may take it back.
+	// Admit reports whether a request of the team is within its rate, and if not, how long
+	// to wait. limited says that the request counts against a rate, so that Return can undo
+	// it.
 	Admit(ctx context.Context, team string) (ok, limited bool, wait time.Duration)
-	// Return takes a request back that was let pass and did not run.
+	// Return releases an admitted request that did not run.
 	Return(team string)
 }
 
-// SetRates sets what holds teams to their rates, before the first request; without
-// it they have none.
+// SetRates sets the rate limiter. It must be called before the first request; without it
+// teams have no rate limit.
 func (f *Front) SetRates(r Rates) { f.rates = r }
 
 const authorization = "Authorization"
 
-// bearer gives the key that a caller shows, "" for none.
-func bearer(h http.Header) string {
+// bearerToken returns the bearer token of the Authorization header, or "".
+func bearerToken(h http.Header) string {
 	scheme, key, found := strings.Cut(h.Get(authorization), " ")
 	if !found || !strings.EqualFold(scheme, "Bearer") {
 		return ""
@@ -40,25 +41,26 @@
 	return strings.TrimSpace(key)
 }
 
-// identify finds the caller's team: by its key where keys are asked for, else by
-// its own word. It refuses a caller without a known key, but on an open route.
-func identify(view *directory.Directory, req *request) *verdict.Error {
-	req.keyed = view.RequireKeys
-	if !req.keyed {
+// identifyTeam finds the caller's team. If API keys are required, it is the team of the
+// key, otherwise the one the caller names. A request without a known key is refused unless
+// its route is open.
+func identifyTeam(view *directory.Directory, req *request) *verdict.Error {
+	req.keyRequired = view.RequireKeys
+	if !req.keyRequired {
 		req.team = req.http.Header.Get(header.Team)
-	} else if team, ok := view.Keys.Of(bearer(req.http.Header)); ok {
+	} else if team, ok := view.Keys.Of(bearerToken(req.http.Header)); ok {
 		req.team = team
 	} else if !req.route.Open {
-		return verdict.New(verdict.NotRun, verdict.ReasonNoTeam, "no team has the key that was shown; send the header Authorization: Bearer KEY")
+		return verdict.New(verdict.NotRun, verdict.ReasonNoTeam, "no team has the API key that was sent; send the header Authorization: Bearer KEY")
 	}
-	req.class = uint32(guard.InstanceHash(req.team) % admit.Classes)
+	req.fairnessClass = uint32(guard.InstanceHash(req.team) % admit.Classes)
 	if t, ok := view.Teams[req.team]; ok {
 		req.teamPriority = t.Priority
 	}
 	return nil
 }
 
-// priority orders the request among those that wait, see record.Route.
+// priority is the request's priority in the queue, see record.Route.
 func (req *request) priority() int {
 	if req.teamPriority != nil {
 		return *req.teamPriority
@@ -66,15 +68,16 @@
 	return req.route.Priority
 }
 
-// limitTeam counts the request against the rate of the caller's team.
-func (f *Front) limitTeam(view *directory.Directory, req *request) *verdict.Error {
+// admitTeam counts the request against the rate of the caller's team and refuses it over
+// that rate.
+func (f *Front) admitTeam(view *directory.Directory, req *request) *verdict.Error {
 	if f.rates == nil || req.team == "" {
 		return nil
 	}
 	ctx, cancel := context.WithDeadline(req.http.Context(), req.deadline)
 	defer cancel()
 	ok, limited, wait := f.rates.Admit(ctx, req.team)
-	req.counted = ok && limited
+	req.countedInRate = ok && limited
 	if ok {
 		return nil
 	}
@@ -82,19 +85,19 @@
 		req.team, view.Teams[req.team].RatePerSecond), wait)
 }
 
-// uncount gives a request back to its team that did not run.
-func (f *Front) uncount(req *request, fail *verdict.Error) {
-	if req != nil && req.counted && fail.Verdict == verdict.NotRun {
-		req.counted = false
+// releaseRate releases a request that did not run from its team's rate.
+func (f *Front) releaseRate(req *request, fail *verdict.Error) {
+	if req != nil && req.countedInRate && fail.Verdict == verdict.NotRun {
+		req.countedInRate = false
 		f.rates.Return(req.team)
 	}
 }
 
-// tellTeam puts the caller's team, as found here, in the place of what the caller
-// says of it, and leaves its key out.
-func (f *Front) tellTeam(req *request, fields []msg.Field) []msg.Field {
+// setTeamHeader replaces the caller's team header by the team found here and removes the
+// caller's API key. It does nothing if no key is required.
+func (f *Front) setTeamHeader(req *request, fields []msg.Field) []msg.Field {
 	name := f.cfg.Dialect.Team
-	if !req.keyed {
+	if !req.keyRequired {
 		return fields
 	}
 	fields = slices.DeleteFunc(fields, func(field msg.Field) bool {
--- a/internal/front/keys.go
+++ b/internal/front/keys.go
@@ -12,16 +12,16 @@
 	"github.com/radishhoist/radishhoist/verdict"
 )
 
-// Keys decides whether a keyed request may run.
+// Keys decides whether a request with an idempotency key may run.
 type Keys interface {
-	// Claim asks the owner of the key's shard; it never fails, a claim that
-	// could not be made is refused.
+	// Claim asks the owner of the key's shard. It has no error result: a claim that could
+	// not be made is refused.
 	Claim(ctx context.Context, service *directory.Service, k KeyRequest) KeyAnswer
-	// Done tells the owner how a claimed request ended. It may take long.
+	// Done reports to the owner how a claimed request ended. It may block for a long time.
 	Done(service *directory.Service, k KeyRequest, end KeyEnd)
 }
 
-// KeyRequest names one keyed request.
+// KeyRequest identifies one request with an idempotency key.
 type KeyRequest struct {
 	Key string
 	// BodyHash binds the key to one method, path and body.
@@ -29,87 +29,88 @@
 	RequestID string
 }
 
-// KeyAnswer is the owner's word on a keyed request.
+// KeyAnswer is the owner's answer to a claim.
 type KeyAnswer struct {
 	Outcome once.ClaimOutcome
 	Shard   uint32
 	Epoch   uint64
-	// Status, Header and Body are the finished answer, for ClaimReplay.
+	// Status, Header and Body are the stored answer, for ClaimReplay.
 	Status uint16
 	Header []msg.Field
 	Body   []byte
-	// RetryAfterMS helps a caller that was refused.
+	// RetryAfterMS tells a refused caller when to retry.
 	RetryAfterMS int64
 }
 
-// KeyEnd is how a claimed request ended.
+// KeyEnd is the result of a claimed request.
 type KeyEnd struct {
 	Verdict verdict.Verdict
-	// Whole says that a whole answer came, Kept that it stands below.
+	// Whole says that a complete answer was received, and Kept that it is in the fields
+	// below.
 	Whole, Kept bool
 	Status      uint16
 	Header      []msg.Field
 	Body        []byte
 }
 
-// maxKey bounds an Idempotency-Key, in bytes.
-const maxKey = 256
+// maxKeyBytes is the maximum length of an Idempotency-Key.
+const maxKeyBytes = 256
 
-// runKeyed runs the request by the promise that fits it.
+// runKeyed runs the request as its idempotency and its key require.
 func (f *Front) runKeyed(ctx context.Context, req *request) (*answer, *verdict.Error) {
 	switch {
 	case req.idempotent:
 		return f.runIdempotent(ctx, req)
-	case req.key == "" || f.keys == nil:
-		return f.runOnce(ctx, req, nil)
-	case len(req.key) > maxKey:
-		return nil, verdict.New(verdict.NotRun, verdict.ReasonBadRequest, "the Idempotency-Key is too long: write up to 256 bytes")
+	case req.idempotencyKey == "" || f.keys == nil:
+		return f.runNonIdempotent(ctx, req, nil)
+	case len(req.idempotencyKey) > maxKeyBytes:
+		return nil, verdict.New(verdict.NotRun, verdict.ReasonBadRequest, "the Idempotency-Key is longer than 256 bytes")
 	}
-	k := KeyRequest{Key: req.key, BodyHash: req.hash(), RequestID: req.id}
+	k := KeyRequest{Key: req.idempotencyKey, BodyHash: req.contentHash(), RequestID: req.id}
 	task := &claimTask{done: make(chan struct{})}
 	go func() {
 		task.answer = f.keys.Claim(ctx, req.service, k)
 		close(task.done)
 	}()
-	a, fail := f.runOnce(ctx, req, task)
+	a, fail := f.runNonIdempotent(ctx, req, task)
 	<-task.done
 	if task.answer.Outcome == once.ClaimReplay {
 		return replay(task.answer), nil
 	}
 	if task.answer.Outcome == once.ClaimRun {
-		end := endOf(a, fail)
+		end := keyEnd(a, fail)
 		go f.keys.Done(req.service, k, end)
 	}
 	return a, fail
 }
 
-// hash binds a key to one request. Of a body too large to keep it covers the
-// kept part and the length.
-func (req *request) hash() uint64 {
+// contentHash binds a key to one request. For a body too large to buffer it covers the
+// buffered part and the length.
+func (req *request) contentHash() uint64 {
 	d := xxhash.New()
 	_, _ = d.WriteString(req.http.Method + " " + req.http.URL.RequestURI() + "\n")
 	_, _ = d.Write(req.body)
 	return d.Sum64() ^ uint64(req.length)
 }
 
-// endOf describes the end of a claimed request to the key's owner.
-func endOf(a *answer, fail *verdict.Error) KeyEnd {
+// keyEnd describes the result of a claimed request for the key's owner.
+func keyEnd(a *answer, fail *verdict.Error) KeyEnd {
 	if fail != nil {
 		return KeyEnd{Verdict: fail.Verdict}
 	}
 	end := KeyEnd{Verdict: verdict.Ran, Whole: true, Status: a.head.Status}
-	if !a.open {
-		end.Kept, end.Header, end.Body = true, a.head.Header, a.kept
+	if !a.streaming {
+		end.Kept, end.Header, end.Body = true, a.head.Header, a.buffered
 	}
 	return end
 }
 
-// replay turns a finished answer into one to give again.
+// replay returns the answer stored for the key.
 func replay(k KeyAnswer) *answer {
 	fields := append([]msg.Field{{Name: header.Replayed, Value: "true"}}, k.Header...)
 	return &answer{
-		head: &msg.Head{Status: k.Status, Header: fields, Length: int64(len(k.Body))},
-		kept: k.Body,
+		head:     &msg.Head{Status: k.Status, Header: fields, Length: int64(len(k.Body))},
+		buffered: k.Body,
 	}
 }
 
@@ -122,28 +123,28 @@
 	}
 }
 
-// busyRetryAfter is told to a caller whose key is in progress.
-const busyRetryAfter = 1000
+// busyRetryAfterMS is the Retry-After for a key whose request is in progress.
+const busyRetryAfterMS = 1000
 
-// keyFailure says why a claim did not let the request run. The verdict speaks
-// of all requests with the key, not of this one alone, which never ran.
+// keyFailure explains why a claim did not let the request run. The verdict covers all
+// requests with the key, since this one never ran.
 func keyFailure(k KeyAnswer) *verdict.Error {
-	e := verdict.New(verdict.NotRun, verdict.ReasonKeyNoOwner, "the key's shard has no owner with authority at present")
+	e := verdict.New(verdict.NotRun, verdict.ReasonKeyNoOwner, "the key's shard has no authoritative owner at present")
 	e.RetryAfterMS = max(k.RetryAfterMS, 1)
 	switch k.Outcome {
 	case once.ClaimBusy:
 		e = verdict.New(verdict.MayHaveRun, verdict.ReasonKeyBusy, "a request with this key is in progress")
-		e.RetryAfterMS = busyRetryAfter
+		e.RetryAfterMS = busyRetryAfterMS
 	case once.ClaimReused:
-		e = verdict.New(verdict.NotRun, verdict.ReasonKeyReused, "this key stands for another request; mint a new key")
+		e = verdict.New(verdict.NotRun, verdict.ReasonKeyReused, "this key was used for a different request; generate a new key")
 	case once.ClaimMayHaveRun:
 		e = verdict.New(verdict.MayHaveRun, verdict.ReasonKeyUnknown, "a request with this key may have run; it is not run again")
 	case once.ClaimRanUnkept:
-		e = verdict.New(verdict.Ran, verdict.ReasonKeyUnknown, "the request ran; its answer is not kept")
+		e = verdict.New(verdict.Ran, verdict.ReasonKeyUnknown, "the request ran, but its answer was not stored")
 	case once.ClaimUnknown:
-		e = verdict.New(verdict.MayHaveRun, verdict.ReasonKeyUnknown, "the key's owner is new and cannot tell whether the key has run")
+		e = verdict.New(verdict.MayHaveRun, verdict.ReasonKeyUnknown, "the key's owner took over recently and cannot tell whether a request with this key has run")
 	case once.ClaimTooOld:
-		e = verdict.New(verdict.MayHaveRun, verdict.ReasonKeyTooOld, "the key is older than what its owner remembers")
+		e = verdict.New(verdict.MayHaveRun, verdict.ReasonKeyTooOld, "the key is older than its owner's key history")
 	}
 	return e
 }
--- a/internal/front/paths.go
+++ b/internal/front/paths.go
@@ -8,40 +8,40 @@
 	"github.com/radishhoist/radishhoist/internal/event"
 )
 
-// paths judges the ways to other hosts, for all instances of a host at once:
-// an answer's time less the service and queue time that the guard reports is
-// the path's, and a host from which no frame comes is cut off or gone.
+// paths tracks the network paths to other hosts, for all instances of a host together. A
+// path's round trip is the time to the answer less the service and queue times that the
+// guard reports. A host from which no frame arrives is unreachable or down.
 type paths struct {
 	log *slog.Logger
 	mu  sync.Mutex
-	// byHost has an entry for each host this front has sent to.
+	// byHost has an entry for each host to which this front has sent requests.
 	byHost map[string]*path
 }
 
 type path struct {
 	roundTrip time.Duration
-	// misses counts attempts in a row without any frame from the host.
+	// misses counts consecutive attempts without any frame from the host.
 	misses int
-	// out says that the path is left out; from retryAt on one request at a
-	// time tries it.
-	out     bool
-	retryAt time.Time
-	backoff time.Duration
+	// excluded says that the path is not used. From retryAt on, one request at a time may
+	// try it.
+	excluded bool
+	retryAt  time.Time
+	backoff  time.Duration
 }
 
 const (
-	// pathBackoffMin and pathBackoffMax bound the time it is left out.
+	// pathBackoffMin and pathBackoffMax bound how long a path is excluded.
 	pathBackoffMin = time.Second
 	pathBackoffMax = 30 * time.Second
-	// pathWeight is the weight of a new sample of the round trip.
-	pathWeight = 0.1
+	// roundTripWeight is the weight of a new sample in the mean round trip.
+	roundTripWeight = 0.1
 )
 
 func newPaths(log *slog.Logger) *paths {
 	return &paths{log: log, byHost: make(map[string]*path)}
 }
 
-func (p *paths) at(host string) *path {
+func (p *paths) entry(host string) *path {
 	e, ok := p.byHost[host]
 	if !ok {
 		e = &path{}
@@ -50,21 +50,21 @@
 	return e
 }
 
-// usable says that the path is not left out.
+// usable reports whether the path is not excluded.
 func (p *paths) usable(host string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	e, ok := p.byHost[host]
-	return !ok || !e.out
+	return !ok || !e.excluded
 }
 
-// trial says that a path that is left out may be tried by one request now,
-// and puts off the next one.
-func (p *paths) trial(now time.Time, host string) bool {
+// tryAcquireTrial reports whether one request may try an excluded path now. If so, it
+// postpones the next trial.
+func (p *paths) tryAcquireTrial(now time.Time, host string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	e, ok := p.byHost[host]
-	if !ok || !e.out || now.Before(e.retryAt) {
+	if !ok || !e.excluded || now.Before(e.retryAt) {
 		return false
 	}
 	e.retryAt = now.Add(e.backoff)
@@ -80,41 +80,42 @@
 	return 0
 }
 
-// heard takes a sign of life and, where sample is positive, a round trip.
-func (p *paths) heard(host string, sample time.Duration) {
+// recordReply records that a frame arrived from the host and, if sample is positive, a
+// round-trip time.
+func (p *paths) recordReply(host string, sample time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	e := p.at(host)
-	if e.out {
+	e := p.entry(host)
+	if e.excluded {
 		event.Log(p.log, event.PathBack, slog.String("peer", host))
 	}
-	e.misses, e.out, e.backoff = 0, false, 0
+	e.misses, e.excluded, e.backoff = 0, false, 0
 	if sample <= 0 {
 		return
 	}
 	if e.roundTrip == 0 {
 		e.roundTrip = sample
 	}
-	e.roundTrip += time.Duration(pathWeight * float64(sample-e.roundTrip))
+	e.roundTrip += time.Duration(roundTripWeight * float64(sample-e.roundTrip))
 }
 
-// missed takes an attempt that no frame from the host followed, not even the
-// answer to a ping: the path is left out at once, because trying it again
-// later costs one request.
-func (p *paths) missed(now time.Time, host string) {
+// recordMiss records an attempt after which no frame arrived from the host, not even the
+// answer to a ping. The path is excluded at once, because trying it again later costs only
+// one request.
+func (p *paths) recordMiss(now time.Time, host string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	e := p.at(host)
+	e := p.entry(host)
 	e.misses++
-	if e.out && now.Before(e.retryAt.Add(-e.backoff/2)) {
-		return // an attempt from before the path was left out
+	if e.excluded && now.Before(e.retryAt.Add(-e.backoff/2)) {
+		return // the attempt began before the path was excluded
 	}
 	e.backoff = min(max(2*e.backoff, pathBackoffMin), pathBackoffMax)
 	e.retryAt = now.Add(e.backoff)
-	if !e.out {
+	if !e.excluded {
 		event.Log(p.log, event.PathLeftOut, slog.String("peer", host), slog.Int("unanswered", e.misses))
 	}
-	e.out = true
+	e.excluded = true
 }
 
 // PathState is one path in the state dump.
@@ -130,7 +131,7 @@
 	defer p.mu.Unlock()
 	out := []PathState{}
 	for host, e := range p.byHost {
-		out = append(out, PathState{Host: host, RoundTripMS: float64(e.roundTrip.Microseconds()) / 1000, Misses: e.misses, Out: e.out})
+		out = append(out, PathState{Host: host, RoundTripMS: float64(e.roundTrip.Microseconds()) / 1000, Misses: e.misses, Out: e.excluded})
 	}
 	return out
 }
--- a/internal/front/request.go
+++ b/internal/front/request.go
@@ -23,40 +23,39 @@
 	"github.com/radishhoist/radishhoist/verdict"
 )
 
-// request is one caller's request on its way through the front.
+// request is a caller's request being served by the front.
 type request struct {
-	id         string
-	arrived    time.Time
-	deadline   time.Time
-	route      *route.Route
-	service    *directory.Service
-	state      *serviceState
-	idempotent bool
-	class      uint32
-	// team is the caller's team, "" for none; keyed says that keys are asked for, and
-	// counted that the request counts against the team's rate.
-	team           string
-	keyed, counted bool
-	// teamPriority goes before that of the route; nil leaves it to that.
-	teamPriority *int
-	http         *http.Request
-	key          string
+	id            string
+	arrived       time.Time
+	deadline      time.Time
+	route         *route.Route
+	service       *directory.Service
+	state         *serviceState
+	idempotent    bool
+	fairnessClass uint32
+	// team is the caller's team, or "". keyRequired says that callers must send an API key,
+	// and countedInRate that the request counts against the team's rate.
+	team                       string
+	keyRequired, countedInRate bool
+	// teamPriority overrides the route's priority; nil means no override.
+	teamPriority   *int
+	http           *http.Request
+	idempotencyKey string
 
-	// body is the buffered request body; rest is what follows where the body
-	// is too large to keep, and can be sent only once: by the attempt that sets
-	// restUsed first.
-	body     []byte
-	rest     io.Reader
-	restUsed atomic.Bool
-	length   int64
-	// callPart and idle tell guards whether it may be a call of a repeated run,
-	// see msg.Aim.
-	callPart uint16
-	idle     bool
-	// print is what the request is known by when it comes again.
-	print crash.Print
-	// account is what came of the attempts, once the request is over.
-	account account
+	// body is the buffered request body. If the body is too large to buffer, unbuffered is
+	// the remainder, which only one attempt can send: the first to set unbufferedUsed.
+	body           []byte
+	unbuffered     io.Reader
+	unbufferedUsed atomic.Bool
+	length         int64
+	// nestedRetryChance and originIdle tell guards how likely the request is to be a call
+	// made by a retried run, see msg.Aim.CallPart and msg.Aim.Idle.
+	nestedRetryChance uint16
+	originIdle        bool
+	// fingerprint identifies the request when it is sent again.
+	fingerprint crash.Print
+	// summary describes the attempts, once the request is over.
+	summary attemptSummary
 }
 
 // ServeHTTP implements http.Handler.
@@ -71,49 +70,50 @@
 		fail = f.run(w, req)
 	}
 	if fail != nil {
-		f.uncount(req, fail)
-		f.answerFailure(w, req, r, fail)
+		f.releaseRate(req, fail)
+		f.writeFailure(w, req, r, fail)
 		return
 	}
 	f.counts.answered.Inc()
 	f.counts.duration.UpdateDuration(req.arrived)
 }
 
-func (f *Front) answerFailure(w http.ResponseWriter, req *request, r *http.Request, fail *verdict.Error) {
+func (f *Front) writeFailure(w http.ResponseWriter, req *request, r *http.Request, fail *verdict.Error) {
 	if req == nil {
 		req = &request{id: requestID(r), http: r}
 	}
-	w.Header().Set(header.Attempts, strconv.Itoa(req.account.attempts))
-	f.counts.failed(fail)
+	w.Header().Set(header.Attempts, strconv.Itoa(req.summary.attempts))
+	f.counts.countFailure(fail)
 	f.guard.CallFailed(time.Now())
 	f.logFailure(req, fail)
-	armWrite(w)
+	setWriteDeadline(w)
 	fail.Write(w, req.id)
 }
 
-// maxRequestID bounds a caller's own request id, in bytes.
-const maxRequestID = 64
+// maxRequestIDBytes is the maximum length of a caller's request id.
+const maxRequestIDBytes = 64
 
-// requestID takes the caller's id where it is a plain one, else makes one.
+// requestID returns the caller's request id if it is valid, otherwise a new one.
 func requestID(r *http.Request) string {
 	id := r.Header.Get(header.RequestID)
-	if id == "" || len(id) > maxRequestID || strings.ContainsAny(id, " \t\"\\") {
+	if id == "" || len(id) > maxRequestIDBytes || strings.ContainsAny(id, " \t\"\\") {
 		id = uuid.NewString()
 	}
 	return id
 }
 
-// prepare finds route, service, limits and deadline, and reads the body.
+// prepare finds the route and service, applies the limits, sets the deadline and reads the
+// body.
 func (f *Front) prepare(w http.ResponseWriter, r *http.Request) (*request, *verdict.Error) {
 	if f.refusing.Load() {
-		return nil, retryLater(verdict.ReasonDraining, "this host is stopping; another takes the request", defaultRetryAfter)
+		return nil, retryLater(verdict.ReasonDraining, "this host is shutting down; retry on another host", defaultRetryAfter)
 	}
 	view := f.view.Load()
 	if !view.Whole {
-		return nil, retryLater(verdict.ReasonNotReady, "this host does not have the whole configuration yet", time.Second)
+		return nil, retryLater(verdict.ReasonNotReady, "this host has not loaded its whole configuration yet", time.Second)
 	}
 	req := &request{id: requestID(r), arrived: time.Now(), http: r}
-	req.callPart, req.idle = f.guard.Origin()
+	req.nestedRetryChance, req.originIdle = f.guard.Origin()
 	host := r.Host
 	if h, _, err := net.SplitHostPort(host); err == nil {
 		host = h
@@ -122,35 +122,35 @@
 	if req.route == nil {
 		return nil, verdict.New(verdict.NotRun, verdict.ReasonNoRoute, "no route matches "+r.Method+" "+host+r.URL.Path)
 	}
-	part := pickPart(f.rng(), req.route.Parts())
+	service := pickSplit(f.rng(), req.route.Parts())
 	var ok bool
-	if req.service, ok = view.Services[part]; !ok {
+	if req.service, ok = view.Services[service]; !ok {
 		return nil, verdict.New(verdict.NotRun, verdict.ReasonNoRoute,
-			"route "+req.route.Name+" leads to service "+part+", which has no record")
+			"route "+req.route.Name+" refers to service "+service+", which has no record")
 	}
 	req.state = f.services.get(req.service.Name)
 	req.idempotent = req.route.IsIdempotent(r.Method)
-	req.key = r.Header.Get(header.IdempotencyKey)
+	req.idempotencyKey = r.Header.Get(header.IdempotencyKey)
 	req.deadline = req.arrived.Add(f.callerTimeout(r, req.route.Timeout()))
-	if fail := identify(view, req); fail != nil {
+	if fail := identifyTeam(view, req); fail != nil {
 		return req, fail
 	}
-	if fail := f.limitTeam(view, req); fail != nil {
+	if fail := f.admitTeam(view, req); fail != nil {
 		return req, fail
 	}
 	if fail := f.readBody(w, req, view.Limits); fail != nil {
 		return req, fail
 	}
-	// The route's host, not the caller's: where a route holds for every host, callers name
-	// the front that they happen to use.
-	req.print = (&crash.Request{
+	// Use the route's host, not the caller's: for a route that matches every host, callers
+	// send the name of whichever front they use.
+	req.fingerprint = (&crash.Request{
 		Method: r.Method, Host: req.route.Host, URI: rawTarget(r), Team: req.team, Body: req.body, Length: req.length,
 	}).Print()
 	return req, nil
 }
 
-// pickPart draws one service of a route by weight.
-func pickPart(rng *rand.Rand, parts []record.Part) string {
+// pickSplit picks one of the services of a route at random by weight.
+func pickSplit(rng *rand.Rand, parts []record.Part) string {
 	sum := 0
 	for _, p := range parts {
 		sum += p.Weight
@@ -164,14 +164,14 @@
 	return parts[0].Service
 }
 
-// rawPath is the path as it came: what looks alike only once it is decoded is
-// another path.
+// rawPath is the path as received, without decoding. Paths that are equal only after
+// decoding are different.
 func rawPath(r *http.Request) string {
 	path, _, _ := strings.Cut(rawTarget(r), "?")
 	return path
 }
 
-// rawTarget is the request's path and query as they came.
+// rawTarget is the request's path and query as received.
 func rawTarget(r *http.Request) string {
 	if strings.HasPrefix(r.RequestURI, "/") {
 		return r.RequestURI
@@ -185,7 +185,8 @@
 	return e
 }
 
-// callerTimeout shortens the route's timeout to what the caller asks for.
+// callerTimeout returns the caller's timeout if it is valid and shorter than the route's,
+// otherwise the route's.
 func (f *Front) callerTimeout(r *http.Request, timeout time.Duration) time.Duration {
 	ms, err := strconv.ParseInt(r.Header.Get(f.cfg.Dialect.Timeout), 10, 64)
 	if err != nil || ms <= 0 || ms > timeout.Milliseconds() {
@@ -194,7 +195,7 @@
 	return time.Duration(ms) * time.Millisecond
 }
 
-// readBody keeps the body where it is small enough to be sent again.
+// readBody reads the body and buffers it if it is small enough.
 func (f *Front) readBody(w http.ResponseWriter, req *request, limits record.Limits) *verdict.Error {
 	r := req.http
 	if bound := limits.MaxHeaderBytes; bound > 0 && headerBytes(r) > bound {
@@ -210,35 +211,34 @@
 		return nil
 	}
 	if r.ContentLength > maxBody {
-		return tooLarge(maxBody)
+		return bodyTooLarge(maxBody)
 	}
-	// A caller that sends its body drop by drop is not waited for longer than
-	// its own deadline.
+	// A caller that sends its body slowly is not waited for beyond its own deadline.
 	_ = http.NewResponseController(w).SetReadDeadline(req.deadline)
 	reader := http.MaxBytesReader(w, r.Body, maxBody)
-	kept, err := io.ReadAll(io.LimitReader(reader, int64(f.cfg.BufferBodyBytes)+1))
-	var over *http.MaxBytesError
-	if errors.As(err, &over) {
-		return tooLarge(maxBody)
+	buffered, err := io.ReadAll(io.LimitReader(reader, int64(f.cfg.BufferBodyBytes)+1))
+	var tooLarge *http.MaxBytesError
+	if errors.As(err, &tooLarge) {
+		return bodyTooLarge(maxBody)
 	}
 	if err != nil {
-		return verdict.New(verdict.NotRun, verdict.ReasonBadRequest, "the request body could not be read: "+err.Error())
+		return verdict.New(verdict.NotRun, verdict.ReasonBadRequest, "cannot read the request body: "+err.Error())
 	}
-	req.body = kept
-	if len(kept) <= f.cfg.BufferBodyBytes {
-		req.length = int64(len(kept))
+	req.body = buffered
+	if len(buffered) <= f.cfg.BufferBodyBytes {
+		req.length = int64(len(buffered))
 		return nil
 	}
-	req.rest = reader
+	req.unbuffered = reader
 	return nil
 }
 
-func tooLarge(bound int64) *verdict.Error {
+func bodyTooLarge(bound int64) *verdict.Error {
 	return verdict.New(verdict.NotRun, verdict.ReasonBodyTooLarge, "the request body is larger than "+strconv.FormatInt(bound, 10)+" bytes")
 }
 
-// headerBytes is the size of a request's head as it came, near enough for a
-// bound: the request line, and each header with its separators.
+// headerBytes is the approximate size of the request header as received: the request line
+// and each field with its separators.
 func headerBytes(r *http.Request) int {
 	const separators = len(": \r\n")
 	n := len(r.Method) + len(r.RequestURI) + len(" HTTP/1.1\r\n ") + len("Host") + len(r.Host) + separators
@@ -250,34 +250,34 @@
 	return n
 }
 
-// bodyReader gives the body for one attempt; false where it was sent before
-// and could not be kept.
+// bodyReader returns the body for one attempt, or false if the body was too large to buffer
+// and has been sent already.
 func (req *request) bodyReader() (io.Reader, bool) {
-	if req.rest == nil {
+	if req.unbuffered == nil {
 		return bytes.NewReader(req.body), true
 	}
-	if req.restUsed.Swap(true) {
+	if req.unbufferedUsed.Swap(true) {
 		return nil, false
 	}
-	return io.MultiReader(bytes.NewReader(req.body), req.rest), true
+	return io.MultiReader(bytes.NewReader(req.body), req.unbuffered), true
 }
 
-// repeatable says that another attempt could send the body again.
-func (req *request) repeatable() bool { return req.rest == nil || !req.restUsed.Load() }
+// canResend reports whether another attempt can send the body.
+func (req *request) canResend() bool { return req.unbuffered == nil || !req.unbufferedUsed.Load() }
 
-// run answers the request or says why not.
+// run writes the answer to the caller or returns why there is none.
 func (f *Front) run(w http.ResponseWriter, req *request) *verdict.Error {
 	ctx, cancel := context.WithDeadline(req.http.Context(), req.deadline)
 	defer cancel()
-	defer context.AfterFunc(f.life, cancel)()
+	defer context.AfterFunc(f.lifetime, cancel)()
 	answer, fail := f.runKeyed(ctx, req)
 	if fail != nil {
 		return fail
 	}
 	f.logAnswer(req, int(answer.head.Status))
 	if retriableStatus(answer.head.Status) {
-		// Before the answer goes out: who gets it may pass it on at once.
+		// Call this before the answer is written: its receiver may pass it on at once.
 		f.guard.CallFailed(time.Now())
 	}
-	return answer.finish(w, req)
+	return answer.writeTo(w, req)
 }
--- a/internal/front/trail_test.go
+++ b/internal/front/requestlog_test.go
@@ -11,15 +11,15 @@
 	"github.com/radishhoist/radishhoist/internal/event"
 )
 
-// BenchmarkLines tells what logging adds to a request: one that is not sampled,
-// and one whose line is written with two attempts.
-func BenchmarkLines(b *testing.B) {
+// BenchmarkRequestLog measures the cost of logging for a request that is not sampled, and
+// for one that is logged with two attempts.
+func BenchmarkRequestLog(b *testing.B) {
 	sink := event.NewSink(io.Discard)
 	defer sink.Close()
 	f := &Front{log: slog.New(slog.NewJSONHandler(sink, nil))}
 	req := &request{
 		id: "b82bd3c72d3d0916", arrived: time.Now(), http: httptest.NewRequest("GET", "/a/b", nil), route: &route.Route{Name: "r"},
-		account: account{trail: []step{{Target: "i-1", Host: "h1", Why: whyCost, Outcome: "status 500"}, {Target: "i-2", Host: "h2", Why: whyCost, Outcome: "status 200"}}},
+		summary: attemptSummary{entries: []attemptEntry{{Target: "i-1", Host: "h1", Why: whyCost, Outcome: "status 500"}, {Target: "i-2", Host: "h2", Why: whyCost, Outcome: "status 200"}}},
 	}
 	b.Run("unsampled", func(b *testing.B) {
 		b.ReportAllocs()
@@ -30,7 +30,7 @@
 	b.Run("failure", func(b *testing.B) {
 		b.ReportAllocs()
 		for b.Loop() {
-			f.lines = event.Limiter{}
+			f.logLimiter = event.Limiter{}
 			f.logAnswer(req, 500)
 		}
 	})
--- /dev/null
+++ b/internal/front/result.go
@@ -0,0 +1,100 @@
+package front
+
+import (
+	"net/http"
+	"slices"
+	"time"
+
+	"github.com/radishhoist/radishhoist/verdict"
+)
+
+// reachedInstance reports whether the failed attempt may have reached its instance. It then
+// counts as one of the route's attempts, and further ones draw on the retry budget, even if
+// the instance refused the request.
+func reachedInstance(fail *verdict.Error) bool {
+	return fail.Verdict != verdict.NotRun || fail.Reason == verdict.ReasonTargetShed
+}
+
+// accept records an outcome and reports whether its answer goes to the caller.
+func (e *execution) accept(o *outcome) bool {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	if o.fail != nil {
+		e.addFailure(o.fail)
+		return false
+	}
+	e.reachedInstance = true
+	if !retriableStatus(o.answer.head.Status) || o.answer.streaming {
+		return true
+	}
+	e.fallback = o.answer
+	return false
+}
+
+// addFailure records an attempt that ended without an answer. The caller must hold e.mu or
+// have exclusive access.
+func (e *execution) addFailure(fail *verdict.Error) {
+	e.failures = append(e.failures, fail)
+	e.reachedInstance = e.reachedInstance || reachedInstance(fail)
+}
+
+// retriableStatus reports whether a status indicates a failure of the target and not a
+// fault in the request.
+func retriableStatus(status uint16) bool {
+	switch int(status) {
+	case http.StatusInternalServerError, http.StatusBadGateway, http.StatusServiceUnavailable, http.StatusGatewayTimeout:
+		return true
+	default:
+		return false
+	}
+}
+
+// finalResult returns the best result once no attempt can follow. It prevents a hedge from
+// starting, so that the failures no longer change.
+func (e *execution) finalResult() (*answer, *verdict.Error) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.done = true
+	if e.fallback != nil {
+		return e.fallback, nil
+	}
+	return nil, e.combinedFailure()
+}
+
+// combinedFailure combines the attempts' failures. The request did not run only if no
+// attempt did.
+func (e *execution) combinedFailure() *verdict.Error {
+	if len(e.failures) == 0 {
+		return e.noTarget()
+	}
+	combined := *e.reportedFailure()
+	for _, fail := range e.failures {
+		if fail.Verdict != verdict.NotRun && combined.Verdict != verdict.Ran {
+			combined.Verdict = fail.Verdict
+		}
+		combined.RetryAfterMS = max(combined.RetryAfterMS, fail.RetryAfterMS)
+	}
+	if combined.RetryAfterMS == 0 && combined.Reason != verdict.ReasonCancelled {
+		combined.RetryAfterMS = defaultRetryAfter.Milliseconds()
+	}
+	return &combined
+}
+
+// reportedFailure is the failure reported to the caller: the last one that is not a refusal
+// by the retry budget, since such a refusal does not say why a retry was needed.
+func (e *execution) reportedFailure() *verdict.Error {
+	for _, fail := range slices.Backward(e.failures) {
+		if fail.Reason != verdict.ReasonRetryBudget {
+			return fail
+		}
+	}
+	return e.failures[len(e.failures)-1]
+}
+
+// defaultRetryAfter is the Retry-After when no better value is known. A failed target has
+// been ejected by then.
+const defaultRetryAfter = time.Second
+
+func (e *execution) noTarget() *verdict.Error {
+	return retryLater(verdict.ReasonNoTarget, "service "+e.req.service.Name+" has no available target", defaultRetryAfter)
+}
--- a/internal/front/run.go
+++ b/internal/front/run.go
@@ -12,12 +12,12 @@
 	"github.com/radishhoist/radishhoist/verdict"
 )
 
-// maxRefusals bounds the guards that one request is offered to without having
-// been sent to an instance: each costs a round trip between hosts.
-const maxRefusals = 6
+// maxGuardRefusals bounds how many guards may refuse a request before it has reached an
+// instance. Each refusal costs a round trip between hosts.
+const maxGuardRefusals = 6
 
-// race is the attempts of one request.
-type race struct {
+// execution runs the attempts of one request.
+type execution struct {
 	front *Front
 	req   *request
 
@@ -25,213 +25,216 @@
 	rng   *rand.Rand
 	tried []*target
 	hedge *hedge
-	// sent says that an attempt has arrived at an instance: whatever follows is
-	// a repeat.
-	sent bool
-	// over says that the request has its answer or its failure.
-	over bool
-	// account is what came of the attempts so far.
-	account account
-	// cancelPrimary ends the attempt that the hedge runs beside.
+	// reachedInstance says that an attempt has reached an instance. Any further attempt
+	// draws on the retry budget.
+	reachedInstance bool
+	// done says that the request has its answer or its failure.
+	done bool
+	// summary describes the attempts so far.
+	summary attemptSummary
+	// cancelPrimary cancels the primary attempt if the hedge answers first.
 	cancelPrimary context.CancelFunc
 
-	// failures are the attempts that ended without an answer.
+	// failures are those of the attempts that ended without an answer.
 	failures []*verdict.Error
-	// spare is a whole answer that tells of a failing target, given to the
-	// caller where no attempt does better.
-	spare *answer
+	// fallback is a complete answer with a retriable status. The caller gets it if no
+	// attempt does better.
+	fallback *answer
 }
 
-// account is what came of a request's attempts. While they run it belongs to the
-// race, under its lock; the request's end gets a copy that no later attempt changes.
-type account struct {
+// attemptSummary describes the attempts of a request. While they run it belongs to the
+// execution and is guarded by its lock. The request gets a copy at its end, which later
+// attempts do not change.
+type attemptSummary struct {
 	attempts int
-	// trail are the attempts that have ended, for the log.
-	trail []step
-	// unpaid says that the budget had no token for a repeat.
-	unpaid bool
+	// entries are the finished attempts, for the log.
+	entries []attemptEntry
+	// budgetExhausted says that the retry budget did not allow a further attempt.
+	budgetExhausted bool
 }
 
-// next chooses the target of another attempt; false where none is left or all
-// attempts are made. hedge says that another attempt is under way. The caller
-// holds the lock, or is alone.
-func (c *race) next(hedge bool) (pick, bool) {
-	if c.spent() {
+// next chooses the target of the next attempt. It returns false if no target is left or no
+// attempt is allowed. hedge says that another attempt is running. The caller must hold e.mu
+// or have exclusive access.
+func (e *execution) next(hedge bool) (pick, bool) {
+	if e.attemptsExhausted() {
 		return pick{}, false
 	}
-	if !c.front.fits(time.Now(), c.req) {
-		c.failed(retryLater(verdict.ReasonDraining, "this host is stopping and the request is expected to take too long; another takes it", defaultRetryAfter))
+	if !e.front.fitsBeforeShutdown(time.Now(), e.req) {
+		e.addFailure(retryLater(verdict.ReasonDraining, "this host is shutting down and the request is not expected to finish in time; retry on another host", defaultRetryAfter))
 		return pick{}, false
 	}
-	if hedge && c.suspected() || len(c.failures) > 0 && c.ends() >= crash.RepeatBelow {
-		// Neither sent again nor, where its one place has no room, to another.
+	if hedge && e.suspectedOfCrashing() || len(e.failures) > 0 && e.endMoments() >= crash.RepeatBelow {
+		// The request is not retried, nor sent to another instance if its designated one
+		// has no capacity.
 		return pick{}, false
 	}
-	if c.heldBack() {
+	if e.refusedAsCrashing() {
 		return pick{}, false
 	}
-	if v := c.front.guard.Suspect(c.req.print); v.Everywhere(time.Now()) {
-		c.failed(guard.StopRefusal(time.Now(), c.req.print, &v))
+	if v := e.front.guard.Suspect(e.req.fingerprint); v.Everywhere(time.Now()) {
+		e.addFailure(guard.StopRefusal(time.Now(), e.req.fingerprint, &v))
 		return pick{}, false
 	}
-	as := sending{repeat: c.sent || hedge, hedge: hedge, insist: len(c.failures) >= politeTries}
-	p, ok := c.front.choose(c.req, c.tried, as.repeat, c.rng)
+	options := attemptOptions{repeat: e.reachedInstance || hedge, hedge: hedge, allowLate: len(e.failures) >= onTimeAttempts}
+	p, ok := e.front.choose(e.req, e.tried, options.repeat, e.rng)
 	if !ok {
-		c.unpaid(as.repeat)
+		e.noteBudgetExhausted(options.repeat)
 		return pick{}, false
 	}
-	if p.step.Why == whyTrial || p.step.Why == whyPath {
-		c.front.counts.trials.Inc()
+	if p.entry.Why == whyTrial || p.entry.Why == whyPath {
+		e.front.counts.trials.Inc()
 	}
-	c.tried = append(c.tried, p.target)
-	c.account.attempts++
-	p.as = as
+	e.tried = append(e.tried, p.target)
+	e.summary.attempts++
+	p.options = options
 	return p, true
 }
 
-// unpaid notes that a repeat was not made because no guard would pay for it. The
-// caller holds the lock, or is alone.
-func (c *race) unpaid(repeat bool) {
-	if !repeat || c.account.unpaid || c.over {
+// noteBudgetExhausted records that the retry budget did not allow an attempt. The caller
+// must hold e.mu or have exclusive access.
+func (e *execution) noteBudgetExhausted(repeat bool) {
+	if !repeat || e.summary.budgetExhausted || e.done {
 		return
 	}
-	c.account.unpaid = true
-	c.front.counts.unpaid.Inc()
+	e.summary.budgetExhausted = true
+	e.front.counts.budgetExhausted.Inc()
 }
 
-// try makes one attempt at a chosen target.
-func (c *race) try(ctx context.Context, p pick, claim *claimTask) *outcome {
-	o := c.front.attempt(ctx, c.req, p, claim)
-	c.note(p.step, o)
-	c.req.state.observe(c.req, p.target, o)
+// runAttempt makes one attempt at a chosen target and records its outcome.
+func (e *execution) runAttempt(ctx context.Context, p pick, claim *claimTask) *outcome {
+	o := e.front.runAttempt(ctx, e.req, p, claim)
+	e.recordAttempt(p.entry, o)
+	e.req.state.observe(e.req, p.target, o)
 	if o.succeeded() {
-		c.front.guard.Completed(c.req.print, p.target.software())
+		e.front.guard.Completed(e.req.fingerprint, p.target.softwareVersion())
 	}
 	if o.load.Overdrawn {
-		c.front.guard.Overdrawn(time.Now())
+		e.front.guard.Overdrawn(time.Now())
 	}
-	if !p.as.insist && o.fail != nil && o.fail.Reason == verdict.ReasonQueueFull {
-		c.reconsider(p.target)
+	if !p.options.allowLate && o.fail != nil && o.fail.Reason == verdict.ReasonQueueFull {
+		e.clearTried(p.target)
 	}
 	if o.fail != nil && o.fail.Reason == verdict.ReasonRetryBudget {
-		c.mu.Lock()
-		c.unpaid(true)
-		c.mu.Unlock()
+		e.mu.Lock()
+		e.noteBudgetExhausted(true)
+		e.mu.Unlock()
 	}
 	return o
 }
 
-// reconsider lets a target be chosen again that had no place within the
-// objective: a late answer of a well instance beats a failure of a sick one.
-func (c *race) reconsider(t *target) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.tried = slices.DeleteFunc(c.tried, func(other *target) bool { return other == t })
+// clearTried makes a target eligible again that could not have answered within the
+// objective. A late answer from a healthy instance is better than a failure from a failing
+// one.
+func (e *execution) clearTried(t *target) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.tried = slices.DeleteFunc(e.tried, func(other *target) bool { return other == t })
 }
 
-// spent says that the request was sent to as many instances as its route
-// allows, or offered to as many guards as is of use. An attempt under way
-// counts as sent.
-func (c *race) spent() bool {
+// attemptsExhausted reports whether the request has been sent to as many instances as its
+// route allows, or refused by maxGuardRefusals guards. A running attempt counts as sent.
+func (e *execution) attemptsExhausted() bool {
 	refused := 0
-	for _, fail := range c.failures {
-		if !arrived(fail) {
+	for _, fail := range e.failures {
+		if !reachedInstance(fail) {
 			refused++
 		}
 	}
-	return c.account.attempts-refused >= c.req.route.Attempts() || refused >= maxRefusals
+	return e.summary.attempts-refused >= e.req.route.Attempts() || refused >= maxGuardRefusals
 }
 
-// politeTries is how many guards are asked for a place within the objective
-// before a late one is taken. The first refusal tells how full the best choice
-// really is, and the next choice knows.
-const politeTries = 1
+// onTimeAttempts is the number of attempts that require a place in the queue within the
+// objective, before a late one is accepted. The first refusal reports the actual load of
+// the best target, which the next choice takes into account.
+const onTimeAttempts = 1
 
-// runIdempotent makes attempts one after the other, and at most one beside a
-// slow one, until one has a whole answer. The first attempt runs in the
-// caller's goroutine: a goroutine of its own would cost two wake-ups.
+// runIdempotent makes attempts one after the other, with at most one hedge, until one
+// returns a complete answer. The first attempt runs in the caller's goroutine, because a
+// separate goroutine would cost two wake-ups.
 func (f *Front) runIdempotent(ctx context.Context, req *request) (*answer, *verdict.Error) {
-	c := &race{front: f, req: req, rng: f.rng()}
-	defer func() { req.account = c.finish() }()
+	exec := &execution{front: f, req: req, rng: f.rng()}
+	defer func() { req.summary = exec.finish() }()
 	for {
-		o := c.primary(ctx)
+		o := exec.primaryAttempt(ctx)
 		if o == nil {
-			return c.settle()
+			return exec.finalResult()
 		}
-		if c.take(o) {
+		if exec.accept(o) {
 			return o.answer, nil
 		}
-		if o := c.awaitHedge(); o != nil && c.take(o) {
+		if o := exec.awaitHedge(); o != nil && exec.accept(o) {
 			return o.answer, nil
 		}
-		if ctx.Err() != nil || !c.req.repeatable() {
-			return c.settle()
+		if ctx.Err() != nil || !exec.req.canResend() {
+			return exec.finalResult()
 		}
 		f.counts.retries.Inc()
 	}
 }
 
-// primary makes one attempt, with a hedge once it takes long. nil means that
-// no target was left.
-func (c *race) primary(whole context.Context) *outcome {
-	ctx, cancel := context.WithCancel(whole)
-	c.awaitNews(ctx)
-	c.mu.Lock()
-	p, ok := c.next(false)
-	c.cancelPrimary = cancel
-	c.mu.Unlock()
+// primaryAttempt makes one attempt, and starts a hedge if it takes too long. It returns nil
+// if no target is left.
+func (e *execution) primaryAttempt(requestCtx context.Context) *outcome {
+	ctx, cancel := context.WithCancel(requestCtx)
+	e.awaitEndReports(ctx)
+	e.mu.Lock()
+	chosen, ok := e.next(false)
+	e.cancelPrimary = cancel
+	e.mu.Unlock()
 	if !ok {
 		cancel()
 		return nil
 	}
-	timer := time.AfterFunc(c.req.state.hedgeDelay(c.req), func() { c.runHedge(whole) })
+	timer := time.AfterFunc(e.req.state.hedgeDelay(e.req), func() { e.runHedge(requestCtx) })
 	defer timer.Stop()
-	o := c.try(ctx, p, nil)
-	o.endWith(cancel)
+	o := e.runAttempt(ctx, chosen, nil)
+	o.bindCancel(cancel)
 	return o
 }
 
-// endWith ends the attempt's context, for an open answer once it is done.
-func (o *outcome) endWith(cancel context.CancelFunc) {
-	if o.fail == nil && o.answer.open {
+// bindCancel cancels the attempt's context, or, for a streamed answer, leaves that to the
+// answer's close.
+func (o *outcome) bindCancel(cancel context.CancelFunc) {
+	if o.fail == nil && o.answer.streaming {
 		o.answer.cancel = cancel
 		return
 	}
 	cancel()
 }
 
-// runOnce makes attempts strictly one after the other, and another only where
-// the one before is proved not to have run.
-func (f *Front) runOnce(ctx context.Context, req *request, claim *claimTask) (*answer, *verdict.Error) {
-	c := &race{front: f, req: req, rng: f.rng()}
-	defer func() { req.account = c.finish() }()
+// runNonIdempotent makes attempts one after the other. Another one is made only if the one
+// before is proved not to have run.
+func (f *Front) runNonIdempotent(ctx context.Context, req *request, claim *claimTask) (*answer, *verdict.Error) {
+	exec := &execution{front: f, req: req, rng: f.rng()}
+	defer func() { req.summary = exec.finish() }()
 	for {
-		c.awaitNews(ctx)
-		p, ok := c.next(false)
+		exec.awaitEndReports(ctx)
+		p, ok := exec.next(false)
 		if !ok {
 			break
 		}
-		o := c.try(ctx, p, claim)
+		o := exec.runAttempt(ctx, p, claim)
 		if o.fail == nil {
 			return o.answer, nil
 		}
-		c.failed(o.fail)
-		if o.fail.Verdict != verdict.NotRun || ctx.Err() != nil || !req.repeatable() || isKeyReason(o.fail.Reason) {
+		exec.addFailure(o.fail)
+		if o.fail.Verdict != verdict.NotRun || ctx.Err() != nil || !req.canResend() || isKeyReason(o.fail.Reason) {
 			break
 		}
 		if claim.pending() {
-			// The slot lapsed while the key's owner was being found: that is
-			// no try of the target.
+			// The slot's reservation expired before the key's owner had answered. This does
+			// not count as an attempt at the target.
 			claim.wait(ctx)
-			c.reconsider(p.target)
-			c.failures = c.failures[:len(c.failures)-1]
+			exec.clearTried(p.target)
+			exec.failures = exec.failures[:len(exec.failures)-1]
 		}
 		f.counts.retries.Inc()
 	}
-	return nil, c.verdict()
+	return nil, exec.combinedFailure()
 }
 
-// pending says that the claim has no answer yet; no claim is never pending.
+// pending reports whether the claim is still in progress; false for nil.
 func (t *claimTask) pending() bool {
 	if t == nil {
 		return false
--- a/internal/front/send.go
+++ b/internal/front/send.go
@@ -16,71 +16,72 @@
 	"github.com/radishhoist/radishhoist/internal/wire"
 )
 
-// act sends what the state machine asks for.
-func (y *try) act(ctx context.Context, s once.Send) error {
+// send sends the message that the state machine asks for.
+func (a *attempt) send(ctx context.Context, s once.Send) error {
 	switch s {
 	case once.SendReserve:
-		return y.stream.Send(ctx, &msg.Reserve{
-			RequestID: y.req.id, Service: y.target.Service, Instance: y.target.Name,
-			TimeoutMS: y.left(), Class: y.req.class, Priority: uint8(y.req.priority()), Within: uint8(y.req.route.Priority),
-			Aim: y.aim(), Sample: y.sample,
+		return a.stream.Send(ctx, &msg.Reserve{
+			RequestID: a.req.id, Service: a.target.Service, Instance: a.target.Name,
+			TimeoutMS: a.remainingMS(), Class: a.req.fairnessClass, Priority: uint8(a.req.priority()), Within: uint8(a.req.route.Priority),
+			Aim: a.hints(), Sample: a.sample,
 		})
 	case once.SendRun:
-		return y.sendRun(ctx)
+		return a.sendRun(ctx)
 	default:
 		return nil
 	}
 }
 
-// aim tells the guard what the request is worth in time, and what it counts for
+// hints returns what the guard needs for admission: the request's time budget and its part
 // in the retry budget.
-func (y *try) aim() msg.Aim {
+func (a *attempt) hints() msg.Aim {
 	return msg.Aim{
-		ObjectiveMS: uint32(y.req.route.Objective().Milliseconds()),
-		UsedMS:      uint32(max(time.Since(y.req.arrived).Milliseconds(), 0)),
-		ExpectMS:    uint32(y.req.state.expectAt(y.req, y.target).Milliseconds()),
-		Insist:      y.as.insist,
-		Repeat:      y.as.repeat, Hedge: y.as.hedge,
-		CallPart: y.req.callPart, Idle: y.req.idle, Route: uint32(xxhash.Sum64String(y.req.route.Name)),
-		Print: uint64(y.req.print),
+		ObjectiveMS: uint32(a.req.route.Objective().Milliseconds()),
+		UsedMS:      uint32(max(time.Since(a.req.arrived).Milliseconds(), 0)),
+		ExpectMS:    uint32(a.req.state.expectedServiceTimeAt(a.req, a.target).Milliseconds()),
+		Insist:      a.options.allowLate,
+		Repeat:      a.options.repeat, Hedge: a.options.hedge,
+		CallPart: a.req.nestedRetryChance, Idle: a.req.originIdle, Route: uint32(xxhash.Sum64String(a.req.route.Name)),
+		Print: uint64(a.req.fingerprint),
 	}
 }
 
-// left is the time to the deadline, in milliseconds.
-func (y *try) left() uint32 { return uint32(max(time.Until(y.req.deadline).Milliseconds(), 0)) }
+// remainingMS is the time to the deadline.
+func (a *attempt) remainingMS() uint32 {
+	return uint32(max(time.Until(a.req.deadline).Milliseconds(), 0))
+}
 
-func (y *try) sendRun(ctx context.Context) error {
-	r := y.req.http
+func (a *attempt) sendRun(ctx context.Context) error {
+	r := a.req.http
 	run := &msg.Run{
-		RequestID: y.req.id, Service: y.target.Service, Instance: y.target.Name,
-		TimeoutMS: y.left(), Class: y.req.class, Priority: uint8(y.req.priority()), Within: uint8(y.req.route.Priority), Aim: y.aim(),
-		Reserved: !y.req.idempotent, Idempotent: y.req.idempotent, Shard: y.shard, Epoch: y.epoch,
+		RequestID: a.req.id, Service: a.target.Service, Instance: a.target.Name,
+		TimeoutMS: a.remainingMS(), Class: a.req.fairnessClass, Priority: uint8(a.req.priority()), Within: uint8(a.req.route.Priority), Aim: a.hints(),
+		Reserved: !a.req.idempotent, Idempotent: a.req.idempotent, Shard: a.shard, Epoch: a.epoch,
 		Method: r.Method, URI: rawTarget(r), Host: r.Host,
-		Header: y.front.fields(y.req), BodyLength: y.req.length, Sample: y.sample,
+		Header: a.front.targetHeader(a.req), BodyLength: a.req.length, Sample: a.sample,
 	}
-	body, ok := y.req.bodyReader()
+	body, ok := a.req.bodyReader()
 	if !ok {
-		return errors.New("the request body was sent before and was too large to keep")
+		return errors.New("cannot send the request body again: it was too large to buffer")
 	}
 	switch {
-	case y.req.length == 0:
-		return y.stream.Send(ctx, run)
-	case y.req.rest == nil && len(y.req.body) <= wire.ChunkSize:
-		end := &msg.End{Length: uint64(len(y.req.body)), Hash: xxhash.Sum64(y.req.body)}
-		return y.stream.Send(ctx, run, &msg.Data{Bytes: y.req.body}, end)
+	case a.req.length == 0:
+		return a.stream.Send(ctx, run)
+	case a.req.unbuffered == nil && len(a.req.body) <= wire.ChunkSize:
+		end := &msg.End{Length: uint64(len(a.req.body)), Hash: xxhash.Sum64(a.req.body)}
+		return a.stream.Send(ctx, run, &msg.Data{Bytes: a.req.body}, end)
 	}
-	if err := y.stream.Send(ctx, run); err != nil {
+	if err := a.stream.Send(ctx, run); err != nil {
 		return err
 	}
-	go func() { _ = sendBody(ctx, y.stream, body) }()
+	go func() { _ = sendBody(ctx, a.stream, body) }()
 	return nil
 }
 
-// fields lists the headers that a target gets: the caller's own, and which
-// service's host the request began on and which team the caller is of, whatever the
-// caller said of that.
-func (f *Front) fields(req *request) []msg.Field {
-	out := f.tellTeam(req, header.ToFields(req.http.Header))
+// targetHeader returns the header fields sent to the target: the caller's own, except that
+// the calling service and, if API keys are required, the team are set by this host.
+func (f *Front) targetHeader(req *request) []msg.Field {
+	out := f.setTeamHeader(req, header.ToFields(req.http.Header))
 	name := f.cfg.Dialect.CallerService
 	if name == "" {
 		return out
@@ -92,8 +93,8 @@
 	return out
 }
 
-// sendBody sends a body in chunks, with its length and hash. A body that the
-// caller cuts short ends without End, which the guard takes for a cancel.
+// sendBody sends a body in chunks, followed by its length and hash. If the body cannot be
+// read to its end, Cancel is sent in place of End.
 func sendBody(ctx context.Context, s wire.Stream, body io.Reader) error {
 	hash := xxhash.New()
 	end := &msg.End{}
--- a/internal/front/service.go
+++ b/internal/front/service.go
@@ -12,71 +12,72 @@
 	"github.com/radishhoist/radishhoist/internal/msg"
 )
 
-// services holds what the front learns about services from their answers.
+// services holds what the front has learnt about each service.
 type services struct {
 	mu     sync.Mutex
 	byName map[string]*serviceState
 }
 
-// serviceState is one service as this front sees it.
+// serviceState is this front's view of one service.
 type serviceState struct {
 	mu sync.Mutex
-	// targets are those of the directory in force, by index; choice tells
-	// which of them may be used.
-	targets []*target
-	choice  choice
+	// targets are those of the current directory. candidates holds indexes into them.
+	targets    []*target
+	candidates candidateSets
 	// samples are outcomes not yet passed on to a guard.
-	samples [sampleRing]sample
+	samples [sampleRingSize]sample
 	next    int
-	// routes are the recent service times by route: what routes ask of a service
-	// takes it different times.
-	routes map[string]*latency
+	// latencies are the recent service times by route, since routes of one service differ
+	// in service time.
+	latencies map[string]*latency
 }
 
-// target is one instance as one directory has it, with this front's own
-// observations, which outlive the directory. Attempts use the target without
-// the lock: a new directory makes new targets, and only seen is shared.
+// target is an instance in one version of the directory, with this front's observations of
+// it, which are kept across versions. Attempts use a target without holding the lock: a new
+// directory creates new targets, and only observed is shared.
 type target struct {
 	*directory.Target
-	hash uint64
-	seen *observed
+	hash     uint64
+	observed *observations
 }
 
-// observed is what this front has seen of an instance; the service's lock
-// guards it.
-type observed struct {
+// observations are what this front knows of an instance. They are guarded by the service's
+// lock.
+type observations struct {
 	pending int
 	load    msg.Load
 	loadAt  time.Time
-	// wantsAt is since when its guard asks for a trial.
-	wantsAt time.Time
-	// sick is the guard's estimate of the instance's state.
-	sick chance.Estimate
-	// sheds is the share of requests that the instance refuses with free slots.
-	sheds chance.Share
-	// pace is the instance's service time relative to that of its peers on the
-	// same routes; 0 before any answer.
-	pace float64
+	// trialWantedAt is when its guard began to ask for a trial.
+	trialWantedAt time.Time
+	// failureEstimate is the guard's estimate of the probability that the instance is
+	// failing most requests.
+	failureEstimate chance.Estimate
+	// shedShare is the share of requests that the instance refuses although it has free
+	// slots.
+	shedShare chance.Share
+	// latencyRatio is the instance's service time relative to that of other instances on
+	// the same routes; 0 before any answer.
+	latencyRatio float64
 }
 
-// choice is the outcome of the floor rule for the directory in force.
-type choice struct {
+// candidateSets divides the targets of a service as decided by the floor rule.
+type candidateSets struct {
 	result eject.Result
-	// usable and local are indexes of targets to choose from, with and
-	// without those in other data centres; out are those left out.
-	usable, local, out []int
-	// cut are targets whose path is left out.
-	cut []int
-	at  time.Time
+	// usable and local are the indexes of the targets to choose from, in all data centres
+	// and in this one. ejected are those excluded by the floor rule.
+	usable, local, ejected []int
+	// unreachable are targets whose path is excluded.
+	unreachable []int
+	computedAt  time.Time
 }
 
-// sampleRing bounds the outcomes kept for other guards.
-const sampleRing = 16
+// sampleRingSize is the number of outcomes kept for guards.
+const sampleRingSize = 16
 
 type sample struct {
 	msg.Sample
 	at   time.Time
-	used bool
+	sent bool
 }
 
 func (s *services) get(name string) *serviceState {
@@ -85,7 +86,7 @@
 	return s.byName[name]
 }
 
-// update fits the states to a new directory, keeping what was learnt.
+// update adapts the states to a new directory and keeps what has been learnt.
 func (s *services) update(d *directory.Directory, p *paths, cfg Config) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -97,7 +98,7 @@
 	for name, svc := range d.Services {
 		st, ok := s.byName[name]
 		if !ok {
-			st = &serviceState{routes: make(map[string]*latency)}
+			st = &serviceState{latencies: make(map[string]*latency)}
 			s.byName[name] = st
 		}
 		st.update(svc, p, cfg)
@@ -113,21 +114,21 @@
 	}
 	st.targets = make([]*target, 0, len(svc.Targets))
 	for _, t := range svc.Targets {
-		fresh := &target{Target: t, hash: guard.InstanceHash(t.Name), seen: &observed{}}
-		if was, ok := old[t.Name+"@"+t.Host.Name]; ok && was.StartedMS == t.StartedMS {
-			fresh.seen = was.seen
+		current := &target{Target: t, hash: guard.InstanceHash(t.Name), observed: &observations{}}
+		if previous, ok := old[t.Name+"@"+t.Host.Name]; ok && previous.StartedMS == t.StartedMS {
+			current.observed = previous.observed
 		}
-		st.targets = append(st.targets, fresh)
+		st.targets = append(st.targets, current)
 	}
-	st.rechoose(time.Now(), svc, p, cfg)
+	st.refreshCandidates(time.Now(), svc, p, cfg)
 }
 
-// rechooseAfter is how old a choice may be: paths fail and heal without a
-// change of directory.
-const rechooseAfter = 250 * time.Millisecond
+// candidateMaxAge is the maximum age of the candidate sets. Paths fail and recover without
+// a change of the directory.
+const candidateMaxAge = 250 * time.Millisecond
 
-// rechoose runs the floor rule. The caller holds the lock.
-func (st *serviceState) rechoose(now time.Time, svc *directory.Service, p *paths, cfg Config) {
+// refreshCandidates applies the floor rule. The caller must hold st.mu.
+func (st *serviceState) refreshCandidates(now time.Time, svc *directory.Service, p *paths, cfg Config) {
 	members := make([]eject.Member, len(st.targets))
 	for i, t := range st.targets {
 		members[i] = eject.Member{
@@ -138,42 +139,42 @@
 			Evidence: t.Evidence,
 		}
 	}
-	c := choice{result: eject.Apply(members, svc.Record.Floor), at: now}
+	sets := candidateSets{result: eject.Apply(members, svc.Record.Floor), computedAt: now}
 	for i, t := range st.targets {
 		switch {
-		case c.result.Out[i]:
-			c.out = append(c.out, i)
+		case sets.result.Out[i]:
+			sets.ejected = append(sets.ejected, i)
 		case members[i].Usable:
-			c.usable = append(c.usable, i)
+			sets.usable = append(sets.usable, i)
 			if t.Host.DC == cfg.DC {
-				c.local = append(c.local, i)
+				sets.local = append(sets.local, i)
 			}
 		case t.Usable():
-			c.cut = append(c.cut, i)
+			sets.unreachable = append(sets.unreachable, i)
 		}
 	}
-	st.choice = c
+	st.candidates = sets
 }
 
-// mayRepeat says that some target's guard may have a repeat left. The caller
-// holds the lock.
-func (st *serviceState) mayRepeat(now time.Time) bool {
-	for _, i := range st.choice.usable {
-		if st.targets[i].seen.mayRepeat(now) {
+// retryBudgetLeft reports whether the guard of any usable target may have retry budget
+// left. The caller must hold st.mu.
+func (st *serviceState) retryBudgetLeft(now time.Time) bool {
+	for _, i := range st.candidates.usable {
+		if st.targets[i].observed.retryBudgetLeft(now) {
 			return true
 		}
 	}
 	return false
 }
 
-// repeatChance is how likely a repeat is to find a guard that has one left: the
-// part of the guards that told of any; a count that is old is taken for what the
-// fresh ones are. The caller holds the lock.
-func (st *serviceState) repeatChance(now time.Time) float64 {
+// retryBudgetChance is the probability that a retry finds a guard with budget left: the
+// share of such guards among those with a recent report, or 1 without any. The caller must
+// hold st.mu.
+func (st *serviceState) retryBudgetChance(now time.Time) float64 {
 	fresh, left := 0, 0
-	for _, i := range st.choice.usable {
-		o := st.targets[i].seen
-		if now.Sub(o.loadAt) > freshLoad {
+	for _, i := range st.candidates.usable {
+		o := st.targets[i].observed
+		if now.Sub(o.loadAt) > loadMaxAge {
 			continue
 		}
 		fresh++
@@ -187,123 +188,123 @@
 	return float64(left) / float64(fresh)
 }
 
-// mayRepeat says that the guard has a repeat left as far as is known: it told so,
-// or nothing of late.
-func (o *observed) mayRepeat(now time.Time) bool {
-	return o.load.Repeats > 0 || now.Sub(o.loadAt) > freshLoad
+// retryBudgetLeft reports whether the guard may have retry budget left: its last report
+// says so or is too old.
+func (o *observations) retryBudgetLeft(now time.Time) bool {
+	return o.load.Repeats > 0 || now.Sub(o.loadAt) > loadMaxAge
 }
 
 const (
-	// paceWeight is the weight of a new answer in an instance's pace.
-	paceWeight = 0.2
-	// paceMin and paceMax bound one answer's part in it: service times of one
-	// route have a long tail.
-	paceMin, paceMax = 0.2, 5
-	// maxRoutes bounds the routes whose times are kept.
+	// latencyRatioWeight is the weight of a new answer in an instance's latency ratio.
+	latencyRatioWeight = 0.2
+	// latencyRatioMin and latencyRatioMax bound the effect of one answer, because service
+	// times of one route have a long tail.
+	latencyRatioMin, latencyRatioMax = 0.2, 5
+	// maxRoutes is the maximum number of routes whose service times are kept.
 	maxRoutes = 4096
 )
 
-// observe takes the outcome of one attempt: the guard's load count, and the
-// service time where the target answered.
+// observe records the outcome of one attempt: the guard's load report, and the service time
+// if the target answered.
 func (st *serviceState) observe(req *request, t *target, o *outcome) {
 	now := time.Now()
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	if o.load.Slots > 0 {
 		load := o.load
-		// The count still holds this request.
+		// The report still counts this request as running.
 		load.Running = max(load.Running, 1) - 1
-		t.seen.hear(now, load)
+		t.observed.updateLoad(now, load)
 	}
-	if !o.judged {
+	if !o.targetObserved {
 		return
 	}
 	if o.failed {
 		return
 	}
-	pace := float64(o.serviceTime) / float64(max(st.expected(req), 1))
-	st.route(req.route.Name).add(o.serviceTime)
-	st.samples[st.next] = sample{Sample: sampleOf(t.hash, pace), at: now}
-	st.next = (st.next + 1) % sampleRing
-	pace = min(max(pace, paceMin), paceMax)
-	if t.seen.pace == 0 {
-		t.seen.pace = 1
+	ratio := float64(o.serviceTime) / float64(max(st.expectedServiceTimeLocked(req), 1))
+	st.routeLatency(req.route.Name).add(o.serviceTime)
+	st.samples[st.next] = sample{Sample: newSample(t.hash, ratio), at: now}
+	st.next = (st.next + 1) % sampleRingSize
+	ratio = min(max(ratio, latencyRatioMin), latencyRatioMax)
+	if t.observed.latencyRatio == 0 {
+		t.observed.latencyRatio = 1
 	}
-	t.seen.pace += paceWeight * (pace - t.seen.pace)
+	t.observed.latencyRatio += latencyRatioWeight * (ratio - t.observed.latencyRatio)
 }
 
-// hear takes a guard's count. The service's lock is held.
-func (o *observed) hear(now time.Time, load msg.Load) {
-	if load.Wants && !o.wishes(now) {
-		o.wantsAt = now
+// updateLoad records a guard's load report. The caller must hold the service's lock.
+func (o *observations) updateLoad(now time.Time, load msg.Load) {
+	if load.Wants && !o.wantsTrial(now) {
+		o.trialWantedAt = now
 	}
 	o.load, o.loadAt = load, now
-	o.sick = chance.At(now, load.SickChance())
-	o.sheds = chance.ShareAt(now, float64(load.Sheds)/msg.Thousandths)
+	o.failureEstimate = chance.At(now, load.SickChance())
+	o.shedShare = chance.ShareAt(now, float64(load.Sheds)/msg.Thousandths)
 }
 
-// expectAt is how long a request is expected to run at a target.
-func (st *serviceState) expectAt(req *request, t *target) time.Duration {
+// expectedServiceTimeAt is the expected service time of the request at a target.
+func (st *serviceState) expectedServiceTimeAt(req *request, t *target) time.Duration {
 	st.mu.Lock()
 	defer st.mu.Unlock()
-	return t.service(st.expected(req))
+	return t.serviceTime(st.expectedServiceTimeLocked(req))
 }
 
-// service is how long a request takes at the target that takes its peers a
-// time. The service's lock is held.
-func (t *target) service(expected time.Duration) time.Duration {
-	if t.seen.pace > 0 {
-		return time.Duration(t.seen.pace * float64(expected))
+// serviceTime scales a route's expected service time by the target's latency ratio. The
+// caller must hold the service's lock.
+func (t *target) serviceTime(expected time.Duration) time.Duration {
+	if t.observed.latencyRatio > 0 {
+		return time.Duration(t.observed.latencyRatio * float64(expected))
 	}
 	return expected
 }
 
-// route gives the times of one route. The caller holds the lock.
-func (st *serviceState) route(name string) *latency {
-	l, ok := st.routes[name]
+// routeLatency returns the service times of one route. The caller must hold st.mu.
+func (st *serviceState) routeLatency(name string) *latency {
+	l, ok := st.latencies[name]
 	if !ok {
-		if len(st.routes) >= maxRoutes {
-			st.routes = make(map[string]*latency)
+		if len(st.latencies) >= maxRoutes {
+			st.latencies = make(map[string]*latency)
 		}
 		l = &latency{}
-		st.routes[name] = l
+		st.latencies[name] = l
 	}
 	return l
 }
 
-// HearPulse takes what a guard tells of its instances.
+// HearPulse records the load reports of a guard's instances.
 func (f *Front) HearPulse(p *msg.Pulse) {
 	now := time.Now()
 	for _, l := range p.Loads {
 		if st := f.services.get(l.Service); st != nil {
-			st.hear(now, l)
+			st.updateLoad(now, l)
 		}
 	}
 }
 
-func (st *serviceState) hear(now time.Time, l msg.InstanceLoad) {
+func (st *serviceState) updateLoad(now time.Time, l msg.InstanceLoad) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	for _, t := range st.targets {
 		if t.Name == l.Instance {
-			t.seen.hear(now, l.Load)
+			t.observed.updateLoad(now, l.Load)
 		}
 	}
 }
 
-// sampleLife is how old an outcome may be when it is passed on.
-const sampleLife = 10 * time.Second
+// sampleMaxAge is the maximum age of an outcome that is passed on to a guard.
+const sampleMaxAge = 10 * time.Second
 
-// takeSample picks the newest outcome of another instance that no guard has
-// had from this front. The caller holds the lock.
-func (st *serviceState) takeSample(now time.Time, not uint64) msg.Sample {
-	for k := range sampleRing {
-		s := &st.samples[(st.next-1-k+2*sampleRing)%sampleRing]
-		if s.used || s.Instance == 0 || s.Instance == not || now.Sub(s.at) > sampleLife {
+// takeSample returns the newest outcome of an instance other than exclude that has not been
+// passed on yet. The caller must hold st.mu.
+func (st *serviceState) takeSample(now time.Time, exclude uint64) msg.Sample {
+	for k := range sampleRingSize {
+		candidate := &st.samples[(st.next-1-k+2*sampleRingSize)%sampleRingSize]
+		if candidate.sent || candidate.Instance == 0 || candidate.Instance == exclude || now.Sub(candidate.at) > sampleMaxAge {
 			continue
 		}
-		s.used = true
-		return s.Sample
+		candidate.sent = true
+		return candidate.Sample
 	}
 	return msg.Sample{}
 }
--- a/internal/front/status.go
+++ b/internal/front/status.go
@@ -10,42 +10,43 @@
 	"github.com/radishhoist/radishhoist/internal/core/directory"
 )
 
-// ServiceStatus is one service as this front sees it.
+// ServiceStatus is this front's view of one service.
 type ServiceStatus struct {
 	Name    string `json:"name"`
 	Version int64  `json:"version"`
 	Preset  string `json:"preset"`
-	// Known, Healthy and Required are slots: all, in use, and the floor.
+	// Known, Healthy and Required are numbers of slots: all, those in use, and the floor.
 	Known    int `json:"knownSlots"`
 	Healthy  int `json:"healthySlots"`
 	Required int `json:"requiredSlots"`
-	// Kept counts suspects that are used only because of the floor.
+	// Kept is the number of suspects used only because of the floor.
 	Kept    int            `json:"suspectsKept"`
 	Targets []TargetStatus `json:"targets"`
 }
 
-// TargetStatus is one target as this front sees it.
+// TargetStatus is this front's view of one target.
 type TargetStatus struct {
 	Name  string `json:"name"`
 	Host  string `json:"host"`
 	DC    string `json:"dc"`
 	Slots int    `json:"slots"`
-	// Use is "used", "left out" or "unusable"; Why says on what evidence.
+	// Use is "used", "left out" or "unusable". Why gives the reason.
 	Use string `json:"use"`
 	Why string `json:"why,omitempty"`
-	// Pace is its service time relative to its peers', 0 where unknown.
+	// Pace is the service time relative to that of the service's other targets; 0 if
+	// unknown.
 	Pace float64 `json:"pace"`
-	// Sick is the chance that it is failing most requests at present.
+	// Sick is the estimated probability that the target is failing most requests.
 	Sick float64 `json:"sick"`
-	// Refuses is the share of requests that it refuses though it has free slots,
-	// and RepeatsLeft what its host has left of the retry budget, as last heard.
+	// Refuses is the share of requests that the target refuses although it has free slots.
+	// RepeatsLeft is the retry budget that its host last reported.
 	Refuses     float64 `json:"refuses"`
 	RepeatsLeft int     `json:"repeatsLeft"`
 	Running     int     `json:"running"`
 	Queued      int     `json:"queued"`
 }
 
-// Status lists every service with the outcome of the floor rule.
+// Status returns every service with the result of the floor rule.
 func (f *Front) Status() []ServiceStatus {
 	view := f.view.Load()
 	out := []ServiceStatus{}
@@ -62,8 +63,8 @@
 	now := time.Now()
 	st.mu.Lock()
 	defer st.mu.Unlock()
-	st.rechoose(now, svc, f.paths, f.cfg)
-	r := st.choice.result
+	st.refreshCandidates(now, svc, f.paths, f.cfg)
+	r := st.candidates.result
 	out := ServiceStatus{
 		Name: svc.Name, Version: svc.Version, Preset: svc.Record.Preset,
 		Known: r.Known, Healthy: r.Healthy, Required: r.Required, Kept: r.Kept, Targets: []TargetStatus{},
@@ -72,27 +73,27 @@
 		use, why := f.explainUse(now, t, r.Out[i])
 		out.Targets = append(out.Targets, TargetStatus{
 			Name: t.Name, Host: t.Host.Name, DC: t.Host.DC, Slots: t.Slots, Use: use, Why: why,
-			Pace: t.seen.pace, Sick: t.seen.sick.Doubt(now, model),
-			Refuses: t.seen.sheds.Now(now), RepeatsLeft: int(t.seen.load.Repeats),
-			Running: int(t.seen.load.Running), Queued: int(t.seen.load.Queued),
+			Pace: t.observed.latencyRatio, Sick: t.observed.failureEstimate.Doubt(now, failureModel),
+			Refuses: t.observed.shedShare.Now(now), RepeatsLeft: int(t.observed.load.Repeats),
+			Running: int(t.observed.load.Running), Queued: int(t.observed.load.Queued),
 		})
 	}
 	return out
 }
 
-// explainUse says how a target is used, and why.
-func (f *Front) explainUse(now time.Time, t *target, out bool) (use, why string) {
+// explainUse says whether a target is used, and why.
+func (f *Front) explainUse(now time.Time, t *target, ejected bool) (use, why string) {
 	evidence := fmt.Sprintf("suspect, evidence %.1f nats", float64(t.Evidence)/100)
 	switch {
 	case !t.Host.Alive:
-		return "unusable", "host does not answer"
+		return "unusable", "host does not respond"
 	case t.Host.Leaving:
 		return "unusable", "host is leaving"
 	case t.State == directory.Leaving:
 		return "unusable", "instance is leaving"
 	case !f.paths.usable(t.Host.Name):
-		return "unusable", "no frame comes back from the host"
-	case out:
+		return "unusable", "no frame received from the host"
+	case ejected:
 		return "left out", evidence
 	case t.Health == detect.Suspect:
 		return "used", evidence + ", kept by the floor"
@@ -103,10 +104,10 @@
 	}
 }
 
-// Paths lists the paths to other hosts.
+// Paths returns the paths to other hosts.
 func (f *Front) Paths() []PathState { return f.paths.state() }
 
-// Explanation says what would happen to a request, and why.
+// Explanation says how a request would be handled, and why.
 type Explanation struct {
 	Matched    bool   `json:"matched"`
 	Route      string `json:"route,omitempty"`
@@ -117,7 +118,7 @@
 	TimeoutMS  int64  `json:"timeoutMS,omitempty"`
 	Priority   int    `json:"priority"`
 	Team       string `json:"team,omitempty"`
-	// Open says that callers need no key here.
+	// Open says that callers need no API key for this route.
 	Open       bool     `json:"open"`
 	TeamRate   float64  `json:"teamRatePerSecond,omitempty"`
 	Target     string   `json:"targetNow,omitempty"`
@@ -127,15 +128,15 @@
 	Problem    string   `json:"problem,omitempty"`
 }
 
-// Explain says what would happen to a request now. Nothing is sent.
+// Explain says how a request would be handled now. It sends nothing.
 func (f *Front) Explain(method, host, path, team string) Explanation {
 	view := f.view.Load()
 	if view.Routes == nil {
-		return Explanation{Problem: "this host does not have the whole configuration yet"}
+		return Explanation{Problem: "this host has not loaded its whole configuration yet"}
 	}
 	r := view.Routes.Match(strings.ToLower(host), path, method)
 	if r == nil {
-		return Explanation{Problem: "no route matches; `radishhoist list routes` shows what there is"}
+		return Explanation{Problem: "no route matches; run `radishhoist list routes` to see all routes"}
 	}
 	out := Explanation{
 		Matched: true, Route: r.Name, Version: r.Version, Service: r.Parts()[0].Service,
@@ -177,9 +178,9 @@
 	t := st.pickUsable(time.Now(), req, nil, false, f.rng(), f.paths, f.cfg)
 	st.mu.Unlock()
 	if t == nil {
-		out.Problem = "service " + svc.Name + " has no target that takes work"
+		out.Problem = "service " + svc.Name + " has no available target"
 		return
 	}
 	out.Target, out.TargetHost = t.Name, t.Host.Name
-	out.TargetWhy = fmt.Sprintf("least expected wait of a random few of %d usable; another call may choose another", len(status.Targets)-len(out.LeftOut))
+	out.TargetWhy = fmt.Sprintf("lowest cost in a random sample of %d usable targets; another call may choose a different one", len(status.Targets)-len(out.LeftOut))
 }
--- a/internal/front/suspect.go
+++ b/internal/front/suspect.go
@@ -14,39 +14,43 @@
 	"github.com/radishhoist/radishhoist/verdict"
 )
 
-// A request that may end the instances that run it is repeated once after an end,
-// since most that ran beside another's crash are innocent, and never hedged: each
-// further attempt of the one that is not ends another instance. All hosts send it to
-// one instance of its service, so that it puts no other at risk.
+// A request that is suspected of crashing its instances is retried once after an instance
+// has ended, because most requests that ran beside another one's crash did not cause it. It
+// is never hedged, and not retried further: each attempt of the request that does cause
+// crashes ends another instance. All hosts send it to the same instance of its service, so
+// that no other is put at risk.
 
-// suspected says that an instance has ended under the request, as far as is known.
-// The caller holds the lock, or is alone.
-func (c *race) suspected() bool { return c.ends() > 0 }
+// suspectedOfCrashing reports whether an instance is known to have ended while running the
+// request. The caller must hold e.mu or have exclusive access.
+func (e *execution) suspectedOfCrashing() bool { return e.endMoments() > 0 }
 
-// ends counts the moments at which instances have ended under the request: those that the
-// fleet knows of, or those of its own attempts, whose news may still be under way. The
-// caller holds the lock, or is alone.
-func (c *race) ends() int {
+// endMoments counts the distinct moments at which instances have ended while running the
+// request. It is the higher of the number known to all hosts and that of this request's own
+// attempts, which may not have been reported yet. The caller must hold e.mu or have
+// exclusive access.
+func (e *execution) endMoments() int {
 	own := 0
-	for _, fail := range c.failures {
+	for _, fail := range e.failures {
 		if fail.Reason == verdict.ReasonTargetEnded {
 			own++
 		}
 	}
-	return max(own, c.front.guard.Suspect(c.req.print).Moments)
+	return max(own, e.front.guard.Suspect(e.req.fingerprint).Moments)
 }
 
-// heldBack says that a guard has refused the request as one that crashes its targets: it
-// knows of ends that this host has not heard of. The caller holds the lock, or is alone.
-func (c *race) heldBack() bool {
-	return slices.ContainsFunc(c.failures, func(fail *verdict.Error) bool { return fail.Reason == verdict.ReasonCrashesTargets })
+// refusedAsCrashing reports whether a guard has refused the request because it crashes its
+// targets. The guard may know of ends that this host has not heard of. The caller must hold
+// e.mu or have exclusive access.
+func (e *execution) refusedAsCrashing() bool {
+	return slices.ContainsFunc(e.failures, func(fail *verdict.Error) bool { return fail.Reason == verdict.ReasonCrashesTargets })
 }
 
-// awaitNews waits while news that clears the request may be under way: one that was lost
-// with several instances at once is repeated just when all hosts hear of their ends.
-func (c *race) awaitNews(ctx context.Context) {
+// awaitEndReports waits while reports that would clear the request may still arrive. A
+// request that was lost with several instances at once is retried just as the hosts learn
+// of their ends.
+func (e *execution) awaitEndReports(ctx context.Context) {
 	for {
-		v := c.front.guard.Suspect(c.req.print)
+		v := e.front.guard.Suspect(e.req.fingerprint)
 		wait := v.WaitForNews(time.Now())
 		if wait <= 0 || !sleep.For(ctx, wait) {
 			return
@@ -54,39 +58,39 @@
 	}
 }
 
-// pickForSuspect chooses where a suspected request goes: of the instances that it may reach
-// the one that follows from its print and their names, on every host the same. The
-// service's lock is held.
-func (st *serviceState) pickForSuspect(now time.Time, p crash.Print, v *crash.Verdict, tried []*target, repeat bool) *target {
-	var one *target
-	least := uint64(0)
-	for _, i := range st.without(st.choice.usable, tried) {
+// pickForSuspect chooses the target of a suspected request among the instances that it may
+// reach. The choice depends only on the request's fingerprint and the instances' names, so
+// that all hosts agree. The caller must hold st.mu.
+func (st *serviceState) pickForSuspect(now time.Time, fingerprint crash.Print, v *crash.Verdict, tried []*target, repeat bool) *target {
+	var best *target
+	lowest := uint64(0)
+	for _, i := range st.untried(st.candidates.usable, tried) {
 		t := st.targets[i]
-		if v.Stopped(now, t.software()) || repeat && !t.seen.mayRepeat(now) {
+		if v.Stopped(now, t.softwareVersion()) || repeat && !t.observed.retryBudgetLeft(now) {
 			continue
 		}
-		if rank := rankFor(p, t); one == nil || rank < least {
-			one, least = t, rank
+		if rank := rendezvousRank(fingerprint, t); best == nil || rank < lowest {
+			best, lowest = t, rank
 		}
 	}
-	return one
+	return best
 }
 
-// rankFor orders the instances of a service for one request.
-func rankFor(p crash.Print, t *target) uint64 {
-	var both [16]byte
-	binary.LittleEndian.PutUint64(both[:8], uint64(p))
-	binary.LittleEndian.PutUint64(both[8:], t.hash)
-	return xxhash.Sum64(both[:])
+// rendezvousRank ranks the instances of a service for one request by rendezvous hashing.
+func rendezvousRank(fingerprint crash.Print, t *target) uint64 {
+	var key [16]byte
+	binary.LittleEndian.PutUint64(key[:8], uint64(fingerprint))
+	binary.LittleEndian.PutUint64(key[8:], t.hash)
+	return xxhash.Sum64(key[:])
 }
 
-// software is what the instance runs.
-func (t *target) software() crash.Software {
+// softwareVersion returns the service and version that the instance runs.
+func (t *target) softwareVersion() crash.Software {
 	return crash.Software{Service: t.Service, Version: t.Version}
 }
 
-// succeeded says that the whole answer has come and is a success: the request has run to
-// its end.
+// succeeded reports whether a complete answer with a success status was received, which
+// proves that the request has run to its end.
 func (o *outcome) succeeded() bool {
-	return o.fail == nil && !o.answer.open && o.answer.head.Status < http.StatusBadRequest
+	return o.fail == nil && !o.answer.streaming && o.answer.head.Status < http.StatusBadRequest
 }
--- a/internal/front/suspect_test.go
+++ b/internal/front/suspect_test.go
@@ -15,37 +15,37 @@
 	"github.com/radishhoist/radishhoist/internal/msg"
 )
 
-// hostView is a service state that has some instances of versions 0 and 1, in an order of
-// its own and with loads of its own.
-func hostView(instances int, rng *rand.Rand) *serviceState {
+// newServiceView returns a service with instances of versions 0 and 1, in random order and
+// with random loads.
+func newServiceView(instances int, rng *rand.Rand) *serviceState {
 	st := &serviceState{}
-	for place, n := range rng.Perm(instances) {
+	for index, n := range rng.Perm(instances) {
 		i := &directory.Instance{Name: fmt.Sprint("i", n), Service: "s", Version: fmt.Sprint(n % 2)}
-		seen := &observed{}
-		seen.hear(time.Unix(1000, 0), msg.Load{Slots: 4, Running: uint32(rng.IntN(5)), Repeats: uint16(rng.IntN(2))})
-		st.targets = append(st.targets, &target{Target: &directory.Target{Instance: i, Host: &directory.Host{}}, hash: guard.InstanceHash(i.Name), seen: seen})
-		st.choice.usable = append(st.choice.usable, place)
+		observed := &observations{}
+		observed.updateLoad(time.Unix(1000, 0), msg.Load{Slots: 4, Running: uint32(rng.IntN(5)), Repeats: uint16(rng.IntN(2))})
+		st.targets = append(st.targets, &target{Target: &directory.Target{Instance: i, Host: &directory.Host{}}, hash: guard.InstanceHash(i.Name), observed: observed})
+		st.candidates.usable = append(st.candidates.usable, index)
 	}
 	return st
 }
 
-// All hosts send a suspect to the same instance, whatever they believe of loads: one that
-// was not tried and whose software the request may reach. None is chosen only where none
-// is left.
-func TestAllHostsSendASuspectToOnePlace(t *testing.T) {
+// All hosts send a suspect to the same instance, whatever loads they know of. It must be
+// untried, and of software that the request may reach. No target is chosen only if no such
+// instance is left.
+func TestAllHostsChooseSameInstanceForSuspect(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1000, 0)
 		instances := rapid.IntRange(1, 12).Draw(t, "instances")
 		rng := rand.New(rand.NewPCG(1, rapid.Uint64().Draw(t, "seed")))
-		print := crash.Print(rapid.Uint64().Draw(t, "print"))
+		fingerprint := crash.Print(rapid.Uint64().Draw(t, "print"))
 		v := &crash.Verdict{Ends: 3, Until: now.Add(time.Minute), Ended: []crash.Software{{Service: "s", Version: "0"}}}
-		one, other := hostView(instances, rng), hostView(instances, rng)
+		one, other := newServiceView(instances, rng), newServiceView(instances, rng)
 
 		var tried []*target
 		for left := instances / 2; ; left-- {
-			a, b := one.pickForSuspect(now, print, v, tried, false), other.pickForSuspect(now, print, v, samePlaces(other, tried), false)
+			a, b := one.pickForSuspect(now, fingerprint, v, tried, false), other.pickForSuspect(now, fingerprint, v, sameTargets(other, tried), false)
 			if a == nil {
-				assert.Equal(t, left, 0, "every instance of the version that has not ended is tried")
+				assert.Equal(t, left, 0, "no target chosen although an untried one of the other version is left")
 				assert.Assert(t, b == nil)
 				return
 			}
@@ -56,8 +56,8 @@
 	})
 }
 
-// samePlaces finds the targets of the same names in another host's view.
-func samePlaces(st *serviceState, targets []*target) []*target {
+// sameTargets returns the targets of the same names in another host's view.
+func sameTargets(st *serviceState, targets []*target) []*target {
 	var out []*target
 	for _, t := range targets {
 		for _, other := range st.targets {
@@ -69,14 +69,14 @@
 	return out
 }
 
-// A repeat of a suspect goes only where a repeat is left.
-func TestASuspectIsRepeatedWhereARepeatIsLeft(t *testing.T) {
+// A suspect is retried only where retry budget is left.
+func TestSuspectIsRetriedOnlyWithinRetryBudget(t *testing.T) {
 	now := time.Unix(1000, 0)
 	v := &crash.Verdict{Ends: 1}
 	for seed := range uint64(50) {
-		st := hostView(8, rand.New(rand.NewPCG(1, seed)))
+		st := newServiceView(8, rand.New(rand.NewPCG(1, seed)))
 		if picked := st.pickForSuspect(now, 7, v, nil, true); picked != nil {
-			assert.Assert(t, picked.seen.mayRepeat(now))
+			assert.Assert(t, picked.observed.retryBudgetLeft(now))
 		}
 	}
 }
