--- a/internal/core/admit/admit.go
+++ b/internal/core/admit/admit.go
@@ -24,20 +24,20 @@
 	ID ID
 	// Class is the fairness class of the caller's team.
 	Class uint32
-	// Priority is 0 to 3; higher runs first. Within, also 0 to 3, orders requests
+	// Priority is 0 to 3; higher runs first. SubPriority, also 0 to 3, orders requests
 	// of equal Priority. It holds the route's priority where the caller's team
 	// defines a priority of its own.
-	Priority, Within uint8
+	Priority, SubPriority uint8
 	// Deadline is when the caller stops waiting.
 	Deadline time.Time
 	// Objective is the latency objective as a point in time: an answer by then has
 	// its full value. The zero value means the deadline.
 	Objective time.Time
-	// Expect is the expected service time, 0 if the front does not know it.
-	Expect time.Duration
-	// Insist queues the request even if it is expected to miss its objective. A
+	// ExpectedService is the expected service time, 0 if the front does not know it.
+	ExpectedService time.Duration
+	// AllowLate queues the request even if it is expected to miss its objective. A
 	// front sets it when it has no better instance to try.
-	Insist bool
+	AllowLate bool
 	// Reserve asks for a grant, to be used by a later Run, instead of an
 	// immediate start.
 	Reserve bool
@@ -101,7 +101,7 @@
 const rankCount = Priorities * Priorities
 
 // rank orders requests by Priority, then by Within.
-func (r *Request) rank() int { return int(r.Priority)*Priorities + int(r.Within) }
+func (r *Request) rank() int { return int(r.Priority)*Priorities + int(r.SubPriority) }
 
 const (
 	// initialService is the assumed service time until one has been measured.
@@ -208,12 +208,12 @@
 	if q.draining {
 		return []Decision{{ID: r.ID, Action: Refuse, Reason: verdict.ReasonDraining}}
 	}
-	r.Priority, r.Within = min(r.Priority, Priorities-1), min(r.Within, Priorities-1)
+	r.Priority, r.SubPriority = min(r.Priority, Priorities-1), min(r.SubPriority, Priorities-1)
 	if r.Objective.IsZero() {
 		r.Objective = r.Deadline
 	}
-	if r.Expect <= 0 {
-		r.Expect = q.service
+	if r.ExpectedService <= 0 {
+		r.ExpectedService = q.service
 	}
 	t := &ticket{Request: r}
 	if q.busy < q.cfg.Slots && q.queued == 0 {
@@ -221,12 +221,12 @@
 		return []Decision{q.assignSlot(now, t)}
 	}
 	wait := q.expectedWait(now, t)
-	end := now.Add(wait + r.Expect)
+	end := now.Add(wait + r.ExpectedService)
 	missesDeadline := end.After(r.Deadline)
 	// Without Insist the front can still try another instance, so a late request is
 	// refused at once. With Insist, late requests are limited to one per slot: any
 	// more would only wait to be refused.
-	if missesDeadline || t.late && (!r.Insist || q.countLate(now) >= q.cfg.Slots) {
+	if missesDeadline || t.late && (!r.AllowLate || q.countLate(now) >= q.cfg.Slots) {
 		return []Decision{{ID: r.ID, Action: Refuse, Reason: verdict.ReasonQueueFull, RetryAfter: max(wait, minRetryAfter)}}
 	}
 	return q.enqueue(t, wait)
@@ -332,7 +332,7 @@
 func (q *Queue) fill(now time.Time, out []Decision) []Decision {
 	for q.busy < q.cfg.Slots && q.queued > 0 {
 		t := q.popNext(now)
-		if now.Add(t.Expect).After(t.Deadline) {
+		if now.Add(t.ExpectedService).After(t.Deadline) {
 			out = append(out, q.refuse(t, verdict.ReasonDeadline, q.service))
 			continue
 		}
--- a/internal/core/announce/announce.go
+++ b/internal/core/announce/announce.go
@@ -40,11 +40,11 @@
 	gone
 )
 
-// Word is the part of an announcement that orders the announcements of an instance.
-type Word struct {
-	// Born is the start time of the instance, in Unix milliseconds by its own clock, or
+// Stamp is the part of an announcement that orders the announcements of an instance.
+type Stamp struct {
+	// StartedMS is the start time of the instance, in Unix milliseconds by its own clock, or
 	// 0 if unknown. It distinguishes successive starts under the same name.
-	Born int64
+	StartedMS int64
 	// Sequence increases with each announcement of one start. It is 0 if the instance
 	// does not count its announcements.
 	Sequence uint64
@@ -54,29 +54,29 @@
 type entry struct {
 	address string
 	// latest is the newest accepted Word; pastStarts holds the Born of earlier starts.
-	latest     Word
+	latest     Stamp
 	pastStarts []int64
 	lastSeen   time.Time
 	state      state
 }
 
-// Book tracks the instances of one host. It is not safe for concurrent use.
-type Book struct {
+// Tracker tracks the instances of one host. It is not safe for concurrent use.
+type Tracker struct {
 	byName map[string]*entry
 	// holders maps addresses to the names of the present instances.
 	holders map[string]string
 }
 
-// NewBook returns an empty Book.
-func NewBook() *Book {
-	return &Book{byName: make(map[string]*entry), holders: make(map[string]string)}
+// NewTracker returns an empty Book.
+func NewTracker() *Tracker {
+	return &Tracker{byName: make(map[string]*entry), holders: make(map[string]string)}
 }
 
 // Outcome is the effect of an announcement.
 type Outcome struct {
-	// Counts reports whether the announcement is accepted. It is false if a newer one is
+	// Accepted reports whether the announcement is accepted. It is false if a newer one is
 	// known.
-	Counts bool
+	Accepted bool
 	// Restarted reports whether it is the first announcement of a new start of the
 	// instance, so that the state of the previous start is lost.
 	Restarted bool
@@ -84,8 +84,8 @@
 	Replaces string
 }
 
-// Hear processes one announcement.
-func (b *Book) Hear(now time.Time, name, address string, w Word) Outcome {
+// Apply processes one announcement.
+func (b *Tracker) Apply(now time.Time, name, address string, w Stamp) Outcome {
 	b.evict(now)
 	e, known := b.byName[name]
 	restarted := known && e.isNewStart(now, w)
@@ -111,22 +111,22 @@
 		delete(b.holders, e.address)
 	}
 	if restarted {
-		e.beginStart(w.Born)
+		e.beginStart(w.StartedMS)
 	}
-	e.latest = Word{Born: w.Born, Sequence: max(e.latest.Sequence, w.Sequence)}
+	e.latest = Stamp{StartedMS: w.StartedMS, Sequence: max(e.latest.Sequence, w.Sequence)}
 	e.address, e.lastSeen, e.state = address, now, present
 	b.holders[address] = name
-	return Outcome{Counts: true, Restarted: restarted, Replaces: holder}
+	return Outcome{Accepted: true, Restarted: restarted, Replaces: holder}
 }
 
 // isNewStart reports whether w is the first announcement received from another, newer start.
 // The clock may have been set back between two starts, so an earlier start time alone does
 // not mean an older start.
-func (e *entry) isNewStart(now time.Time, w Word) bool {
+func (e *entry) isNewStart(now time.Time, w Stamp) bool {
 	switch {
-	case w.Born == 0 || w.Born == e.latest.Born || slices.Contains(e.pastStarts, w.Born):
+	case w.StartedMS == 0 || w.StartedMS == e.latest.StartedMS || slices.Contains(e.pastStarts, w.StartedMS):
 		return false
-	case w.Born > e.latest.Born:
+	case w.StartedMS > e.latest.StartedMS:
 		return true
 	default:
 		return w.Sequence > 0 && w.Sequence <= maxFirstSequence || now.Sub(e.lastSeen) > holderTimeout
@@ -135,25 +135,25 @@
 
 // outdated reports whether w, which is not from a new start, is from an earlier start or
 // not newer than the latest announcement.
-func (e *entry) outdated(w Word) bool {
-	return w.Born != e.latest.Born || w.Sequence > 0 && w.Sequence <= e.latest.Sequence
+func (e *entry) outdated(w Stamp) bool {
+	return w.StartedMS != e.latest.StartedMS || w.Sequence > 0 && w.Sequence <= e.latest.Sequence
 }
 
 // beginStart adds the current start to the past ones and begins a new one.
 func (e *entry) beginStart(born int64) {
-	if e.latest.Born != 0 {
-		e.pastStarts = append(e.pastStarts, e.latest.Born)
+	if e.latest.StartedMS != 0 {
+		e.pastStarts = append(e.pastStarts, e.latest.StartedMS)
 	}
 	if len(e.pastStarts) > maxPastStarts {
 		e.pastStarts = e.pastStarts[1:]
 	}
-	e.latest = Word{Born: born}
+	e.latest = Stamp{StartedMS: born}
 }
 
 // Leave records that an instance has left. Announcements of that start are no longer
 // accepted. born identifies the start, or is 0 if unknown. Leave reports whether the
 // instance is gone: if an earlier start leaves, the running one is not affected.
-func (b *Book) Leave(now time.Time, name string, born int64) bool {
+func (b *Tracker) Leave(now time.Time, name string, born int64) bool {
 	e, known := b.byName[name]
 	if !known {
 		e = &entry{}
@@ -162,11 +162,11 @@
 	switch {
 	case !known && born == 0:
 		// All starts before this time are considered gone.
-		e.latest.Born = now.UnixMilli()
+		e.latest.StartedMS = now.UnixMilli()
 	case !known:
-		e.latest.Born = born
-	case born == 0 || born == e.latest.Born:
-	case e.isNewStart(now, Word{Born: born}):
+		e.latest.StartedMS = born
+	case born == 0 || born == e.latest.StartedMS:
+	case e.isNewStart(now, Stamp{StartedMS: born}):
 		e.beginStart(born)
 	default:
 		return false
@@ -178,9 +178,9 @@
 	return true
 }
 
-// Misled records that another instance answers at the address of the named one. The next
+// MarkMisdirected records that another instance answers at the address of the named one. The next
 // instance to announce the address gets it.
-func (b *Book) Misled(name string) {
+func (b *Tracker) MarkMisdirected(name string) {
 	if e, known := b.byName[name]; known && b.holders[e.address] == name {
 		delete(b.holders, e.address)
 		e.state = replaced
@@ -188,7 +188,7 @@
 }
 
 // evict removes the entries older than retention, and the oldest one above maxEntries.
-func (b *Book) evict(now time.Time) {
+func (b *Tracker) evict(now time.Time) {
 	oldest := ""
 	for name, e := range b.byName {
 		if now.Sub(e.lastSeen) > retention {
@@ -204,7 +204,7 @@
 	}
 }
 
-func (b *Book) remove(name string, e *entry) {
+func (b *Tracker) remove(name string, e *entry) {
 	if b.holders[e.address] == name {
 		delete(b.holders, e.address)
 	}
--- a/internal/core/balance/balance.go
+++ b/internal/core/balance/balance.go
@@ -18,46 +18,46 @@
 	// Running is the number of running requests in the guard's last load report, and
 	// Waiting the work queued ahead of this request at that time, as the sum of the
 	// expected service times.
-	Running int
-	Waiting time.Duration
+	Running    int
+	QueuedWork time.Duration
 	// LoadAge is the age of that load report.
 	LoadAge time.Duration
 	// Typical is the load assumed as the load report gets old.
-	Typical Typical
+	Typical TypicalLoad
 	// Pending is the number of requests this front has in flight to the instance
 	// that the load report does not include.
 	Pending int
 	// Service is the expected service time of this request at the instance, 0 if
 	// unknown.
 	Service time.Duration
-	// Path is the round-trip time to the instance's host, 0 if unknown.
-	Path time.Duration
+	// RoundTrip is the round-trip time to the instance's host, 0 if unknown.
+	RoundTrip time.Duration
 	// Warmth rises from 0 just after the instance's start to 1 when it is warmed up.
 	Warmth float64
 	// Local reports whether the instance is in the front's data centre.
 	Local bool
-	// Fails is the probability that the request fails at the instance.
-	Fails float64
+	// FailureProbability is the probability that the request fails at the instance.
+	FailureProbability float64
 }
 
-// Typical is the current mean load per slot of a service's instances, from recent
+// TypicalLoad is the current mean load per slot of a service's instances, from recent
 // load reports.
-type Typical struct {
+type TypicalLoad struct {
 	// Running is the share of the slots in use, and Waiting the work queued ahead of
 	// the request.
-	Running float64
-	Waiting time.Duration
+	Running    float64
+	QueuedWork time.Duration
 }
 
-// Stakes describes what a late or failed answer costs for one request.
-type Stakes struct {
+// CostWeights describes what a late or failed answer costs for one request.
+type CostWeights struct {
 	// Objective is the latency objective, and Left the time left of it.
 	Objective, Left time.Duration
 	// FailureWeight is the share of the value that a failure costs: 1 for requests
 	// that cannot be retried, less for those that can.
 	FailureWeight float64
-	// Distance is the cost of traffic between data centres, as a share of the value.
-	Distance float64
+	// RemoteWeight is the cost of traffic between data centres, as a share of the value.
+	RemoteWeight float64
 }
 
 const (
@@ -90,26 +90,26 @@
 )
 
 // Cost returns the estimated cost of a request at a candidate, in seconds.
-func Cost(c Candidate, s Stakes) float64 {
+func Cost(c Candidate, s CostWeights) float64 {
 	service := c.Service
 	if service <= 0 {
 		service = defaultService
 	}
-	path := c.Path
+	path := c.RoundTrip
 	if path <= 0 && !c.Local {
 		path = unknownRemotePath
 	}
 	slots := float64(max(c.Slots, 1))
 	fresh := math.Exp2(-float64(c.LoadAge) / float64(loadHalfLife))
 	running := fresh*float64(c.Running) + (1-fresh)*c.Typical.Running*slots + float64(c.Pending)
-	waiting := fresh*c.Waiting.Seconds()/slots + (1-fresh)*c.Typical.Waiting.Seconds()
+	waiting := fresh*c.QueuedWork.Seconds()/slots + (1-fresh)*c.Typical.QueuedWork.Seconds()
 	busy := min(running/slots, 1)
 	wait := waiting + service.Seconds()*max(running+1-slots, 0)/slots
 	run := (service.Seconds()*(1+fullLoadSlowdown*busy*busy) + wait) / max(c.Warmth, minWarmth)
 	total := path.Seconds() + run
-	value := (1 - c.Fails*s.FailureWeight) * s.valueAfter(total)
+	value := (1 - c.FailureProbability*s.FailureWeight) * s.valueAfter(total)
 	if !c.Local {
-		value -= s.Distance
+		value -= s.RemoteWeight
 	}
 	return total + valueWeight*s.Objective.Seconds()*(1-value)
 }
@@ -118,7 +118,7 @@
 // is expected after the given time: all of it well before the objective, lateValue
 // well after it. Service times vary by half of their mean and more, so the value
 // falls gradually in between.
-func (s Stakes) valueAfter(seconds float64) float64 {
+func (s CostWeights) valueAfter(seconds float64) float64 {
 	left := s.Left.Seconds()
 	if s.Objective <= 0 {
 		return 1
--- a/internal/core/balance/balance_test.go
+++ b/internal/core/balance/balance_test.go
@@ -10,11 +10,11 @@
 
 // idle returns an idle, warm and local instance with a low failure probability.
 func idle() Candidate {
-	return Candidate{Slots: 4, Service: 400 * time.Millisecond, Path: time.Millisecond, Warmth: 1, Local: true, Fails: 0.03}
+	return Candidate{Slots: 4, Service: 400 * time.Millisecond, RoundTrip: time.Millisecond, Warmth: 1, Local: true, FailureProbability: 0.03}
 }
 
-func unrepeatable() Stakes {
-	return Stakes{Objective: 1500 * time.Millisecond, Left: 1500 * time.Millisecond, FailureWeight: 1, Distance: 0.03}
+func unrepeatable() CostWeights {
+	return CostWeights{Objective: 1500 * time.Millisecond, Left: 1500 * time.Millisecond, FailureWeight: 1, RemoteWeight: 0.03}
 }
 
 func TestCostOrder(t *testing.T) {
@@ -22,14 +22,14 @@
 	repeatable.FailureWeight = 0.3
 	for _, c := range []struct {
 		name          string
-		stakes        Stakes
+		stakes        CostWeights
 		better, worse func(*Candidate)
 	}{
-		{"a probable failure", unrepeatable(), func(*Candidate) {}, func(c *Candidate) { c.Fails = 0.5 }},
-		{"a probable failure against a queue that still meets the objective", unrepeatable(), func(c *Candidate) { c.Running, c.Waiting = 4, 1200*time.Millisecond }, func(c *Candidate) { c.Fails = 0.6 }},
-		{"a queue that misses the objective against a moderate failure probability", unrepeatable(), func(c *Candidate) { c.Fails = 0.3 }, func(c *Candidate) { c.Running, c.Waiting = 4, 12*time.Second }},
-		{"another data centre", unrepeatable(), func(*Candidate) {}, func(c *Candidate) { c.Local, c.Path = false, 2*time.Millisecond }},
-		{"a failure costs more than distance", unrepeatable(), func(c *Candidate) { c.Local = false }, func(c *Candidate) { c.Fails = 0.2 }},
+		{"a probable failure", unrepeatable(), func(*Candidate) {}, func(c *Candidate) { c.FailureProbability = 0.5 }},
+		{"a probable failure against a queue that still meets the objective", unrepeatable(), func(c *Candidate) { c.Running, c.QueuedWork = 4, 1200*time.Millisecond }, func(c *Candidate) { c.FailureProbability = 0.6 }},
+		{"a queue that misses the objective against a moderate failure probability", unrepeatable(), func(c *Candidate) { c.FailureProbability = 0.3 }, func(c *Candidate) { c.Running, c.QueuedWork = 4, 12*time.Second }},
+		{"another data centre", unrepeatable(), func(*Candidate) {}, func(c *Candidate) { c.Local, c.RoundTrip = false, 2*time.Millisecond }},
+		{"a failure costs more than distance", unrepeatable(), func(c *Candidate) { c.Local = false }, func(c *Candidate) { c.FailureProbability = 0.2 }},
 		{"a cold start", unrepeatable(), func(*Candidate) {}, func(c *Candidate) { c.Warmth = 0.3 }},
 		{"a busy instance", repeatable, func(*Candidate) {}, func(c *Candidate) { c.Running = 4 }},
 	} {
--- a/internal/core/chance/chance.go
+++ b/internal/core/chance/chance.go
@@ -19,25 +19,25 @@
 // an error of a factor of two in any of them: a single failure is strong evidence in
 // each case.
 type Model struct {
-	// WellFor and SickFor are the mean durations of the two states.
-	WellFor, SickFor time.Duration
-	// WellFails and SickFails are the failure probabilities in the two states.
-	WellFails, SickFails float64
+	// MeanWell and MeanSick are the mean durations of the two states.
+	MeanWell, MeanSick time.Duration
+	// WellFailureRate and SickFailureRate are the failure probabilities in the two states.
+	WellFailureRate, SickFailureRate float64
 }
 
 // Default is a Model for instances that are sick for several seconds at a time.
 func Default() Model {
-	return Model{WellFor: 30 * time.Second, SickFor: 12 * time.Second, WellFails: 0.03, SickFails: 0.8}
+	return Model{MeanWell: 30 * time.Second, MeanSick: 12 * time.Second, WellFailureRate: 0.03, SickFailureRate: 0.8}
 }
 
 // steadyStateSick returns the long-run share of time in which an instance is sick.
 func (m Model) steadyStateSick() float64 {
-	return m.SickFor.Seconds() / (m.SickFor.Seconds() + m.WellFor.Seconds())
+	return m.MeanSick.Seconds() / (m.MeanSick.Seconds() + m.MeanWell.Seconds())
 }
 
 // decayRate returns the rate, per second, at which an estimate decays towards the
 // steady state.
-func (m Model) decayRate() float64 { return 1/m.WellFor.Seconds() + 1/m.SickFor.Seconds() }
+func (m Model) decayRate() float64 { return 1/m.MeanWell.Seconds() + 1/m.MeanSick.Seconds() }
 
 // Estimate is the probability that one instance is sick, as of its last outcome. The
 // zero value has no outcomes.
@@ -46,8 +46,8 @@
 	at   time.Time
 }
 
-// At returns an Estimate with a value reported by the instance's guard.
-func At(now time.Time, sick float64) Estimate {
+// EstimateAt returns an Estimate with a value reported by the instance's guard.
+func EstimateAt(now time.Time, sick float64) Estimate {
 	return Estimate{sick: min(max(sick, 0), 1), at: now}
 }
 
@@ -63,26 +63,26 @@
 // maxSilentDoubt is the level up to which Doubt rises without new outcomes.
 const maxSilentDoubt = 0.05
 
-// Doubt returns the probability of the sick state for use in selecting an instance. An
+// SickForSelection returns the probability of the sick state for use in selecting an instance. An
 // instance without recent outcomes may have become sick, but if it were avoided for that
-// reason, there would never be new outcomes. Time alone therefore raises Doubt to
-// maxSilentDoubt at most. After an observed failure, Doubt decays like Sick.
-func (e *Estimate) Doubt(now time.Time, m Model) float64 {
+// reason, there would never be new outcomes. Time alone therefore raises SickForSelection to
+// maxSilentDoubt at most. After an observed failure, SickForSelection decays like Sick.
+func (e *Estimate) SickForSelection(now time.Time, m Model) float64 {
 	return min(e.Sick(now, m), max(e.sick, maxSilentDoubt))
 }
 
-// Fails returns the probability that the next request fails, based on Doubt.
-func (e *Estimate) Fails(now time.Time, m Model) float64 {
-	sick := e.Doubt(now, m)
-	return sick*m.SickFails + (1-sick)*m.WellFails
+// FailureProbability returns the probability that the next request fails, based on Doubt.
+func (e *Estimate) FailureProbability(now time.Time, m Model) float64 {
+	sick := e.SickForSelection(now, m)
+	return sick*m.SickFailureRate + (1-sick)*m.WellFailureRate
 }
 
-// Saw updates the estimate with the outcome of one request.
-func (e *Estimate) Saw(now time.Time, failed bool, m Model) {
+// Observe updates the estimate with the outcome of one request.
+func (e *Estimate) Observe(now time.Time, failed bool, m Model) {
 	sick := e.Sick(now, m)
-	ifSick, ifWell := 1-m.SickFails, 1-m.WellFails
+	ifSick, ifWell := 1-m.SickFailureRate, 1-m.WellFailureRate
 	if failed {
-		ifSick, ifWell = m.SickFails, m.WellFails
+		ifSick, ifWell = m.SickFailureRate, m.WellFailureRate
 	}
 	e.sick = sick * ifSick / (sick*ifSick + (1-sick)*ifWell)
 	e.at = now
--- a/internal/core/config/node.go
+++ b/internal/core/config/node.go
@@ -33,13 +33,13 @@
 
 // Peers holds the names of the live peers.
 type Peers struct {
-	// Near are the hosts in the same data centre.
-	Near []string
-	// Far are the hosts in other data centres, one list per data centre.
-	Far [][]string
+	// Local are the hosts in the same data centre.
+	Local []string
+	// Remote are the hosts in other data centres, one list per data centre.
+	Remote [][]string
 }
 
-func (p Peers) empty() bool { return len(p.Near)+len(p.Far) == 0 }
+func (p Peers) empty() bool { return len(p.Local)+len(p.Remote) == 0 }
 
 // Outbound is a message to send.
 type Outbound struct {
@@ -115,9 +115,9 @@
 // Set returns one replicated set for reading.
 func (n *Node) Set(id msg.SetID) *Set { return n.sets[id] }
 
-// Whole reports whether the record set has been complete at least once, so that traffic
+// Complete reports whether the record set has been complete at least once, so that traffic
 // may be served from it.
-func (n *Node) Whole() bool { return n.complete[msg.SetRecords] }
+func (n *Node) Complete() bool { return n.complete[msg.SetRecords] }
 
 // Take returns and clears the messages to send and the entries applied since the last
 // call.
@@ -127,14 +127,14 @@
 	return out, applied
 }
 
-// Local applies entries from the platform or from this host and pushes them to peers.
-func (n *Node) Local(peers Peers, set msg.SetID, entries []msg.Entry) {
+// Publish applies entries from the platform or from this host and pushes them to peers.
+func (n *Node) Publish(peers Peers, set msg.SetID, entries []msg.Entry) {
 	n.applyAndPush(peers, set, "", entries)
 }
 
-// Retell pushes an entry again, to as many peers as when it was new, for peers that were
+// Resend pushes an entry again, to as many peers as when it was new, for peers that were
 // unknown at the time.
-func (n *Node) Retell(peers Peers, set msg.SetID, key Key) {
+func (n *Node) Resend(peers Peers, set msg.SetID, key Key) {
 	e, held := n.sets[set].Get(key)
 	if !held {
 		return
@@ -193,7 +193,7 @@
 // peers in each other data centre.
 func (n *Node) pushPeers(peers Peers, from string) []string {
 	var out []string
-	near := peers.Near
+	near := peers.Local
 	for _, i := range n.sample(len(near), n.cfg.FanOut+1) {
 		if near[i] != from && len(out) < n.cfg.FanOut {
 			out = append(out, near[i])
@@ -202,7 +202,7 @@
 	if from != "" {
 		return out
 	}
-	for _, dc := range peers.Far {
+	for _, dc := range peers.Remote {
 		for _, i := range n.sample(len(dc), n.cfg.RemoteFanOut) {
 			out = append(out, dc[i])
 		}
@@ -291,7 +291,7 @@
 		if msg.SetID(id) == msg.SetEnds && len(s.entries) == 0 {
 			continue // there are none on most days, and a peer that has some opens a repair
 		}
-		n.send(to, &msg.Digest{Set: msg.SetID(id), Root: s.Root(), Whole: n.complete[id]})
+		n.send(to, &msg.Digest{Set: msg.SetID(id), Root: s.Root(), Complete: n.complete[id]})
 	}
 }
 
@@ -309,10 +309,10 @@
 	if peers.empty() {
 		return "", false
 	}
-	remoteShare := max(n.cfg.RemoteRepairShare, 1/float64(len(peers.Near)+1))
-	list := peers.Near
-	if len(peers.Far) > 0 && (len(list) == 0 || n.rng.Float64() < remoteShare) {
-		list = peers.Far[n.rng.IntN(len(peers.Far))]
+	remoteShare := max(n.cfg.RemoteRepairShare, 1/float64(len(peers.Local)+1))
+	list := peers.Local
+	if len(peers.Remote) > 0 && (len(list) == 0 || n.rng.Float64() < remoteShare) {
+		list = peers.Remote[n.rng.IntN(len(peers.Remote))]
 	}
 	if len(list) == 0 {
 		return "", false
--- a/internal/core/config/relay.go
+++ b/internal/core/config/relay.go
@@ -43,8 +43,8 @@
 	}
 	queue := n.relayQueue
 	n.relayQueue = relayQueue{nextFlush: n.now.Add(relayInterval)}
-	for _, i := range n.sample(len(peers.Near), n.cfg.FanOut) {
-		to := peers.Near[i]
+	for _, i := range n.sample(len(peers.Local), n.cfg.FanOut) {
+		to := peers.Local[i]
 		if entries := n.updatesFor(to, queue); len(entries) > 0 {
 			n.push(to, msg.SetHosts, entries)
 		}
--- a/internal/core/config/step.go
+++ b/internal/core/config/step.go
@@ -31,7 +31,7 @@
 		return
 	}
 	if m.Root == n.sets[m.Set].Root() {
-		n.complete[m.Set] = n.complete[m.Set] || m.Whole
+		n.complete[m.Set] = n.complete[m.Set] || m.Complete
 		return
 	}
 	s := n.sets[m.Set]
@@ -153,7 +153,7 @@
 	}
 	batches := n.batches(entries)
 	for i, part := range batches {
-		n.send(to, &msg.Snapshot{Set: id, Entries: part, Part: uint32(i), Last: i == len(batches)-1, Whole: true})
+		n.send(to, &msg.Snapshot{Set: id, Entries: part, Part: uint32(i), Last: i == len(batches)-1, Complete: true})
 	}
 }
 
@@ -164,7 +164,7 @@
 		n.applySnapshot(from, m)
 		return
 	}
-	if m.Set >= msg.Sets || n.complete[m.Set] || from != n.snapshots[m.Set].from || m.Part != n.snapshots[m.Set].nextPart || !m.Whole {
+	if m.Set >= msg.Sets || n.complete[m.Set] || from != n.snapshots[m.Set].from || m.Part != n.snapshots[m.Set].nextPart || !m.Complete {
 		return
 	}
 	n.snapshots[m.Set].nextPart++
--- a/internal/core/contact/contact.go
+++ b/internal/core/contact/contact.go
@@ -46,13 +46,13 @@
 	// Addr is the address on which it listens for other hosts. Host is its name, empty
 	// for a seed.
 	Addr, Host string
-	// Whole requests all hosts that it knows instead of only its own entry.
-	Whole bool
+	// Full requests all hosts that it knows instead of only its own entry.
+	Full bool
 }
 
-// Ask returns the pull request of the call, for host entries of the given kind.
-func (c Call) Ask(kind string) *msg.Pull {
-	if c.Whole {
+// PullRequest returns the pull request of the call, for host entries of the given kind.
+func (c Call) PullRequest(kind string) *msg.Pull {
+	if c.Full {
 		return &msg.Pull{Set: msg.SetHosts, All: true}
 	}
 	return &msg.Pull{Set: msg.SetHosts, Items: []msg.VersionItem{{Kind: kind, Name: c.Host}}}
@@ -66,8 +66,8 @@
 	nextCall   time.Time
 }
 
-// Book holds the hosts to call. It is not safe for concurrent use.
-type Book struct {
+// Contacts holds the hosts to call. It is not safe for concurrent use.
+type Contacts struct {
 	dc  string
 	rng *rand.Rand
 
@@ -86,43 +86,43 @@
 }
 
 // New returns a Book for a host in a data centre.
-func New(dc string, seeds []string, rng *rand.Rand) *Book {
-	b := &Book{dc: dc, rng: rng, candidates: make(map[string]*candidate), isSeed: make(map[string]bool), fullPullInterval: minFullPullInterval}
+func New(dc string, seeds []string, rng *rand.Rand) *Contacts {
+	b := &Contacts{dc: dc, rng: rng, candidates: make(map[string]*candidate), isSeed: make(map[string]bool), fullPullInterval: minFullPullInterval}
 	for _, addr := range seeds {
 		b.addSeed(addr)
 	}
 	return b
 }
 
-func (b *Book) addSeed(addr string) {
+func (b *Contacts) addSeed(addr string) {
 	if !b.isSeed[addr] {
 		b.isSeed[addr] = true
 		b.seeds = append(b.seeds, addr)
 	}
 }
 
-// Listed adds a host listed by the platform. known reports whether an update about it has
+// AddListed adds a host listed by the platform. known reports whether an update about it has
 // been received already.
-func (b *Book) Listed(name, dc, addr string, known bool) {
+func (b *Contacts) AddListed(name, dc, addr string, known bool) {
 	b.addSeed(addr)
 	if !known {
 		b.add(name, addr, dc == b.dc)
 	}
 }
 
-// Probed adds an unknown host that has sent a packet.
-func (b *Book) Probed(name, addr string) {
+// AddProber adds an unknown host that has sent a packet.
+func (b *Contacts) AddProber(name, addr string) {
 	if _, pending := b.candidates[name]; !pending && len(b.candidates) < maxCandidates {
 		b.add(name, addr, false)
 	}
 }
 
-// Strangers returns the number of candidates.
-func (b *Book) Strangers() int { return len(b.candidates) }
+// Candidates returns the number of candidates.
+func (b *Contacts) Candidates() int { return len(b.candidates) }
 
 // add inserts a candidate at a random position, so that hosts that start at once and read
 // the same list do not all call the same hosts.
-func (b *Book) add(name, addr string, near bool) {
+func (b *Contacts) add(name, addr string, near bool) {
 	if old, pending := b.candidates[name]; pending {
 		old.addr, old.near, old.calls = addr, near, 0
 		return
@@ -135,9 +135,9 @@
 	b.order[i], b.order[last] = b.order[last], b.order[i]
 }
 
-// Due returns the calls to make now. known reports whether an update about a host has
+// NextCalls returns the calls to make now. known reports whether an update about a host has
 // been received, and alone whether no other host is known.
-func (b *Book) Due(now time.Time, known func(name string) bool, alone bool) []Call {
+func (b *Contacts) NextCalls(now time.Time, known func(name string) bool, alone bool) []Call {
 	if now.Before(b.nextRound) {
 		return nil
 	}
@@ -153,10 +153,10 @@
 	return calls
 }
 
-// Met returns true once, when all called hosts have become known or were given up. The
+// AllReached returns true once, when all called hosts have become known or were given up. The
 // caller then publishes this host's entry again: the earlier one reached only the hosts
 // known at that time.
-func (b *Book) Met(known func(name string) bool, alone bool) bool {
+func (b *Contacts) AllReached(known func(name string) bool, alone bool) bool {
 	if !b.callsPending || alone {
 		return false
 	}
@@ -169,7 +169,7 @@
 }
 
 // prune removes the candidates that have become known and those that do not answer.
-func (b *Book) prune(known func(name string) bool) {
+func (b *Contacts) prune(known func(name string) bool) {
 	kept := b.order[:0]
 	for _, c := range b.order {
 		if c.calls >= maxCallsPerHost || known(c.name) {
@@ -184,12 +184,12 @@
 
 // callCandidates picks the calls of one round: first a near host, then others, preferably
 // remote ones.
-func (b *Book) callCandidates(now time.Time, alone bool) []Call {
+func (b *Contacts) callCandidates(now time.Time, alone bool) []Call {
 	var calls []Call
 	call := func(c *candidate) {
 		c.calls++
 		c.nextCall = now.Add(callInterval)
-		calls = append(calls, Call{Addr: c.addr, Host: c.name, Whole: len(calls) == 0 && b.fullPullDue(now, alone)})
+		calls = append(calls, Call{Addr: c.addr, Host: c.name, Full: len(calls) == 0 && b.fullPullDue(now, alone)})
 	}
 	if c := b.firstDue(now, func(c *candidate) bool { return c.near }); c != nil {
 		call(c)
@@ -207,7 +207,7 @@
 	return calls
 }
 
-func (b *Book) firstDue(now time.Time, match func(*candidate) bool) *candidate {
+func (b *Contacts) firstDue(now time.Time, match func(*candidate) bool) *candidate {
 	for _, c := range b.order {
 		if !now.Before(c.nextCall) && c.calls < maxCallsPerHost && match(c) {
 			return c
@@ -218,7 +218,7 @@
 
 // fullPullDue reports whether the next call requests a complete set, and schedules the
 // one after.
-func (b *Book) fullPullDue(now time.Time, alone bool) bool {
+func (b *Contacts) fullPullDue(now time.Time, alone bool) bool {
 	needed := alone || len(b.candidates) > maxSinglePulls
 	if !needed || now.Before(b.nextFullPull) {
 		return false
@@ -229,7 +229,7 @@
 }
 
 // callSeeds picks seeds in turn, for a host that knows no other host.
-func (b *Book) callSeeds(now time.Time) []Call {
+func (b *Contacts) callSeeds(now time.Time) []Call {
 	if now.Before(b.nextSeedCall) {
 		return nil
 	}
@@ -238,7 +238,7 @@
 	for range min(maxCallsPerRound, len(b.seeds)) {
 		addr := b.seeds[0]
 		b.seeds = append(b.seeds[1:], addr)
-		calls = append(calls, Call{Addr: addr, Whole: true})
+		calls = append(calls, Call{Addr: addr, Full: true})
 	}
 	return calls
 }
--- a/internal/core/contact/contact_test.go
+++ b/internal/core/contact/contact_test.go
@@ -12,16 +12,16 @@
 
 var start = time.Unix(1000, 0)
 
-func newBook(seeds ...string) *Book {
+func newBook(seeds ...string) *Contacts {
 	return New("dc0", seeds, rand.New(rand.NewPCG(1, 2)))
 }
 
 func knowsNone(string) bool { return false }
 
 // listAll lists hosts in five data centres.
-func listAll(b *Book, hosts int) {
+func listAll(b *Contacts, hosts int) {
 	for i := range hosts {
-		b.Listed(fmt.Sprint("h", i), fmt.Sprint("dc", i%5), fmt.Sprint("addr", i), false)
+		b.AddListed(fmt.Sprint("h", i), fmt.Sprint("dc", i%5), fmt.Sprint("addr", i), false)
 	}
 }
 
@@ -32,11 +32,11 @@
 	listAll(b, 354)
 	calls, fullPulls := 0, 0
 	for at := time.Duration(0); at < time.Second; at += 50 * time.Millisecond {
-		due := b.Due(start.Add(at), knowsNone, false)
+		due := b.NextCalls(start.Add(at), knowsNone, false)
 		assert.Assert(t, len(due) <= maxCallsPerRound)
 		for i, c := range due {
 			calls++
-			if c.Whole {
+			if c.Full {
 				fullPulls++
 				assert.Equal(t, i, 0)
 			}
@@ -57,7 +57,7 @@
 		known := make(map[string]bool)
 		called := make(map[string]int)
 		for at := time.Duration(0); at < time.Minute; at += 50 * time.Millisecond {
-			for _, c := range b.Due(start.Add(at), func(h string) bool { return known[h] }, false) {
+			for _, c := range b.NextCalls(start.Add(at), func(h string) bool { return known[h] }, false) {
 				assert.Assert(t, !known[c.Host], "%s was known", c.Host)
 				called[c.Host]++
 				known[c.Host] = rapid.IntRange(0, 2).Draw(t, "answers") == 0
@@ -67,7 +67,7 @@
 			n := called[fmt.Sprint("h", i)]
 			assert.Assert(t, n >= 1 && n <= maxCallsPerHost, "h%d was called %d times", i, n)
 		}
-		assert.Equal(t, b.Strangers(), 0)
+		assert.Equal(t, b.Candidates(), 0)
 	})
 }
 
@@ -75,25 +75,25 @@
 // seeds are called only if there are no candidates.
 func TestAHostAloneAsksForEverybody(t *testing.T) {
 	b := newBook("seed1", "seed2", "seed1")
-	due := b.Due(start, knowsNone, true)
-	assert.DeepEqual(t, due, []Call{{Addr: "seed1", Whole: true}, {Addr: "seed2", Whole: true}})
-	assert.Equal(t, len(b.Due(start.Add(roundInterval), knowsNone, true)), 0)
+	due := b.NextCalls(start, knowsNone, true)
+	assert.DeepEqual(t, due, []Call{{Addr: "seed1", Full: true}, {Addr: "seed2", Full: true}})
+	assert.Equal(t, len(b.NextCalls(start.Add(roundInterval), knowsNone, true)), 0)
 
-	b.Probed("h1", "addr1")
-	due = b.Due(start.Add(2*roundInterval), knowsNone, true)
-	assert.DeepEqual(t, due, []Call{{Addr: "addr1", Host: "h1", Whole: true}})
-	assert.Equal(t, len(b.Due(start.Add(callInterval+2*roundInterval), func(string) bool { return true }, false)), 0)
+	b.AddProber("h1", "addr1")
+	due = b.NextCalls(start.Add(2*roundInterval), knowsNone, true)
+	assert.DeepEqual(t, due, []Call{{Addr: "addr1", Host: "h1", Full: true}})
+	assert.Equal(t, len(b.NextCalls(start.Add(callInterval+2*roundInterval), func(string) bool { return true }, false)), 0)
 }
 
 // Met returns true once, and never while no other host is known.
 func TestAMeetingIsToldOnce(t *testing.T) {
 	b := newBook()
-	b.Listed("h1", "dc0", "addr1", false)
+	b.AddListed("h1", "dc0", "addr1", false)
 	everybody := func(string) bool { return true }
-	assert.Assert(t, !b.Met(everybody, false), "nobody was called")
-	b.Due(start, knowsNone, true)
-	assert.Assert(t, !b.Met(knowsNone, false))
-	assert.Assert(t, !b.Met(everybody, true))
-	assert.Assert(t, b.Met(everybody, false))
-	assert.Assert(t, !b.Met(everybody, false))
+	assert.Assert(t, !b.AllReached(everybody, false), "nobody was called")
+	b.NextCalls(start, knowsNone, true)
+	assert.Assert(t, !b.AllReached(knowsNone, false))
+	assert.Assert(t, !b.AllReached(everybody, true))
+	assert.Assert(t, b.AllReached(everybody, false))
+	assert.Assert(t, !b.AllReached(everybody, false))
 }
--- a/internal/core/crash/print.go
+++ b/internal/core/crash/print.go
@@ -8,17 +8,17 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Print is the fingerprint of a request as the target sees it; 0 means none.
+// Fingerprint is the fingerprint of a request as the target sees it; 0 means none.
 // Requests with equal fingerprints are treated as repeats of one request.
-type Print uint64
+type Fingerprint uint64
 
 // String returns the fingerprint in the form shown to operators.
-func (p Print) String() string { return fmt.Sprintf("%016x", uint64(p)) }
+func (p Fingerprint) String() string { return fmt.Sprintf("%016x", uint64(p)) }
 
-// ParsePrint parses a fingerprint in the format of String.
-func ParsePrint(s string) (Print, error) {
+// ParseFingerprint parses a fingerprint in the format of String.
+func ParseFingerprint(s string) (Fingerprint, error) {
 	p, err := strconv.ParseUint(s, 16, 64)
-	return Print(p), err
+	return Fingerprint(p), err
 }
 
 // Request holds the input of a fingerprint: what the caller sent, without
@@ -34,9 +34,9 @@
 	Length int64
 }
 
-// Print returns the request's fingerprint. Bodies that are too large to buffer
+// Fingerprint returns the request's fingerprint. Bodies that are too large to buffer
 // are distinguished by their buffered part and their length.
-func (r *Request) Print() Print {
+func (r *Request) Fingerprint() Fingerprint {
 	var d xxhash.Digest
 	d.Reset()
 	for _, part := range []string{r.Method, strings.ToLower(r.Host), r.URI, r.Team} {
@@ -45,5 +45,5 @@
 	}
 	_, _ = d.Write([]byte{byte(r.Length), byte(r.Length >> 8), byte(r.Length >> 16), byte(r.Length >> 24)})
 	_, _ = d.Write(r.Body)
-	return Print(max(d.Sum64(), 1))
+	return Fingerprint(max(d.Sum64(), 1))
 }
--- a/internal/core/crash/verdict.go
+++ b/internal/core/crash/verdict.go
@@ -8,23 +8,23 @@
 )
 
 const (
-	// StopAfter is the number of incidents after which a request is stopped. A
+	// BlockAfterIncidents is the number of incidents after which a request is stopped. A
 	// lower number would stop a request that happened to run on two instances
 	// that terminated for another reason.
-	StopAfter = 3
-	// RepeatBelow is the number of incidents from which a suspected request is
+	BlockAfterIncidents = 3
+	// RetryBelowIncidents is the number of incidents from which a suspected request is
 	// no longer retried: the second may be a coincidence, but a third instance
 	// is not put at risk.
-	RepeatBelow = 2
+	RetryBelowIncidents = 2
 	// IncidentWindow is the period within which terminations are counted as one
 	// incident. They then have a common cause, such as a power failure in a
 	// rack: a request that crashes its instances runs for longer than that
 	// before each termination.
 	IncidentWindow = 10 * time.Millisecond
-	// SettleFor is how long after its last termination a request waits before it
+	// ClearanceWait is how long after its last termination a request waits before it
 	// is refused or abandoned. By then a host that has seen the request complete
 	// has nearly always cleared it.
-	SettleFor = 250 * time.Millisecond
+	ClearanceWait = 250 * time.Millisecond
 )
 
 const (
@@ -37,60 +37,60 @@
 	maxStop     = 40 * time.Minute
 )
 
-// Verdict is the assessment of one request. The zero value is that of a request
+// Assessment is the assessment of one request. The zero value is that of a request
 // that is not suspected.
-type Verdict struct {
-	// Ends is the number of terminations that the request was involved in and
-	// that no other request explains. Moments is the number of incidents they
+type Assessment struct {
+	// Crashes is the number of terminations that the request was involved in and
+	// that no other request explains. Incidents is the number of incidents they
 	// form, see IncidentWindow.
-	Ends, Moments int
-	// Last is when this host learned of the latest of these terminations.
-	Last time.Time
-	// Until is when the request may reach software that it has terminated again,
+	Crashes, Incidents int
+	// LastReceived is when this host learned of the latest of these terminations.
+	LastReceived time.Time
+	// BlockedUntil is when the request may reach software that it has terminated again,
 	// and OtherSoftwareUntil when it may reach other software. Both are zero if
 	// it is not stopped.
-	Until, OtherSoftwareUntil time.Time
-	// Ended is the software that the request has terminated.
-	Ended []Software
+	BlockedUntil, OtherSoftwareUntil time.Time
+	// CrashedSoftware is the software that the request has terminated.
+	CrashedSoftware []Software
 }
 
-// Stopped reports whether the request must not reach instances of software s.
-func (v *Verdict) Stopped(now time.Time, s Software) bool {
-	if slices.Contains(v.Ended, s) {
-		return now.Before(v.Until)
+// Blocked reports whether the request must not reach instances of software s.
+func (v *Assessment) Blocked(now time.Time, s Software) bool {
+	if slices.Contains(v.CrashedSoftware, s) {
+		return now.Before(v.BlockedUntil)
 	}
 	return now.Before(v.OtherSoftwareUntil)
 }
 
-// WaitForNews returns how much longer a request waits to be cleared before it is
+// ClearanceTimeLeft returns how much longer a request waits to be cleared before it is
 // refused or abandoned. It is zero or negative if there is no need to wait.
-func (v *Verdict) WaitForNews(now time.Time) time.Duration {
-	if v.Moments < RepeatBelow {
+func (v *Assessment) ClearanceTimeLeft(now time.Time) time.Duration {
+	if v.Incidents < RetryBelowIncidents {
 		return 0
 	}
-	return v.Last.Add(SettleFor).Sub(now)
+	return v.LastReceived.Add(ClearanceWait).Sub(now)
 }
 
-// Everywhere reports whether the request must not reach any instance.
-func (v *Verdict) Everywhere(now time.Time) bool { return now.Before(v.OtherSoftwareUntil) }
+// BlockedEverywhere reports whether the request must not reach any instance.
+func (v *Assessment) BlockedEverywhere(now time.Time) bool { return now.Before(v.OtherSoftwareUntil) }
 
-// Verdicts holds the assessment of each suspected request. It is immutable once
-// returned by Book.Verdicts.
-type Verdicts map[Print]Verdict
+// Assessments holds the assessment of each suspected request. It is immutable once
+// returned by Book.Assessments.
+type Assessments map[Fingerprint]Assessment
 
-// Verdicts assesses each suspected request. Among the requests involved in at
+// Assess assesses each suspected request. Among the requests involved in at
 // least StopAfter incidents, it stops the one that explains the most
 // terminations, which are then no longer held against the requests that ran
 // concurrently. It continues with the one that explains the most of the remaining
 // terminations, and so on. A single unexplained termination is sufficient here,
 // since several such requests at the same time run concurrently with each other.
 // A request with terminations that remain is suspected but not stopped.
-func (b *Book) Verdicts(now time.Time) Verdicts {
+func (b *Tracker) Assess(now time.Time) Assessments {
 	b.prune(now)
 	remaining := b.byPrint()
 	eligible := maps.Clone(remaining)
-	maps.DeleteFunc(eligible, func(_ Print, ends []*entry) bool { return countIncidents(ends) < StopAfter })
-	out := make(Verdicts)
+	maps.DeleteFunc(eligible, func(_ Fingerprint, ends []*entry) bool { return countIncidents(ends) < BlockAfterIncidents })
+	out := make(Assessments)
 	for {
 		worst, found := mostTerminations(eligible, remaining)
 		if !found {
@@ -100,16 +100,16 @@
 		removeExplained(remaining, eligible[worst])
 	}
 	for p, ends := range remaining {
-		out[p] = Verdict{Ends: len(ends), Moments: countIncidents(ends), Last: lastReceived(ends)}
+		out[p] = Assessment{Crashes: len(ends), Incidents: countIncidents(ends), LastReceived: lastReceived(ends)}
 	}
 	return out
 }
 
 // byPrint returns the terminations that each request is suspected of.
-func (b *Book) byPrint() map[Print][]*entry {
-	out := make(map[Print][]*entry)
+func (b *Tracker) byPrint() map[Fingerprint][]*entry {
+	out := make(map[Fingerprint][]*entry)
 	for _, e := range b.ends {
-		for _, p := range e.Prints {
+		for _, p := range e.Fingerprints {
 			if b.suspects(e, p) {
 				out[p] = append(out[p], e)
 			}
@@ -121,7 +121,7 @@
 // mostTerminations returns the request among the eligible ones that explains the
 // most of the remaining terminations. Ties are resolved by the smallest
 // fingerprint, so that all hosts choose the same request.
-func mostTerminations(eligible, remaining map[Print][]*entry) (worst Print, found bool) {
+func mostTerminations(eligible, remaining map[Fingerprint][]*entry) (worst Fingerprint, found bool) {
 	for p := range eligible {
 		ends, unexplained := remaining[p]
 		if !unexplained {
@@ -135,7 +135,7 @@
 }
 
 // removeExplained removes the given terminations from all suspected requests.
-func removeExplained(remaining map[Print][]*entry, ends []*entry) {
+func removeExplained(remaining map[Fingerprint][]*entry, ends []*entry) {
 	explained := make(map[string]bool, len(ends))
 	for _, e := range ends {
 		explained[e.ID] = true
@@ -152,16 +152,16 @@
 
 // stopVerdict returns the verdict that stops a request for the given
 // terminations.
-func stopVerdict(ends []*entry) Verdict {
-	v := Verdict{Ends: len(ends), Moments: countIncidents(ends), Last: lastReceived(ends)}
-	v.OtherSoftwareUntil = v.Last.Add(otherSoftwareStop)
-	v.Until = v.Last.Add(stopDuration(v.Moments))
+func stopVerdict(ends []*entry) Assessment {
+	v := Assessment{Crashes: len(ends), Incidents: countIncidents(ends), LastReceived: lastReceived(ends)}
+	v.OtherSoftwareUntil = v.LastReceived.Add(otherSoftwareStop)
+	v.BlockedUntil = v.LastReceived.Add(stopDuration(v.Incidents))
 	for _, e := range ends {
-		if !slices.Contains(v.Ended, e.Software) {
-			v.Ended = append(v.Ended, e.Software)
+		if !slices.Contains(v.CrashedSoftware, e.Software) {
+			v.CrashedSoftware = append(v.CrashedSoftware, e.Software)
 		}
 	}
-	slices.SortFunc(v.Ended, func(x, y Software) int {
+	slices.SortFunc(v.CrashedSoftware, func(x, y Software) int {
 		return cmp.Or(cmp.Compare(x.Service, y.Service), cmp.Compare(x.Version, y.Version))
 	})
 	return v
@@ -172,7 +172,7 @@
 func countIncidents(ends []*entry) int {
 	times := make([]time.Time, 0, len(ends))
 	for _, e := range ends {
-		times = append(times, e.At)
+		times = append(times, e.DetectedAt)
 	}
 	slices.SortFunc(times, time.Time.Compare)
 	n := 0
@@ -195,7 +195,7 @@
 // terminated in a number of incidents.
 func stopDuration(incidents int) time.Duration {
 	p := initialStop
-	for range incidents - StopAfter {
+	for range incidents - BlockAfterIncidents {
 		p = min(2*p, maxStop)
 	}
 	return p
--- a/internal/core/detect/detect_test.go
+++ b/internal/core/detect/detect_test.go
@@ -37,7 +37,7 @@
 	for f.now.Sub(start) < limit {
 		f.now = f.now.Add(50 * time.Millisecond)
 		f.ref.Add(f.now, f.draw(peers), false)
-		if f.det.Answer(f.now, f.ref.At(f.now), f.draw(own), f.rng.Float64() < failing) {
+		if f.det.AddAnswer(f.now, f.ref.At(f.now), f.draw(own), f.rng.Float64() < failing) {
 			return f.now.Sub(start), true
 		}
 	}
@@ -108,7 +108,7 @@
 		f.now = f.now.Add(age)
 		f.ref.Add(f.now, f.draw(1), false)
 		for range 7 {
-			f.det.Stuck(f.now, f.ref.At(f.now), age)
+			f.det.AddPending(f.now, f.ref.At(f.now), age)
 		}
 	}
 	assert.Equal(t, f.det.Health(), Suspect)
@@ -123,6 +123,6 @@
 	}
 	for range 1000 {
 		now = now.Add(10 * time.Millisecond)
-		assert.Assert(t, !d.Answer(now, ref.At(now), time.Minute, true))
+		assert.Assert(t, !d.AddAnswer(now, ref.At(now), time.Minute, true))
 	}
 }
--- a/internal/core/detect/detector.go
+++ b/internal/core/detect/detector.go
@@ -85,15 +85,15 @@
 	return max(d.slowSum.value, d.failureSum.value, d.suspicionEvidence)
 }
 
-// Conviction returns the evidence at which the current suspicion began, in nats.
-func (d *Detector) Conviction() float64 { return d.suspicionEvidence }
+// SuspicionEvidence returns the evidence at which the current suspicion began, in nats.
+func (d *Detector) SuspicionEvidence() float64 { return d.suspicionEvidence }
 
-// Since returns when the current suspicion began.
-func (d *Detector) Since() time.Time { return d.suspectSince }
+// SuspectSince returns when the current suspicion began.
+func (d *Detector) SuspectSince() time.Time { return d.suspectSince }
 
-// Answer processes one answer of the instance and reports whether its health has
+// AddAnswer processes one answer of the instance and reports whether its health has
 // changed. failed covers errors and truncated or mismatched answers.
-func (d *Detector) Answer(now time.Time, ref Summary, service time.Duration, failed bool) bool {
+func (d *Detector) AddAnswer(now time.Time, ref Summary, service time.Duration, failed bool) bool {
 	if ref.Count < minSamples {
 		return false
 	}
@@ -109,11 +109,11 @@
 	return d.decide(now)
 }
 
-// Stuck processes the age of a request that is still running and reports whether
+// AddPending processes the age of a request that is still running and reports whether
 // the health has changed. The caller reports each request again whenever its age
 // has doubled. An age is a lower bound of the service time, so it can only count
 // as evidence against the instance.
-func (d *Detector) Stuck(now time.Time, ref Summary, age time.Duration) bool {
+func (d *Detector) AddPending(now time.Time, ref Summary, age time.Duration) bool {
 	step := slowStep(d.params, ref, age)
 	if ref.Count < minSamples || step <= 0 {
 		return false
--- a/internal/core/directory/directory.go
+++ b/internal/core/directory/directory.go
@@ -37,10 +37,10 @@
 	// StartedMS is when the instance was first announced, in Unix milliseconds by the
 	// clock of its guard.
 	StartedMS int64
-	// WarmLeft is the remaining warm-up time at the time of the announcement.
-	WarmLeft time.Duration
-	// WarmAt is when the warm-up ends, by the clock of this process.
-	WarmAt time.Time
+	// WarmUpLeft is the remaining warm-up time at the time of the announcement.
+	WarmUpLeft time.Duration
+	// WarmUpEnd is when the warm-up ends, by the clock of this process.
+	WarmUpEnd time.Time
 }
 
 // Host is one host, with its announcement and its membership state.
@@ -109,9 +109,9 @@
 	*record.ShardMap
 }
 
-// RampUp is the time in which a new instance reaches its full share of requests, if it
+// DefaultWarmUp is the time in which a new instance reaches its full share of requests, if it
 // does not announce a warm-up time.
-const RampUp = 10 * time.Second
+const DefaultWarmUp = 10 * time.Second
 
 // Build returns the Directory for compiled records and the announced hosts.
 func Build(records *Records, hosts []*Host) *Directory {
@@ -153,9 +153,9 @@
 	}
 }
 
-// Stopping returns a planned stop that covers an instance of a host, or nil. An empty
+// PlannedStop returns a planned stop that covers an instance of a host, or nil. An empty
 // instance stands for the whole host.
-func (d *Directory) Stopping(host, instance string) *record.Stop {
+func (d *Directory) PlannedStop(host, instance string) *record.Stop {
 	for _, s := range d.Stops {
 		if s.Host == host && (s.Instance == "" || s.Instance == instance) {
 			return s
--- a/internal/core/directory/records.go
+++ b/internal/core/directory/records.go
@@ -25,11 +25,11 @@
 
 // Compile compiles parsed records for lookup.
 func Compile(all []*record.Record, whole bool) *Records {
-	return (&Records{}).Next(all, whole)
+	return (&Records{}).Recompile(all, whole)
 }
 
-// Next is like Compile, but reuses the parts of r that are still valid.
-func (r *Records) Next(all []*record.Record, whole bool) *Records {
+// Recompile is like Compile, but reuses the parts of r that are still valid.
+func (r *Records) Recompile(all []*record.Record, whole bool) *Records {
 	out := &Records{
 		teams: make(map[string]*record.Team),
 		maps:  make(map[string]*ShardMap),
--- a/internal/core/eject/eject.go
+++ b/internal/core/eject/eject.go
@@ -27,23 +27,23 @@
 
 // Result is the outcome of Apply.
 type Result struct {
-	// Out reports which members are left out, by index.
-	Out []bool
+	// Ejected reports which members are left out, by index.
+	Ejected []bool
 	// Healthy is the remaining capacity, in slots.
 	Healthy int
 	// Required is the floor, in slots.
 	Required int
 	// Known is the total capacity of all members, in slots.
 	Known int
-	// Kept is the number of suspects that remain in use because of the floor.
-	Kept int
+	// KeptSuspects is the number of suspects that remain in use because of the floor.
+	KeptSuspects int
 }
 
 // Apply decides which members to leave out. The required capacity is the floor's
 // percentage of all known slots, rounded up. The floor's number of instances, at
 // least one, must remain usable as well.
 func Apply(members []Member, floor record.Floor) Result {
-	res := Result{Out: make([]bool, len(members))}
+	res := Result{Ejected: make([]bool, len(members))}
 	usable := 0
 	var suspects []int
 	for i, m := range members {
@@ -62,10 +62,10 @@
 	for _, i := range suspects {
 		left := res.Healthy - members[i].Slots
 		if left < res.Required || usable-1 < max(floor.Instances, 1) {
-			res.Kept++
+			res.KeptSuspects++
 			continue
 		}
-		res.Out[i] = true
+		res.Ejected[i] = true
 		res.Healthy = left
 		usable--
 	}
--- a/internal/core/header/header.go
+++ b/internal/core/header/header.go
@@ -24,9 +24,9 @@
 	// NotRun is the response header by which a target states that it did not run the
 	// request.
 	NotRun string
-	// Proof is the response header present in every success response of a target. A
+	// TargetMarker is the response header present in every success response of a target. A
 	// success response without it did not come from the target.
-	Proof string
+	TargetMarker string
 	// Team is the header that tells a target the caller's team, if teams authenticate
 	// with keys. A value sent by the caller itself is removed.
 	Team string
--- a/internal/core/member/member.go
+++ b/internal/core/member/member.go
@@ -49,9 +49,9 @@
 	// ProbeTimeout is the time without an answer after which a direct probe is followed
 	// by indirect ones. It must exceed the round trip across data centres.
 	ProbeTimeout time.Duration
-	// Suspicion is how long a suspect may refute. A shorter time detects deaths sooner
+	// SuspicionTimeout is how long a suspect may refute. A shorter time detects deaths sooner
 	// and is wrong more often.
-	Suspicion time.Duration
+	SuspicionTimeout time.Duration
 	// IndirectProbes is the number of hosts asked to probe indirectly.
 	IndirectProbes int
 	// RemoteProbeShare is the fraction of probes sent to another data centre.
@@ -59,8 +59,8 @@
 	// DeadProbeInterval is the time between two probes of hosts considered dead. These
 	// probes heal a partition in which both sides consider each other dead.
 	DeadProbeInterval time.Duration
-	// NotesPerPacket is the maximum number of claims in one packet.
-	NotesPerPacket int
+	// ClaimsPerPacket is the maximum number of claims in one packet.
+	ClaimsPerPacket int
 }
 
 // DefaultConfig returns parameters for data centres a few milliseconds apart.
@@ -69,21 +69,21 @@
 		Host:              host,
 		ProbeInterval:     time.Second,
 		ProbeTimeout:      300 * time.Millisecond,
-		Suspicion:         4 * time.Second,
+		SuspicionTimeout:  4 * time.Second,
 		IndirectProbes:    3,
 		RemoteProbeShare:  0.1,
 		DeadProbeInterval: 5 * time.Second,
-		NotesPerPacket:    12,
+		ClaimsPerPacket:   12,
 	}
 }
 
 // Member is a host as seen by this process.
 type Member struct {
-	Host    string
-	DC      string
-	Peer    string
-	Version int64
-	Status  Status
+	Host     string
+	DC       string
+	PeerAddr string
+	Version  int64
+	Status   Status
 	// Since is when the status last changed.
 	Since time.Time
 	// LastHeard is when the last packet from the host arrived.
@@ -150,7 +150,7 @@
 
 // rumor is a claim that is still being disseminated.
 type rumor struct {
-	note      msg.Note
+	note      msg.MemberClaim
 	sendsLeft int
 }
 
@@ -173,9 +173,9 @@
 	n.accused = false
 }
 
-// Accused reports whether others claim that this host's current version is not alive. The
+// Suspected reports whether others claim that this host's current version is not alive. The
 // caller publishes a greater version to refute the claim.
-func (n *Node) Accused() bool { return n.accused }
+func (n *Node) Suspected() bool { return n.accused }
 
 // Isolated reports whether this host receives so few answers that it cannot judge other
 // hosts.
@@ -211,8 +211,8 @@
 // method of the Node and must not be modified.
 func (n *Node) Live() (near []string, far [][]string) { return n.live.near, n.live.far }
 
-// Alone reports whether no other host is known to be alive.
-func (n *Node) Alone() bool {
+// NoPeers reports whether no other host is known to be alive.
+func (n *Node) NoPeers() bool {
 	near, far := n.Live()
 	return len(near)+len(far) == 0
 }
@@ -224,9 +224,9 @@
 	return out, changes
 }
 
-// Learn processes a host's published entry. A version greater than the known one proves
+// Update processes a host's published entry. A version greater than the known one proves
 // that the host is alive and refutes older claims.
-func (n *Node) Learn(now time.Time, host, dc, peer string, version int64) {
+func (n *Node) Update(now time.Time, host, dc, peer string, version int64) {
 	if host == n.cfg.Host {
 		return
 	}
@@ -238,7 +238,7 @@
 	if ok && version <= m.descriptorVersion {
 		return
 	}
-	m.DC, m.Peer, m.descriptorVersion = dc, peer, version
+	m.DC, m.PeerAddr, m.descriptorVersion = dc, peer, version
 	n.confirmAlive(now, m, version)
 	n.live.update(m)
 }
--- a/internal/core/member/probe.go
+++ b/internal/core/member/probe.go
@@ -50,7 +50,7 @@
 	m := n.members[host]
 	n.seq++
 	n.probes[n.seq] = &probe{host: host, sent: now}
-	n.send(m.Peer, &msg.Packet{Kind: msg.PacketPing, Seq: n.seq, Target: host})
+	n.send(m.PeerAddr, &msg.Packet{Kind: msg.PacketPing, Seq: n.seq, ProbedHost: host})
 }
 
 // recentDeathPeriod is how long a dead host is probed frequently: most hosts return soon
@@ -67,7 +67,7 @@
 	n.nextDead = now.Add(n.cfg.DeadProbeInterval/2 + time.Duration(n.rng.Int64N(int64(n.cfg.DeadProbeInterval))))
 	var dead, recent []string
 	for _, m := range n.members {
-		if m.Status != Dead || m.Peer == "" {
+		if m.Status != Dead || m.PeerAddr == "" {
 			continue
 		}
 		dead = append(dead, m.Host)
@@ -86,9 +86,9 @@
 	host := dead[n.rng.IntN(len(dead))]
 	m := n.members[host]
 	n.seq++
-	p := &msg.Packet{Kind: msg.PacketPing, Seq: n.seq, Target: host}
-	p.Notes = append(p.Notes, msg.Note{Host: host, Version: m.Version, Status: uint8(Dead)})
-	n.send(m.Peer, p)
+	p := &msg.Packet{Kind: msg.PacketPing, Seq: n.seq, ProbedHost: host}
+	p.Claims = append(p.Claims, msg.MemberClaim{Host: host, Version: m.Version, Status: uint8(Dead)})
+	n.send(m.PeerAddr, p)
 }
 
 // checkProbes sends ping requests after ProbeTimeout, and fails the probe after
@@ -124,7 +124,7 @@
 		if helper.Host == p.host || helper.Status != Alive {
 			continue
 		}
-		n.send(helper.Peer, &msg.Packet{Kind: msg.PacketPingRequest, Seq: seq, Target: p.host, TargetPeer: m.Peer})
+		n.send(helper.PeerAddr, &msg.Packet{Kind: msg.PacketPingRequest, Seq: seq, ProbedHost: p.host, ProbedAddr: m.PeerAddr})
 		if sent++; sent == n.cfg.IndirectProbes {
 			return
 		}
@@ -144,7 +144,7 @@
 
 func (n *Node) declare(now time.Time, m *Member, s Status) {
 	n.setStatus(now, m, s)
-	n.addRumor(msg.Note{Host: m.Host, Version: m.Version, Status: uint8(s)})
+	n.addRumor(msg.MemberClaim{Host: m.Host, Version: m.Version, Status: uint8(s)})
 }
 
 // expireSuspects declares suspects dead that did not refute in time.
@@ -153,7 +153,7 @@
 		return
 	}
 	for _, m := range n.suspects {
-		if now.Sub(m.Since) >= n.cfg.Suspicion {
+		if now.Sub(m.Since) >= n.cfg.SuspicionTimeout {
 			n.declare(now, m, Dead)
 		}
 	}
@@ -163,7 +163,7 @@
 // claim.
 const retransmitFactor = 3
 
-func (n *Node) addRumor(note msg.Note) {
+func (n *Node) addRumor(note msg.MemberClaim) {
 	sends := retransmitFactor
 	for size := len(n.members); size > 0; size /= 2 {
 		sends += retransmitFactor
@@ -173,7 +173,7 @@
 
 // selectNotes picks the claims for one packet: first those about the destination itself,
 // then those sent least often.
-func (n *Node) selectNotes(destination string) []msg.Note {
+func (n *Node) selectNotes(destination string) []msg.MemberClaim {
 	if len(n.rumors) == 0 {
 		return nil
 	}
@@ -191,8 +191,8 @@
 		}
 		return a.note.Host < b.note.Host
 	})
-	byPriority = byPriority[:min(len(byPriority), n.cfg.NotesPerPacket)]
-	out := make([]msg.Note, 0, len(byPriority))
+	byPriority = byPriority[:min(len(byPriority), n.cfg.ClaimsPerPacket)]
+	out := make([]msg.MemberClaim, 0, len(byPriority))
 	for _, r := range byPriority {
 		out = append(out, r.note)
 		if r.sendsLeft--; r.sendsLeft <= 0 {
@@ -203,8 +203,8 @@
 }
 
 func (n *Node) send(to string, p *msg.Packet) {
-	p.From, p.FromVersion, p.FromPeer = n.cfg.Host, n.version, n.peer
-	p.Notes = append(p.Notes, n.selectNotes(p.Target)...)
+	p.From, p.FromVersion, p.FromAddr = n.cfg.Host, n.version, n.peer
+	p.Claims = append(p.Claims, n.selectNotes(p.ProbedHost)...)
 	n.out = append(n.out, Datagram{To: to, Packet: p})
 }
 
@@ -214,7 +214,7 @@
 		m.LastHeard = now
 		n.confirmAlive(now, m, p.FromVersion)
 	}
-	for _, note := range p.Notes {
+	for _, note := range p.Claims {
 		n.stepNote(now, note)
 	}
 	switch p.Kind {
@@ -230,20 +230,20 @@
 // stepPing answers a ping. A sender considered suspect or dead is told of the claim, so
 // that it can refute it.
 func (n *Node) stepPing(p *msg.Packet) {
-	if p.Target != n.cfg.Host {
+	if p.ProbedHost != n.cfg.Host {
 		return
 	}
-	ack := &msg.Packet{Kind: msg.PacketAck, Seq: p.Seq, Target: p.From}
+	ack := &msg.Packet{Kind: msg.PacketAck, Seq: p.Seq, ProbedHost: p.From}
 	if m, ok := n.members[p.From]; ok && m.Status != Alive {
-		ack.Notes = append(ack.Notes, msg.Note{Host: m.Host, Version: m.Version, Status: uint8(m.Status)})
+		ack.Claims = append(ack.Claims, msg.MemberClaim{Host: m.Host, Version: m.Version, Status: uint8(m.Status)})
 	}
-	n.send(p.FromPeer, ack)
+	n.send(p.FromAddr, ack)
 }
 
 func (n *Node) stepPingRequest(now time.Time, p *msg.Packet) {
 	n.seq++
-	n.relays[n.seq] = relay{peer: p.FromPeer, seq: p.Seq, sent: now}
-	n.send(p.TargetPeer, &msg.Packet{Kind: msg.PacketPing, Seq: n.seq, Target: p.Target})
+	n.relays[n.seq] = relay{peer: p.FromAddr, seq: p.Seq, sent: now}
+	n.send(p.ProbedAddr, &msg.Packet{Kind: msg.PacketPing, Seq: n.seq, ProbedHost: p.ProbedHost})
 }
 
 func (n *Node) stepAck(now time.Time, p *msg.Packet) {
@@ -267,7 +267,7 @@
 }
 
 // stepNote processes a claim about one version of a host.
-func (n *Node) stepNote(now time.Time, note msg.Note) {
+func (n *Node) stepNote(now time.Time, note msg.MemberClaim) {
 	status := Status(note.Status)
 	if status != Suspect && status != Dead {
 		return
--- a/internal/core/once/attempt.go
+++ b/internal/core/once/attempt.go
@@ -23,12 +23,12 @@
 	Done
 )
 
-// Send is the message that the front must send next.
-type Send uint8
+// Action is the message that the front must send next.
+type Action uint8
 
 // The messages that an attempt sends to the guard.
 const (
-	SendNothing Send = iota
+	SendNothing Action = iota
 	SendReserve
 	SendRun
 	SendCancel
@@ -52,14 +52,14 @@
 // Verdict returns the verdict, which is final once the phase is Done.
 func (a *Attempt) Verdict() verdict.Verdict { return a.verdict }
 
-// Whole reports whether the complete response arrived and its length and hash
+// ResponseComplete reports whether the complete response arrived and its length and hash
 // were verified.
-func (a *Attempt) Whole() bool { return a.phase == Done && a.complete }
+func (a *Attempt) ResponseComplete() bool { return a.phase == Done && a.complete }
 
 // Begin starts the attempt. An idempotent request without a claim is run
 // directly. Any other request reserves a slot first and, if claim is set, also
 // waits until the key's owner has accepted the claim.
-func (a *Attempt) Begin(idempotent, claim bool) Send {
+func (a *Attempt) Begin(idempotent, claim bool) Action {
 	if a.phase != Idle {
 		return SendNothing
 	}
@@ -72,9 +72,9 @@
 	return SendReserve
 }
 
-// Granted handles the guard's grant of a slot. A duplicate grant, or one that
+// HandleGrant handles the guard's grant of a slot. A duplicate grant, or one that
 // arrives after the attempt has ended, is ignored and expires at the guard.
-func (a *Attempt) Granted() Send {
+func (a *Attempt) HandleGrant() Action {
 	if a.phase != Reserving {
 		return SendNothing
 	}
@@ -82,8 +82,8 @@
 	return a.runIfReady()
 }
 
-// Claimed handles the owner's confirmation that this request may run.
-func (a *Attempt) Claimed() Send {
+// HandleClaimAccepted handles the owner's confirmation that this request may run.
+func (a *Attempt) HandleClaimAccepted() Action {
 	if a.phase != Reserving {
 		return SendNothing
 	}
@@ -91,7 +91,7 @@
 	return a.runIfReady()
 }
 
-func (a *Attempt) runIfReady() Send {
+func (a *Attempt) runIfReady() Action {
 	if !a.haveSlot || a.awaitClaim {
 		return SendNothing
 	}
@@ -99,16 +99,16 @@
 	return SendRun
 }
 
-// Head handles the start of the target's response.
-func (a *Attempt) Head() {
+// HandleResponseStart handles the start of the target's response.
+func (a *Attempt) HandleResponseStart() {
 	if a.phase == Running {
 		a.phase = Responding
 	}
 }
 
-// End handles the end of the response; complete reports whether its length and
+// HandleResponseEnd handles the end of the response; complete reports whether its length and
 // hash match.
-func (a *Attempt) End(complete bool) {
+func (a *Attempt) HandleResponseEnd(complete bool) {
 	if a.phase != Responding {
 		return
 	}
@@ -116,10 +116,10 @@
 	a.finish(verdict.Ran)
 }
 
-// Failed handles the guard's report that the attempt failed with verdict v.
+// HandleFailure handles the guard's report that the attempt failed with verdict v.
 // Before Run was sent the request cannot have run, and once the response has
 // started it did run, whatever verdict the guard reports.
-func (a *Attempt) Failed(v verdict.Verdict) {
+func (a *Attempt) HandleFailure(v verdict.Verdict) {
 	switch a.phase {
 	case Reserving:
 		a.finish(verdict.NotRun)
@@ -130,10 +130,10 @@
 	}
 }
 
-// GiveUp aborts the attempt on the front's side: the connection was lost, the
+// Abort aborts the attempt on the front's side: the connection was lost, the
 // deadline has passed, the caller has disconnected or the claim was refused.
 // The result tells whether to send a cancellation to the guard.
-func (a *Attempt) GiveUp() Send {
+func (a *Attempt) Abort() Action {
 	switch a.phase {
 	case Idle:
 		a.finish(verdict.NotRun)
--- a/internal/core/once/model_test.go
+++ b/internal/core/once/model_test.go
@@ -80,7 +80,7 @@
 	return m
 }
 
-func (m *model) send(i int, s once.Send) {
+func (m *model) send(i int, s once.Action) {
 	switch s {
 	case once.SendReserve:
 		m.toGuard[i] = append(m.toGuard[i], reserveMsg)
@@ -98,7 +98,7 @@
 		return
 	}
 	retry := a.Verdict() == verdict.NotRun || (m.mutation.retryMayHaveRun && a.Verdict() == verdict.MayHaveRun)
-	if retry && !a.Whole() && m.started < len(m.attempts) {
+	if retry && !a.ResponseComplete() && m.started < len(m.attempts) {
 		m.started++
 		m.send(m.started-1, m.attempts[m.started-1].Begin(false, false))
 		return
@@ -152,7 +152,7 @@
 		}
 	}
 	if cur := m.started - 1; m.attempts[cur].Phase() != once.Done {
-		add(func() string { return "front aborts" }, func(m *model) { m.send(cur, m.attempts[cur].GiveUp()); m.settle(cur) })
+		add(func() string { return "front aborts" }, func(m *model) { m.send(cur, m.attempts[cur].Abort()); m.settle(cur) })
 	}
 	return out
 }
@@ -230,7 +230,7 @@
 	m.guards[i].ran = ran
 	m.toGuard[i], m.toFront[i] = nil, nil
 	if m.attempts[i].Phase() != once.Done && i < m.started {
-		m.attempts[i].GiveUp()
+		m.attempts[i].Abort()
 		m.settle(i)
 	}
 }
@@ -239,12 +239,12 @@
 	a := &m.attempts[i]
 	switch message {
 	case grantMsg:
-		m.send(i, a.Granted())
+		m.send(i, a.HandleGrant())
 	case refuseMsg:
-		a.Failed(verdict.NotRun)
+		a.HandleFailure(verdict.NotRun)
 	case answerMsg:
-		a.Head()
-		a.End(true)
+		a.HandleResponseStart()
+		a.HandleResponseEnd(true)
 	}
 	m.settle(i)
 }
@@ -257,7 +257,7 @@
 		return "the request ran twice"
 	case m.done && m.final == verdict.NotRun && ran > 0:
 		return "the caller got the verdict not-run, but the request ran"
-	case m.done && m.attempts[m.started-1].Whole() && ran != 1:
+	case m.done && m.attempts[m.started-1].ResponseComplete() && ran != 1:
 		return "the caller got a response, but the request did not run"
 	}
 	return ""
@@ -324,7 +324,7 @@
 	t.Logf("%d states", states)
 }
 
-func TestModelCatchesPlantedFaults(t *testing.T) {
+func TestModelCheckerDetectsInjectedBugs(t *testing.T) {
 	for name, p := range map[string]mutation{
 		"guard starts after cancel":                 {startAfterCancel: true},
 		"front retries a request that may have run": {retryMayHaveRun: true},
--- a/internal/core/once/owner.go
+++ b/internal/core/once/owner.go
@@ -76,7 +76,7 @@
 	for i, s := range m.Shards {
 		id := ShardID{service, uint32(i)}
 		have, owned := o.shards[id]
-		if s.Owner != o.host || s.Life != o.incarnation {
+		if s.Owner != o.host || s.Incarnation != o.incarnation {
 			delete(o.shards, id)
 			continue
 		}
@@ -202,7 +202,7 @@
 // Done records the result of a claimed request. It returns false if this host
 // does not own the shard or has handed it over; the front then retries with the
 // current owner. No authority is needed, since a result permits no execution.
-func (o *Owner) Done(now time.Time, d *msg.KeyDone) bool {
+func (o *Owner) Done(now time.Time, d *msg.KeyResult) bool {
 	s, ok := o.shards[ShardID{d.Service, d.Shard}]
 	if !ok || s.frozen {
 		return false
--- a/internal/core/once/placement.go
+++ b/internal/core/once/placement.go
@@ -39,7 +39,7 @@
 	m := &record.ShardMap{Guards: guards}
 	for i := range shards {
 		owner := preferredOwner(service, i, guards, nil)
-		m.Shards = append(m.Shards, record.Shard{Owner: owner, Life: incarnationOf(hosts, owner), Epoch: uint64(wall.Unix())})
+		m.Shards = append(m.Shards, record.Shard{Owner: owner, Incarnation: incarnationOf(hosts, owner), Epoch: uint64(wall.Unix())})
 	}
 	return m
 }
@@ -65,11 +65,11 @@
 	changed := false
 	for i := range m.Shards {
 		s := &m.Shards[i]
-		if usable(hosts, s.Owner) && incarnationOf(hosts, s.Owner) == s.Life {
+		if usable(hosts, s.Owner) && incarnationOf(hosts, s.Owner) == s.Incarnation {
 			continue
 		}
 		if preferredOwner(service, uint32(i), m.Guards, hosts) == self {
-			s.Owner, s.Life = self, incarnationOf(hosts, self)
+			s.Owner, s.Incarnation = self, incarnationOf(hosts, self)
 			s.Epoch++
 			changed = true
 		}
--- a/internal/core/once/table.go
+++ b/internal/core/once/table.go
@@ -20,13 +20,13 @@
 	ClaimBusy
 	// ClaimReplay returns the stored response.
 	ClaimReplay
-	// ClaimReused means that the key was used for a request with another body.
-	ClaimReused
+	// ClaimKeyReused means that the key was used for a request with another body.
+	ClaimKeyReused
 	// ClaimMayHaveRun means that a request with the key may have run.
 	ClaimMayHaveRun
-	// ClaimRanUnkept means that the request ran, but its response was not
+	// ClaimResponseNotStored means that the request ran, but its response was not
 	// stored.
-	ClaimRanUnkept
+	ClaimResponseNotStored
 	// ClaimUnknown means that an earlier owner may have known the key while
 	// this one does not.
 	ClaimUnknown
@@ -129,7 +129,7 @@
 	}
 	switch {
 	case e.bodyHash != c.BodyHash:
-		return ClaimReused, nil
+		return ClaimKeyReused, nil
 	case e.state == keyClaimed && e.requestID == c.RequestID:
 		return ClaimRun, nil
 	case e.state == keyClaimed:
@@ -137,7 +137,7 @@
 	case e.state == keyMayHaveRun:
 		return ClaimMayHaveRun, nil
 	case !e.stored:
-		return ClaimRanUnkept, nil
+		return ClaimResponseNotStored, nil
 	default:
 		return ClaimReplay, &msg.KeyClaimed{Status: e.status, Header: e.header, Body: e.body}
 	}
@@ -145,7 +145,7 @@
 
 // admitNew decides about a key that is not in the table.
 func (t *Table) admitNew(now time.Time, wallMS int64, c *msg.KeyClaim) ClaimOutcome {
-	created := c.MintedMS
+	created := c.CreatedMS
 	if created > wallMS+t.cfg.MaxSkew.Milliseconds() {
 		created = 0 // the caller's clock is too far ahead to be trusted
 	}
@@ -165,7 +165,7 @@
 
 // Done records the result of a claimed request. The key of a request that did
 // not run is released.
-func (t *Table) Done(now time.Time, d *msg.KeyDone) {
+func (t *Table) Done(now time.Time, d *msg.KeyResult) {
 	e, ok := t.entries[d.Key]
 	if !ok || e.requestID != d.RequestID || e.state == keyFinished {
 		return
@@ -174,12 +174,12 @@
 	case d.Verdict == verdict.NotRun && e.state == keyClaimed:
 		delete(t.entries, d.Key)
 		return
-	case d.Verdict != verdict.Ran || !d.Whole:
+	case d.Verdict != verdict.Ran || !d.Complete:
 		e.state = keyMayHaveRun
 	default:
 		e.state = keyFinished
 		e.status, e.header = d.Status, d.Header
-		if e.stored = d.Kept && t.bytes+len(d.Body) <= t.cfg.MaxBytes; e.stored {
+		if e.stored = d.Stored && t.bytes+len(d.Body) <= t.cfg.MaxBytes; e.stored {
 			e.body = d.Body
 			t.bytes += len(d.Body)
 		}
@@ -208,7 +208,7 @@
 	for key, e := range t.entries {
 		entries = append(entries, msg.KeyEntry{
 			Key: key, BodyHash: e.bodyHash, RequestID: e.requestID, State: uint8(e.state),
-			AgeMS: now.Sub(e.enteredAt).Milliseconds(), Kept: e.stored, Status: e.status, Header: e.header, Body: e.body,
+			AgeMS: now.Sub(e.enteredAt).Milliseconds(), Stored: e.stored, Status: e.status, Header: e.header, Body: e.body,
 		})
 	}
 	return entries, t.completeSince, max(t.opaqueFrom.Sub(now).Milliseconds(), 0)
@@ -224,7 +224,7 @@
 		at := now.Add(-time.Duration(m.AgeMS) * time.Millisecond)
 		t.entries[m.Key] = &keyEntry{
 			bodyHash: m.BodyHash, requestID: m.RequestID, state: keyState(m.State), enteredAt: at, expiresAt: at.Add(cfg.ClaimTimeout),
-			stored: m.Kept, status: m.Status, header: m.Header, body: m.Body,
+			stored: m.Stored, status: m.Status, header: m.Header, body: m.Body,
 		}
 		t.bytes += len(m.Body)
 	}
--- a/internal/core/pulse/pulse.go
+++ b/internal/core/pulse/pulse.go
@@ -11,29 +11,29 @@
 )
 
 const (
-	// PerSecond is the maximum rate of pulses sent by a host, counting each copy and
+	// MaxRate is the maximum rate of pulses sent by a host, counting each copy and
 	// each relayed pulse. At 110 bytes per pulse this is 7 KB/s in a fleet of any size,
 	// of the 19 KB/s available for control traffic. Above the limit, each change is sent
 	// to fewer hosts, and to different ones each time.
 	//
 	// The rate must suffice for fronts to learn of instances without work: a front that
 	// gets no load reports of an instance hardly ever chooses it.
-	PerSecond = 64
+	MaxRate = 64
 	// Burst is the number of pulses that may be sent at once. It is enough to send and
 	// relay a changed estimate in a fleet of 300 hosts.
 	Burst = 128
-	// TurnReserve is the part of Burst reserved for pulses about a significantly changed
+	// ChangeReserve is the part of Burst reserved for pulses about a significantly changed
 	// estimate, which are sent ToAll.
-	TurnReserve = Burst / 2
+	ChangeReserve = Burst / 2
 	// fewHosts is the number of hosts that are told that an instance would like to get a
 	// request: enough for one of them to have a request soon, but so few that the
 	// instance does not get one from each of many hosts.
 	fewHosts = 4
-	// AsksPerSecond is the maximum rate, and burst, of the pulses to few hosts, which do
+	// FewHostsMaxRate is the maximum rate, and burst, of the pulses to few hosts, which do
 	// not count towards PerSecond. When the estimates of many instances change, those
 	// pulses use up PerSecond, and just then recovered instances need requests that show
 	// their recovery.
-	AsksPerSecond = 16
+	FewHostsMaxRate = 16
 )
 
 // Reach is the set of hosts a pulse is sent to.
@@ -42,28 +42,28 @@
 const (
 	// ToFew is a few hosts of the own data centre.
 	ToFew Reach = iota
-	// ToNear is the hosts of the own data centre.
-	ToNear
+	// ToLocal is the hosts of the own data centre.
+	ToLocal
 	// ToAll is the hosts of all data centres. It may use the whole rate limit, including
 	// TurnReserve.
 	ToAll
 )
 
-// Spread selects the recipients of one host's pulses within its rate limits. It is not
+// Limiter selects the recipients of one host's pulses within its rate limits. It is not
 // safe for concurrent use.
-type Spread struct {
+type Limiter struct {
 	rng             *rand.Rand
 	limit, fewLimit *rate.Limiter
 }
 
 // New returns a Spread with its full burst available.
-func New(rng *rand.Rand) *Spread {
-	return &Spread{rng: rng, limit: rate.NewLimiter(PerSecond, Burst), fewLimit: rate.NewLimiter(AsksPerSecond, AsksPerSecond)}
+func New(rng *rand.Rand) *Limiter {
+	return &Limiter{rng: rng, limit: rate.NewLimiter(MaxRate, Burst), fewLimit: rate.NewLimiter(FewHostsMaxRate, FewHostsMaxRate)}
 }
 
-// Far selects one host in each of the other data centres, to relay a changed estimate
+// SelectRemote selects one host in each of the other data centres, to relay a changed estimate
 // there, because traffic between data centres is expensive.
-func (s *Spread) Far(now time.Time, dcs [][]string) []string {
+func (s *Limiter) SelectRemote(now time.Time, dcs [][]string) []string {
 	var out []string
 	for _, hosts := range dcs {
 		if s.take(now, 1, ToAll) == 1 {
@@ -73,9 +73,9 @@
 	return out
 }
 
-// Near selects recipients among the hosts of the own data centre, starting at a random
+// SelectLocal selects recipients among the hosts of the own data centre, starting at a random
 // one, as many as the rate limit allows.
-func (s *Spread) Near(now time.Time, hosts []string, to Reach) []string {
+func (s *Limiter) SelectLocal(now time.Time, hosts []string, to Reach) []string {
 	if len(hosts) == 0 {
 		return nil
 	}
@@ -91,14 +91,14 @@
 }
 
 // take deducts up to count pulses from the rate limit and returns the number deducted.
-func (s *Spread) take(now time.Time, count int, to Reach) int {
+func (s *Limiter) take(now time.Time, count int, to Reach) int {
 	limit := s.limit
 	if to == ToFew {
 		limit = s.fewLimit
 	}
 	available := int(limit.TokensAt(now))
-	if to == ToNear {
-		available -= TurnReserve
+	if to == ToLocal {
+		available -= ChangeReserve
 	}
 	count = max(min(count, available), 0)
 	limit.AllowN(now, count)
--- a/internal/core/quota/admit.go
+++ b/internal/core/quota/admit.go
@@ -89,8 +89,8 @@
 	n.unconfirmed[a.team] = a
 }
 
-// Return takes back an admitted request that did not run.
-func (n *Node) Return(now time.Time, team string) {
+// Release takes back an admitted request that did not run.
+func (n *Node) Release(now time.Time, team string) {
 	a, ok := n.accounts[team]
 	if !ok {
 		return
@@ -115,10 +115,10 @@
 func (n *Node) sendUsage(now time.Time, a *account, to string, queryID uint32) {
 	a.seq++
 	p := n.packet(to)
-	p.Uses = append(p.Uses, msg.TeamUse{
-		Team: a.team, Seq: a.seq, Count: a.count, Base: a.confirmed,
+	p.Usages = append(p.Usages, msg.TeamUsage{
+		Team: a.team, Seq: a.seq, Count: a.count, Confirmed: a.confirmed,
 		Level: float32(max(a.used.now(now, a.rate())-float64(a.count-a.confirmed), 0)), Known: a.isKnown(now),
-		Same: a.confirmedBy == to, Relayed: n.isRelay(a), Ask: queryID,
+		ConfirmedByReceiver: a.confirmedBy == to, Relayed: n.isRelay(a), QueryID: queryID,
 	})
 	if a.count != a.confirmed && a.unconfirmedSince.IsZero() {
 		a.unconfirmedSince = now
@@ -223,27 +223,27 @@
 	} else {
 		a.used.raise(now, a.rate(), level)
 	}
-	a.extendNearLimit(now, l.CloseMS)
-	if l.Ask == 0 {
+	a.extendNearLimit(now, l.NearLimitMS)
+	if l.QueryID == 0 {
 		return
 	}
-	if _, pending := n.queries[l.Ask]; !pending {
+	if _, pending := n.queries[l.QueryID]; !pending {
 		// The query was resolved elsewhere; a second grant, by a late home or its
 		// successor, is returned.
-		if resolved, known := n.resolved[l.Ask]; known && l.Granted && resolved.by != from {
-			delete(n.resolved, l.Ask)
+		if resolved, known := n.resolved[l.QueryID]; known && l.Granted && resolved.by != from {
+			delete(n.resolved, l.QueryID)
 			a.count--
 			n.unconfirmed[a.team] = a
 		}
 		return
 	}
-	delete(n.queries, l.Ask)
-	n.resolved[l.Ask] = resolvedQuery{by: from, at: now}
+	delete(n.queries, l.QueryID)
+	n.resolved[l.QueryID] = resolvedQuery{by: from, at: now}
 	wait := time.Duration(l.WaitMS) * time.Millisecond
 	if !l.Granted {
 		a.refusalWait, a.refusedUntil = wait, now.Add(min(wait, maxRefusalCache))
 	}
-	n.resolve(now, l.Ask, a, l.Granted, wait)
+	n.resolve(now, l.QueryID, a, l.Granted, wait)
 }
 
 // extendNearLimit makes this host query the home for each request for the next ms
--- a/internal/core/quota/home.go
+++ b/internal/core/quota/home.go
@@ -7,10 +7,10 @@
 )
 
 // handleUsage processes a usage report and decides on the query that it may carry.
-func (n *Node) handleUsage(now time.Time, p *msg.TeamPacket, u *msg.TeamUse) {
+func (n *Node) handleUsage(now time.Time, p *msg.TeamPacket, u *msg.TeamUsage) {
 	limit, limited := n.cfg.Limit(u.Team)
 	if !limited {
-		n.answer(p.From, msg.TeamLevel{Team: u.Team, Seq: u.Seq, Count: u.Count, Known: true, Ask: u.Ask, Granted: true})
+		n.answer(p.From, msg.TeamLevel{Team: u.Team, Seq: u.Seq, Count: u.Count, Known: true, QueryID: u.QueryID, Granted: true})
 		return
 	}
 	a := n.account(now, u.Team, limit)
@@ -22,8 +22,8 @@
 			n.unconfirmed[a.team] = a
 		}
 	}
-	l := msg.TeamLevel{Team: u.Team, Seq: u.Seq, Count: u.Count, Ask: u.Ask}
-	if u.Ask != 0 {
+	l := msg.TeamLevel{Team: u.Team, Seq: u.Seq, Count: u.Count, QueryID: u.QueryID}
+	if u.QueryID != 0 {
 		if n.relearning(now) {
 			return
 		}
@@ -31,7 +31,7 @@
 	}
 	n.checkNearLimit(now, a)
 	if n.nearLimit[a.team] != nil {
-		l.CloseMS = uint32(nearLimitPeriod.Milliseconds())
+		l.NearLimitMS = uint32(nearLimitPeriod.Milliseconds())
 	}
 	l.Level, l.Known = float32(a.level(now)), a.isKnown(now)
 	n.answer(p.From, l)
@@ -59,25 +59,25 @@
 
 // newRequests returns the number of reported requests that the level does not include
 // yet. Reports older than the last one count for nothing.
-func (a *account) newRequests(now time.Time, r *reporter, u *msg.TeamUse) int64 {
+func (a *account) newRequests(now time.Time, r *reporter, u *msg.TeamUsage) int64 {
 	if u.Seq <= r.seq {
 		return 0
 	}
 	added := u.Count - r.count
-	if r.seq == 0 || !u.Same && u.Base != r.base {
+	if r.seq == 0 || !u.ConfirmedByReceiver && u.Confirmed != r.base {
 		// The host has reported to another home in the meantime and carries that home's
 		// level.
 		a.mergeLevel(now, float64(u.Level), u.Known)
-		added = u.Count - u.Base
+		added = u.Count - u.Confirmed
 	}
-	r.seq, r.count, r.base, r.reportedAt = u.Seq, u.Count, u.Base, now
+	r.seq, r.count, r.base, r.reportedAt = u.Seq, u.Count, u.Confirmed, now
 	return added
 }
 
 // grant decides on a query. A repeated query that was granted before is granted again
 // without being counted.
-func (n *Node) grant(now time.Time, a *account, r *reporter, u *msg.TeamUse, l *msg.TeamLevel) {
-	if r.granted[u.Ask%grantsKept] == u.Ask {
+func (n *Node) grant(now time.Time, a *account, r *reporter, u *msg.TeamUsage, l *msg.TeamLevel) {
+	if r.granted[u.QueryID%grantsKept] == u.QueryID {
 		l.Granted = true
 		return
 	}
@@ -91,7 +91,7 @@
 		n.unconfirmed[a.team] = a
 	}
 	if ok {
-		r.granted[u.Ask%grantsKept] = u.Ask
+		r.granted[u.QueryID%grantsKept] = u.QueryID
 	}
 	l.Granted, l.WaitMS = ok, uint32(wait.Milliseconds())
 }
@@ -118,19 +118,19 @@
 func (n *Node) updateSuccessor(now time.Time, a *account) {
 	if successor := n.homes(a)[1]; successor != "" && successor != n.cfg.Host {
 		p := n.packet(successor)
-		p.Notices = append(p.Notices, msg.TeamNotice{Team: a.team, Level: float32(a.level(now)), CloseMS: uint32(nearLimitPeriod.Milliseconds())})
+		p.Notices = append(p.Notices, msg.TeamNotice{Team: a.team, Level: float32(a.level(now)), NearLimitMS: uint32(nearLimitPeriod.Milliseconds())})
 	}
 }
 
 func (n *Node) notify(now time.Time, a *account) {
 	a.lastNotice = now
-	notice := msg.TeamNotice{Team: a.team, Level: float32(a.level(now)), CloseMS: uint32(nearLimitPeriod.Milliseconds())}
+	notice := msg.TeamNotice{Team: a.team, Level: float32(a.level(now)), NearLimitMS: uint32(nearLimitPeriod.Milliseconds())}
 	if len(n.hosts) <= maxDirectHosts {
 		n.sendNotice(notice, func(Host) bool { return true })
 		return
 	}
 	n.sendNotice(notice, func(h Host) bool { return h.DC == n.dc })
-	notice.Relay = true
+	notice.Forward = true
 	sent := make(map[string]int)
 	first := n.rng.IntN(len(n.hosts))
 	for i := range n.hosts {
@@ -159,10 +159,10 @@
 	}
 	a := n.account(now, m.Team, limit)
 	a.used.raise(now, a.rate(), float64(m.Level))
-	a.extendNearLimit(now, m.CloseMS)
-	if m.Relay {
+	a.extendNearLimit(now, m.NearLimitMS)
+	if m.Forward {
 		relayed := *m
-		relayed.Relay = false
+		relayed.Forward = false
 		n.sendNotice(relayed, func(h Host) bool { return h.DC == n.dc })
 	}
 }
--- a/internal/core/quota/quota.go
+++ b/internal/core/quota/quota.go
@@ -239,7 +239,7 @@
 // packet returns the datagram to a host that still has room for an entry.
 func (n *Node) packet(to string) *msg.TeamPacket {
 	if i, ok := n.openPackets[to]; ok {
-		if p := n.out[i].Packet; len(p.Uses)+len(p.Levels)+len(p.Notices) < maxEntries {
+		if p := n.out[i].Packet; len(p.Usages)+len(p.Levels)+len(p.Notices) < maxEntries {
 			return p
 		}
 	}
@@ -252,8 +252,8 @@
 // Step processes a datagram from another host.
 func (n *Node) Step(now time.Time, p *msg.TeamPacket) {
 	n.detectPause(now)
-	for i := range p.Uses {
-		n.handleUsage(now, p, &p.Uses[i])
+	for i := range p.Usages {
+		n.handleUsage(now, p, &p.Usages[i])
 	}
 	for i := range p.Levels {
 		n.handleLevel(now, p.From, &p.Levels[i])
--- a/internal/core/quota/sim_test.go
+++ b/internal/core/quota/sim_test.go
@@ -292,7 +292,7 @@
 		if fails {
 			s.after(100*time.Millisecond, func() {
 				if h.up {
-					h.node.Return(s.time(), team)
+					h.node.Release(s.time(), team)
 				}
 			})
 			return
--- a/internal/core/quota/state.go
+++ b/internal/core/quota/state.go
@@ -11,16 +11,16 @@
 	Team string `json:"team"`
 	// Rate and Burst are the limit. Level is the used part of Room; both are in
 	// requests.
-	Rate  float64 `json:"ratePerSecond"`
-	Burst float64 `json:"burst"`
-	Level float64 `json:"level"`
-	Room  float64 `json:"room"`
+	Rate     float64 `json:"ratePerSecond"`
+	Burst    float64 `json:"burst"`
+	Level    float64 `json:"level"`
+	Capacity float64 `json:"room"`
 	// Home is the host that holds the account.
 	Home string `json:"home"`
-	// Close reports whether hosts query the home for each request, Alone whether this
+	// NearLimit reports whether hosts query the home for each request, Alone whether this
 	// host enforces its own share because no home responds.
-	Close bool `json:"close"`
-	Alone bool `json:"alone"`
+	NearLimit  bool `json:"close"`
+	Standalone bool `json:"alone"`
 	// Passed and Refused count this host's requests since the account was created.
 	Passed  uint64 `json:"passed"`
 	Refused uint64 `json:"refused"`
@@ -31,8 +31,8 @@
 	out := make([]State, 0, len(n.accounts))
 	for _, a := range n.accounts {
 		out = append(out, State{
-			Team: a.team, Rate: a.limit.Rate, Burst: a.limit.Burst, Level: a.level(now), Room: a.capacity(), Home: n.homes(a)[0],
-			Close: now.Before(a.nearLimitUntil) || n.nearLimit[a.team] != nil, Alone: now.Before(a.standaloneUntil),
+			Team: a.team, Rate: a.limit.Rate, Burst: a.limit.Burst, Level: a.level(now), Capacity: a.capacity(), Home: n.homes(a)[0],
+			NearLimit: now.Before(a.nearLimitUntil) || n.nearLimit[a.team] != nil, Standalone: now.Before(a.standaloneUntil),
 			Passed: a.admitted, Refused: a.refused,
 		})
 	}
--- a/internal/core/retry/origin.go
+++ b/internal/core/retry/origin.go
@@ -42,9 +42,9 @@
 // NewOrigins returns an Origins without any routes.
 func NewOrigins() *Origins { return &Origins{byRoute: make(map[uint32]*origin)} }
 
-// Saw records one request of a route. idle reports whether no request was running on the
+// Observe records one request of a route. idle reports whether no request was running on the
 // host where it began.
-func (o *Origins) Saw(now time.Time, route uint32, idle bool) {
+func (o *Origins) Observe(now time.Time, route uint32, idle bool) {
 	e, ok := o.byRoute[route]
 	if !ok {
 		if len(o.byRoute) >= maxOrigins {
@@ -60,15 +60,15 @@
 	}
 }
 
-// Callers reports whether the route is known to be used by callers.
-func (o *Origins) Callers(route uint32) bool {
+// IsCallerRoute reports whether the route is known to be used by callers.
+func (o *Origins) IsCallerRoute(route uint32) bool {
 	e, ok := o.byRoute[route]
 	return ok && e.fromIdle >= minCallerRequests && e.fromIdle >= minCallerShare*e.total
 }
 
-// Calls reports whether the route is known to be used by calls only. If hosts are hardly
-// ever idle, both Callers and Calls may be false.
-func (o *Origins) Calls(route uint32) bool {
+// IsCallRoute reports whether the route is known to be used by calls only. If hosts are hardly
+// ever idle, both Callers and IsCallRoute may be false.
+func (o *Origins) IsCallRoute(route uint32) bool {
 	e, ok := o.byRoute[route]
 	return ok && e.total >= minCallRequests && e.fromIdle <= maxCallIdleShare*e.total
 }
--- a/internal/core/retry/retry.go
+++ b/internal/core/retry/retry.go
@@ -57,20 +57,20 @@
 // SetLimits replaces the limits.
 func (b *Budget) SetLimits(l Limits) { b.limits = l }
 
-// Fresh records the first attempt of a request that may be a caller's own, which adds to
+// AddRequest records the first attempt of a request that may be a caller's own, which adds to
 // the allowance. callOfRepeat is the probability that it is instead a call made by a run
 // that was itself a repeat. That fraction counts as a repeat made without asking the
 // Budget; only the remainder adds to the allowance.
-func (b *Budget) Fresh(now time.Time, callOfRepeat float64) {
+func (b *Budget) AddRequest(now time.Time, callOfRepeat float64) {
 	c := b.current(now)
 	c.requests += 1 - callOfRepeat
 	c.repeats += callOfRepeat
 }
 
-// Call records the first attempt of a call made by a run. It does not add to the allowance:
+// AddCall records the first attempt of a call made by a run. It does not add to the allowance:
 // the request that was run does, at its own service. ofRepeat is the probability that the
 // run was itself a repeat.
-func (b *Budget) Call(now time.Time, ofRepeat float64) { b.current(now).repeats += ofRepeat }
+func (b *Budget) AddCall(now time.Time, ofRepeat float64) { b.current(now).repeats += ofRepeat }
 
 // Take records one repeat that is sent at once, if the budget permits it, and reports
 // whether it does.
@@ -78,7 +78,7 @@
 	if !b.Hold(now, 0) {
 		return false
 	}
-	b.Use(now)
+	b.UseHeld(now)
 	return true
 }
 
@@ -86,15 +86,15 @@
 // whether it does. keep is the share of the allowance, 0 to 1, that must remain for more
 // important repeats.
 func (b *Budget) Hold(now time.Time, keep float64) bool {
-	if b.Left(now)-keep*b.allowance(now) < 1 {
+	if b.Available(now)-keep*b.allowance(now) < 1 {
 		return false
 	}
 	b.held++
 	return true
 }
 
-// Use records that a held repeat is sent now.
-func (b *Budget) Use(now time.Time) {
+// UseHeld records that a held repeat is sent now.
+func (b *Budget) UseHeld(now time.Time) {
 	b.Release()
 	b.current(now).repeats++
 }
@@ -104,8 +104,8 @@
 // again.
 func (b *Budget) Release() { b.held = max(b.held-1, 0) }
 
-// Left returns the number of repeats the budget permits now.
-func (b *Budget) Left(now time.Time) float64 {
+// Available returns the number of repeats the budget permits now.
+func (b *Budget) Available(now time.Time) float64 {
 	left := b.allowance(now) - float64(b.held)
 	for i := range b.buckets {
 		left -= b.buckets[i].repeats
--- a/internal/core/retry/retry_test.go
+++ b/internal/core/retry/retry_test.go
@@ -20,7 +20,7 @@
 		var fresh, repeats []time.Time
 		for range rapid.IntRange(1, 500).Draw(t, "requests") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 400).Draw(t, "gapMS")) * time.Millisecond)
-			b.Fresh(now, 0)
+			b.AddRequest(now, 0)
 			fresh = append(fresh, now)
 			for b.Take(now) {
 				repeats = append(repeats, now)
@@ -39,7 +39,7 @@
 	b := NewBudget(time.Unix(0, 0), Limits{Share: 0.1, Window: 10 * time.Second})
 	now := time.Unix(1000, 0)
 	for range 1000 {
-		b.Fresh(now, 0)
+		b.AddRequest(now, 0)
 	}
 	now = now.Add(time.Minute)
 	assert.Assert(t, !b.Take(now))
@@ -77,13 +77,13 @@
 	assert.Assert(t, b.Hold(now, 0))
 	assert.Assert(t, !b.Hold(now, 0))
 	b.Release()
-	b.Use(now)
-	assert.Equal(t, b.Left(now), 1.0)
+	b.UseHeld(now)
+	assert.Equal(t, b.Available(now), 1.0)
 	assert.Assert(t, !b.Hold(now, 0.5), "half of the allowance must remain for more important repeats")
 	assert.Assert(t, b.Hold(now, 0))
 	b.Release()
 	b.Release()
-	assert.Equal(t, b.Left(now), 1.0, "releasing a repeat held by another Budget must not increase this one")
+	assert.Equal(t, b.Available(now), 1.0, "releasing a repeat held by another Budget must not increase this one")
 }
 
 // A request that may be a call of a repeated run counts as a repeat and does not add to the
@@ -92,19 +92,19 @@
 func TestCallsOfRepeatsCountAsRepeats(t *testing.T) {
 	now := time.Unix(1000, 0)
 	b := NewBudget(now.Add(-time.Minute), Limits{Reserve: 2, Window: 10 * time.Second})
-	b.Fresh(now, 0.75)
-	b.Fresh(now, 0.75)
+	b.AddRequest(now, 0.75)
+	b.AddRequest(now, 0.75)
 	assert.Assert(t, !b.Take(now))
 	assert.Assert(t, b.Take(now.Add(11*time.Second)))
 
 	b = NewBudget(now, Limits{Share: 0.5, Window: 10 * time.Second})
 	for range 10 {
-		b.Fresh(now, 1)
+		b.AddRequest(now, 1)
 	}
-	assert.Equal(t, b.Left(now), 0.0, "calls of repeats must not add to the allowance")
+	assert.Equal(t, b.Available(now), 0.0, "calls of repeats must not add to the allowance")
 	b = NewBudget(now, Limits{Share: 0.5, Window: 10 * time.Second})
 	for range 10 {
-		b.Call(now, 0)
+		b.AddCall(now, 0)
 	}
-	assert.Equal(t, b.Left(now), 0.0, "calls of first runs must not add to the allowance either")
+	assert.Equal(t, b.Available(now), 0.0, "calls of first runs must not add to the allowance either")
 }
--- a/internal/front/answer.go
+++ b/internal/front/answer.go
@@ -114,7 +114,7 @@
 			if !ans.complete(m) {
 				return verdict.New(verdict.Ran, verdict.ReasonTargetBroke, "the answer does not match its length or hash")
 			}
-			ans.attempt.state.End(true)
+			ans.attempt.state.HandleResponseEnd(true)
 			return nil
 		case *msg.Fail:
 			return verdict.New(verdict.Ran, m.Reason, m.Detail)
--- a/internal/front/attempt.go
+++ b/internal/front/attempt.go
@@ -60,7 +60,7 @@
 // claimTask is a claim in progress at the key's owner. answer is set once done is closed.
 type claimTask struct {
 	done   chan struct{}
-	answer KeyAnswer
+	answer ClaimResult
 }
 
 const (
@@ -97,7 +97,7 @@
 // attempt is over. If the guard has already closed the stream, its earlier messages are
 // still received: a guard may refuse a request before the body is sent, and the verdict
 // that the request did not run must not be lost.
-func (a *attempt) proceed(ctx context.Context, s once.Send) *outcome {
+func (a *attempt) proceed(ctx context.Context, s once.Action) *outcome {
 	err := a.send(ctx, s)
 	if err == nil || errors.Is(err, wire.ErrClosed) {
 		return nil
@@ -201,12 +201,12 @@
 func (a *attempt) handle(ctx context.Context, m msg.Message) *outcome {
 	switch m := m.(type) {
 	case *msg.Grant:
-		return a.proceed(ctx, a.state.Granted())
+		return a.proceed(ctx, a.state.HandleGrant())
 	case *msg.Head:
 		if m.RequestID != a.req.id {
 			return a.rejectAnswer(verdict.ReasonAnswerMismatch, "the answer carries the id of another request")
 		}
-		a.state.Head()
+		a.state.HandleResponseStart()
 		a.answer = newAnswer(a, m)
 	case *msg.Data:
 		return a.handleData(m)
@@ -219,14 +219,14 @@
 }
 
 // handleClaim processes the key owner's answer to the claim.
-func (a *attempt) handleClaim(ctx context.Context, k KeyAnswer) *outcome {
+func (a *attempt) handleClaim(ctx context.Context, k ClaimResult) *outcome {
 	if k.Outcome != once.ClaimRun {
 		o := a.abort(nil)
 		o.fail = keyFailure(k)
 		return o
 	}
 	a.epoch, a.shard = k.Epoch, k.Shard
-	return a.proceed(ctx, a.state.Claimed())
+	return a.proceed(ctx, a.state.HandleClaimAccepted())
 }
 
 func (a *attempt) handleData(m *msg.Data) *outcome {
@@ -249,7 +249,7 @@
 	if !a.answer.complete(m) {
 		return a.rejectAnswer(verdict.ReasonTargetBroke, "the answer does not match its length or hash")
 	}
-	a.state.End(true)
+	a.state.HandleResponseEnd(true)
 	a.stream.Close()
 	o := &outcome{answer: a.answer, load: m.Load, targetObserved: true}
 	o.serviceTime = time.Duration(m.ServiceUS) * time.Microsecond
@@ -260,7 +260,7 @@
 }
 
 func (a *attempt) handleFail(m *msg.Fail) *outcome {
-	a.state.Failed(m.Verdict)
+	a.state.HandleFailure(m.Verdict)
 	a.stream.Close()
 	a.front.paths.recordReply(a.target.Host.Name, 0)
 	fail := verdict.New(a.state.Verdict(), m.Reason, m.Detail)
@@ -284,7 +284,7 @@
 // abort ends the attempt from this side, and sends Cancel if the guard may still be working
 // on it.
 func (a *attempt) abort(cause error) *outcome {
-	action := a.state.GiveUp()
+	action := a.state.Abort()
 	if action == once.SendCancel {
 		ctx, cancel := context.WithTimeout(context.Background(), cancelTimeout)
 		defer cancel()
--- a/internal/front/choose.go
+++ b/internal/front/choose.go
@@ -37,7 +37,7 @@
 	}
 	var t *target
 	var why string
-	if v := f.guard.Suspect(req.fingerprint); v.Ends > 0 {
+	if v := f.guard.CrashAssessment(req.fingerprint); v.Crashes > 0 {
 		t, why = st.pickForSuspect(now, req.fingerprint, &v, tried, repeat), whySuspect
 	} else if t, why = st.pickTrial(now, req, tried, rng, f.paths); t == nil {
 		t, why = st.pickUsable(now, req, tried, repeat, rng, f.paths, f.cfg), whyCost
@@ -68,7 +68,7 @@
 		}
 	}
 	if t := st.trialCandidate(now, req.idempotent, retryable, rng, p); t != nil {
-		t.observed.load.Wants = false
+		t.observed.load.WantsTrial = false
 		return t, whyTrial
 	}
 	share := trialShare * float64(len(sets.ejected)) / float64(max(len(st.targets), 1))
@@ -105,7 +105,7 @@
 		if !t.observed.wantsTrial(now) || !t.Usable() || !p.usable(t.Host.Name) || !t.observed.eligibleForTrial(now, idempotent, retryable) {
 			continue
 		}
-		estimate := t.observed.failureEstimate.Doubt(now, failureModel) + trialEstimateJitter*rng.Float64()
+		estimate := t.observed.failureEstimate.SickForSelection(now, failureModel) + trialEstimateJitter*rng.Float64()
 		if best == nil || estimate < lowest {
 			best, lowest = t, estimate
 		}
@@ -116,7 +116,7 @@
 // wantsTrial reports whether the guard is known to want a trial request. Old information
 // does not count: the guard may have got its request since and told other fronts so.
 func (o *observations) wantsTrial(now time.Time) bool {
-	return o.load.Wants && now.Sub(o.loadAt) <= trialWishMaxAge
+	return o.load.WantsTrial && now.Sub(o.loadAt) <= trialWishMaxAge
 }
 
 // eligibleForTrial reports whether a request may be used for a trial here. A retryable
@@ -126,7 +126,7 @@
 	if retryable {
 		return true
 	}
-	if o.failureEstimate.Doubt(now, failureModel) > trialRiskMax {
+	if o.failureEstimate.SickForSelection(now, failureModel) > trialRiskMax {
 		return false
 	}
 	return idempotent || now.Sub(o.trialWantedAt) >= trialWaitNonIdempotent
--- a/internal/front/cost.go
+++ b/internal/front/cost.go
@@ -11,16 +11,16 @@
 
 // candidate describes the target for the cost function. expected is the mean service time
 // of the route. The caller must hold the service's lock.
-func (t *target) candidate(now time.Time, req *request, expected time.Duration, typical balance.Typical, p *paths, cfg Config) balance.Candidate {
+func (t *target) candidate(now time.Time, req *request, expected time.Duration, typical balance.TypicalLoad, p *paths, cfg Config) balance.Candidate {
 	warm := 1.0
-	if left := t.WarmAt.Sub(now); left > 0 {
-		warm = max(1-left.Seconds()/directory.RampUp.Seconds(), 0)
+	if left := t.WarmUpEnd.Sub(now); left > 0 {
+		warm = max(1-left.Seconds()/directory.DefaultWarmUp.Seconds(), 0)
 	}
 	return balance.Candidate{
-		Slots: t.Slots, Running: int(t.observed.load.Running), Waiting: req.queuedAhead(now, t.observed.load),
+		Slots: t.Slots, Running: int(t.observed.load.Running), QueuedWork: req.queuedAhead(now, t.observed.load),
 		LoadAge: now.Sub(t.observed.loadAt), Typical: typical, Pending: t.observed.pending, Service: t.serviceTime(expected),
-		Path: p.roundTrip(t.Host.Name), Warmth: warm, Local: t.Host.DC == cfg.DC,
-		Fails: t.observed.failureChance(now),
+		RoundTrip: p.roundTrip(t.Host.Name), Warmth: warm, Local: t.Host.DC == cfg.DC,
+		FailureProbability: t.observed.failureChance(now),
 	}
 }
 
@@ -33,7 +33,7 @@
 // failureChance is the probability that a request sent to the instance is lost. The caller
 // must hold the service's lock.
 func (o *observations) failureChance(now time.Time) float64 {
-	return 1 - (1-o.failureEstimate.Fails(now, failureModel))*(1-refusalFailureWeight*o.shedShare.Now(now))
+	return 1 - (1-o.failureEstimate.FailureProbability(now, failureModel))*(1-refusalFailureWeight*o.shedShare.At(now))
 }
 
 const (
@@ -46,7 +46,7 @@
 
 // typicalLoad is the load per slot of the usable targets, from recent load reports. Distant
 // hosts report theirs only with answers. The caller must hold st.mu.
-func (st *serviceState) typicalLoad(now time.Time, req *request) balance.Typical {
+func (st *serviceState) typicalLoad(now time.Time, req *request) balance.TypicalLoad {
 	slots, running, waiting := 0, 0, time.Duration(0)
 	for _, i := range st.candidates.usable {
 		t := st.targets[i]
@@ -58,9 +58,9 @@
 		waiting += req.queuedAhead(now, t.observed.load)
 	}
 	if slots == 0 {
-		return balance.Typical{Running: defaultSlotLoad}
+		return balance.TypicalLoad{Running: defaultSlotLoad}
 	}
-	return balance.Typical{Running: float64(running) / float64(slots), Waiting: waiting / time.Duration(slots)}
+	return balance.TypicalLoad{Running: float64(running) / float64(slots), QueuedWork: waiting / time.Duration(slots)}
 }
 
 // queuedAhead estimates the work that will run before the request at an instance, as time
@@ -100,12 +100,12 @@
 // probability that the request can be retried if it fails. The failure weight grows from
 // retryableFailureWeight to 1 as the retry budget runs out, because a request sent to an
 // instance that is probably failing will need a retry.
-func (req *request) costWeights(now time.Time, retryChance float64) balance.Stakes {
+func (req *request) costWeights(now time.Time, retryChance float64) balance.CostWeights {
 	weight := 1 - retryChance*(1-retryableFailureWeight)
 	objective := req.route.Objective()
-	return balance.Stakes{
+	return balance.CostWeights{
 		Objective: objective, Left: objective - now.Sub(req.arrived),
-		FailureWeight: weight, Distance: crossDCWeight,
+		FailureWeight: weight, RemoteWeight: crossDCWeight,
 	}
 }
 
--- a/internal/front/cost_test.go
+++ b/internal/front/cost_test.go
@@ -32,8 +32,8 @@
 	urgent := newRequest(3, 800*time.Millisecond, now)
 	cost := func(l msg.Load, fails float64) float64 {
 		return balance.Cost(balance.Candidate{
-			Slots: 4, Running: int(l.Running), Waiting: urgent.queuedAhead(now, l), Service: 240 * time.Millisecond,
-			Path: time.Millisecond, Warmth: 1, Local: true, Fails: fails,
+			Slots: 4, Running: int(l.Running), QueuedWork: urgent.queuedAhead(now, l), Service: 240 * time.Millisecond,
+			RoundTrip: time.Millisecond, Warmth: 1, Local: true, FailureProbability: fails,
 		}, urgent.costWeights(now, 0))
 	}
 	assert.Assert(t, cost(load, 0.03) < cost(msg.Load{Slots: 4}, 0.7))
@@ -45,7 +45,7 @@
 	st := &serviceState{}
 	for i, left := range repeats {
 		observed := &observations{}
-		observed.updateLoad(now.Add(-age), msg.Load{Slots: 4, Repeats: left})
+		observed.updateLoad(now.Add(-age), msg.Load{Slots: 4, RetryBudgetLeft: left})
 		st.targets = append(st.targets, &target{observed: observed})
 		st.candidates.usable = append(st.candidates.usable, i)
 	}
@@ -78,7 +78,7 @@
 	now := time.Unix(1000, 0)
 	trialWanted := func(sick uint16, since time.Duration) *observations {
 		o := &observations{}
-		o.updateLoad(now.Add(-since), msg.Load{Slots: 4, Wants: true, Sick: sick})
+		o.updateLoad(now.Add(-since), msg.Load{Slots: 4, WantsTrial: true, FailureEstimate: sick})
 		return o
 	}
 	failing, healthy, waiting := trialWanted(700, 0), trialWanted(10, 0), trialWanted(10, trialWaitNonIdempotent)
@@ -103,11 +103,11 @@
 func TestTrialWishExpires(t *testing.T) {
 	now := time.Unix(1000, 0)
 	o := &observations{}
-	o.updateLoad(now, msg.Load{Slots: 4, Wants: true})
+	o.updateLoad(now, msg.Load{Slots: 4, WantsTrial: true})
 	assert.Assert(t, o.wantsTrial(now.Add(trialWishMaxAge)))
 	assert.Assert(t, !o.wantsTrial(now.Add(trialWishMaxAge+1)))
 	later := now.Add(2 * trialWishMaxAge)
-	o.updateLoad(later, msg.Load{Slots: 4, Wants: true})
+	o.updateLoad(later, msg.Load{Slots: 4, WantsTrial: true})
 	assert.Assert(t, !o.eligibleForTrial(later, false, false), "it has only just asked again")
 	o.updateLoad(later, msg.Load{Slots: 4})
 	assert.Assert(t, !o.wantsTrial(later))
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -58,7 +58,7 @@
 
 	limits   atomic.Pointer[Limits]
 	view     atomic.Pointer[directory.Directory]
-	rates    Rates
+	rates    RateLimiter
 	paths    *paths
 	services services
 	draining atomic.Bool
@@ -89,8 +89,8 @@
 	f.limits.Store(&l)
 }
 
-// SetView replaces the directory used to serve requests.
-func (f *Front) SetView(d *directory.Directory) {
+// SetDirectory replaces the directory used to serve requests.
+func (f *Front) SetDirectory(d *directory.Directory) {
 	f.services.update(d, f.paths, f.cfg)
 	f.view.Store(d)
 }
@@ -105,8 +105,8 @@
 // SetPeers sets the peers. It must be called before the first request.
 func (f *Front) SetPeers(p Peers) { f.peers = p }
 
-// View returns the current directory.
-func (f *Front) View() *directory.Directory { return f.view.Load() }
+// Directory returns the current directory.
+func (f *Front) Directory() *directory.Directory { return f.view.Load() }
 
 // Drain makes the front ask callers to close their connections.
 func (f *Front) Drain() { f.draining.Store(true) }
@@ -119,7 +119,7 @@
 // fitsBeforeShutdown reports whether an attempt is expected to finish before the process
 // ends.
 func (f *Front) fitsBeforeShutdown(now time.Time, req *request) bool {
-	end, stopping := f.guard.End()
+	end, stopping := f.guard.ShutdownTime()
 	if !stopping {
 		return true
 	}
@@ -127,13 +127,13 @@
 	return !now.Add(need).After(end)
 }
 
-// Refuse makes the front refuse all new requests. It is called once callers have had time
+// RefuseRequests makes the front refuse all new requests. It is called once callers have had time
 // to switch to other hosts.
-func (f *Front) Refuse() { f.refusing.Store(true) }
+func (f *Front) RefuseRequests() { f.refusing.Store(true) }
 
-// Abandon ends all requests in progress at the end of a graceful shutdown. Their callers
+// CancelRequests ends all requests in progress at the end of a graceful shutdown. Their callers
 // get a failure with the verdict known so far, which is better than a broken connection.
-func (f *Front) Abandon() { f.cancelLifetime() }
+func (f *Front) CancelRequests() { f.cancelLifetime() }
 
 // Server returns the HTTP server for callers. The caller serves and shuts it down.
 func (f *Front) Server() *http.Server {
@@ -180,5 +180,5 @@
 const localFirstMessageTimeout = 10 * time.Second
 
 func newSample(hash uint64, latencyRatio float64) msg.Sample {
-	return msg.Sample{Instance: hash, Pace: uint32(min(latencyRatio*msg.Thousandths, 1<<32-1))}
+	return msg.Sample{Instance: hash, LatencyRatio: uint32(min(latencyRatio*msg.Thousandths, 1<<32-1))}
 }
--- a/internal/front/identity.go
+++ b/internal/front/identity.go
@@ -16,19 +16,19 @@
 	"github.com/radishhoist/radishhoist/verdict"
 )
 
-// Rates enforces teams' request rates across all hosts.
-type Rates interface {
+// RateLimiter enforces teams' request rates across all hosts.
+type RateLimiter interface {
 	// Admit reports whether a request of the team is within its rate, and if not, how long
 	// to wait. limited says that the request counts against a rate, so that Return can undo
 	// it.
 	Admit(ctx context.Context, team string) (ok, limited bool, wait time.Duration)
-	// Return releases an admitted request that did not run.
-	Return(team string)
+	// Release releases an admitted request that did not run.
+	Release(team string)
 }
 
 // SetRates sets the rate limiter. It must be called before the first request; without it
 // teams have no rate limit.
-func (f *Front) SetRates(r Rates) { f.rates = r }
+func (f *Front) SetRates(r RateLimiter) { f.rates = r }
 
 const authorization = "Authorization"
 
@@ -89,7 +89,7 @@
 func (f *Front) releaseRate(req *request, fail *verdict.Error) {
 	if req != nil && req.countedInRate && fail.Verdict == verdict.NotRun {
 		req.countedInRate = false
-		f.rates.Return(req.team)
+		f.rates.Release(req.team)
 	}
 }
 
--- a/internal/front/keys.go
+++ b/internal/front/keys.go
@@ -16,9 +16,9 @@
 type Keys interface {
 	// Claim asks the owner of the key's shard. It has no error result: a claim that could
 	// not be made is refused.
-	Claim(ctx context.Context, service *directory.Service, k KeyRequest) KeyAnswer
+	Claim(ctx context.Context, service *directory.Service, k KeyRequest) ClaimResult
 	// Done reports to the owner how a claimed request ended. It may block for a long time.
-	Done(service *directory.Service, k KeyRequest, end KeyEnd)
+	Done(service *directory.Service, k KeyRequest, end RequestResult)
 }
 
 // KeyRequest identifies one request with an idempotency key.
@@ -29,8 +29,8 @@
 	RequestID string
 }
 
-// KeyAnswer is the owner's answer to a claim.
-type KeyAnswer struct {
+// ClaimResult is the owner's answer to a claim.
+type ClaimResult struct {
 	Outcome once.ClaimOutcome
 	Shard   uint32
 	Epoch   uint64
@@ -42,8 +42,8 @@
 	RetryAfterMS int64
 }
 
-// KeyEnd is the result of a claimed request.
-type KeyEnd struct {
+// RequestResult is the result of a claimed request.
+type RequestResult struct {
 	Verdict verdict.Verdict
 	// Whole says that a complete answer was received, and Kept that it is in the fields
 	// below.
@@ -94,11 +94,11 @@
 }
 
 // keyEnd describes the result of a claimed request for the key's owner.
-func keyEnd(a *answer, fail *verdict.Error) KeyEnd {
+func keyEnd(a *answer, fail *verdict.Error) RequestResult {
 	if fail != nil {
-		return KeyEnd{Verdict: fail.Verdict}
+		return RequestResult{Verdict: fail.Verdict}
 	}
-	end := KeyEnd{Verdict: verdict.Ran, Whole: true, Status: a.head.Status}
+	end := RequestResult{Verdict: verdict.Ran, Whole: true, Status: a.head.Status}
 	if !a.streaming {
 		end.Kept, end.Header, end.Body = true, a.head.Header, a.buffered
 	}
@@ -106,7 +106,7 @@
 }
 
 // replay returns the answer stored for the key.
-func replay(k KeyAnswer) *answer {
+func replay(k ClaimResult) *answer {
 	fields := append([]msg.Field{{Name: header.Replayed, Value: "true"}}, k.Header...)
 	return &answer{
 		head:     &msg.Head{Status: k.Status, Header: fields, Length: int64(len(k.Body))},
@@ -128,18 +128,18 @@
 
 // keyFailure explains why a claim did not let the request run. The verdict covers all
 // requests with the key, since this one never ran.
-func keyFailure(k KeyAnswer) *verdict.Error {
+func keyFailure(k ClaimResult) *verdict.Error {
 	e := verdict.New(verdict.NotRun, verdict.ReasonKeyNoOwner, "the key's shard has no authoritative owner at present")
 	e.RetryAfterMS = max(k.RetryAfterMS, 1)
 	switch k.Outcome {
 	case once.ClaimBusy:
 		e = verdict.New(verdict.MayHaveRun, verdict.ReasonKeyBusy, "a request with this key is in progress")
 		e.RetryAfterMS = busyRetryAfterMS
-	case once.ClaimReused:
+	case once.ClaimKeyReused:
 		e = verdict.New(verdict.NotRun, verdict.ReasonKeyReused, "this key was used for a different request; generate a new key")
 	case once.ClaimMayHaveRun:
 		e = verdict.New(verdict.MayHaveRun, verdict.ReasonKeyUnknown, "a request with this key may have run; it is not run again")
-	case once.ClaimRanUnkept:
+	case once.ClaimResponseNotStored:
 		e = verdict.New(verdict.Ran, verdict.ReasonKeyUnknown, "the request ran, but its answer was not stored")
 	case once.ClaimUnknown:
 		e = verdict.New(verdict.MayHaveRun, verdict.ReasonKeyUnknown, "the key's owner took over recently and cannot tell whether a request with this key has run")
--- a/internal/front/paths.go
+++ b/internal/front/paths.go
@@ -123,7 +123,7 @@
 	Host        string  `json:"host"`
 	RoundTripMS float64 `json:"roundTripMS"`
 	Misses      int     `json:"misses"`
-	Out         bool    `json:"out"`
+	Excluded    bool    `json:"out"`
 }
 
 func (p *paths) state() []PathState {
@@ -131,7 +131,7 @@
 	defer p.mu.Unlock()
 	out := []PathState{}
 	for host, e := range p.byHost {
-		out = append(out, PathState{Host: host, RoundTripMS: float64(e.roundTrip.Microseconds()) / 1000, Misses: e.misses, Out: e.excluded})
+		out = append(out, PathState{Host: host, RoundTripMS: float64(e.roundTrip.Microseconds()) / 1000, Misses: e.misses, Excluded: e.excluded})
 	}
 	return out
 }
--- a/internal/front/request.go
+++ b/internal/front/request.go
@@ -53,7 +53,7 @@
 	nestedRetryChance uint16
 	originIdle        bool
 	// fingerprint identifies the request when it is sent again.
-	fingerprint crash.Print
+	fingerprint crash.Fingerprint
 	// summary describes the attempts, once the request is over.
 	summary attemptSummary
 }
@@ -84,7 +84,7 @@
 	}
 	w.Header().Set(header.Attempts, strconv.Itoa(req.summary.attempts))
 	f.counts.countFailure(fail)
-	f.guard.CallFailed(time.Now())
+	f.guard.RecordFailedCall(time.Now())
 	f.logFailure(req, fail)
 	setWriteDeadline(w)
 	fail.Write(w, req.id)
@@ -113,7 +113,7 @@
 		return nil, retryLater(verdict.ReasonNotReady, "this host has not loaded its whole configuration yet", time.Second)
 	}
 	req := &request{id: requestID(r), arrived: time.Now(), http: r}
-	req.nestedRetryChance, req.originIdle = f.guard.Origin()
+	req.nestedRetryChance, req.originIdle = f.guard.CallOrigin()
 	host := r.Host
 	if h, _, err := net.SplitHostPort(host); err == nil {
 		host = h
@@ -145,7 +145,7 @@
 	// send the name of whichever front they use.
 	req.fingerprint = (&crash.Request{
 		Method: r.Method, Host: req.route.Host, URI: rawTarget(r), Team: req.team, Body: req.body, Length: req.length,
-	}).Print()
+	}).Fingerprint()
 	return req, nil
 }
 
@@ -277,7 +277,7 @@
 	f.logAnswer(req, int(answer.head.Status))
 	if retriableStatus(answer.head.Status) {
 		// Call this before the answer is written: its receiver may pass it on at once.
-		f.guard.CallFailed(time.Now())
+		f.guard.RecordFailedCall(time.Now())
 	}
 	return answer.writeTo(w, req)
 }
--- a/internal/front/requestlog.go
+++ b/internal/front/requestlog.go
@@ -44,7 +44,7 @@
 func (st *serviceState) newEntry(now time.Time, t *target, why string) attemptEntry {
 	return attemptEntry{
 		Target: t.Name, Host: t.Host.Name, Why: why,
-		FailureEstimate: t.observed.failureEstimate.Doubt(now, failureModel), Running: int(t.observed.load.Running), Queued: int(t.observed.load.Queued),
+		FailureEstimate: t.observed.failureEstimate.SickForSelection(now, failureModel), Running: int(t.observed.load.Running), Queued: int(t.observed.load.Queued),
 		AgeMS: age(now, t.observed.loadAt), Usable: len(st.candidates.usable), Ejected: len(st.candidates.ejected), startedAt: now,
 	}
 }
--- a/internal/front/run.go
+++ b/internal/front/run.go
@@ -64,7 +64,7 @@
 		e.addFailure(retryLater(verdict.ReasonDraining, "this host is shutting down and the request is not expected to finish in time; retry on another host", defaultRetryAfter))
 		return pick{}, false
 	}
-	if hedge && e.suspectedOfCrashing() || len(e.failures) > 0 && e.endMoments() >= crash.RepeatBelow {
+	if hedge && e.suspectedOfCrashing() || len(e.failures) > 0 && e.endMoments() >= crash.RetryBelowIncidents {
 		// The request is not retried, nor sent to another instance if its designated one
 		// has no capacity.
 		return pick{}, false
@@ -72,8 +72,8 @@
 	if e.refusedAsCrashing() {
 		return pick{}, false
 	}
-	if v := e.front.guard.Suspect(e.req.fingerprint); v.Everywhere(time.Now()) {
-		e.addFailure(guard.StopRefusal(time.Now(), e.req.fingerprint, &v))
+	if v := e.front.guard.CrashAssessment(e.req.fingerprint); v.BlockedEverywhere(time.Now()) {
+		e.addFailure(guard.BlockedRefusal(time.Now(), e.req.fingerprint, &v))
 		return pick{}, false
 	}
 	options := attemptOptions{repeat: e.reachedInstance || hedge, hedge: hedge, allowLate: len(e.failures) >= onTimeAttempts}
@@ -107,10 +107,10 @@
 	e.recordAttempt(p.entry, o)
 	e.req.state.observe(e.req, p.target, o)
 	if o.succeeded() {
-		e.front.guard.Completed(e.req.fingerprint, p.target.softwareVersion())
+		e.front.guard.RecordCompletion(e.req.fingerprint, p.target.softwareVersion())
 	}
-	if o.load.Overdrawn {
-		e.front.guard.Overdrawn(time.Now())
+	if o.load.RetryBudgetOverdrawn {
+		e.front.guard.PauseRetries(time.Now())
 	}
 	if !p.options.allowLate && o.fail != nil && o.fail.Reason == verdict.ReasonQueueFull {
 		e.clearTried(p.target)
--- a/internal/front/send.go
+++ b/internal/front/send.go
@@ -17,13 +17,13 @@
 )
 
 // send sends the message that the state machine asks for.
-func (a *attempt) send(ctx context.Context, s once.Send) error {
+func (a *attempt) send(ctx context.Context, s once.Action) error {
 	switch s {
 	case once.SendReserve:
 		return a.stream.Send(ctx, &msg.Reserve{
 			RequestID: a.req.id, Service: a.target.Service, Instance: a.target.Name,
-			TimeoutMS: a.remainingMS(), Class: a.req.fairnessClass, Priority: uint8(a.req.priority()), Within: uint8(a.req.route.Priority),
-			Aim: a.hints(), Sample: a.sample,
+			TimeoutMS: a.remainingMS(), Class: a.req.fairnessClass, Priority: uint8(a.req.priority()), SubPriority: uint8(a.req.route.Priority),
+			Hints: a.hints(), Sample: a.sample,
 		})
 	case once.SendRun:
 		return a.sendRun(ctx)
@@ -34,15 +34,15 @@
 
 // hints returns what the guard needs for admission: the request's time budget and its part
 // in the retry budget.
-func (a *attempt) hints() msg.Aim {
-	return msg.Aim{
+func (a *attempt) hints() msg.AdmissionHints {
+	return msg.AdmissionHints{
 		ObjectiveMS: uint32(a.req.route.Objective().Milliseconds()),
 		UsedMS:      uint32(max(time.Since(a.req.arrived).Milliseconds(), 0)),
-		ExpectMS:    uint32(a.req.state.expectedServiceTimeAt(a.req, a.target).Milliseconds()),
-		Insist:      a.options.allowLate,
+		ExpectedMS:  uint32(a.req.state.expectedServiceTimeAt(a.req, a.target).Milliseconds()),
+		AllowLate:   a.options.allowLate,
 		Repeat:      a.options.repeat, Hedge: a.options.hedge,
-		CallPart: a.req.nestedRetryChance, Idle: a.req.originIdle, Route: uint32(xxhash.Sum64String(a.req.route.Name)),
-		Print: uint64(a.req.fingerprint),
+		NestedRetryChance: a.req.nestedRetryChance, OriginIdle: a.req.originIdle, Route: uint32(xxhash.Sum64String(a.req.route.Name)),
+		Fingerprint: uint64(a.req.fingerprint),
 	}
 }
 
@@ -55,7 +55,7 @@
 	r := a.req.http
 	run := &msg.Run{
 		RequestID: a.req.id, Service: a.target.Service, Instance: a.target.Name,
-		TimeoutMS: a.remainingMS(), Class: a.req.fairnessClass, Priority: uint8(a.req.priority()), Within: uint8(a.req.route.Priority), Aim: a.hints(),
+		TimeoutMS: a.remainingMS(), Class: a.req.fairnessClass, Priority: uint8(a.req.priority()), SubPriority: uint8(a.req.route.Priority), Hints: a.hints(),
 		Reserved: !a.req.idempotent, Idempotent: a.req.idempotent, Shard: a.shard, Epoch: a.epoch,
 		Method: r.Method, URI: rawTarget(r), Host: r.Host,
 		Header: a.front.targetHeader(a.req), BodyLength: a.req.length, Sample: a.sample,
--- a/internal/front/service.go
+++ b/internal/front/service.go
@@ -142,7 +142,7 @@
 	sets := candidateSets{result: eject.Apply(members, svc.Record.Floor), computedAt: now}
 	for i, t := range st.targets {
 		switch {
-		case sets.result.Out[i]:
+		case sets.result.Ejected[i]:
 			sets.ejected = append(sets.ejected, i)
 		case members[i].Usable:
 			sets.usable = append(sets.usable, i)
@@ -178,7 +178,7 @@
 			continue
 		}
 		fresh++
-		if o.load.Repeats > 0 {
+		if o.load.RetryBudgetLeft > 0 {
 			left++
 		}
 	}
@@ -191,7 +191,7 @@
 // retryBudgetLeft reports whether the guard may have retry budget left: its last report
 // says so or is too old.
 func (o *observations) retryBudgetLeft(now time.Time) bool {
-	return o.load.Repeats > 0 || now.Sub(o.loadAt) > loadMaxAge
+	return o.load.RetryBudgetLeft > 0 || now.Sub(o.loadAt) > loadMaxAge
 }
 
 const (
@@ -235,12 +235,12 @@
 
 // updateLoad records a guard's load report. The caller must hold the service's lock.
 func (o *observations) updateLoad(now time.Time, load msg.Load) {
-	if load.Wants && !o.wantsTrial(now) {
+	if load.WantsTrial && !o.wantsTrial(now) {
 		o.trialWantedAt = now
 	}
 	o.load, o.loadAt = load, now
-	o.failureEstimate = chance.At(now, load.SickChance())
-	o.shedShare = chance.ShareAt(now, float64(load.Sheds)/msg.Thousandths)
+	o.failureEstimate = chance.EstimateAt(now, load.FailureProbability())
+	o.shedShare = chance.ShareAt(now, float64(load.ShedShare)/msg.Thousandths)
 }
 
 // expectedServiceTimeAt is the expected service time of the request at a target.
@@ -272,8 +272,8 @@
 	return l
 }
 
-// HearPulse records the load reports of a guard's instances.
-func (f *Front) HearPulse(p *msg.Pulse) {
+// HandleLoadReport records the load reports of a guard's instances.
+func (f *Front) HandleLoadReport(p *msg.LoadReport) {
 	now := time.Now()
 	for _, l := range p.Loads {
 		if st := f.services.get(l.Service); st != nil {
--- a/internal/front/status.go
+++ b/internal/front/status.go
@@ -19,9 +19,9 @@
 	Known    int `json:"knownSlots"`
 	Healthy  int `json:"healthySlots"`
 	Required int `json:"requiredSlots"`
-	// Kept is the number of suspects used only because of the floor.
-	Kept    int            `json:"suspectsKept"`
-	Targets []TargetStatus `json:"targets"`
+	// SuspectsKept is the number of suspects used only because of the floor.
+	SuspectsKept int            `json:"suspectsKept"`
+	Targets      []TargetStatus `json:"targets"`
 }
 
 // TargetStatus is this front's view of one target.
@@ -33,17 +33,17 @@
 	// Use is "used", "left out" or "unusable". Why gives the reason.
 	Use string `json:"use"`
 	Why string `json:"why,omitempty"`
-	// Pace is the service time relative to that of the service's other targets; 0 if
+	// LatencyRatio is the service time relative to that of the service's other targets; 0 if
 	// unknown.
-	Pace float64 `json:"pace"`
-	// Sick is the estimated probability that the target is failing most requests.
-	Sick float64 `json:"sick"`
-	// Refuses is the share of requests that the target refuses although it has free slots.
+	LatencyRatio float64 `json:"pace"`
+	// FailureEstimate is the estimated probability that the target is failing most requests.
+	FailureEstimate float64 `json:"sick"`
+	// ShedShare is the share of requests that the target refuses although it has free slots.
 	// RepeatsLeft is the retry budget that its host last reported.
-	Refuses     float64 `json:"refuses"`
-	RepeatsLeft int     `json:"repeatsLeft"`
-	Running     int     `json:"running"`
-	Queued      int     `json:"queued"`
+	ShedShare       float64 `json:"refuses"`
+	RetryBudgetLeft int     `json:"repeatsLeft"`
+	Running         int     `json:"running"`
+	Queued          int     `json:"queued"`
 }
 
 // Status returns every service with the result of the floor rule.
@@ -67,14 +67,14 @@
 	r := st.candidates.result
 	out := ServiceStatus{
 		Name: svc.Name, Version: svc.Version, Preset: svc.Record.Preset,
-		Known: r.Known, Healthy: r.Healthy, Required: r.Required, Kept: r.Kept, Targets: []TargetStatus{},
+		Known: r.Known, Healthy: r.Healthy, Required: r.Required, SuspectsKept: r.KeptSuspects, Targets: []TargetStatus{},
 	}
 	for i, t := range st.targets {
-		use, why := f.explainUse(now, t, r.Out[i])
+		use, why := f.explainUse(now, t, r.Ejected[i])
 		out.Targets = append(out.Targets, TargetStatus{
 			Name: t.Name, Host: t.Host.Name, DC: t.Host.DC, Slots: t.Slots, Use: use, Why: why,
-			Pace: t.observed.latencyRatio, Sick: t.observed.failureEstimate.Doubt(now, failureModel),
-			Refuses: t.observed.shedShare.Now(now), RepeatsLeft: int(t.observed.load.Repeats),
+			LatencyRatio: t.observed.latencyRatio, FailureEstimate: t.observed.failureEstimate.SickForSelection(now, failureModel),
+			ShedShare: t.observed.shedShare.At(now), RetryBudgetLeft: int(t.observed.load.RetryBudgetLeft),
 			Running: int(t.observed.load.Running), Queued: int(t.observed.load.Queued),
 		})
 	}
@@ -97,7 +97,7 @@
 		return "left out", evidence
 	case t.Health == detect.Suspect:
 		return "used", evidence + ", kept by the floor"
-	case now.Before(t.WarmAt):
+	case now.Before(t.WarmUpEnd):
 		return "used", "warming up"
 	default:
 		return "used", ""
--- a/internal/front/suspect.go
+++ b/internal/front/suspect.go
@@ -35,7 +35,7 @@
 			own++
 		}
 	}
-	return max(own, e.front.guard.Suspect(e.req.fingerprint).Moments)
+	return max(own, e.front.guard.CrashAssessment(e.req.fingerprint).Incidents)
 }
 
 // refusedAsCrashing reports whether a guard has refused the request because it crashes its
@@ -50,8 +50,8 @@
 // of their ends.
 func (e *execution) awaitEndReports(ctx context.Context) {
 	for {
-		v := e.front.guard.Suspect(e.req.fingerprint)
-		wait := v.WaitForNews(time.Now())
+		v := e.front.guard.CrashAssessment(e.req.fingerprint)
+		wait := v.ClearanceTimeLeft(time.Now())
 		if wait <= 0 || !sleep.For(ctx, wait) {
 			return
 		}
@@ -61,12 +61,12 @@
 // pickForSuspect chooses the target of a suspected request among the instances that it may
 // reach. The choice depends only on the request's fingerprint and the instances' names, so
 // that all hosts agree. The caller must hold st.mu.
-func (st *serviceState) pickForSuspect(now time.Time, fingerprint crash.Print, v *crash.Verdict, tried []*target, repeat bool) *target {
+func (st *serviceState) pickForSuspect(now time.Time, fingerprint crash.Fingerprint, v *crash.Assessment, tried []*target, repeat bool) *target {
 	var best *target
 	lowest := uint64(0)
 	for _, i := range st.untried(st.candidates.usable, tried) {
 		t := st.targets[i]
-		if v.Stopped(now, t.softwareVersion()) || repeat && !t.observed.retryBudgetLeft(now) {
+		if v.Blocked(now, t.softwareVersion()) || repeat && !t.observed.retryBudgetLeft(now) {
 			continue
 		}
 		if rank := rendezvousRank(fingerprint, t); best == nil || rank < lowest {
@@ -77,7 +77,7 @@
 }
 
 // rendezvousRank ranks the instances of a service for one request by rendezvous hashing.
-func rendezvousRank(fingerprint crash.Print, t *target) uint64 {
+func rendezvousRank(fingerprint crash.Fingerprint, t *target) uint64 {
 	var key [16]byte
 	binary.LittleEndian.PutUint64(key[:8], uint64(fingerprint))
 	binary.LittleEndian.PutUint64(key[8:], t.hash)
--- a/internal/front/suspect_test.go
+++ b/internal/front/suspect_test.go
@@ -22,7 +22,7 @@
 	for index, n := range rng.Perm(instances) {
 		i := &directory.Instance{Name: fmt.Sprint("i", n), Service: "s", Version: fmt.Sprint(n % 2)}
 		observed := &observations{}
-		observed.updateLoad(time.Unix(1000, 0), msg.Load{Slots: 4, Running: uint32(rng.IntN(5)), Repeats: uint16(rng.IntN(2))})
+		observed.updateLoad(time.Unix(1000, 0), msg.Load{Slots: 4, Running: uint32(rng.IntN(5)), RetryBudgetLeft: uint16(rng.IntN(2))})
 		st.targets = append(st.targets, &target{Target: &directory.Target{Instance: i, Host: &directory.Host{}}, hash: guard.InstanceHash(i.Name), observed: observed})
 		st.candidates.usable = append(st.candidates.usable, index)
 	}
@@ -37,8 +37,8 @@
 		now := time.Unix(1000, 0)
 		instances := rapid.IntRange(1, 12).Draw(t, "instances")
 		rng := rand.New(rand.NewPCG(1, rapid.Uint64().Draw(t, "seed")))
-		fingerprint := crash.Print(rapid.Uint64().Draw(t, "print"))
-		v := &crash.Verdict{Ends: 3, Until: now.Add(time.Minute), Ended: []crash.Software{{Service: "s", Version: "0"}}}
+		fingerprint := crash.Fingerprint(rapid.Uint64().Draw(t, "print"))
+		v := &crash.Assessment{Crashes: 3, BlockedUntil: now.Add(time.Minute), CrashedSoftware: []crash.Software{{Service: "s", Version: "0"}}}
 		one, other := newServiceView(instances, rng), newServiceView(instances, rng)
 
 		var tried []*target
@@ -72,7 +72,7 @@
 // A suspect is retried only where retry budget is left.
 func TestSuspectIsRetriedOnlyWithinRetryBudget(t *testing.T) {
 	now := time.Unix(1000, 0)
-	v := &crash.Verdict{Ends: 1}
+	v := &crash.Assessment{Crashes: 1}
 	for seed := range uint64(50) {
 		st := newServiceView(8, rand.New(rand.NewPCG(1, seed)))
 		if picked := st.pickForSuspect(now, 7, v, nil, true); picked != nil {
--- a/internal/guard/announce.go
+++ b/internal/guard/announce.go
@@ -81,7 +81,7 @@
 	if err := a.validate(name); err != nil {
 		return err
 	}
-	inst, created, err := g.hear(now, name, a)
+	inst, created, err := g.register(now, name, a)
 	if err != nil || inst == nil {
 		return err
 	}
@@ -95,9 +95,9 @@
 	return nil
 }
 
-// hear finds or creates the instance for an announcement. The instance is nil if the
+// register finds or creates the instance for an announcement. The instance is nil if the
 // announcement has no effect.
-func (g *Guard) hear(now time.Time, name string, a Announcement) (inst *instance, created bool, err error) {
+func (g *Guard) register(now time.Time, name string, a Announcement) (inst *instance, created bool, err error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	inst, known := g.instances[name]
@@ -111,8 +111,8 @@
 		}
 		return nil, false, errors.Errorf("service: no Service record in force is named %q; use the name of an existing one", a.Service)
 	}
-	outcome := g.announcements.Hear(now, name, a.Address, announce.Word{Born: a.Born, Sequence: a.Sequence})
-	if !outcome.Counts {
+	outcome := g.announcements.Apply(now, name, a.Address, announce.Stamp{StartedMS: a.Born, Sequence: a.Sequence})
+	if !outcome.Accepted {
 		return nil, false, nil
 	}
 	if outcome.Replaces != "" {
@@ -172,7 +172,7 @@
 // removeMisdirected removes an instance whose address is answered by another instance.
 func (g *Guard) removeMisdirected(name string) {
 	g.mu.Lock()
-	g.announcements.Misled(name)
+	g.announcements.MarkMisdirected(name)
 	g.remove(name, "address answered by another instance")
 	g.mu.Unlock()
 	g.onChanged()
--- a/internal/guard/blame.go
+++ b/internal/guard/blame.go
@@ -23,8 +23,8 @@
 	times []time.Time
 }
 
-// CallFailed records that a request that originated on this host has failed.
-func (g *Guard) CallFailed(now time.Time) {
+// RecordFailedCall records that a request that originated on this host has failed.
+func (g *Guard) RecordFailedCall(now time.Time) {
 	c := &g.failedCalls
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/guard/blame_test.go
+++ b/internal/guard/blame_test.go
@@ -13,24 +13,24 @@
 	var g Guard
 	now := time.Unix(100, 0)
 	assert.Assert(t, !g.failedCalls.excuse(now))
-	g.CallFailed(now)
+	g.RecordFailedCall(now)
 	assert.Assert(t, g.failedCalls.excuse(now.Add(excuseWindow/2)))
 	assert.Assert(t, !g.failedCalls.excuse(now.Add(excuseWindow/2)))
-	g.CallFailed(now)
+	g.RecordFailedCall(now)
 	assert.Assert(t, !g.failedCalls.excuse(now.Add(2*excuseWindow)))
 	for range 10 * maxFailedCalls {
-		g.CallFailed(now)
+		g.RecordFailedCall(now)
 	}
 	assert.Assert(t, len(g.failedCalls.times) <= maxFailedCalls)
 }
 
 // A process that is shutting down admits only requests that are expected to finish in
 // time.
-func TestOnlyWorkThatEndsInTimeIsTakenBeforeAStop(t *testing.T) {
+func TestOnlyShortRequestsAreAdmittedBeforeShutdown(t *testing.T) {
 	var g Guard
 	now := time.Unix(100, 0)
 	assert.Assert(t, g.finishesBeforeShutdown(now, time.Hour))
-	g.EndBy(now.Add(3 * time.Second))
+	g.SetShutdownTime(now.Add(3 * time.Second))
 	assert.Assert(t, g.finishesBeforeShutdown(now, time.Second))
 	assert.Assert(t, !g.finishesBeforeShutdown(now, 1100*time.Millisecond))
 	assert.Assert(t, !g.finishesBeforeShutdown(now.Add(2*time.Second), time.Second))
--- a/internal/guard/ends.go
+++ b/internal/guard/ends.go
@@ -72,9 +72,9 @@
 // fleet.
 func (i *instance) reportCrash(now time.Time) {
 	software := i.software()
-	e := crash.End{ID: crashID(i.name, i.started), Software: software, Host: i.guard.cfg.Host, At: now}
+	e := crash.Crash{ID: crashID(i.name, i.started), Software: software, Host: i.guard.cfg.Host, DetectedAt: now}
 	var requests []string
-	descriptions := make(map[crash.Print]string)
+	descriptions := make(map[crash.Fingerprint]string)
 	for _, u := range i.inFlight() {
 		if i.guard.suspects.completedRecently(now, u.fingerprint, software) {
 			continue
@@ -83,22 +83,22 @@
 		if _, seen := descriptions[u.fingerprint]; seen {
 			continue
 		}
-		e.Prints = append(e.Prints, u.fingerprint)
+		e.Fingerprints = append(e.Fingerprints, u.fingerprint)
 		descriptions[u.fingerprint] = u.describe()
 	}
 	event.Log(i.guard.log, event.InstanceEnded, slog.String("instance", i.name), slog.String("service", software.Service),
-		slog.String("version", software.Version), slog.Int("suspects", len(e.Prints)), slog.Any("requests", requests[:min(len(requests), maxLoggedRequests)]))
-	if len(e.Prints) == 0 {
+		slog.String("version", software.Version), slog.Int("suspects", len(e.Fingerprints)), slog.Any("requests", requests[:min(len(requests), maxLoggedRequests)]))
+	if len(e.Fingerprints) == 0 {
 		return
 	}
-	e.Prints = e.Prints[:min(len(e.Prints), crash.MaxPrints)]
+	e.Fingerprints = e.Fingerprints[:min(len(e.Fingerprints), crash.MaxFingerprints)]
 	i.guard.suspects.storeDescriptions(e.ID, descriptions)
-	i.guard.HearEnd(e)
+	i.guard.ApplyCrash(e)
 	i.guard.onCrash(e)
-	for _, p := range e.Prints {
+	for _, p := range e.Fingerprints {
 		// A request that was blocked while it ran here must be stored by this host:
 		// the hosts of the earlier crashes may each have left that to this one.
-		if v := i.guard.Suspect(p); !v.Until.IsZero() {
+		if v := i.guard.CrashAssessment(p); !v.BlockedUntil.IsZero() {
 			i.guard.scheduleStore(p)
 		}
 	}
@@ -115,7 +115,7 @@
 // inFlight is a request that was sent to the instance and has no response yet.
 type inFlight struct {
 	run         *msg.Run
-	fingerprint crash.Print
+	fingerprint crash.Fingerprint
 	started     time.Time
 }
 
--- a/internal/guard/estimate.go
+++ b/internal/guard/estimate.go
@@ -15,14 +15,14 @@
 	i.mu.Lock()
 	switch {
 	case r.shed:
-		i.shedShare.Saw(now, i.hadFreeSlot(now))
+		i.shedShare.Observe(now, i.hadFreeSlot(now))
 	case r.aborted:
 		i.lastAborted = now
 	default:
-		i.shedShare.Saw(now, false)
+		i.shedShare.Observe(now, false)
 	}
 	if !r.shed && !r.aborted && !r.excused {
-		i.failureEstimate.Saw(now, r.failed, i.guard.model)
+		i.failureEstimate.Observe(now, r.failed, i.guard.model)
 	}
 	if r.failed {
 		i.lastFailed = now
@@ -63,13 +63,13 @@
 func (i *instance) publishLoad(now time.Time) {
 	i.mu.Lock()
 	load := i.loadAt(now)
-	previous := i.publishedEstimate.Doubt(now, i.guard.model) * msg.Thousandths
-	healthChanged := absDiff(int(load.Sick), int(previous)) >= estimateChangeThreshold || absDiff(int(load.Sheds), int(i.published.Sheds)) >= estimateChangeThreshold
+	previous := i.publishedEstimate.SickForSelection(now, i.guard.model) * msg.Thousandths
+	healthChanged := absDiff(int(load.FailureEstimate), int(previous)) >= estimateChangeThreshold || absDiff(int(load.ShedShare), int(i.published.ShedShare)) >= estimateChangeThreshold
 	stale := now.Sub(i.publishedAt) >= publishInterval
 	publish := healthChanged || stale || float64(absDiff(occupancy(load), occupancy(i.published))) >= loadChangeThreshold*float64(i.slots)
 	if publish {
 		i.publishedAt = now
-		i.published, i.publishedEstimate = load, chance.At(now, load.SickChance())
+		i.published, i.publishedEstimate = load, chance.EstimateAt(now, load.FailureProbability())
 	}
 	i.mu.Unlock()
 	if healthChanged {
@@ -78,7 +78,7 @@
 	if !publish {
 		return
 	}
-	to := pulse.ToNear
+	to := pulse.ToLocal
 	if healthChanged {
 		to = pulse.ToAll
 	}
@@ -86,7 +86,7 @@
 }
 
 func (i *instance) sendPulse(load msg.Load, to pulse.Reach) {
-	i.guard.sendPulse(&msg.Pulse{Loads: []msg.InstanceLoad{{Service: i.service, Instance: i.name, Load: load}}}, to)
+	i.guard.sendPulse(&msg.LoadReport{Loads: []msg.InstanceLoad{{Service: i.service, Instance: i.name, Load: load}}}, to)
 }
 
 // requestWork asks a few fronts for a request if the instance has been idle for a
@@ -101,7 +101,7 @@
 	}
 	i.lastWorkRequest = now
 	load := i.loadAt(now)
-	load.Wants = true
+	load.WantsTrial = true
 	i.mu.Unlock()
 	i.sendPulse(load, pulse.ToFew)
 }
@@ -119,7 +119,7 @@
 
 // loadAt is load for callers that hold i.mu.
 func (i *instance) loadAt(now time.Time) msg.Load {
-	sick := i.failureEstimate.Doubt(now, i.guard.model)
+	sick := i.failureEstimate.SickForSelection(now, i.guard.model)
 	var waiting [admit.Priorities]uint32
 	for p, work := range i.queue.Waiting() {
 		waiting[p] = uint32(work.Milliseconds())
@@ -128,8 +128,8 @@
 		WaitingMS: waiting,
 		Slots:     uint32(i.slots), Running: uint32(i.queue.Running()), Queued: uint32(i.queue.Queued()),
 		Health: uint8(i.detector.Health()), Evidence: uint32(i.detector.Evidence() * evidenceScale),
-		Sick: uint16(sick * msg.Thousandths), Sheds: uint16(i.shedShare.Now(now) * msg.Thousandths),
-		Repeats: i.guard.retryBudgets.remaining(now, i.service),
+		FailureEstimate: uint16(sick * msg.Thousandths), ShedShare: uint16(i.shedShare.At(now) * msg.Thousandths),
+		RetryBudgetLeft: i.guard.retryBudgets.remaining(now, i.service),
 	}
 }
 
@@ -153,7 +153,7 @@
 	if i.unavailable() || i.queue.Running()+i.queue.Queued() > 0 {
 		return false
 	}
-	if i.failureEstimate.Doubt(now, i.guard.model) < trialFailureThreshold {
+	if i.failureEstimate.SickForSelection(now, i.guard.model) < trialFailureThreshold {
 		return now.Sub(i.lastEnded) >= idleDelay
 	}
 	return now.Sub(i.lastFailed) >= trialDelay
--- a/internal/guard/estimate_test.go
+++ b/internal/guard/estimate_test.go
@@ -39,7 +39,7 @@
 			fillSlots(i, now, c.running)
 			i.recordOutcome(now.Add(-c.abortedFor), result{aborted: true})
 			i.recordOutcome(now, result{shed: true})
-			assert.Equal(t, i.shedShare.Now(now) > 0, c.seen)
+			assert.Equal(t, i.shedShare.At(now) > 0, c.seen)
 			assert.Equal(t, (&chance.Estimate{}).Sick(now, g.model), i.failureEstimate.Sick(now, g.model), "refusals must not count as failures")
 		})
 	}
@@ -51,8 +51,8 @@
 	t.Helper()
 	g := newTestGuard(t, "127.0.0.1:1")
 	asked := &[]pulse.Reach{}
-	g.sendPulse = func(p *msg.Pulse, to pulse.Reach) {
-		if p.Loads[0].Load.Wants {
+	g.sendPulse = func(p *msg.LoadReport, to pulse.Reach) {
+		if p.Loads[0].Load.WantsTrial {
 			*asked = append(*asked, to)
 		}
 	}
@@ -68,7 +68,7 @@
 func TestIdleInstanceRequestsWorkFromFewFronts(t *testing.T) {
 	i, asked := recordWorkRequests(t)
 	now := time.Now()
-	i.failureEstimate, i.lastEnded = chance.At(now, 0.01), now
+	i.failureEstimate, i.lastEnded = chance.EstimateAt(now, 0.01), now
 	i.requestWork(now.Add(idleDelay - 1))
 	assert.Equal(t, len(*asked), 0, "it has just had work")
 	i.requestWork(now.Add(idleDelay))
@@ -90,10 +90,10 @@
 // a large deployment 75 to 108 of 162 instances of a service were considered doubtful
 // at a time; the logs show about 5 failed trials in 2 s, and instances without
 // requests for 10 s.
-func TestADoubtfulInstanceAsksForATrial(t *testing.T) {
+func TestDoubtfulInstanceRequestsTrial(t *testing.T) {
 	i, asked := recordWorkRequests(t)
 	now := time.Now()
-	i.failureEstimate, i.lastFailed, i.publishedAt = chance.At(now, 0.5), now, now
+	i.failureEstimate, i.lastFailed, i.publishedAt = chance.EstimateAt(now, 0.5), now, now
 	i.requestWork(now.Add(trialDelay - 1))
 	i.publishLoad(now.Add(trialDelay))
 	assert.Equal(t, len(*asked), 0)
--- a/internal/guard/explore_test.go
+++ b/internal/guard/explore_test.go
@@ -159,7 +159,7 @@
 		a := Announcement{Service: "s", Address: e.address, Slots: 2, Connections: 4, State: stateDraining}
 		assert.NilError(e.t, e.guard.Announce(time.Now(), "i", a))
 	case frontCancels:
-		if e.attempt.GiveUp() == once.SendCancel {
+		if e.attempt.Abort() == once.SendCancel {
 			// The stream may have ended concurrently.
 			_ = e.near.Send(context.Background(), &msg.Cancel{})
 		}
@@ -201,7 +201,7 @@
 	for e.attempt.Phase() != once.Done {
 		m, err := near.Recv(context.Background())
 		if err != nil {
-			e.attempt.GiveUp()
+			e.attempt.Abort()
 			break
 		}
 		e.receive(m)
@@ -214,19 +214,19 @@
 	switch m := m.(type) {
 	case *msg.Grant:
 		e.interruptAt(onGrant)
-		if e.attempt.Granted() == once.SendRun {
+		if e.attempt.HandleGrant() == once.SendRun {
 			_ = e.near.Send(context.Background(), e.runMessage())
 			e.sendBody()
 		}
 	case *msg.Head:
-		e.attempt.Head()
+		e.attempt.HandleResponseStart()
 	case *msg.Data:
 		e.body = append(e.body, m.Bytes...)
 	case *msg.End:
-		e.attempt.End(m.Length == uint64(len(e.body)) && m.Hash == xxhash.Sum64(e.body))
+		e.attempt.HandleResponseEnd(m.Length == uint64(len(e.body)) && m.Hash == xxhash.Sum64(e.body))
 	case *msg.Fail:
 		e.last = m
-		e.attempt.Failed(m.Verdict)
+		e.attempt.HandleFailure(m.Verdict)
 	}
 }
 
@@ -235,7 +235,7 @@
 // run, work that is not idempotent must run at most once, an incomplete response must
 // not look complete, and no request may reach an instance whose leaving was
 // acknowledged.
-func TestWhateverATargetDoesTheVerdictIsTrue(t *testing.T) {
+func TestVerdictIsTrueForEveryTargetBehaviour(t *testing.T) {
 	for _, m := range behaviours {
 		for _, idempotent := range []bool{false, true} {
 			for _, ev := range []interruption{noInterruption, frontCancels, hostDrains, instanceLeaves} {
@@ -270,7 +270,7 @@
 	if e.attempt.Verdict() == verdict.NotRun {
 		assert.Equal(t, runs, 0, "reported as not run")
 	}
-	if e.attempt.Whole() {
+	if e.attempt.ResponseComplete() {
 		assert.Equal(t, string(e.body), wholeBody)
 		assert.Assert(t, m.complete || slices.Contains([]string{"failed", "refused without the not-run header"}, m.name), "a truncated response looks complete")
 	}
@@ -284,6 +284,6 @@
 		assert.Equal(t, e.attempt.Verdict(), verdict.NotRun)
 	}
 	if ev == noInterruption {
-		assert.Equal(t, e.attempt.Whole(), m.complete || m.name == "failed" || m.name == "refused without the not-run header" && idempotent)
+		assert.Equal(t, e.attempt.ResponseComplete(), m.complete || m.name == "failed" || m.name == "refused without the not-run header" && idempotent)
 	}
 }
--- a/internal/guard/guard.go
+++ b/internal/guard/guard.go
@@ -64,16 +64,16 @@
 	// Changed is called when the instance data announced by this host has changed.
 	Changed func()
 	// Pulse is called with load updates that fronts need without delay.
-	Pulse func(p *msg.Pulse, to pulse.Reach)
-	// Ended is called when an instance on this host has crashed, and Cleared when a
+	Pulse func(p *msg.LoadReport, to pulse.Reach)
+	// Crashed is called when an instance on this host has crashed, and Cleared when a
 	// request suspected of causing a crash has completed. Both must reach all hosts.
 	// Nil disables the callback.
-	Ended   func(e crash.End)
-	Cleared func(end string, p crash.Print)
-	// Stopped is called on one host of the fleet with a blocked request, which must
+	Crashed func(e crash.Crash)
+	Cleared func(end string, p crash.Fingerprint)
+	// Blocked is called on one host of the fleet with a blocked request, which must
 	// be stored so that it survives a restart of all processes. It must not block.
 	// Nil disables the callback.
-	Stopped func(Stopped)
+	Blocked func(BlockedRequest)
 }
 
 // Guard manages the instances of one host. It is safe for concurrent use.
@@ -96,17 +96,17 @@
 	counts             counters
 	// sendPulse is called, without locks held, with updates that fronts need without
 	// delay.
-	sendPulse func(p *msg.Pulse, to pulse.Reach)
+	sendPulse func(p *msg.LoadReport, to pulse.Reach)
 	onChanged func()
-	onCrash   func(crash.End)
-	onCleared func(string, crash.Print)
-	onStopped func(Stopped)
+	onCrash   func(crash.Crash)
+	onCleared func(string, crash.Fingerprint)
+	onStopped func(BlockedRequest)
 	// suspects tracks the requests suspected of crashing the instances that run
 	// them.
 	suspects *suspects
 
 	mu            sync.Mutex
-	announcements *announce.Book
+	announcements *announce.Tracker
 	instances     map[string]*instance
 	// presets holds the detection parameters of the services in force;
 	// presetsComplete reports that the set is complete.
@@ -123,20 +123,20 @@
 func New(cfg Config, limits Limits, log *slog.Logger, fence Fence, hooks Hooks) *Guard {
 	g := &Guard{
 		cfg: cfg, log: log, fence: fence, onChanged: hooks.Changed, sendPulse: hooks.Pulse, model: chance.Default(), counts: newCounters(),
-		onCrash: hooks.Ended, onCleared: hooks.Cleared, onStopped: hooks.Stopped, suspects: newSuspects(),
+		onCrash: hooks.Crashed, onCleared: hooks.Cleared, onStopped: hooks.Blocked, suspects: newSuspects(),
 		retryBudgets:  newRetryBudgets(),
-		announcements: announce.NewBook(),
+		announcements: announce.NewTracker(),
 		instances:     make(map[string]*instance),
 		presets:       make(map[string]detect.Params),
 	}
 	if g.onCrash == nil {
-		g.onCrash = func(crash.End) {}
+		g.onCrash = func(crash.Crash) {}
 	}
 	if g.onCleared == nil {
-		g.onCleared = func(string, crash.Print) {}
+		g.onCleared = func(string, crash.Fingerprint) {}
 	}
 	if g.onStopped == nil {
-		g.onStopped = func(Stopped) {}
+		g.onStopped = func(BlockedRequest) {}
 	}
 	g.limits.Store(&limits)
 	return g
@@ -174,7 +174,7 @@
 	g.mu.Unlock()
 	changed := false
 	for _, inst := range all {
-		stop := d.Stopping(g.cfg.Host, inst.name)
+		stop := d.PlannedStop(g.cfg.Host, inst.name)
 		if inst.apply(g.params(inst.service), stop != nil) {
 			changed = true
 		}
@@ -249,13 +249,13 @@
 	}
 }
 
-// EndBy sets the planned time of process exit. Requests that are not expected to
+// SetShutdownTime sets the planned time of process exit. Requests that are not expected to
 // finish well before it are refused.
-func (g *Guard) EndBy(end time.Time) { g.shutdownAt.Store(&end) }
+func (g *Guard) SetShutdownTime(end time.Time) { g.shutdownAt.Store(&end) }
 
-// End returns the planned time of process exit, and false while the process is not
+// ShutdownTime returns the planned time of process exit, and false while the process is not
 // stopping.
-func (g *Guard) End() (time.Time, bool) {
+func (g *Guard) ShutdownTime() (time.Time, bool) {
 	end := g.shutdownAt.Load()
 	if end == nil {
 		return time.Time{}, false
@@ -270,7 +270,7 @@
 // finishesBeforeShutdown reports whether a request with the given expected duration
 // can be admitted before the process exits.
 func (g *Guard) finishesBeforeShutdown(now time.Time, expect time.Duration) bool {
-	end, stopping := g.End()
+	end, stopping := g.ShutdownTime()
 	return !stopping || !now.Add(shutdownMargin*expect).After(end)
 }
 
--- a/internal/guard/instance.go
+++ b/internal/guard/instance.go
@@ -79,7 +79,7 @@
 	// run is the request as sent to the target, nil before; fingerprint is the
 	// request's fingerprint.
 	run         *msg.Run
-	fingerprint crash.Print
+	fingerprint crash.Fingerprint
 	// started is when the target was called, zero before that.
 	started time.Time
 	// reported is the age last reported to the detector.
@@ -122,7 +122,7 @@
 		detector: detect.NewDetector(params),
 		waiters:  make(map[admit.ID]*waiter),
 		slots:    a.Slots, conns: a.connections(), version: a.Version, lastAnnounced: now,
-		warmAt: now.Add(directory.RampUp),
+		warmAt: now.Add(directory.DefaultWarmUp),
 	}
 }
 
@@ -248,7 +248,7 @@
 	defer i.mu.Unlock()
 	i.nextID++
 	r.ID = i.nextID
-	w.decisions, w.expected = make(chan admit.Decision, waiterDepth), r.Expect
+	w.decisions, w.expected = make(chan admit.Decision, waiterDepth), r.ExpectedService
 	i.waiters[r.ID] = w
 	i.deliver(i.queue.Offer(now, r))
 	return r.ID
@@ -301,12 +301,12 @@
 	out := directory.Instance{
 		Name: i.name, Service: i.service, Slots: i.slots, Conns: i.conns, Version: i.version,
 		Health: i.detector.Health(), StartedMS: i.started.UnixMilli(),
-		WarmLeft: max(time.Until(i.warmAt), 0),
+		WarmUpLeft: max(time.Until(i.warmAt), 0),
 	}
 	if out.Health == detect.Suspect {
 		// Send the evidence at the time of suspicion, not the current one, which
 		// would change with every response.
-		out.Evidence = uint32(i.detector.Conviction() * evidenceScale)
+		out.Evidence = uint32(i.detector.SuspicionEvidence() * evidenceScale)
 	}
 	if i.unavailable() {
 		out.State = directory.Leaving
--- a/internal/guard/judge.go
+++ b/internal/guard/judge.go
@@ -23,7 +23,7 @@
 		// The status would tell the caller that the request may safely be sent
 		// again.
 		return result{failed: true}, verdict.New(verdict.MayHaveRun, verdict.ReasonTargetBroke, "the target refused the request without stating that it was not run")
-	case a.Status/100 == 2 && d.Proof != "" && a.Header.Get(d.Proof) == "":
+	case a.Status/100 == 2 && d.TargetMarker != "" && a.Header.Get(d.TargetMarker) == "":
 		return result{failed: true}, verdict.New(verdict.Ran, verdict.ReasonTargetBroke, "the response lacks the required proof header")
 	case unrequestedEncoding(a.Header, m.Header):
 		return result{failed: true}, verdict.New(verdict.Ran, verdict.ReasonTargetBroke, "the response has a content encoding that the caller did not accept")
--- a/internal/guard/pace.go
+++ b/internal/guard/pace.go
@@ -45,9 +45,9 @@
 	switch ref := i.reference.At(now); {
 	case ratio == 0:
 	case complete:
-		changed = i.detector.Answer(now, ref, ratio, false)
+		changed = i.detector.AddAnswer(now, ref, ratio, false)
 	case r.aborted && !r.failed:
-		changed = i.detector.Stuck(now, ref, ratio)
+		changed = i.detector.AddPending(now, ref, ratio)
 	}
 	i.mu.Unlock()
 	if complete && ratio > 0 {
@@ -79,7 +79,7 @@
 	if s.Instance == 0 || s.Instance == i.hash {
 		return
 	}
-	i.observePeer(now, time.Duration(s.Pace)*latencyRatioUnit/msg.Thousandths)
+	i.observePeer(now, time.Duration(s.LatencyRatio)*latencyRatioUnit/msg.Thousandths)
 }
 
 func (i *instance) observePeer(now time.Time, ratio time.Duration) {
@@ -98,13 +98,13 @@
 		age := now.Sub(w.started)
 		if !w.started.IsZero() && !w.overdue && w.overdueAfter > 0 && age > w.overdueAfter {
 			w.overdue = true
-			i.failureEstimate.Saw(now, true, i.guard.model)
+			i.failureEstimate.Observe(now, true, i.guard.model)
 		}
 		if w.started.IsZero() || age < 2*w.reported || age < minStuckAge {
 			continue
 		}
 		w.reported = age
-		if ratio := w.latencyRatio(age); ratio > 0 && i.detector.Stuck(now, ref, ratio) {
+		if ratio := w.latencyRatio(age); ratio > 0 && i.detector.AddPending(now, ref, ratio) {
 			changed = true
 		}
 	}
--- a/internal/guard/repeats.go
+++ b/internal/guard/repeats.go
@@ -114,7 +114,7 @@
 }
 
 // reserve reserves a retry for a request that is about to be admitted.
-func (r *retryBudgets) reserve(now time.Time, service string, aim msg.Aim) bool {
+func (r *retryBudgets) reserve(now time.Time, service string, aim msg.AdmissionHints) bool {
 	kept := 0.0
 	if aim.Hedge || aim.ObjectiveMS > 0 && aim.UsedMS >= aim.ObjectiveMS {
 		kept = timelyRetryPart
@@ -125,10 +125,10 @@
 	return ok && now.Sub(r.overdrawnAt) > overdrawnPause && k.budget.Hold(now, kept)
 }
 
-// Overdrawn records that a call that may come from a retried run on this host has
+// PauseRetries records that a call that may come from a retried run on this host has
 // found the retry budget empty. Such calls cannot be refused, so the host makes no
 // retries for a while.
-func (g *Guard) Overdrawn(now time.Time) {
+func (g *Guard) PauseRetries(now time.Time) {
 	g.retryBudgets.mu.Lock()
 	defer g.retryBudgets.mu.Unlock()
 	g.retryBudgets.overdrawnAt = now
@@ -154,7 +154,7 @@
 // begin records that a request is sent to an instance and uses the reservation if
 // there is one. Any other request counts as a first attempt and, on a route that may
 // be used for calls between services, in part also as a retry, as given by its front.
-func (r *retryBudgets) begin(now time.Time, service string, reserved, idempotent bool, aim msg.Aim) activeRun {
+func (r *retryBudgets) begin(now time.Time, service string, reserved, idempotent bool, aim msg.AdmissionHints) activeRun {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var run activeRun
@@ -163,28 +163,28 @@
 	case !ok:
 	case reserved:
 		run.retryPart = msg.Thousandths
-		k.budget.Use(now)
+		k.budget.UseHeld(now)
 	default:
-		run.retryPart = k.fresh(now, aim)
+		run.retryPart = k.recordFirstAttempt(now, aim)
 	}
 	run.retryable = idempotent || reserved
 	r.countRun(run, 1)
 	return run
 }
 
-// fresh records a first attempt and returns the fraction that counts as a retry, in
+// recordFirstAttempt records a first attempt and returns the fraction that counts as a retry, in
 // thousandths.
-func (k *serviceBudget) fresh(now time.Time, aim msg.Aim) uint16 {
-	k.origins.Saw(now, aim.Route, aim.Idle)
-	if k.origins.Callers(aim.Route) {
-		k.budget.Fresh(now, 0)
+func (k *serviceBudget) recordFirstAttempt(now time.Time, aim msg.AdmissionHints) uint16 {
+	k.origins.Observe(now, aim.Route, aim.OriginIdle)
+	if k.origins.IsCallerRoute(aim.Route) {
+		k.budget.AddRequest(now, 0)
 		return 0
 	}
-	part := min(aim.CallPart, msg.Thousandths)
-	if k.origins.Calls(aim.Route) {
-		k.budget.Call(now, float64(part)/msg.Thousandths)
+	part := min(aim.NestedRetryChance, msg.Thousandths)
+	if k.origins.IsCallRoute(aim.Route) {
+		k.budget.AddCall(now, float64(part)/msg.Thousandths)
 	} else {
-		k.budget.Fresh(now, float64(part)/msg.Thousandths)
+		k.budget.AddRequest(now, float64(part)/msg.Thousandths)
 	}
 	return part
 }
@@ -214,16 +214,16 @@
 	if !ok {
 		return 0
 	}
-	return uint16(min(k.budget.Left(now), 1<<16-1))
+	return uint16(min(k.budget.Available(now), 1<<16-1))
 }
 
-// Origin describes a request that originates on this host now. callPart is the
+// CallOrigin describes a request that originates on this host now. callPart is the
 // probability, in thousandths, that the request is a call made by a retried run,
 // given that it is a call at all: such calls are retries at the services they go to,
 // and nothing identifies the run that made them. It is the share of retries among the
 // runs of work that may be retried; other work on the same host would make it look
 // smaller. idle reports that nothing runs here.
-func (g *Guard) Origin() (callPart uint16, idle bool) {
+func (g *Guard) CallOrigin() (callPart uint16, idle bool) {
 	r := g.retryBudgets
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/guard/repeats_test.go
+++ b/internal/guard/repeats_test.go
@@ -43,7 +43,7 @@
 // Over all guards of a service together, with hosts that stop, restart and leave the
 // directory, the retries of every window must stay within the allowance: a fifth of
 // the requests plus the reserve.
-func TestTheGuardsTogetherKeepToTheBudget(t *testing.T) {
+func TestGuardsTogetherStayWithinRetryBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
 		guards := rapid.IntRange(2, 9).Draw(t, "guards")
@@ -74,10 +74,10 @@
 			if i = firstAlive(alive, i); i < 0 {
 				continue
 			}
-			all[i].end(all[i].begin(now, "s", false, true, msg.Aim{}))
+			all[i].end(all[i].begin(now, "s", false, true, msg.AdmissionHints{}))
 			fresh = append(fresh, now)
-			for all[i].reserve(now, "s", msg.Aim{}) {
-				all[i].end(all[i].begin(now, "s", true, true, msg.Aim{}))
+			for all[i].reserve(now, "s", msg.AdmissionHints{}) {
+				all[i].end(all[i].begin(now, "s", true, true, msg.AdmissionHints{}))
 				sent = append(sent, now)
 			}
 		}
@@ -140,9 +140,9 @@
 	for k := range perSecond * 30 {
 		now = now.Add(time.Second / perSecond)
 		r := all[k%guards]
-		r.begin(now, "s", false, true, msg.Aim{Idle: true})
-		if k >= perSecond*20 && r.reserve(now, "s", msg.Aim{}) {
-			r.begin(now, "s", true, true, msg.Aim{})
+		r.begin(now, "s", false, true, msg.AdmissionHints{OriginIdle: true})
+		if k >= perSecond*20 && r.reserve(now, "s", msg.AdmissionHints{}) {
+			r.begin(now, "s", true, true, msg.AdmissionHints{})
 			spent++
 		}
 	}
@@ -156,37 +156,37 @@
 	r.apply(now, testDirectory([]bool{true}), retryLimits())
 	now = now.Add(testWindow)
 	hedges := 0
-	for r.reserve(now, "s", msg.Aim{Hedge: true}) {
+	for r.reserve(now, "s", msg.AdmissionHints{Hedge: true}) {
 		hedges++
 	}
 	half := int(timelyRetryPart * guardBudgetPart * testReserve)
 	assert.Assert(t, hedges == half || hedges == half-1, "%d", hedges)
-	assert.Assert(t, !r.reserve(now, "s", msg.Aim{ObjectiveMS: 500, UsedMS: 600}))
-	assert.Assert(t, r.reserve(now, "s", msg.Aim{ObjectiveMS: 500, UsedMS: 100}))
+	assert.Assert(t, !r.reserve(now, "s", msg.AdmissionHints{ObjectiveMS: 500, UsedMS: 600}))
+	assert.Assert(t, r.reserve(now, "s", msg.AdmissionHints{ObjectiveMS: 500, UsedMS: 100}))
 }
 
 // Requests that originate on a host running retries may be calls made by them, unless
 // callers use the route.
-func TestCallsOfRepeatedRunsAreToldByChance(t *testing.T) {
+func TestCallsOfRetriedRunsAreEstimated(t *testing.T) {
 	now := time.Now()
 	g := newTestGuard(t, "127.0.0.1:1")
 	g.retryBudgets.apply(now.Add(-time.Minute), testDirectory([]bool{true}), retryLimits())
-	callPart, idle := g.Origin()
+	callPart, idle := g.CallOrigin()
 	assert.Assert(t, idle)
 	assert.Equal(t, callPart, uint16(0))
-	assert.Equal(t, g.retryBudgets.begin(now, "s", false, true, msg.Aim{Route: 1, Idle: true}).retryPart, uint16(0))
-	g.retryBudgets.begin(now, "s", false, false, msg.Aim{Route: 1, Idle: true})
-	assert.Assert(t, g.retryBudgets.reserve(now, "s", msg.Aim{}))
-	repeat := g.retryBudgets.begin(now, "s", true, true, msg.Aim{Repeat: true, Route: 1})
-	callPart, idle = g.Origin()
+	assert.Equal(t, g.retryBudgets.begin(now, "s", false, true, msg.AdmissionHints{Route: 1, OriginIdle: true}).retryPart, uint16(0))
+	g.retryBudgets.begin(now, "s", false, false, msg.AdmissionHints{Route: 1, OriginIdle: true})
+	assert.Assert(t, g.retryBudgets.reserve(now, "s", msg.AdmissionHints{}))
+	repeat := g.retryBudgets.begin(now, "s", true, true, msg.AdmissionHints{Repeat: true, Route: 1})
+	callPart, idle = g.CallOrigin()
 	assert.Equal(t, callPart, uint16(msg.Thousandths/2), "work that cannot be retried does not count")
 	assert.Assert(t, !idle)
 
 	before := g.retryBudgets.remaining(now, "s")
-	assert.Equal(t, g.retryBudgets.begin(now, "s", false, true, msg.Aim{Route: 2, CallPart: msg.Thousandths}).retryPart, uint16(msg.Thousandths))
+	assert.Equal(t, g.retryBudgets.begin(now, "s", false, true, msg.AdmissionHints{Route: 2, NestedRetryChance: msg.Thousandths}).retryPart, uint16(msg.Thousandths))
 	assert.Equal(t, g.retryBudgets.remaining(now, "s"), before-1)
-	g.retryBudgets.begin(now, "s", false, true, msg.Aim{Route: 1, Idle: true})
-	assert.Equal(t, g.retryBudgets.begin(now, "s", false, true, msg.Aim{Route: 1, CallPart: msg.Thousandths}).retryPart, uint16(0), "callers use route 1")
+	g.retryBudgets.begin(now, "s", false, true, msg.AdmissionHints{Route: 1, OriginIdle: true})
+	assert.Equal(t, g.retryBudgets.begin(now, "s", false, true, msg.AdmissionHints{Route: 1, NestedRetryChance: msg.Thousandths}).retryPart, uint16(0), "callers use route 1")
 	g.retryBudgets.end(repeat)
 }
 
@@ -199,31 +199,31 @@
 	g.retryBudgets.apply(time.Now().Add(-time.Minute), testDirectory(up), *g.limits.Load())
 	// A reserve of 2 times guardBudgetPart leaves room for one retry.
 	assert.Equal(t, g.retryBudgets.remaining(time.Now(), "s"), uint16(1))
-	repeat := msg.Aim{Repeat: true}
+	repeat := msg.AdmissionHints{Repeat: true}
 	assert.Equal(t, serveFailing(t, g, repeat).Reason, verdict.ReasonTargetBroke, "the retry was forwarded")
 	refused := serveFailing(t, g, repeat)
 	assert.Equal(t, refused.Reason, verdict.ReasonRetryBudget)
 	assert.Equal(t, refused.Verdict, verdict.NotRun)
-	assert.Equal(t, serveFailing(t, g, msg.Aim{CallPart: msg.Thousandths}).Reason, verdict.ReasonTargetBroke)
+	assert.Equal(t, serveFailing(t, g, msg.AdmissionHints{NestedRetryChance: msg.Thousandths}).Reason, verdict.ReasonTargetBroke)
 }
 
 // Calls made by retried runs cannot be refused. If such a call finds the budget
 // empty, the host it came from is notified and makes no retries for a while.
-func TestAHostWhoseCallsOverdrawMakesNoRepeats(t *testing.T) {
+func TestHostWithOverdrawnCallsPausesRetries(t *testing.T) {
 	called := newTestGuard(t, startBreakingTarget(t))
 	called.limits.Store(&Limits{AnnounceExpiry: time.Hour, RetryReserve: 2, RetryWindow: testWindow})
 	called.retryBudgets.apply(time.Now().Add(-time.Minute), testDirectory([]bool{true}), *called.limits.Load())
-	call := msg.Aim{CallPart: msg.Thousandths, Route: 7}
-	assert.Assert(t, !serveFailing(t, called, msg.Aim{Route: 7}).Load.Overdrawn, "not a call made by a retry")
-	assert.Assert(t, serveFailing(t, called, call).Load.Overdrawn)
+	call := msg.AdmissionHints{NestedRetryChance: msg.Thousandths, Route: 7}
+	assert.Assert(t, !serveFailing(t, called, msg.AdmissionHints{Route: 7}).Load.RetryBudgetOverdrawn, "not a call made by a retry")
+	assert.Assert(t, serveFailing(t, called, call).Load.RetryBudgetOverdrawn)
 
 	now := time.Now()
 	caller := newTestGuard(t, "127.0.0.1:1")
 	caller.retryBudgets.apply(now.Add(-time.Minute), testDirectory([]bool{true}), retryLimits())
-	assert.Assert(t, caller.retryBudgets.reserve(now, "s", msg.Aim{}))
-	caller.Overdrawn(now)
-	assert.Assert(t, !caller.retryBudgets.reserve(now, "s", msg.Aim{}))
-	assert.Assert(t, caller.retryBudgets.reserve(now.Add(2*overdrawnPause), "s", msg.Aim{}))
+	assert.Assert(t, caller.retryBudgets.reserve(now, "s", msg.AdmissionHints{}))
+	caller.PauseRetries(now)
+	assert.Assert(t, !caller.retryBudgets.reserve(now, "s", msg.AdmissionHints{}))
+	assert.Assert(t, caller.retryBudgets.reserve(now.Add(2*overdrawnPause), "s", msg.AdmissionHints{}))
 }
 
 // A retry that is abandoned in the queue returns its reservation.
@@ -235,7 +235,7 @@
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		g.Serve(far, &msg.Reserve{RequestID: "r", Service: "s", Instance: "i", TimeoutMS: 20000, Aim: msg.Aim{Repeat: true}})
+		g.Serve(far, &msg.Reserve{RequestID: "r", Service: "s", Instance: "i", TimeoutMS: 20000, Hints: msg.AdmissionHints{Repeat: true}})
 	}()
 	_, err := near.Recv(context.Background())
 	assert.NilError(t, err)
@@ -266,11 +266,11 @@
 }
 
 // serveFailing sends a retryable request and returns its failure.
-func serveFailing(t *testing.T, g *Guard, aim msg.Aim) *msg.Fail {
+func serveFailing(t *testing.T, g *Guard, aim msg.AdmissionHints) *msg.Fail {
 	t.Helper()
 	near, far := wire.Pipe()
 	defer near.Close()
-	go g.Serve(far, &msg.Run{RequestID: "r", Service: "s", Instance: "i", TimeoutMS: 20000, Idempotent: true, Method: "GET", URI: "/", Host: "a", Aim: aim})
+	go g.Serve(far, &msg.Run{RequestID: "r", Service: "s", Instance: "i", TimeoutMS: 20000, Idempotent: true, Method: "GET", URI: "/", Host: "a", Hints: aim})
 	m, err := near.Recv(context.Background())
 	assert.NilError(t, err)
 	fail, ok := m.(*msg.Fail)
--- a/internal/guard/restart_test.go
+++ b/internal/guard/restart_test.go
@@ -85,7 +85,7 @@
 	assert.Assert(t, ok && now != old)
 	load := now.load()
 	assert.Equal(t, load.Running, uint32(0))
-	assert.Assert(t, load.SickChance() < 0.5)
+	assert.Assert(t, load.FailureProbability() < 0.5)
 	assert.Equal(t, now.announced().State, directory.Serving)
 	// Delayed announcements of the previous run have no effect.
 	assert.Equal(t, sendAnnouncement(g, http.MethodPut, "n", strings.Replace(readyBody(address, 1000, 9), "ready", "draining", 1)), http.StatusOK)
@@ -147,7 +147,7 @@
 
 // An invalid announcement registers no instance and leaves an existing one unchanged,
 // even under its name or with its address. The reason is logged.
-func TestWhatAnotherWriterAnnouncesChangesNothing(t *testing.T) {
+func TestInvalidAnnouncementChangesNothing(t *testing.T) {
 	out := &logtest.Buffer{}
 	for _, name := range []string{"i", "other"} {
 		for _, body := range invalidAnnouncements {
--- a/internal/guard/serve.go
+++ b/internal/guard/serve.go
@@ -42,10 +42,10 @@
 	deadline time.Time
 	// aim is the front's data on the request; retryReserved reports that a retry is
 	// reserved in the budget for it and not yet used.
-	aim           msg.Aim
+	aim           msg.AdmissionHints
 	retryReserved bool
 	// fingerprint is the request's fingerprint, 0 if it has none.
-	fingerprint crash.Print
+	fingerprint crash.Fingerprint
 	// callPart is the probability that the run is a call made by a retried run, in
 	// thousandths.
 	callPart uint16
@@ -58,13 +58,13 @@
 	switch m := first.(type) {
 	case *msg.Run:
 		x.request = m.RequestID
-		if x.admit(m.Service, m.Instance, m.TimeoutMS, admit.Request{Class: m.Class, Priority: m.Priority, Within: m.Within}, m.Aim, m.Sample) {
+		if x.admit(m.Service, m.Instance, m.TimeoutMS, admit.Request{Class: m.Class, Priority: m.Priority, SubPriority: m.SubPriority}, m.Hints, m.Sample) {
 			x.serveRun(m)
 		}
 	case *msg.Reserve:
 		x.request = m.RequestID
-		r := admit.Request{Class: m.Class, Priority: m.Priority, Within: m.Within, Reserve: true}
-		if x.admit(m.Service, m.Instance, m.TimeoutMS, r, m.Aim, m.Sample) {
+		r := admit.Request{Class: m.Class, Priority: m.Priority, SubPriority: m.SubPriority, Reserve: true}
+		if x.admit(m.Service, m.Instance, m.TimeoutMS, r, m.Hints, m.Sample) {
 			x.serveReserve()
 		}
 	default:
@@ -73,7 +73,7 @@
 }
 
 // admit offers the request to its instance and starts reading the stream.
-func (x *exchange) admit(service, name string, timeoutMS uint32, r admit.Request, aim msg.Aim, sample msg.Sample) bool {
+func (x *exchange) admit(service, name string, timeoutMS uint32, r admit.Request, aim msg.AdmissionHints, sample msg.Sample) bool {
 	x.service, x.instance = service, name
 	x.deadline = x.arrived.Add(time.Duration(timeoutMS) * time.Millisecond)
 	inst, ok := x.guard.find(service, name)
@@ -87,11 +87,11 @@
 	if objective > 0 {
 		r.Objective = x.arrived.Add(objective - time.Duration(aim.UsedMS)*time.Millisecond)
 	}
-	if !x.guard.finishesBeforeShutdown(x.arrived, time.Duration(aim.ExpectMS)*time.Millisecond) {
+	if !x.guard.finishesBeforeShutdown(x.arrived, time.Duration(aim.ExpectedMS)*time.Millisecond) {
 		x.refuse(refusal(verdict.ReasonDraining, "this host is stopping and the request is expected to take too long"))
 		return false
 	}
-	x.fingerprint = crash.Print(aim.Print)
+	x.fingerprint = crash.Fingerprint(aim.Fingerprint)
 	if e := x.stopRefusal(); e != nil {
 		x.refuse(e)
 		return false
@@ -100,7 +100,7 @@
 		x.refuse(refusal(verdict.ReasonRetryBudget, "this host's part of the retry budget is spent"))
 		return false
 	}
-	r.Expect, r.Insist = time.Duration(aim.ExpectMS)*time.Millisecond, aim.Insist
+	r.ExpectedService, r.AllowLate = time.Duration(aim.ExpectedMS)*time.Millisecond, aim.AllowLate
 	inst.observe(x.arrived, sample)
 	x.waiter = &waiter{fingerprint: x.fingerprint, overdueAfter: overdueAfter(aim)}
 	x.id = inst.offer(x.arrived, r, x.waiter)
@@ -121,8 +121,8 @@
 
 // overdueAfter returns the running time after which a request counts against its
 // instance.
-func overdueAfter(aim msg.Aim) time.Duration {
-	ms := max(overdueObjectiveFactor*aim.ObjectiveMS, overdueExpectedFactor*aim.ExpectMS)
+func overdueAfter(aim msg.AdmissionHints) time.Duration {
+	ms := max(overdueObjectiveFactor*aim.ObjectiveMS, overdueExpectedFactor*aim.ExpectedMS)
 	return time.Duration(ms) * time.Millisecond
 }
 
@@ -237,7 +237,7 @@
 
 // reserveRetry reserves the request's share of the retry budget, and returns false if
 // the budget is spent. A first attempt is never refused.
-func (x *exchange) reserveRetry(aim msg.Aim) bool {
+func (x *exchange) reserveRetry(aim msg.AdmissionHints) bool {
 	x.aim = aim
 	if !aim.Repeat {
 		return true
@@ -256,7 +256,7 @@
 // load returns the load that is sent with the end of the request.
 func (x *exchange) load() msg.Load {
 	l := x.inst.load()
-	l.Overdrawn = x.callPart > 0 && l.Repeats == 0
+	l.RetryBudgetOverdrawn = x.callPart > 0 && l.RetryBudgetLeft == 0
 	return l
 }
 
--- a/internal/guard/state.go
+++ b/internal/guard/state.go
@@ -20,19 +20,19 @@
 	Queued    int     `json:"queued"`
 	ServiceMS float64 `json:"serviceMS"`
 	Leaving   bool    `json:"leaving"`
-	// Sick is the estimated probability that the instance currently fails most
+	// FailureEstimate is the estimated probability that the instance currently fails most
 	// requests.
-	Sick float64 `json:"sick"`
-	// Refuses is the share of recent requests that were refused while a slot was
+	FailureEstimate float64 `json:"sick"`
+	// ShedShare is the share of recent requests that were refused while a slot was
 	// free.
-	Refuses float64 `json:"refuses"`
-	// RepeatsLeft is the number of retries left in this host's part of the service's
+	ShedShare float64 `json:"refuses"`
+	// RetryBudgetLeft is the number of retries left in this host's part of the service's
 	// retry budget.
-	RepeatsLeft int     `json:"repeatsLeft"`
-	Health      string  `json:"health"`
-	Evidence    float64 `json:"evidence"`
-	References  int     `json:"peerSamples"`
-	Counts      Counts  `json:"counts"`
+	RetryBudgetLeft int     `json:"repeatsLeft"`
+	Health          string  `json:"health"`
+	Evidence        float64 `json:"evidence"`
+	PeerSamples     int     `json:"peerSamples"`
+	Counts          Counts  `json:"counts"`
 }
 
 // Suspect reports whether the guard asks target selection to avoid the instance.
@@ -44,22 +44,22 @@
 	return InstanceState{
 		Name: i.name, Service: i.service, Address: i.address, Version: i.version,
 		Slots: i.slots, Running: i.queue.Running(), Queued: i.queue.Queued(),
-		ServiceMS:   float64(i.queue.Service().Microseconds()) / 1000,
-		Sick:        i.failureEstimate.Doubt(time.Now(), i.guard.model),
-		Refuses:     i.shedShare.Now(time.Now()),
-		RepeatsLeft: int(i.guard.retryBudgets.remaining(time.Now(), i.service)),
-		Leaving:     i.unavailable(),
-		Health:      i.detector.Health().String(), Evidence: i.detector.Evidence(),
-		References: i.reference.At(time.Now()).Count, Counts: i.counts,
+		ServiceMS:       float64(i.queue.Service().Microseconds()) / 1000,
+		FailureEstimate: i.failureEstimate.SickForSelection(time.Now(), i.guard.model),
+		ShedShare:       i.shedShare.At(time.Now()),
+		RetryBudgetLeft: int(i.guard.retryBudgets.remaining(time.Now(), i.service)),
+		Leaving:         i.unavailable(),
+		Health:          i.detector.Health().String(), Evidence: i.detector.Evidence(),
+		PeerSamples: i.reference.At(time.Now()).Count, Counts: i.counts,
 	}
 }
 
 // SuspectState describes one suspected request in the state dump.
 type SuspectState struct {
-	Print string `json:"print"`
-	// Ends is the number of crashes that no other request explains, or the number of
+	Fingerprint string `json:"print"`
+	// Crashes is the number of crashes that no other request explains, or the number of
 	// all its crashes if the request is blocked.
-	Ends int `json:"ends"`
+	Crashes int `json:"ends"`
 	// Until is when the request may reach the software that it crashed again, empty
 	// if it is not blocked.
 	Until string `json:"until,omitempty"`
@@ -71,21 +71,21 @@
 func (g *Guard) Suspects() []SuspectState {
 	out := []SuspectState{}
 	for p, v := range *g.suspects.verdicts.Load() {
-		s := SuspectState{Print: p.String(), Ends: v.Ends, Instances: endRecords(g.suspects.endsOf(p))}
-		if !v.Until.IsZero() {
-			s.Until = v.Until.UTC().Format(time.RFC3339)
+		s := SuspectState{Fingerprint: p.String(), Crashes: v.Crashes, Instances: endRecords(g.suspects.endsOf(p))}
+		if !v.BlockedUntil.IsZero() {
+			s.Until = v.BlockedUntil.UTC().Format(time.RFC3339)
 		}
 		out = append(out, s)
 	}
-	slices.SortFunc(out, func(a, b SuspectState) int { return strings.Compare(a.Print, b.Print) })
+	slices.SortFunc(out, func(a, b SuspectState) int { return strings.Compare(a.Fingerprint, b.Fingerprint) })
 	return out
 }
 
-// Stops returns the number of blocked requests.
-func (g *Guard) Stops() int {
+// BlockedCount returns the number of blocked requests.
+func (g *Guard) BlockedCount() int {
 	n := 0
 	for _, v := range *g.suspects.verdicts.Load() {
-		if !v.Until.IsZero() {
+		if !v.BlockedUntil.IsZero() {
 			n++
 		}
 	}
--- a/internal/guard/suspects.go
+++ b/internal/guard/suspects.go
@@ -35,39 +35,39 @@
 // of the crash.Book, which all hosts keep.
 type suspects struct {
 	mu   sync.Mutex
-	book *crash.Book
+	book *crash.Tracker
 	// verdicts is read for every request, without the lock.
-	verdicts atomic.Pointer[crash.Verdicts]
+	verdicts atomic.Pointer[crash.Assessments]
 	// localCrashes maps each crash of an instance on this host to the descriptions of
 	// the requests that ran there.
-	localCrashes map[string]map[crash.Print]string
+	localCrashes map[string]map[crash.Fingerprint]string
 	// completed holds hashes and times of requests that this host has seen complete,
 	// as guard or as front: they do not crash instances of that software.
 	completed [completedSlots]atomic.Uint64
 }
 
 func newSuspects() *suspects {
-	s := &suspects{book: crash.NewBook(), localCrashes: make(map[string]map[crash.Print]string)}
-	s.verdicts.Store(&crash.Verdicts{})
+	s := &suspects{book: crash.NewTracker(), localCrashes: make(map[string]map[crash.Fingerprint]string)}
+	s.verdicts.Store(&crash.Assessments{})
 	return s
 }
 
 // verdict returns what is known of a request.
-func (s *suspects) verdict(p crash.Print) crash.Verdict { return (*s.verdicts.Load())[p] }
+func (s *suspects) verdict(p crash.Fingerprint) crash.Assessment { return (*s.verdicts.Load())[p] }
 
 // update updates the book and returns the requests that are blocked as a result. f
 // reports whether it has changed anything.
-func (s *suspects) update(now time.Time, f func(*crash.Book) bool) []crash.Print {
+func (s *suspects) update(now time.Time, f func(*crash.Tracker) bool) []crash.Fingerprint {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !f(s.book) {
 		return nil
 	}
-	was, is := *s.verdicts.Load(), s.book.Verdicts(now)
+	was, is := *s.verdicts.Load(), s.book.Assess(now)
 	s.verdicts.Store(&is)
-	var stopped []crash.Print
+	var stopped []crash.Fingerprint
 	for p, v := range is {
-		if before := was[p]; !v.Until.IsZero() && before.Until.IsZero() {
+		if before := was[p]; !v.BlockedUntil.IsZero() && before.BlockedUntil.IsZero() {
 			stopped = append(stopped, p)
 		}
 	}
@@ -76,14 +76,14 @@
 }
 
 // endsOf returns the crashes of which a request is suspected.
-func (s *suspects) endsOf(p crash.Print) []crash.End {
+func (s *suspects) endsOf(p crash.Fingerprint) []crash.Crash {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.book.EndsOf(p)
+	return s.book.CrashesOf(p)
 }
 
 // storeDescriptions stores the descriptions of the requests of a crash on this host.
-func (s *suspects) storeDescriptions(end string, descriptions map[crash.Print]string) {
+func (s *suspects) storeDescriptions(end string, descriptions map[crash.Fingerprint]string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(s.localCrashes) >= maxLocalCrashes {
@@ -94,7 +94,7 @@
 
 // description returns the description of a request of a crash, and false if the crash
 // was not on this host.
-func (s *suspects) description(end string, p crash.Print) (string, bool) {
+func (s *suspects) description(end string, p crash.Fingerprint) (string, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	descriptions, ok := s.localCrashes[end]
@@ -103,38 +103,38 @@
 
 // completionHash hashes a request together with the software that completed it: a
 // request that completes at one version may crash another.
-func completionHash(p crash.Print, software crash.Software) uint64 {
+func completionHash(p crash.Fingerprint, software crash.Software) uint64 {
 	return uint64(p) ^ InstanceHash(software.Service) ^ bits.RotateLeft64(InstanceHash(software.Version), 1)
 }
 
 // recordCompletion records that a request has completed.
-func (s *suspects) recordCompletion(now time.Time, p crash.Print, software crash.Software) {
+func (s *suspects) recordCompletion(now time.Time, p crash.Fingerprint, software crash.Software) {
 	h := completionHash(p, software)
 	s.completed[h%completedSlots].Store(h>>secondBits<<secondBits | uint64(now.Unix())&(1<<secondBits-1))
 }
 
 // completedRecently reports whether this host has recently seen the request complete.
-func (s *suspects) completedRecently(now time.Time, p crash.Print, software crash.Software) bool {
+func (s *suspects) completedRecently(now time.Time, p crash.Fingerprint, software crash.Software) bool {
 	h := completionHash(p, software)
 	seen := s.completed[h%completedSlots].Load()
 	age := (uint64(now.Unix()) - seen) & (1<<secondBits - 1)
 	return seen>>secondBits == h>>secondBits && age <= uint64(completionLifetime/time.Second)
 }
 
-// HearEnd applies the crash of an instance on any host. Requests that this host has
+// ApplyCrash applies the crash of an instance on any host. Requests that this host has
 // just seen complete did not cause it, wherever they ran when the instance ended: if
 // instances are lost for another reason, the guards on their hosts may not have seen
 // these requests complete yet.
-func (g *Guard) HearEnd(e crash.End) {
+func (g *Guard) ApplyCrash(e crash.Crash) {
 	now := time.Now()
-	var cleared []crash.Print
-	for _, p := range e.Prints {
+	var cleared []crash.Fingerprint
+	for _, p := range e.Fingerprints {
 		if g.suspects.completedRecently(now, p, e.Software) {
 			cleared = append(cleared, p)
 		}
 	}
 	reports := len(cleared) > 0 && g.runsSoftware(e.Software)
-	g.handleBlocked(g.suspects.update(now, func(b *crash.Book) bool {
+	g.handleBlocked(g.suspects.update(now, func(b *crash.Tracker) bool {
 		changed := b.Add(now, e)
 		if reports {
 			return changed // reportCleared clears them, unless another host has reported them by then
@@ -155,12 +155,12 @@
 // time for which the request waits, so that the first ones report and the others have
 // received it by then.
 func (g *Guard) clearDelay(end string) time.Duration {
-	return time.Duration(xxhash.Sum64String(g.cfg.Host+" "+end) % uint64(crash.SettleFor/3))
+	return time.Duration(xxhash.Sum64String(g.cfg.Host+" "+end) % uint64(crash.ClearanceWait/3))
 }
 
 // reportCleared reports to the fleet the requests that did not cause a crash, except
 // those that another host has already reported.
-func (g *Guard) reportCleared(end string, prints []crash.Print) {
+func (g *Guard) reportCleared(end string, prints []crash.Fingerprint) {
 	for _, p := range prints {
 		if g.clear(end, p) {
 			g.onCleared(end, p)
@@ -173,28 +173,28 @@
 	return slices.ContainsFunc(g.all(), func(i *instance) bool { return i.software() == software })
 }
 
-// HearCleared applies the report that a request did not cause a crash.
-func (g *Guard) HearCleared(end string, p crash.Print) { g.clear(end, p) }
+// ApplyCleared applies the report that a request did not cause a crash.
+func (g *Guard) ApplyCleared(end string, p crash.Fingerprint) { g.clear(end, p) }
 
 // clear clears a request of a crash and reports whether that was new.
-func (g *Guard) clear(end string, p crash.Print) (changed bool) {
+func (g *Guard) clear(end string, p crash.Fingerprint) (changed bool) {
 	now := time.Now()
-	g.handleBlocked(g.suspects.update(now, func(b *crash.Book) bool {
+	g.handleBlocked(g.suspects.update(now, func(b *crash.Tracker) bool {
 		changed = b.Clear(now, end, p)
 		return changed
 	}))
 	return changed
 }
 
-// Lift clears a request of all crashes known here, so that it may run again.
-func (g *Guard) Lift(p crash.Print) {
+// ClearSuspect clears a request of all crashes known here, so that it may run again.
+func (g *Guard) ClearSuspect(p crash.Fingerprint) {
 	for _, e := range g.suspects.endsOf(p) {
-		g.HearCleared(e.ID, p)
+		g.ApplyCleared(e.ID, p)
 	}
 }
 
 // handleBlocked handles requests that are blocked from now on.
-func (g *Guard) handleBlocked(prints []crash.Print) {
+func (g *Guard) handleBlocked(prints []crash.Fingerprint) {
 	for _, p := range prints {
 		g.logStopped(p)
 		g.scheduleStore(p)
@@ -205,49 +205,49 @@
 // reports that clear it would arrive: a stored request stays blocked across a restart
 // of all processes, and one blocked everywhere cannot complete anywhere to be
 // cleared.
-func (g *Guard) scheduleStore(p crash.Print) {
-	time.AfterFunc(crash.SettleFor, func() { g.storeBlocked(p) })
+func (g *Guard) scheduleStore(p crash.Fingerprint) {
+	time.AfterFunc(crash.ClearanceWait, func() { g.storeBlocked(p) })
 }
 
 // storeBlocked stores a blocked request if the last of its crashes, ordered by id,
 // was on this host, so that exactly one host does so.
-func (g *Guard) storeBlocked(p crash.Print) {
-	v, ends := g.Suspect(p), g.suspects.endsOf(p)
-	if v.Until.IsZero() || len(ends) == 0 {
+func (g *Guard) storeBlocked(p crash.Fingerprint) {
+	v, ends := g.CrashAssessment(p), g.suspects.endsOf(p)
+	if v.BlockedUntil.IsZero() || len(ends) == 0 {
 		return // cleared meanwhile
 	}
 	if description, local := g.suspects.description(ends[len(ends)-1].ID, p); local {
-		g.onStopped(Stopped{Print: p, Request: description, Ends: endRecords(ends)})
+		g.onStopped(BlockedRequest{Fingerprint: p, Request: description, Crashes: endRecords(ends)})
 	}
 }
 
-// Stopped is a request that is blocked from reaching instances.
-type Stopped struct {
-	Print crash.Print
+// BlockedRequest is a request that is blocked from reaching instances.
+type BlockedRequest struct {
+	Fingerprint crash.Fingerprint
 	// Request is the request as this host saw it: method, host and path.
 	Request string
-	// Ends are the crashes attributed to it.
-	Ends []record.InstanceEnd
+	// Crashes are the crashes attributed to it.
+	Crashes []record.InstanceEnd
 }
 
 // endRecords converts crashes to the form in which they are stored and displayed.
-func endRecords(ends []crash.End) []record.InstanceEnd {
+func endRecords(ends []crash.Crash) []record.InstanceEnd {
 	out := make([]record.InstanceEnd, 0, len(ends))
 	for _, e := range ends {
 		out = append(out, record.InstanceEnd{
-			ID: e.ID, Service: e.Software.Service, Version: e.Software.Version, Host: e.Host, AtMS: e.At.UnixMilli(),
+			ID: e.ID, Service: e.Software.Service, Version: e.Software.Version, Host: e.Host, AtMS: e.DetectedAt.UnixMilli(),
 		})
 	}
 	return out
 }
 
-// Suspect returns what is known of a request suspected of crashing instances.
-func (g *Guard) Suspect(p crash.Print) crash.Verdict { return g.suspects.verdict(p) }
+// CrashAssessment returns what is known of a request suspected of crashing instances.
+func (g *Guard) CrashAssessment(p crash.Fingerprint) crash.Assessment { return g.suspects.verdict(p) }
 
-// StopRefusal returns the refusal of a blocked request.
-func StopRefusal(now time.Time, p crash.Print, v *crash.Verdict) *verdict.Error {
-	e := refusal(verdict.ReasonCrashesTargets, fmt.Sprintf("%d instances crashed while running this request; its fingerprint is %s", v.Ends, p))
-	e.RetryAfterMS = v.Until.Sub(now).Milliseconds()
+// BlockedRefusal returns the refusal of a blocked request.
+func BlockedRefusal(now time.Time, p crash.Fingerprint, v *crash.Assessment) *verdict.Error {
+	e := refusal(verdict.ReasonCrashesTargets, fmt.Sprintf("%d instances crashed while running this request; its fingerprint is %s", v.Crashes, p))
+	e.RetryAfterMS = v.BlockedUntil.Sub(now).Milliseconds()
 	return e
 }
 
@@ -255,8 +255,8 @@
 // longer than the front waits.
 func (x *exchange) awaitClearance() {
 	for {
-		v := x.guard.Suspect(x.fingerprint)
-		wait := v.WaitForNews(time.Now())
+		v := x.guard.CrashAssessment(x.fingerprint)
+		wait := v.ClearanceTimeLeft(time.Now())
 		if wait <= 0 {
 			return
 		}
@@ -275,16 +275,16 @@
 // slot.
 func (x *exchange) stopRefusal() *verdict.Error {
 	x.awaitClearance()
-	v := x.guard.Suspect(x.fingerprint)
+	v := x.guard.CrashAssessment(x.fingerprint)
 	now := time.Now()
-	if !v.Stopped(now, x.inst.software()) {
+	if !v.Blocked(now, x.inst.software()) {
 		return nil
 	}
-	return StopRefusal(now, x.fingerprint, &v)
+	return BlockedRefusal(now, x.fingerprint, &v)
 }
 
-// Completed records that this host's front has seen a request complete.
-func (g *Guard) Completed(p crash.Print, software crash.Software) {
+// RecordCompletion records that this host's front has seen a request complete.
+func (g *Guard) RecordCompletion(p crash.Fingerprint, software crash.Software) {
 	g.suspects.recordCompletion(time.Now(), p, software)
 }
 
@@ -297,12 +297,12 @@
 	}
 	s, software := x.guard.suspects, x.inst.software()
 	s.recordCompletion(time.Now(), x.fingerprint, software)
-	if s.verdict(x.fingerprint).Ends == 0 {
+	if s.verdict(x.fingerprint).Crashes == 0 {
 		return
 	}
 	for _, e := range s.endsOf(x.fingerprint) {
 		if e.Software == software {
-			x.guard.reportCleared(e.ID, []crash.Print{x.fingerprint})
+			x.guard.reportCleared(e.ID, []crash.Fingerprint{x.fingerprint})
 		}
 	}
 }
--- a/internal/guard/suspects_test.go
+++ b/internal/guard/suspects_test.go
@@ -83,19 +83,19 @@
 
 // fleetReports collects what a guard reported to the fleet.
 type fleetReports struct {
-	crashes chan crash.End
+	crashes chan crash.Crash
 	cleared chan string
-	stopped chan Stopped
+	stopped chan BlockedRequest
 }
 
 func newSuspectGuard(t *testing.T, address, service string) (*Guard, fleetReports) {
 	t.Helper()
-	n := fleetReports{crashes: make(chan crash.End, 4), cleared: make(chan string, 4), stopped: make(chan Stopped, 4)}
+	n := fleetReports{crashes: make(chan crash.Crash, 4), cleared: make(chan string, 4), stopped: make(chan BlockedRequest, 4)}
 	g := New(Config{Host: "h", QueuePerSlot: 2, GrantLife: time.Minute, TargetIdle: time.Minute}, Limits{AnnounceExpiry: time.Hour},
 		slog.New(slog.NewTextHandler(io.Discard, nil)), allowAllFence{}, Hooks{
-			Changed: func() {}, Pulse: func(*msg.Pulse, pulse.Reach) {},
-			Ended: func(e crash.End) { n.crashes <- e }, Cleared: func(end string, _ crash.Print) { n.cleared <- end },
-			Stopped: func(s Stopped) { n.stopped <- s },
+			Changed: func() {}, Pulse: func(*msg.LoadReport, pulse.Reach) {},
+			Crashed: func(e crash.Crash) { n.crashes <- e }, Cleared: func(end string, _ crash.Fingerprint) { n.cleared <- end },
+			Blocked: func(s BlockedRequest) { n.stopped <- s },
 		})
 	a := Announcement{Service: service, Address: address, Slots: 4, Connections: 8, Version: "1"}
 	assert.NilError(t, g.Announce(time.Now(), "i", a))
@@ -103,7 +103,7 @@
 }
 
 // send runs one request to completion and returns the guard's last message.
-func send(t *testing.T, g *Guard, path string, print crash.Print) msg.Message {
+func send(t *testing.T, g *Guard, path string, print crash.Fingerprint) msg.Message {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
 	defer cancel()
@@ -111,7 +111,7 @@
 	defer near.Close()
 	go g.Serve(far, &msg.Run{
 		RequestID: path, Service: "s", Instance: "i", TimeoutMS: 20000, Idempotent: true, Method: "GET", URI: path, Host: "s.example",
-		Aim: msg.Aim{Print: uint64(print)},
+		Hints: msg.AdmissionHints{Fingerprint: uint64(print)},
 	})
 	for {
 		m, err := near.Recv(ctx)
@@ -146,7 +146,7 @@
 	assert.Equal(t, fail.Reason, verdict.ReasonTargetEnded)
 	assert.Equal(t, fail.Verdict, verdict.MayHaveRun)
 	e := <-n.crashes
-	assert.DeepEqual(t, e.Prints, []crash.Print{7, 5})
+	assert.DeepEqual(t, e.Fingerprints, []crash.Fingerprint{7, 5})
 	assert.Equal(t, e.Software, crash.Software{Service: "s", Version: "1"})
 	assert.Equal(t, (<-waits).(*msg.Fail).Reason, verdict.ReasonTargetEnded)
 	assert.Equal(t, len(n.crashes), 0, "a crash is reported once")
@@ -171,7 +171,7 @@
 	assert.Assert(t, whole)
 	startWaiting(t, g)
 	send(t, g, "/end", 7)
-	assert.DeepEqual(t, (<-n.crashes).Prints, []crash.Print{7})
+	assert.DeepEqual(t, (<-n.crashes).Fingerprints, []crash.Fingerprint{7})
 }
 
 // An instance that announced its shutdown was not crashed by its requests.
@@ -189,10 +189,10 @@
 
 // crashAt returns a crash on another host at the given second with one suspected
 // request.
-func crashAt(second int, p crash.Print) crash.End {
-	return crash.End{
+func crashAt(second int, p crash.Fingerprint) crash.Crash {
+	return crash.Crash{
 		ID: string(rune('a' + second)), Software: crash.Software{Service: "s", Version: "1"},
-		At: time.Unix(int64(second), 0), Prints: []crash.Print{p},
+		DetectedAt: time.Unix(int64(second), 0), Fingerprints: []crash.Fingerprint{p},
 	}
 }
 
@@ -200,7 +200,7 @@
 // 5.
 func reportThreeCrashes(g *Guard) {
 	for second := range 3 {
-		g.HearEnd(crashAt(second, 5))
+		g.ApplyCrash(crashAt(second, 5))
 	}
 }
 
@@ -221,12 +221,12 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				g, n := newSuspectGuard(t, "10.0.0.1:80", c.service)
-				g.Completed(5, crash.Software{Service: "s", Version: "1"})
+				g.RecordCompletion(5, crash.Software{Service: "s", Version: "1"})
 				time.Sleep(c.ago)
 				reportThreeCrashes(g)
-				time.Sleep(crash.SettleFor)
-				v := g.Suspect(5)
-				assert.Equal(t, v.Everywhere(time.Now()), c.stopped)
+				time.Sleep(crash.ClearanceWait)
+				v := g.CrashAssessment(5)
+				assert.Equal(t, v.BlockedEverywhere(time.Now()), c.stopped)
 				assert.Equal(t, len(n.cleared), c.told)
 			})
 		})
@@ -238,13 +238,13 @@
 func TestClearingIsReportedOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g, n := newSuspectGuard(t, "10.0.0.1:80", "s")
-		g.Completed(5, crash.Software{Service: "s", Version: "1"})
+		g.RecordCompletion(5, crash.Software{Service: "s", Version: "1"})
 		reportThreeCrashes(g)
-		g.HearCleared("a", 5)
-		g.HearCleared("b", 5)
-		time.Sleep(crash.SettleFor)
+		g.ApplyCleared("a", 5)
+		g.ApplyCleared("b", 5)
+		time.Sleep(crash.ClearanceWait)
 		assert.Equal(t, len(n.cleared), 1)
-		assert.Equal(t, g.Suspect(5).Ends, 0)
+		assert.Equal(t, g.CrashAssessment(5).Crashes, 0)
 	})
 }
 
@@ -254,9 +254,9 @@
 	f := startCrashingTarget(t)
 	g, _ := newSuspectGuard(t, f.listener.Addr().String(), "s")
 	reportThreeCrashes(g)
-	time.AfterFunc(crash.SettleFor/3, func() {
+	time.AfterFunc(crash.ClearanceWait/3, func() {
 		for _, id := range []string{"a", "b", "c"} {
-			g.HearCleared(id, 5)
+			g.ApplyCleared(id, 5)
 		}
 	})
 	_, whole := send(t, g, "/", 5).(*msg.End)
@@ -271,16 +271,16 @@
 		t.Run(name, func(t *testing.T) {
 			f := startCrashingTarget(t)
 			g, n := newSuspectGuard(t, f.listener.Addr().String(), "s")
-			g.HearEnd(crashAt(0, 5))
-			g.HearEnd(crashAt(1, 5))
+			g.ApplyCrash(crashAt(0, 5))
+			g.ApplyCrash(crashAt(1, 5))
 			waits := startWaiting(t, g)
 			send(t, g, "/end", 7)
 			<-waits
-			assert.Equal(t, g.Suspect(5).Ends, 3)
+			assert.Equal(t, g.CrashAssessment(5).Crashes, 3)
 			if cleared {
-				g.HearCleared("a", 5)
+				g.ApplyCleared("a", 5)
 			}
-			time.Sleep(2 * crash.SettleFor)
+			time.Sleep(2 * crash.ClearanceWait)
 			assert.Equal(t, len(n.stopped) == 0, cleared)
 		})
 	}
@@ -292,9 +292,9 @@
 	f := startCrashingTarget(t)
 	g, n := newSuspectGuard(t, f.listener.Addr().String(), "s")
 	for second := range 3 {
-		g.HearEnd(crashAt(second, 7))
+		g.ApplyCrash(crashAt(second, 7))
 	}
-	g.HearEnd(crashAt(3, 5))
+	g.ApplyCrash(crashAt(3, 5))
 	fail, ok := send(t, g, "/end", 7).(*msg.Fail)
 	assert.Assert(t, ok)
 	assert.Equal(t, fail.Reason, verdict.ReasonCrashesTargets)
@@ -303,14 +303,14 @@
 	_, whole := send(t, g, "/", 5).(*msg.End)
 	assert.Assert(t, whole, "one crash does not block a request")
 	assert.Equal(t, <-n.cleared, "d")
-	assert.Equal(t, g.Suspect(5).Ends, 0)
+	assert.Equal(t, g.CrashAssessment(5).Crashes, 0)
 }
 
 func BenchmarkSuspectLookup(b *testing.B) {
 	g := New(Config{}, Limits{}, slog.New(slog.NewTextHandler(io.Discard, nil)), allowAllFence{}, Hooks{})
 	b.ReportAllocs()
 	for b.Loop() {
-		if v := g.Suspect(7); v.Everywhere(time.Time{}) {
+		if v := g.CrashAssessment(7); v.BlockedEverywhere(time.Time{}) {
 			b.Fatal("stopped")
 		}
 	}
@@ -321,8 +321,8 @@
 	g := New(Config{}, Limits{}, slog.New(slog.NewTextHandler(io.Discard, nil)), allowAllFence{}, Hooks{})
 	software := crash.Software{Service: "desk", Version: "1.4.2"}
 	b.ReportAllocs()
-	for n := crash.Print(1); b.Loop(); n++ {
-		g.Completed(n, software)
+	for n := crash.Fingerprint(1); b.Loop(); n++ {
+		g.RecordCompletion(n, software)
 	}
 }
 
@@ -331,7 +331,7 @@
 // attempts. Only missing announcements took an instance out of service, so its host
 // kept announcing it as available. In ten seconds of the incident, 217 requests were
 // sent to a port that refused connections, up to 3.4 s after the crash.
-func TestAnEndedInstanceIsNotOffered(t *testing.T) {
+func TestTerminatedInstanceIsNotOffered(t *testing.T) {
 	f := startCrashingTarget(t)
 	g, _ := newSuspectGuard(t, f.listener.Addr().String(), "s")
 	assert.Equal(t, g.Instances()[0].State, directory.Serving)
--- a/internal/keys/keys.go
+++ b/internal/keys/keys.go
@@ -23,17 +23,17 @@
 // Config holds the parameters of a Manager.
 type Config struct {
 	Host string
-	// Life is the start time of the process in Unix milliseconds.
-	Life uint64
-	// PromiseLife is the duration of a lease.
-	PromiseLife time.Duration
+	// Incarnation is the start time of the process in Unix milliseconds.
+	Incarnation uint64
+	// LeaseDuration is the duration of a lease.
+	LeaseDuration time.Duration
 }
 
 // Hooks holds the functions that a Manager needs from other components.
 type Hooks struct {
-	// Wrote distributes a shard map at once: one that this host has written, or
+	// DistributeMap distributes a shard map at once: one that this host has written, or
 	// the one that was stored when its own write conflicted.
-	Wrote func(obj objects.Object)
+	DistributeMap func(obj objects.Object)
 }
 
 // Manager implements the key ownership of one host, as an owner of shards, as a
@@ -74,22 +74,22 @@
 func New(cfg Config, hooks Hooks, store objects.Store, log *slog.Logger) *Manager {
 	m := &Manager{
 		cfg: cfg, hooks: hooks, log: log, store: store, view: &directory.Directory{},
-		granter:       once.NewLeaseGranter(time.Now(), cfg.PromiseLife),
+		granter:       once.NewLeaseGranter(time.Now(), cfg.LeaseDuration),
 		windows:       make(map[string]time.Duration),
 		unusableSince: make(map[string]time.Time),
 		unchanged:     make(map[string]stableHosts),
 		needsMap:      make(map[string]bool),
 	}
-	m.owner = once.NewOwner(cfg.Host, cfg.Life, cfg.PromiseLife, m.tableConfig)
+	m.owner = once.NewOwner(cfg.Host, cfg.Incarnation, cfg.LeaseDuration, m.tableConfig)
 	return m
 }
 
 // SetPool sets the connections to the other hosts. It must be called before Run.
 func (m *Manager) SetPool(p *peer.Pool) { m.pool = p }
 
-// Synced records that the shard maps were read from the platform since the
+// MarkSynced records that the shard maps were read from the platform since the
 // process started.
-func (m *Manager) Synced() {
+func (m *Manager) MarkSynced() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.granter.MarkSynced()
@@ -174,19 +174,19 @@
 // message is sent, since the lease counts from then at the owner.
 func (m *Manager) requestLease(ctx context.Context, req once.LeaseRequest) {
 	requested := time.Now()
-	p := &msg.Promise{Service: req.Shard.Service, Shard: req.Shard.Shard, Epoch: req.Epoch, Owner: m.cfg.Host}
+	p := &msg.LeaseRequest{Service: req.Shard.Service, Shard: req.Shard.Shard, Epoch: req.Epoch, Owner: m.cfg.Host}
 	reply, err := m.call(ctx, req.Guard, p)
 	if err != nil {
 		return
 	}
-	r, ok := reply.(*msg.Promised)
+	r, ok := reply.(*msg.LeaseReply)
 	if !ok {
 		return
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.owner.HandleLeaseReply(req, requested, once.LeaseReply{
-		Granted: r.Granted, Epoch: r.Epoch, TTL: time.Duration(r.LifeMS) * time.Millisecond,
+		Granted: r.Granted, Epoch: r.Epoch, TTL: time.Duration(r.TTLMS) * time.Millisecond,
 	})
 }
 
@@ -242,11 +242,11 @@
 	defer m.mu.Unlock()
 	now := time.Now()
 	switch r := request.(type) {
-	case *msg.Promise:
+	case *msg.LeaseRequest:
 		return m.handleLease(now, r)
 	case *msg.KeyClaim:
 		return m.owner.Claim(now, now.UnixMilli(), r)
-	case *msg.KeyDone:
+	case *msg.KeyResult:
 		return &msg.HandoverDone{Accepted: m.owner.Done(now, r)}
 	case *msg.Handover:
 		return &msg.HandoverDone{Accepted: m.owner.Accept(now, r)}
@@ -255,16 +255,16 @@
 	}
 }
 
-func (m *Manager) handleLease(now time.Time, r *msg.Promise) msg.Message {
+func (m *Manager) handleLease(now time.Time, r *msg.LeaseRequest) msg.Message {
 	id := once.ShardID{Service: r.Service, Shard: r.Shard}
 	if r.Release {
 		m.granter.Release(now, id, r.Epoch, r.Owner)
-		return &msg.Promised{Epoch: r.Epoch}
+		return &msg.LeaseReply{Epoch: r.Epoch}
 	}
 	reply := m.granter.Acquire(now, id, r.Epoch, r.Owner)
-	return &msg.Promised{
+	return &msg.LeaseReply{
 		Granted: reply.Granted, Epoch: reply.Epoch,
-		LifeMS: uint32(reply.TTL.Milliseconds()), WaitMS: uint32(reply.RetryAfter.Milliseconds()),
+		TTLMS: uint32(reply.TTL.Milliseconds()), RetryAfterMS: uint32(reply.RetryAfter.Milliseconds()),
 	}
 }
 
