--- a/internal/msg/requests_gen.go
+++ b/internal/msg/requests_gen.go
@@ -14,92 +14,139 @@
 )
 
 // MarshalMsg implements msgp.Marshaler
-func (z *Aim) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *AdmissionHints) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
-	// array header, size 10
-	o = append(o, 0x9a)
+	// map header, size 10
+	// string "ObjectiveMS"
+	o = append(o, 0x8a, 0xab, 0x4f, 0x62, 0x6a, 0x65, 0x63, 0x74, 0x69, 0x76, 0x65, 0x4d, 0x53)
 	o = msgp.AppendUint32(o, z.ObjectiveMS)
+	// string "UsedMS"
+	o = append(o, 0xa6, 0x55, 0x73, 0x65, 0x64, 0x4d, 0x53)
 	o = msgp.AppendUint32(o, z.UsedMS)
-	o = msgp.AppendUint32(o, z.ExpectMS)
-	o = msgp.AppendBool(o, z.Insist)
+	// string "ExpectedMS"
+	o = append(o, 0xaa, 0x45, 0x78, 0x70, 0x65, 0x63, 0x74, 0x65, 0x64, 0x4d, 0x53)
+	o = msgp.AppendUint32(o, z.ExpectedMS)
+	// string "AllowLate"
+	o = append(o, 0xa9, 0x41, 0x6c, 0x6c, 0x6f, 0x77, 0x4c, 0x61, 0x74, 0x65)
+	o = msgp.AppendBool(o, z.AllowLate)
+	// string "Repeat"
+	o = append(o, 0xa6, 0x52, 0x65, 0x70, 0x65, 0x61, 0x74)
 	o = msgp.AppendBool(o, z.Repeat)
+	// string "Hedge"
+	o = append(o, 0xa5, 0x48, 0x65, 0x64, 0x67, 0x65)
 	o = msgp.AppendBool(o, z.Hedge)
-	o = msgp.AppendUint16(o, z.CallPart)
-	o = msgp.AppendBool(o, z.Idle)
+	// string "NestedRetryChance"
+	o = append(o, 0xb1, 0x4e, 0x65, 0x73, 0x74, 0x65, 0x64, 0x52, 0x65, 0x74, 0x72, 0x79, 0x43, 0x68, 0x61, 0x6e, 0x63, 0x65)
+	o = msgp.AppendUint16(o, z.NestedRetryChance)
+	// string "OriginIdle"
+	o = append(o, 0xaa, 0x4f, 0x72, 0x69, 0x67, 0x69, 0x6e, 0x49, 0x64, 0x6c, 0x65)
+	o = msgp.AppendBool(o, z.OriginIdle)
+	// string "Route"
+	o = append(o, 0xa5, 0x52, 0x6f, 0x75, 0x74, 0x65)
 	o = msgp.AppendUint32(o, z.Route)
-	o = msgp.AppendUint64(o, z.Print)
+	// string "Fingerprint"
+	o = append(o, 0xab, 0x46, 0x69, 0x6e, 0x67, 0x65, 0x72, 0x70, 0x72, 0x69, 0x6e, 0x74)
+	o = msgp.AppendUint64(o, z.Fingerprint)
 	return
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *Aim) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *AdmissionHints) UnmarshalMsg(bts []byte) (o []byte, err error) {
+	var field []byte
+	_ = field
 	var zb0001 uint32
-	zb0001, bts, err = msgp.ReadArrayHeaderBytes(bts)
+	zb0001, bts, err = msgp.ReadMapHeaderBytes(bts)
 	if err != nil {
 		err = msgp.WrapError(err)
 		return
 	}
-	if zb0001 != 10 {
-		err = msgp.ArrayError{Wanted: 10, Got: zb0001}
-		return
-	}
-	z.ObjectiveMS, bts, err = msgp.ReadUint32Bytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err, "ObjectiveMS")
-		return
-	}
-	z.UsedMS, bts, err = msgp.ReadUint32Bytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err, "UsedMS")
-		return
-	}
-	z.ExpectMS, bts, err = msgp.ReadUint32Bytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err, "ExpectMS")
-		return
-	}
-	z.Insist, bts, err = msgp.ReadBoolBytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err, "Insist")
-		return
-	}
-	z.Repeat, bts, err = msgp.ReadBoolBytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err, "Repeat")
-		return
-	}
-	z.Hedge, bts, err = msgp.ReadBoolBytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err, "Hedge")
-		return
-	}
-	z.CallPart, bts, err = msgp.ReadUint16Bytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err, "CallPart")
-		return
-	}
-	z.Idle, bts, err = msgp.ReadBoolBytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err, "Idle")
-		return
-	}
-	z.Route, bts, err = msgp.ReadUint32Bytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err, "Route")
+	if zb0001 > z96b4eec2limitMaps {
+		err = msgp.ErrLimitExceeded
 		return
 	}
-	z.Print, bts, err = msgp.ReadUint64Bytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err, "Print")
-		return
+	for zb0001 > 0 {
+		zb0001--
+		field, bts, err = msgp.ReadMapKeyZC(bts)
+		if err != nil {
+			err = msgp.WrapError(err)
+			return
+		}
+		switch msgp.UnsafeString(field) {
+		case "ObjectiveMS":
+			z.ObjectiveMS, bts, err = msgp.ReadUint32Bytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "ObjectiveMS")
+				return
+			}
+		case "UsedMS":
+			z.UsedMS, bts, err = msgp.ReadUint32Bytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "UsedMS")
+				return
+			}
+		case "ExpectedMS":
+			z.ExpectedMS, bts, err = msgp.ReadUint32Bytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "ExpectedMS")
+				return
+			}
+		case "AllowLate":
+			z.AllowLate, bts, err = msgp.ReadBoolBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "AllowLate")
+				return
+			}
+		case "Repeat":
+			z.Repeat, bts, err = msgp.ReadBoolBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Repeat")
+				return
+			}
+		case "Hedge":
+			z.Hedge, bts, err = msgp.ReadBoolBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Hedge")
+				return
+			}
+		case "NestedRetryChance":
+			z.NestedRetryChance, bts, err = msgp.ReadUint16Bytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "NestedRetryChance")
+				return
+			}
+		case "OriginIdle":
+			z.OriginIdle, bts, err = msgp.ReadBoolBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "OriginIdle")
+				return
+			}
+		case "Route":
+			z.Route, bts, err = msgp.ReadUint32Bytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Route")
+				return
+			}
+		case "Fingerprint":
+			z.Fingerprint, bts, err = msgp.ReadUint64Bytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Fingerprint")
+				return
+			}
+		default:
+			bts, err = msgp.Skip(bts)
+			if err != nil {
+				err = msgp.WrapError(err)
+				return
+			}
+		}
 	}
 	o = bts
 	return
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *Aim) Msgsize() (s int) {
-	s = 1 + msgp.Uint32Size + msgp.Uint32Size + msgp.Uint32Size + msgp.BoolSize + msgp.BoolSize + msgp.BoolSize + msgp.Uint16Size + msgp.BoolSize + msgp.Uint32Size + msgp.Uint64Size
+func (z *AdmissionHints) Msgsize() (s int) {
+	s = 1 + 12 + msgp.Uint32Size + 7 + msgp.Uint32Size + 11 + msgp.Uint32Size + 10 + msgp.BoolSize + 7 + msgp.BoolSize + 6 + msgp.BoolSize + 18 + msgp.Uint16Size + 11 + msgp.BoolSize + 6 + msgp.Uint32Size + 12 + msgp.Uint64Size
 	return
 }
 
@@ -625,11 +672,11 @@
 	}
 	o = msgp.AppendUint8(o, z.Health)
 	o = msgp.AppendUint32(o, z.Evidence)
-	o = msgp.AppendUint16(o, z.Sick)
-	o = msgp.AppendUint16(o, z.Sheds)
-	o = msgp.AppendUint16(o, z.Repeats)
-	o = msgp.AppendBool(o, z.Overdrawn)
-	o = msgp.AppendBool(o, z.Wants)
+	o = msgp.AppendUint16(o, z.FailureEstimate)
+	o = msgp.AppendUint16(o, z.ShedShare)
+	o = msgp.AppendUint16(o, z.RetryBudgetLeft)
+	o = msgp.AppendBool(o, z.RetryBudgetOverdrawn)
+	o = msgp.AppendBool(o, z.WantsTrial)
 	return
 }
 
@@ -687,29 +734,29 @@
 		err = msgp.WrapError(err, "Evidence")
 		return
 	}
-	z.Sick, bts, err = msgp.ReadUint16Bytes(bts)
+	z.FailureEstimate, bts, err = msgp.ReadUint16Bytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Sick")
+		err = msgp.WrapError(err, "FailureEstimate")
 		return
 	}
-	z.Sheds, bts, err = msgp.ReadUint16Bytes(bts)
+	z.ShedShare, bts, err = msgp.ReadUint16Bytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Sheds")
+		err = msgp.WrapError(err, "ShedShare")
 		return
 	}
-	z.Repeats, bts, err = msgp.ReadUint16Bytes(bts)
+	z.RetryBudgetLeft, bts, err = msgp.ReadUint16Bytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Repeats")
+		err = msgp.WrapError(err, "RetryBudgetLeft")
 		return
 	}
-	z.Overdrawn, bts, err = msgp.ReadBoolBytes(bts)
+	z.RetryBudgetOverdrawn, bts, err = msgp.ReadBoolBytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Overdrawn")
+		err = msgp.WrapError(err, "RetryBudgetOverdrawn")
 		return
 	}
-	z.Wants, bts, err = msgp.ReadBoolBytes(bts)
+	z.WantsTrial, bts, err = msgp.ReadBoolBytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Wants")
+		err = msgp.WrapError(err, "WantsTrial")
 		return
 	}
 	o = bts
@@ -723,37 +770,123 @@
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z Ping) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *LoadReport) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
-	// array header, size 0
-	o = append(o, 0x90)
+	// map header, size 2
+	// string "Forward"
+	o = append(o, 0x82, 0xa7, 0x46, 0x6f, 0x72, 0x77, 0x61, 0x72, 0x64)
+	o = msgp.AppendBool(o, z.Forward)
+	// string "loads"
+	o = append(o, 0xa5, 0x6c, 0x6f, 0x61, 0x64, 0x73)
+	o = msgp.AppendArrayHeader(o, uint32(len(z.Loads)))
+	for za0001 := range z.Loads {
+		// array header, size 3
+		o = append(o, 0x93)
+		o = msgp.AppendString(o, z.Loads[za0001].Service)
+		o = msgp.AppendString(o, z.Loads[za0001].Instance)
+		o, err = z.Loads[za0001].Load.MarshalMsg(o)
+		if err != nil {
+			err = msgp.WrapError(err, "Loads", za0001, "Load")
+			return
+		}
+	}
 	return
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *Ping) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *LoadReport) UnmarshalMsg(bts []byte) (o []byte, err error) {
+	var field []byte
+	_ = field
 	var zb0001 uint32
-	zb0001, bts, err = msgp.ReadArrayHeaderBytes(bts)
+	zb0001, bts, err = msgp.ReadMapHeaderBytes(bts)
 	if err != nil {
 		err = msgp.WrapError(err)
 		return
 	}
-	if zb0001 != 0 {
-		err = msgp.ArrayError{Wanted: 0, Got: zb0001}
+	if zb0001 > z96b4eec2limitMaps {
+		err = msgp.ErrLimitExceeded
 		return
 	}
+	for zb0001 > 0 {
+		zb0001--
+		field, bts, err = msgp.ReadMapKeyZC(bts)
+		if err != nil {
+			err = msgp.WrapError(err)
+			return
+		}
+		switch msgp.UnsafeString(field) {
+		case "Forward":
+			z.Forward, bts, err = msgp.ReadBoolBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Forward")
+				return
+			}
+		case "loads":
+			var zb0002 uint32
+			zb0002, bts, err = msgp.ReadArrayHeaderBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Loads")
+				return
+			}
+			if zb0002 > 256 {
+				err = msgp.ErrLimitExceeded
+				return
+			}
+			if cap(z.Loads) >= int(zb0002) {
+				z.Loads = (z.Loads)[:zb0002]
+			} else {
+				z.Loads = make([]InstanceLoad, zb0002)
+			}
+			for za0001 := range z.Loads {
+				var zb0003 uint32
+				zb0003, bts, err = msgp.ReadArrayHeaderBytes(bts)
+				if err != nil {
+					err = msgp.WrapError(err, "Loads", za0001)
+					return
+				}
+				if zb0003 != 3 {
+					err = msgp.ArrayError{Wanted: 3, Got: zb0003}
+					return
+				}
+				z.Loads[za0001].Service, bts, err = msgp.ReadStringBytes(bts)
+				if err != nil {
+					err = msgp.WrapError(err, "Loads", za0001, "Service")
+					return
+				}
+				z.Loads[za0001].Instance, bts, err = msgp.ReadStringBytes(bts)
+				if err != nil {
+					err = msgp.WrapError(err, "Loads", za0001, "Instance")
+					return
+				}
+				bts, err = z.Loads[za0001].Load.UnmarshalMsg(bts)
+				if err != nil {
+					err = msgp.WrapError(err, "Loads", za0001, "Load")
+					return
+				}
+			}
+		default:
+			bts, err = msgp.Skip(bts)
+			if err != nil {
+				err = msgp.WrapError(err)
+				return
+			}
+		}
+	}
 	o = bts
 	return
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z Ping) Msgsize() (s int) {
-	s = 1
+func (z *LoadReport) Msgsize() (s int) {
+	s = 1 + 8 + msgp.BoolSize + 6 + msgp.ArrayHeaderSize
+	for za0001 := range z.Loads {
+		s += 1 + msgp.StringPrefixSize + len(z.Loads[za0001].Service) + msgp.StringPrefixSize + len(z.Loads[za0001].Instance) + z.Loads[za0001].Load.Msgsize()
+	}
 	return
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z Pong) MarshalMsg(b []byte) (o []byte, err error) {
+func (z Ping) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
 	// array header, size 0
 	o = append(o, 0x90)
@@ -761,7 +894,7 @@
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *Pong) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *Ping) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var zb0001 uint32
 	zb0001, bts, err = msgp.ReadArrayHeaderBytes(bts)
 	if err != nil {
@@ -777,101 +910,38 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z Pong) Msgsize() (s int) {
+func (z Ping) Msgsize() (s int) {
 	s = 1
 	return
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z *Pulse) MarshalMsg(b []byte) (o []byte, err error) {
+func (z Pong) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
-	// array header, size 2
-	o = append(o, 0x92)
-	o = msgp.AppendBool(o, z.Relay)
-	o = msgp.AppendArrayHeader(o, uint32(len(z.Loads)))
-	for za0001 := range z.Loads {
-		// array header, size 3
-		o = append(o, 0x93)
-		o = msgp.AppendString(o, z.Loads[za0001].Service)
-		o = msgp.AppendString(o, z.Loads[za0001].Instance)
-		o, err = z.Loads[za0001].Load.MarshalMsg(o)
-		if err != nil {
-			err = msgp.WrapError(err, "Loads", za0001, "Load")
-			return
-		}
-	}
+	// array header, size 0
+	o = append(o, 0x90)
 	return
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *Pulse) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *Pong) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var zb0001 uint32
 	zb0001, bts, err = msgp.ReadArrayHeaderBytes(bts)
 	if err != nil {
 		err = msgp.WrapError(err)
 		return
 	}
-	if zb0001 != 2 {
-		err = msgp.ArrayError{Wanted: 2, Got: zb0001}
-		return
-	}
-	z.Relay, bts, err = msgp.ReadBoolBytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err, "Relay")
-		return
-	}
-	var zb0002 uint32
-	zb0002, bts, err = msgp.ReadArrayHeaderBytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err, "Loads")
-		return
-	}
-	if zb0002 > 256 {
-		err = msgp.ErrLimitExceeded
+	if zb0001 != 0 {
+		err = msgp.ArrayError{Wanted: 0, Got: zb0001}
 		return
 	}
-	if cap(z.Loads) >= int(zb0002) {
-		z.Loads = (z.Loads)[:zb0002]
-	} else {
-		z.Loads = make([]InstanceLoad, zb0002)
-	}
-	for za0001 := range z.Loads {
-		var zb0003 uint32
-		zb0003, bts, err = msgp.ReadArrayHeaderBytes(bts)
-		if err != nil {
-			err = msgp.WrapError(err, "Loads", za0001)
-			return
-		}
-		if zb0003 != 3 {
-			err = msgp.ArrayError{Wanted: 3, Got: zb0003}
-			return
-		}
-		z.Loads[za0001].Service, bts, err = msgp.ReadStringBytes(bts)
-		if err != nil {
-			err = msgp.WrapError(err, "Loads", za0001, "Service")
-			return
-		}
-		z.Loads[za0001].Instance, bts, err = msgp.ReadStringBytes(bts)
-		if err != nil {
-			err = msgp.WrapError(err, "Loads", za0001, "Instance")
-			return
-		}
-		bts, err = z.Loads[za0001].Load.UnmarshalMsg(bts)
-		if err != nil {
-			err = msgp.WrapError(err, "Loads", za0001, "Load")
-			return
-		}
-	}
 	o = bts
 	return
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *Pulse) Msgsize() (s int) {
-	s = 1 + msgp.BoolSize + msgp.ArrayHeaderSize
-	for za0001 := range z.Loads {
-		s += 1 + msgp.StringPrefixSize + len(z.Loads[za0001].Service) + msgp.StringPrefixSize + len(z.Loads[za0001].Instance) + z.Loads[za0001].Load.Msgsize()
-	}
+func (z Pong) Msgsize() (s int) {
+	s = 1
 	return
 }
 
@@ -886,16 +956,16 @@
 	o = msgp.AppendUint32(o, z.TimeoutMS)
 	o = msgp.AppendUint32(o, z.Class)
 	o = msgp.AppendUint8(o, z.Priority)
-	o = msgp.AppendUint8(o, z.Within)
-	o, err = z.Aim.MarshalMsg(o)
+	o = msgp.AppendUint8(o, z.SubPriority)
+	o, err = z.Hints.MarshalMsg(o)
 	if err != nil {
-		err = msgp.WrapError(err, "Aim")
+		err = msgp.WrapError(err, "Hints")
 		return
 	}
 	// array header, size 2
 	o = append(o, 0x92)
 	o = msgp.AppendUint64(o, z.Sample.Instance)
-	o = msgp.AppendUint32(o, z.Sample.Pace)
+	o = msgp.AppendUint32(o, z.Sample.LatencyRatio)
 	return
 }
 
@@ -941,14 +1011,14 @@
 		err = msgp.WrapError(err, "Priority")
 		return
 	}
-	z.Within, bts, err = msgp.ReadUint8Bytes(bts)
+	z.SubPriority, bts, err = msgp.ReadUint8Bytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Within")
+		err = msgp.WrapError(err, "SubPriority")
 		return
 	}
-	bts, err = z.Aim.UnmarshalMsg(bts)
+	bts, err = z.Hints.UnmarshalMsg(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Aim")
+		err = msgp.WrapError(err, "Hints")
 		return
 	}
 	var zb0002 uint32
@@ -966,9 +1036,9 @@
 		err = msgp.WrapError(err, "Sample", "Instance")
 		return
 	}
-	z.Sample.Pace, bts, err = msgp.ReadUint32Bytes(bts)
+	z.Sample.LatencyRatio, bts, err = msgp.ReadUint32Bytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Sample", "Pace")
+		err = msgp.WrapError(err, "Sample", "LatencyRatio")
 		return
 	}
 	o = bts
@@ -977,7 +1047,7 @@
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
 func (z *Reserve) Msgsize() (s int) {
-	s = 1 + msgp.StringPrefixSize + len(z.RequestID) + msgp.StringPrefixSize + len(z.Service) + msgp.StringPrefixSize + len(z.Instance) + msgp.Uint32Size + msgp.Uint32Size + msgp.Uint8Size + msgp.Uint8Size + z.Aim.Msgsize() + 1 + msgp.Uint64Size + msgp.Uint32Size
+	s = 1 + msgp.StringPrefixSize + len(z.RequestID) + msgp.StringPrefixSize + len(z.Service) + msgp.StringPrefixSize + len(z.Instance) + msgp.Uint32Size + msgp.Uint32Size + msgp.Uint8Size + msgp.Uint8Size + z.Hints.Msgsize() + 1 + msgp.Uint64Size + msgp.Uint32Size
 	return
 }
 
@@ -992,10 +1062,10 @@
 	o = msgp.AppendUint32(o, z.TimeoutMS)
 	o = msgp.AppendUint32(o, z.Class)
 	o = msgp.AppendUint8(o, z.Priority)
-	o = msgp.AppendUint8(o, z.Within)
-	o, err = z.Aim.MarshalMsg(o)
+	o = msgp.AppendUint8(o, z.SubPriority)
+	o, err = z.Hints.MarshalMsg(o)
 	if err != nil {
-		err = msgp.WrapError(err, "Aim")
+		err = msgp.WrapError(err, "Hints")
 		return
 	}
 	o = msgp.AppendBool(o, z.Reserved)
@@ -1016,7 +1086,7 @@
 	// array header, size 2
 	o = append(o, 0x92)
 	o = msgp.AppendUint64(o, z.Sample.Instance)
-	o = msgp.AppendUint32(o, z.Sample.Pace)
+	o = msgp.AppendUint32(o, z.Sample.LatencyRatio)
 	return
 }
 
@@ -1062,14 +1132,14 @@
 		err = msgp.WrapError(err, "Priority")
 		return
 	}
-	z.Within, bts, err = msgp.ReadUint8Bytes(bts)
+	z.SubPriority, bts, err = msgp.ReadUint8Bytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Within")
+		err = msgp.WrapError(err, "SubPriority")
 		return
 	}
-	bts, err = z.Aim.UnmarshalMsg(bts)
+	bts, err = z.Hints.UnmarshalMsg(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Aim")
+		err = msgp.WrapError(err, "Hints")
 		return
 	}
 	z.Reserved, bts, err = msgp.ReadBoolBytes(bts)
@@ -1164,9 +1234,9 @@
 		err = msgp.WrapError(err, "Sample", "Instance")
 		return
 	}
-	z.Sample.Pace, bts, err = msgp.ReadUint32Bytes(bts)
+	z.Sample.LatencyRatio, bts, err = msgp.ReadUint32Bytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Sample", "Pace")
+		err = msgp.WrapError(err, "Sample", "LatencyRatio")
 		return
 	}
 	o = bts
@@ -1175,7 +1245,7 @@
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
 func (z *Run) Msgsize() (s int) {
-	s = 3 + msgp.StringPrefixSize + len(z.RequestID) + msgp.StringPrefixSize + len(z.Service) + msgp.StringPrefixSize + len(z.Instance) + msgp.Uint32Size + msgp.Uint32Size + msgp.Uint8Size + msgp.Uint8Size + z.Aim.Msgsize() + msgp.BoolSize + msgp.BoolSize + msgp.Uint32Size + msgp.Uint64Size + msgp.StringPrefixSize + len(z.Method) + msgp.StringPrefixSize + len(z.URI) + msgp.StringPrefixSize + len(z.Host) + msgp.ArrayHeaderSize
+	s = 3 + msgp.StringPrefixSize + len(z.RequestID) + msgp.StringPrefixSize + len(z.Service) + msgp.StringPrefixSize + len(z.Instance) + msgp.Uint32Size + msgp.Uint32Size + msgp.Uint8Size + msgp.Uint8Size + z.Hints.Msgsize() + msgp.BoolSize + msgp.BoolSize + msgp.Uint32Size + msgp.Uint64Size + msgp.StringPrefixSize + len(z.Method) + msgp.StringPrefixSize + len(z.URI) + msgp.StringPrefixSize + len(z.Host) + msgp.ArrayHeaderSize
 	for za0001 := range z.Header {
 		s += 1 + msgp.StringPrefixSize + len(z.Header[za0001].Name) + msgp.StringPrefixSize + len(z.Header[za0001].Value)
 	}
@@ -1189,7 +1259,7 @@
 	// array header, size 2
 	o = append(o, 0x92)
 	o = msgp.AppendUint64(o, z.Instance)
-	o = msgp.AppendUint32(o, z.Pace)
+	o = msgp.AppendUint32(o, z.LatencyRatio)
 	return
 }
 
@@ -1210,9 +1280,9 @@
 		err = msgp.WrapError(err, "Instance")
 		return
 	}
-	z.Pace, bts, err = msgp.ReadUint32Bytes(bts)
+	z.LatencyRatio, bts, err = msgp.ReadUint32Bytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Pace")
+		err = msgp.WrapError(err, "LatencyRatio")
 		return
 	}
 	o = bts
--- a/internal/msg/teams_gen.go
+++ b/internal/msg/teams_gen.go
@@ -22,8 +22,8 @@
 	o = msgp.AppendInt64(o, z.Count)
 	o = msgp.AppendFloat32(o, z.Level)
 	o = msgp.AppendBool(o, z.Known)
-	o = msgp.AppendUint32(o, z.CloseMS)
-	o = msgp.AppendUint32(o, z.Ask)
+	o = msgp.AppendUint32(o, z.NearLimitMS)
+	o = msgp.AppendUint32(o, z.QueryID)
 	o = msgp.AppendBool(o, z.Granted)
 	o = msgp.AppendUint32(o, z.WaitMS)
 	return
@@ -66,14 +66,14 @@
 		err = msgp.WrapError(err, "Known")
 		return
 	}
-	z.CloseMS, bts, err = msgp.ReadUint32Bytes(bts)
+	z.NearLimitMS, bts, err = msgp.ReadUint32Bytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "CloseMS")
+		err = msgp.WrapError(err, "NearLimitMS")
 		return
 	}
-	z.Ask, bts, err = msgp.ReadUint32Bytes(bts)
+	z.QueryID, bts, err = msgp.ReadUint32Bytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Ask")
+		err = msgp.WrapError(err, "QueryID")
 		return
 	}
 	z.Granted, bts, err = msgp.ReadBoolBytes(bts)
@@ -103,8 +103,8 @@
 	o = append(o, 0x94)
 	o = msgp.AppendString(o, z.Team)
 	o = msgp.AppendFloat32(o, z.Level)
-	o = msgp.AppendUint32(o, z.CloseMS)
-	o = msgp.AppendBool(o, z.Relay)
+	o = msgp.AppendUint32(o, z.NearLimitMS)
+	o = msgp.AppendBool(o, z.Forward)
 	return
 }
 
@@ -130,14 +130,14 @@
 		err = msgp.WrapError(err, "Level")
 		return
 	}
-	z.CloseMS, bts, err = msgp.ReadUint32Bytes(bts)
+	z.NearLimitMS, bts, err = msgp.ReadUint32Bytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "CloseMS")
+		err = msgp.WrapError(err, "NearLimitMS")
 		return
 	}
-	z.Relay, bts, err = msgp.ReadBoolBytes(bts)
+	z.Forward, bts, err = msgp.ReadBoolBytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Relay")
+		err = msgp.WrapError(err, "Forward")
 		return
 	}
 	o = bts
@@ -157,11 +157,11 @@
 	o = append(o, 0x95)
 	o = msgp.AppendString(o, z.From)
 	o = msgp.AppendUint64(o, z.Incarnation)
-	o = msgp.AppendArrayHeader(o, uint32(len(z.Uses)))
-	for za0001 := range z.Uses {
-		o, err = z.Uses[za0001].MarshalMsg(o)
+	o = msgp.AppendArrayHeader(o, uint32(len(z.Usages)))
+	for za0001 := range z.Usages {
+		o, err = z.Usages[za0001].MarshalMsg(o)
 		if err != nil {
-			err = msgp.WrapError(err, "Uses", za0001)
+			err = msgp.WrapError(err, "Usages", za0001)
 			return
 		}
 	}
@@ -209,22 +209,22 @@
 	var zb0002 uint32
 	zb0002, bts, err = msgp.ReadArrayHeaderBytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Uses")
+		err = msgp.WrapError(err, "Usages")
 		return
 	}
 	if zb0002 > 1024 {
 		err = msgp.ErrLimitExceeded
 		return
 	}
-	if cap(z.Uses) >= int(zb0002) {
-		z.Uses = (z.Uses)[:zb0002]
+	if cap(z.Usages) >= int(zb0002) {
+		z.Usages = (z.Usages)[:zb0002]
 	} else {
-		z.Uses = make([]TeamUse, zb0002)
+		z.Usages = make([]TeamUsage, zb0002)
 	}
-	for za0001 := range z.Uses {
-		bts, err = z.Uses[za0001].UnmarshalMsg(bts)
+	for za0001 := range z.Usages {
+		bts, err = z.Usages[za0001].UnmarshalMsg(bts)
 		if err != nil {
-			err = msgp.WrapError(err, "Uses", za0001)
+			err = msgp.WrapError(err, "Usages", za0001)
 			return
 		}
 	}
@@ -279,8 +279,8 @@
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
 func (z *TeamPacket) Msgsize() (s int) {
 	s = 1 + msgp.StringPrefixSize + len(z.From) + msgp.Uint64Size + msgp.ArrayHeaderSize
-	for za0001 := range z.Uses {
-		s += z.Uses[za0001].Msgsize()
+	for za0001 := range z.Usages {
+		s += z.Usages[za0001].Msgsize()
 	}
 	s += msgp.ArrayHeaderSize
 	for za0002 := range z.Levels {
@@ -294,85 +294,129 @@
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z *TeamUse) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *TeamUsage) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
-	// array header, size 9
-	o = append(o, 0x99)
+	// map header, size 9
+	// string "Team"
+	o = append(o, 0x89, 0xa4, 0x54, 0x65, 0x61, 0x6d)
 	o = msgp.AppendString(o, z.Team)
+	// string "Seq"
+	o = append(o, 0xa3, 0x53, 0x65, 0x71)
 	o = msgp.AppendUint32(o, z.Seq)
+	// string "Count"
+	o = append(o, 0xa5, 0x43, 0x6f, 0x75, 0x6e, 0x74)
 	o = msgp.AppendInt64(o, z.Count)
-	o = msgp.AppendInt64(o, z.Base)
+	// string "Confirmed"
+	o = append(o, 0xa9, 0x43, 0x6f, 0x6e, 0x66, 0x69, 0x72, 0x6d, 0x65, 0x64)
+	o = msgp.AppendInt64(o, z.Confirmed)
+	// string "Level"
+	o = append(o, 0xa5, 0x4c, 0x65, 0x76, 0x65, 0x6c)
 	o = msgp.AppendFloat32(o, z.Level)
+	// string "Known"
+	o = append(o, 0xa5, 0x4b, 0x6e, 0x6f, 0x77, 0x6e)
 	o = msgp.AppendBool(o, z.Known)
-	o = msgp.AppendBool(o, z.Same)
+	// string "ConfirmedByReceiver"
+	o = append(o, 0xb3, 0x43, 0x6f, 0x6e, 0x66, 0x69, 0x72, 0x6d, 0x65, 0x64, 0x42, 0x79, 0x52, 0x65, 0x63, 0x65, 0x69, 0x76, 0x65, 0x72)
+	o = msgp.AppendBool(o, z.ConfirmedByReceiver)
+	// string "Relayed"
+	o = append(o, 0xa7, 0x52, 0x65, 0x6c, 0x61, 0x79, 0x65, 0x64)
 	o = msgp.AppendBool(o, z.Relayed)
-	o = msgp.AppendUint32(o, z.Ask)
+	// string "QueryID"
+	o = append(o, 0xa7, 0x51, 0x75, 0x65, 0x72, 0x79, 0x49, 0x44)
+	o = msgp.AppendUint32(o, z.QueryID)
 	return
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *TeamUse) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *TeamUsage) UnmarshalMsg(bts []byte) (o []byte, err error) {
+	var field []byte
+	_ = field
 	var zb0001 uint32
-	zb0001, bts, err = msgp.ReadArrayHeaderBytes(bts)
+	zb0001, bts, err = msgp.ReadMapHeaderBytes(bts)
 	if err != nil {
 		err = msgp.WrapError(err)
 		return
 	}
-	if zb0001 != 9 {
-		err = msgp.ArrayError{Wanted: 9, Got: zb0001}
-		return
-	}
-	z.Team, bts, err = msgp.ReadStringBytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err, "Team")
-		return
-	}
-	z.Seq, bts, err = msgp.ReadUint32Bytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err, "Seq")
-		return
-	}
-	z.Count, bts, err = msgp.ReadInt64Bytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err, "Count")
-		return
-	}
-	z.Base, bts, err = msgp.ReadInt64Bytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err, "Base")
-		return
-	}
-	z.Level, bts, err = msgp.ReadFloat32Bytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err, "Level")
-		return
-	}
-	z.Known, bts, err = msgp.ReadBoolBytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err, "Known")
-		return
-	}
-	z.Same, bts, err = msgp.ReadBoolBytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err, "Same")
-		return
-	}
-	z.Relayed, bts, err = msgp.ReadBoolBytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err, "Relayed")
+	if zb0001 > z43e9eda2limitMaps {
+		err = msgp.ErrLimitExceeded
 		return
 	}
-	z.Ask, bts, err = msgp.ReadUint32Bytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err, "Ask")
-		return
+	for zb0001 > 0 {
+		zb0001--
+		field, bts, err = msgp.ReadMapKeyZC(bts)
+		if err != nil {
+			err = msgp.WrapError(err)
+			return
+		}
+		switch msgp.UnsafeString(field) {
+		case "Team":
+			z.Team, bts, err = msgp.ReadStringBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Team")
+				return
+			}
+		case "Seq":
+			z.Seq, bts, err = msgp.ReadUint32Bytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Seq")
+				return
+			}
+		case "Count":
+			z.Count, bts, err = msgp.ReadInt64Bytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Count")
+				return
+			}
+		case "Confirmed":
+			z.Confirmed, bts, err = msgp.ReadInt64Bytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Confirmed")
+				return
+			}
+		case "Level":
+			z.Level, bts, err = msgp.ReadFloat32Bytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Level")
+				return
+			}
+		case "Known":
+			z.Known, bts, err = msgp.ReadBoolBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Known")
+				return
+			}
+		case "ConfirmedByReceiver":
+			z.ConfirmedByReceiver, bts, err = msgp.ReadBoolBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "ConfirmedByReceiver")
+				return
+			}
+		case "Relayed":
+			z.Relayed, bts, err = msgp.ReadBoolBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Relayed")
+				return
+			}
+		case "QueryID":
+			z.QueryID, bts, err = msgp.ReadUint32Bytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "QueryID")
+				return
+			}
+		default:
+			bts, err = msgp.Skip(bts)
+			if err != nil {
+				err = msgp.WrapError(err)
+				return
+			}
+		}
 	}
 	o = bts
 	return
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *TeamUse) Msgsize() (s int) {
-	s = 1 + msgp.StringPrefixSize + len(z.Team) + msgp.Uint32Size + msgp.Int64Size + msgp.Int64Size + msgp.Float32Size + msgp.BoolSize + msgp.BoolSize + msgp.BoolSize + msgp.Uint32Size
+func (z *TeamUsage) Msgsize() (s int) {
+	s = 1 + 5 + msgp.StringPrefixSize + len(z.Team) + 4 + msgp.Uint32Size + 6 + msgp.Int64Size + 10 + msgp.Int64Size + 6 + msgp.Float32Size + 6 + msgp.BoolSize + 20 + msgp.BoolSize + 8 + msgp.BoolSize + 8 + msgp.Uint32Size
 	return
 }
--- a/internal/teams/teams.go
+++ b/internal/teams/teams.go
@@ -20,12 +20,12 @@
 	// Host is this host's name. Incarnation is its start time in Unix milliseconds.
 	Host        string
 	Incarnation uint64
-	// Allowance and Over are what a team may use beyond its limit in any Window over all
+	// Allowance and AllowanceFraction are what a team may use beyond its limit in any Window over all
 	// hosts: a number of requests, and a fraction of what the limit allows. Most of it
 	// is granted as extra burst and rate; the rest covers what hosts do not know of each
 	// other yet.
-	Allowance, Over float64
-	Window          time.Duration
+	Allowance, AllowanceFraction float64
+	Window                       time.Duration
 	// Send sends a datagram to a host; it may be lost.
 	Send func(to string, p *msg.TeamPacket)
 }
@@ -62,7 +62,7 @@
 	r.teams.Store(&map[string]*record.Team{})
 	r.node = quota.New(quota.Config{
 		Host: cfg.Host, Incarnation: cfg.Incarnation, Limit: r.limit,
-		ExtraBurst: allowanceAsBurst * cfg.Allowance, ExtraRate: allowanceAsRate * cfg.Allowance / max(cfg.Window.Seconds(), 1), ExtraRateFraction: overAsRate * cfg.Over,
+		ExtraBurst: allowanceAsBurst * cfg.Allowance, ExtraRate: allowanceAsRate * cfg.Allowance / max(cfg.Window.Seconds(), 1), ExtraRateFraction: overAsRate * cfg.AllowanceFraction,
 	}, time.Now(), rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
 	return r
 }
@@ -134,14 +134,14 @@
 		return
 	}
 	if a := <-w.answer; a.Granted {
-		r.node.Return(time.Now(), w.team)
+		r.node.Release(time.Now(), w.team)
 	}
 }
 
-// Return takes back an admitted request that did not run.
-func (r *Rates) Return(team string) {
+// Release takes back an admitted request that did not run.
+func (r *Rates) Release(team string) {
 	r.mu.Lock()
-	r.node.Return(time.Now(), team)
+	r.node.Release(time.Now(), team)
 	r.mu.Unlock()
 }
 
@@ -177,7 +177,7 @@
 		case w.answer != nil:
 			w.answer <- a
 		case a.Granted:
-			r.node.Return(time.Now(), w.team)
+			r.node.Release(time.Now(), w.team)
 		}
 	}
 	return out
