--- a/internal/standin/memnet/memnet.go
+++ b/internal/standin/memnet/memnet.go
@@ -1,5 +1,5 @@
-// Package memnet is a network within one process: a listener whose connections are
-// pipes. Servers and clients over it run in virtual time.
+// Package memnet provides an in-process network: a listener whose connections are
+// in-memory pipes. Servers and clients that use it can run in virtual time.
 package memnet
 
 import (
@@ -8,24 +8,24 @@
 	"sync"
 )
 
-// Listener takes the connections that Dial makes.
+// Listener is a net.Listener that accepts the connections made by Dial.
 type Listener struct {
 	conns  chan net.Conn
 	closed chan struct{}
 	once   sync.Once
 }
 
-// Listen makes a Listener.
+// Listen returns an open Listener.
 func Listen() *Listener {
 	return &Listener{conns: make(chan net.Conn), closed: make(chan struct{})}
 }
 
-// Dial makes a connection to the listener, whatever the address.
+// Dial connects to the listener. It ignores the network and address.
 func (l *Listener) Dial(ctx context.Context, _, _ string) (net.Conn, error) {
-	near, far := net.Pipe()
+	client, server := net.Pipe()
 	select {
-	case l.conns <- far:
-		return near, nil
+	case l.conns <- server:
+		return client, nil
 	case <-l.closed:
 		return nil, net.ErrClosed
 	case <-ctx.Done():
