--- a/internal/standin/platformd/server.go
+++ b/internal/standin/platformd/server.go
@@ -14,26 +14,27 @@
 	"github.com/radishhoist/radishhoist/record"
 )
 
-// Faults are the switches of the stand-in, set by PUT /standin/faults.
+// Faults are the faults that the stand-in injects, set by PUT /standin/faults.
 type Faults struct {
-	// Outage refuses every call.
+	// Outage makes every call fail with 503.
 	Outage bool `json:"outage"`
-	// SlowMS delays every call.
+	// SlowMS delays every call by that many milliseconds.
 	SlowMS int `json:"slowMS"`
-	// Silent takes calls and never answers them, nor those under way; connections
-	// stay open and are dead for good.
+	// Silent accepts calls and never responds to them, nor to calls in progress.
+	// Their connections stay open and get no response even after Silent is cleared.
 	Silent bool `json:"silent"`
-	// LoseAnswers drops the answers of that many writes that took effect.
+	// LoseAnswers is the number of writes whose response is dropped. The writes
+	// themselves are still processed.
 	LoseAnswers int `json:"loseAnswers"`
 }
 
-// Counts are the calls the stand-in has taken.
+// Counts are the numbers of calls that the stand-in has received.
 type Counts struct {
 	Reads   int64 `json:"reads"`
 	Writes  int64 `json:"writes"`
 	Watches int64 `json:"watches"`
 	Refused int64 `json:"refused"`
-	// PID is the process that answers.
+	// PID is the id of the process that responds.
 	PID int `json:"pid"`
 }
 
@@ -46,17 +47,17 @@
 	counts Counts
 }
 
-// NewServer makes a server over an empty store.
+// NewServer returns a Server with an empty store.
 func NewServer() *Server { return &Server{Store: NewStore()} }
 
-// SetFaults replaces the switches.
+// SetFaults replaces the injected faults.
 func (s *Server) SetFaults(f Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults = f
 }
 
-// Counts reads the call counters.
+// Counts returns the current call counters.
 func (s *Server) Counts() Counts {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -65,14 +66,14 @@
 	return counts
 }
 
-// Handler gives the HTTP interface.
+// Handler returns the handler of the HTTP API.
 func (s *Server) Handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /v1/objects/{kind}/{name}", s.faulty(&s.counts.Reads, s.get))
-	mux.HandleFunc("GET /v1/objects", s.faulty(&s.counts.Reads, s.list))
-	mux.HandleFunc("PUT /v1/objects/{kind}/{name}", s.faulty(&s.counts.Writes, s.put))
-	mux.HandleFunc("DELETE /v1/objects/{kind}/{name}", s.faulty(&s.counts.Writes, s.delete))
-	mux.HandleFunc("GET /v1/watch", s.faulty(&s.counts.Watches, s.watch))
+	mux.HandleFunc("GET /v1/objects/{kind}/{name}", s.withFaults(&s.counts.Reads, s.get))
+	mux.HandleFunc("GET /v1/objects", s.withFaults(&s.counts.Reads, s.list))
+	mux.HandleFunc("PUT /v1/objects/{kind}/{name}", s.withFaults(&s.counts.Writes, s.put))
+	mux.HandleFunc("DELETE /v1/objects/{kind}/{name}", s.withFaults(&s.counts.Writes, s.delete))
+	mux.HandleFunc("GET /v1/watch", s.withFaults(&s.counts.Watches, s.watch))
 	mux.HandleFunc("GET /standin/counts", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, http.StatusOK, s.Counts()) })
 	mux.HandleFunc("PUT /standin/faults", func(w http.ResponseWriter, r *http.Request) {
 		var f Faults
@@ -86,8 +87,8 @@
 	return mux
 }
 
-// faulty counts a call and applies the switches to it.
-func (s *Server) faulty(count *int64, next http.HandlerFunc) http.HandlerFunc {
+// withFaults counts a call and applies the injected faults to it.
+func (s *Server) withFaults(count *int64, next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		s.mu.Lock()
 		*count++
@@ -103,31 +104,33 @@
 			http.Error(w, "outage", http.StatusServiceUnavailable)
 			return
 		}
-		answer := httptest.NewRecorder()
+		recorder := httptest.NewRecorder()
 		if !f.Silent {
-			next(answer, r)
+			next(recorder, r)
 		}
 		if s.silent() {
-			// Only a server that has read the body sees its caller leave.
+			// The server notices that the client disconnects only once the body is
+			// read.
 			_, _ = io.Copy(io.Discard, r.Body)
 			<-r.Context().Done()
 			panic(http.ErrAbortHandler)
 		}
-		w.Header().Set("Content-Type", answer.Header().Get("Content-Type"))
-		w.WriteHeader(answer.Code)
-		_, _ = w.Write(answer.Body.Bytes())
+		w.Header().Set("Content-Type", recorder.Header().Get("Content-Type"))
+		w.WriteHeader(recorder.Code)
+		_, _ = w.Write(recorder.Body.Bytes())
 	}
 }
 
-// silent says that no call is answered now.
+// silent reports whether calls currently get no response.
 func (s *Server) silent() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.faults.Silent
 }
 
-// loseAnswer reports whether this write's answer is to be lost.
-func (s *Server) loseAnswer() bool {
+// dropResponse reports whether the response of this write is to be dropped, and
+// counts it.
+func (s *Server) dropResponse() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.faults.LoseAnswers <= 0 {
@@ -170,7 +173,7 @@
 		return
 	}
 	obj, ok := s.Store.Put(pathKey(r), value, ifVersion)
-	s.answerWrite(w, obj, ok)
+	s.writeResult(w, obj, ok)
 }
 
 func (s *Server) delete(w http.ResponseWriter, r *http.Request) {
@@ -180,11 +183,11 @@
 		return
 	}
 	obj, ok := s.Store.Delete(pathKey(r), ifVersion)
-	s.answerWrite(w, obj, ok)
+	s.writeResult(w, obj, ok)
 }
 
-func (s *Server) answerWrite(w http.ResponseWriter, obj objects.Object, ok bool) {
-	if s.loseAnswer() {
+func (s *Server) writeResult(w http.ResponseWriter, obj objects.Object, ok bool) {
+	if s.dropResponse() {
 		panic(http.ErrAbortHandler)
 	}
 	status := http.StatusOK
@@ -194,8 +197,8 @@
 	writeJSON(w, status, obj)
 }
 
-// maxWait bounds how long a watch is held.
-const maxWait = time.Minute
+// maxWatchWait is the longest time for which a watch is held open.
+const maxWatchWait = time.Minute
 
 func (s *Server) watch(w http.ResponseWriter, r *http.Request) {
 	after, err := intQuery(r, "after")
@@ -204,11 +207,11 @@
 		return
 	}
 	waitMS, _ := intQuery(r, "waitMS")
-	timer := time.NewTimer(min(time.Duration(waitMS)*time.Millisecond, maxWait))
+	timer := time.NewTimer(min(time.Duration(waitMS)*time.Millisecond, maxWatchWait))
 	defer timer.Stop()
 	for {
-		page, kept, changed := s.Store.Since(after)
-		if !kept {
+		page, retained, changed := s.Store.EventsAfter(after)
+		if !retained {
 			http.Error(w, "compacted", http.StatusGone)
 			return
 		}
--- a/internal/standin/platformd/store.go
+++ b/internal/standin/platformd/store.go
@@ -1,6 +1,6 @@
-// Package platformd is a small stand-in for the platform's object API, for
-// tests and the demo. It holds objects in memory and can be told to be away,
-// to be slow, and to lose answers after the write has taken effect.
+// Package platformd is a small stand-in for the platform's object API, for tests and
+// the demo. It stores objects in memory and can simulate an outage, slow calls, calls
+// without a response, and responses that are lost after the write has taken effect.
 package platformd
 
 import (
@@ -11,25 +11,27 @@
 	"github.com/radishhoist/radishhoist/record"
 )
 
-// keptEvents bounds the events a watch can resume from.
-const keptEvents = 10000
+// maxEvents is the number of events that are retained for watches to resume from.
+const maxEvents = 10000
 
-// Store is the stand-in's state.
+// Store is a versioned in-memory object store. It is safe for concurrent use.
 type Store struct {
 	mu       sync.Mutex
 	revision int64
 	objects  map[record.Key]objects.Object
 	events   []objects.Object
-	compact  int64
-	changed  chan struct{}
+	// compacted is the revision of the newest event that is no longer retained.
+	compacted int64
+	// changed is closed and replaced at every write.
+	changed chan struct{}
 }
 
-// NewStore makes an empty store.
+// NewStore returns an empty Store.
 func NewStore() *Store {
 	return &Store{objects: make(map[record.Key]objects.Object), changed: make(chan struct{})}
 }
 
-// Get reads one object.
+// Get returns an object and whether it exists.
 func (s *Store) Get(key record.Key) (objects.Object, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -37,13 +39,14 @@
 	return obj, ok
 }
 
-// List reads the objects of the kinds, all where none is given, by key.
+// List returns the objects of the given kinds, sorted by key, or all objects if no
+// kind is given.
 func (s *Store) List(kinds []record.Kind) objects.Page {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	page := objects.Page{Revision: s.revision, Objects: []objects.Object{}}
 	for _, obj := range s.objects {
-		if wanted(kinds, obj.Kind) {
+		if matchesKind(kinds, obj.Kind) {
 			page.Objects = append(page.Objects, obj)
 		}
 	}
@@ -53,22 +56,23 @@
 	return page
 }
 
-func wanted(kinds []record.Kind, k record.Kind) bool {
-	for _, want := range kinds {
-		if want == k {
+func matchesKind(kinds []record.Kind, k record.Kind) bool {
+	for _, kind := range kinds {
+		if kind == k {
 			return true
 		}
 	}
 	return len(kinds) == 0
 }
 
-// Put writes where the stored version equals ifVersion, else it gives the
-// object that stands there and false.
+// Put writes an object if its stored version equals ifVersion; 0 means that it must
+// not exist. Otherwise it returns the stored object and false.
 func (s *Store) Put(key record.Key, value []byte, ifVersion int64) (objects.Object, bool) {
 	return s.write(objects.Object{Kind: key.Kind, Name: key.Name, Value: value}, ifVersion)
 }
 
-// Delete removes where the stored version equals ifVersion.
+// Delete deletes an object if its stored version equals ifVersion. Otherwise it
+// returns the stored object and false.
 func (s *Store) Delete(key record.Key, ifVersion int64) (objects.Object, bool) {
 	return s.write(objects.Object{Kind: key.Kind, Name: key.Name, Deleted: true}, ifVersion)
 }
@@ -90,8 +94,8 @@
 		s.objects[key] = obj
 	}
 	s.events = append(s.events, obj)
-	if len(s.events) > keptEvents {
-		s.compact = s.events[0].Version
+	if len(s.events) > maxEvents {
+		s.compacted = s.events[0].Version
 		s.events = s.events[1:]
 	}
 	close(s.changed)
@@ -99,12 +103,12 @@
 	return obj, true
 }
 
-// Since gives the events after a revision, whether they are still kept, and a
-// channel that closes at the next change.
-func (s *Store) Since(after int64) (objects.Page, bool, <-chan struct{}) {
+// EventsAfter returns the events after a revision, whether all of them are still
+// retained, and a channel that is closed at the next change.
+func (s *Store) EventsAfter(after int64) (objects.Page, bool, <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if after < s.compact || after > s.revision {
+	if after < s.compacted || after > s.revision {
 		return objects.Page{Revision: s.revision}, false, s.changed
 	}
 	first := sort.Search(len(s.events), func(i int) bool { return s.events[i].Version > after })
