--- a/internal/standin/target/fatal.go
+++ b/internal/standin/target/fatal.go
@@ -9,37 +9,37 @@
 	"time"
 )
 
-// FatalPath is how the path ends of requests that end the stand-in, as far as anybody can see: its
-// connections break and its port refuses others. It is back after a while under another
-// name, and knows what it has counted.
+// FatalPath is the path suffix of requests that make the stand-in simulate a crash: it
+// closes its connections and its port refuses new ones. After Config.DownFor it listens
+// again under another instance name and keeps its counters.
 const FatalPath = "/fatal"
 
 const (
-	// fatalAfter is how long such a request runs before the end.
-	fatalAfter = 50 * time.Millisecond
-	// downFor is how long the stand-in is away by default.
-	downFor = 2 * time.Second
-	// listenAgain is the pause between two tries to take the port again.
-	listenAgain = 100 * time.Millisecond
+	// crashDelay is how long such a request runs before the crash.
+	crashDelay = 50 * time.Millisecond
+	// defaultDownFor is the default of Config.DownFor.
+	defaultDownFor = 2 * time.Second
+	// listenRetryInterval is the time between attempts to listen on the port again.
+	listenRetryInterval = 100 * time.Millisecond
 )
 
-// fatal ends the stand-in.
-func (s *Server) fatal(r *http.Request) {
-	s.begin(r)
-	defer s.end()
-	time.Sleep(fatalAfter)
+// crash simulates a crash of the stand-in while it handles a request.
+func (s *Server) crash(r *http.Request) {
+	s.beginRequest(r)
+	defer s.endRequest()
+	time.Sleep(crashDelay)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.server == nil {
-		return // another such request was sooner
+		return // another request has already crashed it
 	}
-	s.ends = append(s.ends, time.Now().UnixMilli())
-	s.close()
-	time.AfterFunc(cmp.Or(s.cfg.DownFor, downFor), s.reopen)
+	s.crashTimes = append(s.crashTimes, time.Now().UnixMilli())
+	s.closeServer()
+	time.AfterFunc(cmp.Or(s.cfg.DownFor, defaultDownFor), s.restart)
 }
 
-// open serves on a listener, as a new start.
-func (s *Server) open(l net.Listener) {
+// serveOn starts to serve on a listener and counts a start.
+func (s *Server) serveOn(l net.Listener) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.closed {
@@ -52,20 +52,21 @@
 	go func() { _ = server.Serve(l) }()
 }
 
-// close breaks all connections and gives the port up. The caller holds the lock.
-func (s *Server) close() {
+// closeServer closes all connections and the listener. The caller must hold mu.
+func (s *Server) closeServer() {
 	if s.server != nil {
 		_ = s.server.Close()
 	}
 	s.server = nil
 }
 
-// reopen takes the port again, however often it has to try.
-func (s *Server) reopen() {
+// restart listens on the same port again, retrying until it succeeds or the stand-in
+// is stopped.
+func (s *Server) restart() {
 	for {
 		l, err := net.Listen("tcp", s.cfg.Address)
 		if err == nil {
-			s.open(l)
+			s.serveOn(l)
 			s.announce(context.Background())
 			return
 		}
@@ -75,13 +76,13 @@
 		if closed {
 			return
 		}
-		time.Sleep(listenAgain)
+		time.Sleep(listenRetryInterval)
 	}
 }
 
-// name is that of the present start; the first has the configured one. The caller holds
-// the lock.
-func (s *Server) name() string {
+// instanceName returns the name of the current start: the configured name for the
+// first, the name with the number of the start for others. The caller must hold mu.
+func (s *Server) instanceName() string {
 	if s.starts <= 1 {
 		return s.cfg.Name
 	}
--- a/internal/standin/target/target.go
+++ b/internal/standin/target/target.go
@@ -1,6 +1,6 @@
-// Package target is a small stand-in for a target: an HTTP server with slots
-// and a service time that announces itself to the daemon beside it, and that
-// can be made to fail gray. For tests, the demo and the load tool.
+// Package target is a small stand-in for a target: an HTTP server with slots and a
+// service time that announces itself to the daemon on its host and can simulate gray
+// failures. It is used by tests, the demo and the load tool.
 package target
 
 import (
@@ -24,27 +24,29 @@
 	"github.com/radishhoist/radishhoist/internal/sleep"
 )
 
-// Mode is how the stand-in behaves.
+// Mode is a way in which the stand-in behaves.
 type Mode string
 
-// The modes.
+// Modes of the stand-in.
 const (
+	// Good handles every request normally.
 	Good Mode = "good"
 	// Slow multiplies the service time by Behaviour.Factor.
 	Slow Mode = "slow"
-	// Errors answers a Behaviour.Share of requests with 500.
+	// Errors responds with status 500 to a Behaviour.Share of requests.
 	Errors Mode = "errors"
-	// Truncate cuts a Behaviour.Share of answers short.
+	// Truncate closes the connection halfway through the body of a Behaviour.Share of
+	// responses.
 	Truncate Mode = "truncate"
-	// Swap answers a Behaviour.Share of requests as if they were another's.
+	// Swap responds to a Behaviour.Share of requests with the id of another request.
 	Swap Mode = "swap"
-	// Stuck never answers.
+	// Stuck never responds.
 	Stuck Mode = "stuck"
-	// Flap is Slow every other Behaviour.PeriodMS.
+	// Flap is Slow and Good in turn, each for Behaviour.PeriodMS.
 	Flap Mode = "flap"
 )
 
-// Behaviour is set by PUT /standin/behaviour.
+// Behaviour is a mode with its parameters. It is set by PUT /standin/behaviour.
 type Behaviour struct {
 	Mode     Mode    `json:"mode"`
 	Factor   float64 `json:"factor,omitempty"`
@@ -56,20 +58,21 @@
 type Config struct {
 	Name    string
 	Service string
-	// Address is where it listens, IP:port.
+	// Address is the listen address, IP:port.
 	Address string
-	// Announce is the daemon's announce address; empty announces nothing.
+	// Announce is the daemon's announce address. If it is empty, the stand-in does not
+	// announce itself.
 	Announce string
 	Slots    int
-	// ServiceTime is the median time of one request; Spread is the standard
-	// deviation of its logarithm.
+	// ServiceTime is the median service time of a request. Service times have a
+	// lognormal distribution; Spread is the standard deviation of the logarithm.
 	ServiceTime time.Duration
 	Spread      float64
-	// DownFor is how long it is away after an end; 0 is two seconds.
+	// DownFor is how long the stand-in is down after a simulated crash; 0 means 2 s.
 	DownFor time.Duration
 }
 
-// Server is one running stand-in.
+// Server is a running stand-in.
 type Server struct {
 	cfg  Config
 	mux  *http.ServeMux
@@ -80,23 +83,24 @@
 	// server is nil while the stand-in is down.
 	server *http.Server
 	closed bool
-	// starts counts its starts, of which each has a name of its own.
+	// starts is the number of starts; each has its own instance name.
 	starts int
-	// ends are the times at which it ended under a request, in Unix milliseconds.
-	ends      []int64
-	behaviour Behaviour
-	since     time.Time
-	leaving   bool
-	runs      map[string]int
-	total     int
-	running   int
-	maxSeen   int
+	// crashTimes are the times of simulated crashes, in Unix milliseconds.
+	crashTimes []int64
+	behaviour  Behaviour
+	// behaviourSince is when behaviour was set.
+	behaviourSince time.Time
+	leaving        bool
+	// runs are the numbers of runs by mark.
+	runs       map[string]int
+	totalRuns  int
+	running    int
+	maxRunning int
 }
 
-// announceInterval is the time between two announcements.
 const announceInterval = time.Second
 
-// Start listens and announces.
+// Start starts a stand-in that listens and announces itself until Stop.
 func Start(cfg Config) (*Server, error) {
 	l, err := port.Listen("target "+cfg.Name, cfg.Address)
 	if err != nil {
@@ -104,30 +108,30 @@
 	}
 	cfg.Address = l.Addr().String()
 	ctx, cancel := context.WithCancel(context.Background())
-	s := &Server{cfg: cfg, stop: cancel, done: make(chan struct{}), behaviour: Behaviour{Mode: Good}, since: time.Now(), runs: make(map[string]int)}
+	s := &Server{cfg: cfg, stop: cancel, done: make(chan struct{}), behaviour: Behaviour{Mode: Good}, behaviourSince: time.Now(), runs: make(map[string]int)}
 	s.mux = http.NewServeMux()
 	s.mux.HandleFunc("PUT /standin/behaviour", s.putBehaviour)
 	s.mux.HandleFunc("GET /standin/runs", s.getRuns)
 	s.mux.HandleFunc("/", s.serve)
-	s.open(l)
+	s.serveOn(l)
 	go s.announceLoop(ctx)
 	return s, nil
 }
 
-// Address is where the stand-in listens.
+// Address returns the address on which the stand-in listens, IP:port.
 func (s *Server) Address() string { return s.cfg.Address }
 
-// Stop ends the stand-in at once, without a word to the daemon.
+// Stop stops the stand-in at once, without notifying the daemon.
 func (s *Server) Stop() {
 	s.stop()
 	<-s.done
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.closed = true
-	s.close()
+	s.closeServer()
 }
 
-// Leave announces that the stand-in wants no new work.
+// Leave announces that the stand-in is leaving and wants no new requests.
 func (s *Server) Leave() {
 	s.mu.Lock()
 	s.leaving = true
@@ -135,31 +139,31 @@
 	s.announce(context.Background())
 }
 
-// Set changes the behaviour.
+// Set replaces the behaviour.
 func (s *Server) Set(b Behaviour) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.behaviour, s.since = b, time.Now()
+	s.behaviour, s.behaviourSince = b, time.Now()
 }
 
-// Runs counts the runs of each request that carried a key or body mark, by
-// the X-Request-Id of the request, and Total all runs.
+// Runs are the stand-in's counters. ByMark has the numbers of runs of the requests
+// that carried a MarkHeader, by its value; Total counts all runs.
 type Runs struct {
 	ByMark     map[string]int `json:"byMark"`
 	Total      int            `json:"total"`
 	MaxRunning int            `json:"maxRunning"`
-	// Ends are the times at which a request for a FatalPath came and ended the
-	// stand-in, in Unix milliseconds.
+	// Ends are the times at which a request for a FatalPath crashed the stand-in, in
+	// Unix milliseconds.
 	Ends []int64 `json:"ends,omitempty"`
-	// PID is the process that answers.
+	// PID is the id of the process that responds.
 	PID int `json:"pid"`
 }
 
-// Runs reads the counters.
+// Runs returns the current counters.
 func (s *Server) Runs() Runs {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	out := Runs{ByMark: make(map[string]int, len(s.runs)), Total: s.total, MaxRunning: s.maxSeen, Ends: s.ends, PID: os.Getpid()}
+	out := Runs{ByMark: make(map[string]int, len(s.runs)), Total: s.totalRuns, MaxRunning: s.maxRunning, Ends: s.crashTimes, PID: os.Getpid()}
 	for k, v := range s.runs {
 		out.ByMark[k] = v
 	}
@@ -180,14 +184,13 @@
 	_ = json.NewEncoder(w).Encode(s.Runs())
 }
 
-// MarkHeader lets a test count the runs of one logical request.
+// MarkHeader is the header by whose value Runs.ByMark counts the runs of a request.
 const MarkHeader = "X-Mark"
 
-// serve does the work: it waits the service time and answers with what the
-// request asked for.
+// serve handles a request: it waits for the service time and then responds.
 func (s *Server) serve(w http.ResponseWriter, r *http.Request) {
 	if strings.HasSuffix(r.URL.Path, FatalPath) {
-		s.fatal(r)
+		s.crash(r)
 		return
 	}
 	body, err := io.ReadAll(r.Body)
@@ -195,8 +198,8 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	b := s.begin(r)
-	defer s.end()
+	b := s.beginRequest(r)
+	defer s.endRequest()
 	if b.Mode == Stuck {
 		<-r.Context().Done()
 		return
@@ -204,32 +207,34 @@
 	if !sleepFor(r.Context(), s.serviceTime(b)) {
 		return
 	}
-	s.answer(w, r, b, body)
+	s.respond(w, r, b, body)
 }
 
-func (s *Server) begin(r *http.Request) Behaviour {
+// beginRequest counts a request and returns the behaviour that applies to it.
+func (s *Server) beginRequest(r *http.Request) Behaviour {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.total++
+	s.totalRuns++
 	s.running++
-	s.maxSeen = max(s.maxSeen, s.running)
+	s.maxRunning = max(s.maxRunning, s.running)
 	if mark := r.Header.Get(MarkHeader); mark != "" {
 		s.runs[mark]++
 	}
 	b := s.behaviour
-	if b.Mode == Flap && time.Since(s.since).Milliseconds()/max(b.PeriodMS, 1)%2 == 1 {
+	if b.Mode == Flap && time.Since(s.behaviourSince).Milliseconds()/max(b.PeriodMS, 1)%2 == 1 {
 		b.Mode = Good
 	}
 	return b
 }
 
-func (s *Server) end() {
+func (s *Server) endRequest() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.running--
 }
 
-// sleepFor waits for a service time; none takes no time, whatever the context.
+// sleepFor waits for d and reports whether it has passed: false if the context ended
+// before. If d is not positive, it returns true without checking the context.
 func sleepFor(ctx context.Context, d time.Duration) bool {
 	return d <= 0 || sleep.For(ctx, d)
 }
@@ -242,17 +247,17 @@
 	return time.Duration(d)
 }
 
-// answer writes the answer: the request's mark, path and body, so that a
-// caller can tell that the answer is its own. The query "size" asks for a
-// body of that many bytes.
-func (s *Server) answer(w http.ResponseWriter, r *http.Request, b Behaviour, body []byte) {
-	hit := rand.Float64() < b.Share
+// respond writes a response with the request's path, mark and body, by which the
+// caller can check that the response belongs to its request. If the query parameter
+// "size" is given, the body is padded to that many bytes.
+func (s *Server) respond(w http.ResponseWriter, r *http.Request, b Behaviour, body []byte) {
+	affected := rand.Float64() < b.Share
 	id := r.Header.Get(header.RequestID)
-	if b.Mode == Swap && hit {
+	if b.Mode == Swap && affected {
 		id = "some-other-request"
 	}
 	w.Header().Set(header.RequestID, id)
-	if b.Mode == Errors && hit {
+	if b.Mode == Errors && affected {
 		http.Error(w, "stand-in error", http.StatusInternalServerError)
 		return
 	}
@@ -261,7 +266,7 @@
 		out = append(out, bytes.Repeat([]byte("."), size-len(out))...)
 	}
 	w.Header().Set("Content-Length", strconv.Itoa(len(out)))
-	if b.Mode == Truncate && hit {
+	if b.Mode == Truncate && affected {
 		_, _ = w.Write(out[:len(out)/2])
 		panic(http.ErrAbortHandler)
 	}
@@ -284,14 +289,14 @@
 
 func (s *Server) announce(ctx context.Context) {
 	s.mu.Lock()
-	leaving, name, down := s.leaving, s.name(), s.server == nil
+	leaving, name, down := s.leaving, s.instanceName(), s.server == nil
 	s.mu.Unlock()
 	if s.cfg.Announce == "" || down {
 		return
 	}
 	body, err := json.Marshal(guard.Announcement{
 		Service: s.cfg.Service, Address: s.cfg.Address, Slots: s.cfg.Slots,
-		Connections: connections, Version: "1", Leaving: leaving,
+		Connections: maxConnections, Version: "1", Leaving: leaving,
 	})
 	if err != nil {
 		return
@@ -306,6 +311,6 @@
 	}
 }
 
-// connections is what the stand-in announces; the users' targets take about
-// 350.
-const connections = 350
+// maxConnections is the number of connections that the stand-in announces to accept.
+// Users' targets accept about 350.
+const maxConnections = 350
