--- a/internal/logtest/buffer.go
+++ b/internal/logtest/buffer.go
@@ -1,4 +1,4 @@
-// Package logtest keeps what processes log for tests to look at.
+// Package logtest captures log output for tests.
 package logtest
 
 import (
@@ -6,7 +6,7 @@
 	"sync"
 )
 
-// Buffer is an output that several goroutines may write to and read.
+// Buffer is a buffer that is safe for concurrent writes and reads.
 type Buffer struct {
 	mu  sync.Mutex
 	buf bytes.Buffer
@@ -19,7 +19,7 @@
 	return b.buf.Write(p)
 }
 
-// String is all that was written.
+// String returns everything written so far.
 func (b *Buffer) String() string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
