--- a/internal/porttest/porttest.go
+++ b/internal/porttest/porttest.go
@@ -1,4 +1,4 @@
-// Package porttest starts servers of tests on loopback ports that are free.
+// Package porttest starts test servers on free loopback ports.
 package porttest
 
 import (
@@ -10,11 +10,11 @@
 	"gotest.tools/v3/assert"
 )
 
-// maxTries bounds the tries to start on ports that nobody else takes.
-const maxTries = 5
+// maxAttempts is the number of attempts to start before the test fails.
+const maxAttempts = 5
 
-// Free gives a loopback address, IP:port, that nobody listens on. Another process may take
-// it before it is used.
+// Free returns a loopback address, IP:port, with a free port. Another process may take
+// the port before it is used.
 func Free(tb testing.TB) string {
 	tb.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -23,11 +23,12 @@
 	return l.Addr().String()
 }
 
-// Start calls start, which listens on addresses that Free gives it, again where another
-// process has taken one of them meanwhile. Any other error ends the test.
+// Start calls start, which should listen on new addresses from Free at each call, and
+// retries if another process has taken one of them in the meantime. Any other error
+// fails the test.
 func Start(tb testing.TB, start func() error) {
 	tb.Helper()
-	for range maxTries {
+	for range maxAttempts {
 		err := start()
 		if errors.Is(err, syscall.EADDRINUSE) {
 			continue
@@ -35,5 +36,5 @@
 		assert.NilError(tb, err)
 		return
 	}
-	tb.Fatalf("no ports are free in %d tries", maxTries)
+	tb.Fatalf("address already in use after %d attempts with free ports", maxAttempts)
 }
