--- a/internal/docscheck/doc.go
+++ b/internal/docscheck/doc.go
@@ -1,3 +1,2 @@
-// Package docscheck holds the tests that keep the documentation equal to the
-// code.
+// Package docscheck contains tests that check the documentation against the code.
 package docscheck
--- a/internal/docscheck/docs_test.go
+++ b/internal/docscheck/docs_test.go
@@ -16,17 +16,17 @@
 	"github.com/radishhoist/radishhoist/verdict"
 )
 
-const root = "../.."
+const repositoryRoot = "../.."
 
-func read(t *testing.T, path string) string {
+func readFile(t *testing.T, path string) string {
 	t.Helper()
-	text, err := os.ReadFile(filepath.Join(root, path))
+	text, err := os.ReadFile(filepath.Join(repositoryRoot, path))
 	assert.NilError(t, err)
 	return string(text)
 }
 
 func TestEventCatalogueIsComplete(t *testing.T) {
-	text := read(t, "docs/EVENTS.md")
+	text := readFile(t, "docs/EVENTS.md")
 	rows := regexp.MustCompile(`(?m)^\| (\d+) \| ([^|]+) \|`).FindAllStringSubmatch(text, -1)
 	documented := map[string]string{}
 	for _, r := range rows {
@@ -38,21 +38,21 @@
 		seen[e.Number] = true
 		assert.Equal(t, documented[fmt.Sprint(e.Number)], e.Name, "docs/EVENTS.md, event %d", e.Number)
 	}
-	assert.Equal(t, len(documented), len(event.All()), "docs/EVENTS.md has events that the code lacks")
+	assert.Equal(t, len(documented), len(event.All()), "docs/EVENTS.md lists events that are not in the code")
 }
 
 func TestEveryDeclaredEventIsListed(t *testing.T) {
-	declared := regexp.MustCompile(`= Event\{`).FindAllString(read(t, "internal/event/event.go"), -1)
+	declared := regexp.MustCompile(`= Event\{`).FindAllString(readFile(t, "internal/event/event.go"), -1)
 	assert.Equal(t, len(declared), len(event.All()))
 }
 
 func TestSettingsReferenceIsCurrent(t *testing.T) {
-	assert.Assert(t, strings.Contains(read(t, "docs/operate/settings.md"), settings.Reference()),
+	assert.Assert(t, strings.Contains(readFile(t, "docs/operate/settings.md"), settings.Reference()),
 		"docs/operate/settings.md differs from `radishhoistd -reference`; paste its output")
 }
 
 func TestRecordExamplesAreValid(t *testing.T) {
-	text := read(t, "docs/operate/records.md")
+	text := readFile(t, "docs/operate/records.md")
 	blocks := regexp.MustCompile("(?s)```json\n(.*?)```").FindAllStringSubmatch(text, -1)
 	kinds := map[record.Kind]bool{}
 	for _, b := range blocks {
@@ -65,22 +65,22 @@
 	}
 }
 
-func TestEveryReasonIsExplained(t *testing.T) {
-	source := read(t, "verdict/verdict.go")
-	text := read(t, "docs/operate/answers.md")
+func TestEveryReasonIsDocumented(t *testing.T) {
+	source := readFile(t, "verdict/verdict.go")
+	text := readFile(t, "docs/operate/answers.md")
 	reasons := regexp.MustCompile(`Reason\s+= "([a-z-]+)"`).FindAllStringSubmatch(source, -1)
 	assert.Assert(t, len(reasons) > 10)
 	for _, r := range reasons {
-		assert.Assert(t, strings.Contains(text, "`"+r[1]+"`"), "docs/operate/answers.md does not explain %s", r[1])
+		assert.Assert(t, strings.Contains(text, "`"+r[1]+"`"), "docs/operate/answers.md does not document %s", r[1])
 	}
 	for _, v := range []verdict.Verdict{verdict.NotRun, verdict.MayHaveRun, verdict.Ran} {
 		assert.Assert(t, strings.Contains(text, "`"+v.String()+"`"))
 	}
 }
 
-func TestLinksLeadSomewhere(t *testing.T) {
+func TestMarkdownLinksResolve(t *testing.T) {
 	link := regexp.MustCompile(`\]\(([^)#]+)(#[^)]*)?\)`)
-	err := filepath.WalkDir(root, func(path string, d os.DirEntry, err error) error {
+	err := filepath.WalkDir(repositoryRoot, func(path string, d os.DirEntry, err error) error {
 		if err != nil || d.IsDir() || !strings.HasSuffix(path, ".md") {
 			return err
 		}
@@ -93,18 +93,18 @@
 				continue
 			}
 			_, err := os.Stat(filepath.Join(filepath.Dir(path), m[1]))
-			assert.NilError(t, err, "%s links to %s", path, m[1])
+			assert.NilError(t, err, "%s links to missing file %s", path, m[1])
 		}
 		return nil
 	})
 	assert.NilError(t, err)
 }
 
-func TestEveryMetricIsListed(t *testing.T) {
-	text := read(t, "docs/operate/metrics.md")
+func TestEveryMetricIsDocumented(t *testing.T) {
+	text := readFile(t, "docs/operate/metrics.md")
 	for _, path := range []string{"internal/daemon/metrics.go", "internal/front/counters.go", "internal/guard/counters.go", "internal/objects/budget.go"} {
-		for _, m := range regexp.MustCompile("[\"`](radishhoist_[a-z_]+)").FindAllStringSubmatch(read(t, path), -1) {
-			assert.Assert(t, strings.Contains(text, m[1]), "docs/operate/metrics.md does not list %s", m[1])
+		for _, m := range regexp.MustCompile("[\"`](radishhoist_[a-z_]+)").FindAllStringSubmatch(readFile(t, path), -1) {
+			assert.Assert(t, strings.Contains(text, m[1]), "docs/operate/metrics.md does not document %s", m[1])
 		}
 	}
 }
