--- a/internal/peer/pool.go
+++ b/internal/peer/pool.go
@@ -92,7 +92,7 @@
 }
 
 func newPool(listener net.Listener, connect connectFunc, self msg.Hello, h Handlers, log *slog.Logger) *Pool {
-	self.Proto = wire.Proto
+	self.Proto = wire.ProtocolVersion
 	p := &Pool{
 		self: self, handlers: h, log: log, listener: listener, connect: connect,
 		links: make(map[string]*link), inbound: make(map[*wire.Conn]*msg.Hello),
@@ -186,7 +186,7 @@
 	case <-conn.Done():
 		from = &msg.Hello{}
 	}
-	if from.Proto != wire.Proto {
+	if from.Proto != wire.ProtocolVersion {
 		event.Log(p.log, event.PeerRefused, slog.String("peer", nc.RemoteAddr().String()),
 			slog.Uint64("proto", uint64(from.Proto)), slog.String("peer", from.Host))
 		conn.Close()
@@ -306,7 +306,7 @@
 	if err != nil {
 		return nil, err
 	}
-	conn := wire.NewConn(nc, wire.Handlers{Doubted: p.checkQuiet})
+	conn := wire.NewConn(nc, wire.Handlers{OnSuspect: p.checkQuiet})
 	hello := p.self
 	if err := conn.SendControl(ctx, &hello); err != nil {
 		conn.Close()
@@ -348,14 +348,14 @@
 	s := Stats{Inbound: len(p.inbound)}
 	for c := range p.inbound {
 		s.Streams += c.Streams()
-		s.Strays += c.Strays()
+		s.Strays += c.StrayFrames()
 	}
 	for _, l := range p.links {
 		l.mu.Lock()
 		if l.conn != nil && l.conn.Err() == nil {
 			s.Outbound++
 			s.Streams += l.conn.Streams()
-			s.Strays += l.conn.Strays()
+			s.Strays += l.conn.StrayFrames()
 		}
 		l.mu.Unlock()
 	}
--- a/internal/peer/send.go
+++ b/internal/peer/send.go
@@ -45,7 +45,7 @@
 	if err := conn.SendControl(ctx, m); err != nil {
 		return err
 	}
-	if time.Since(conn.LastRead()) < livelyFor || conn.SignOfLife(ctx, signTimeout) {
+	if time.Since(conn.LastRead()) < livelyFor || conn.PingAndWait(ctx, signTimeout) {
 		return nil
 	}
 	conn.Doubt()
@@ -62,7 +62,7 @@
 func (p *Pool) checkQuiet() {
 	for _, conn := range p.quiet() {
 		go func() {
-			if !conn.SignOfLife(context.Background(), signTimeout) {
+			if !conn.PingAndWait(context.Background(), signTimeout) {
 				conn.Doubt()
 			}
 		}()
@@ -91,7 +91,7 @@
 func (l *link) quiet(now time.Time) *wire.Conn {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if !l.usable() || l.conn.Doubted() || now.Sub(l.conn.LastRead()) < signTimeout {
+	if !l.usable() || l.conn.Suspect() || now.Sub(l.conn.LastRead()) < signTimeout {
 		return nil
 	}
 	return l.conn
@@ -103,10 +103,10 @@
 // renews says that the connection is in doubt and another is to be made now. The caller
 // holds the lock.
 func (l *link) renews(now time.Time) bool {
-	if l.conn.Heard() && !l.conn.Doubted() {
+	if l.conn.HasReceived() && !l.conn.Suspect() {
 		l.renewal = 0
 	}
-	if !l.conn.Doubted() || now.Before(l.renewAt) {
+	if !l.conn.Suspect() || now.Before(l.renewAt) {
 		return false
 	}
 	l.renewal = min(max(2*l.renewal, renewalMin), renewalMax)
--- a/internal/peer/silent_test.go
+++ b/internal/peer/silent_test.go
@@ -164,8 +164,8 @@
 		assert.NilError(t, conn.Err())
 
 		again.Doubt()
-		assert.Assert(t, again.SignOfLife(ctx, signTimeout))
-		assert.Assert(t, !again.Doubted())
+		assert.Assert(t, again.PingAndWait(ctx, signTimeout))
+		assert.Assert(t, !again.Suspect())
 		same, err := from.Conn(ctx, "b")
 		assert.NilError(t, err)
 		assert.Assert(t, same == again)
@@ -193,7 +193,7 @@
 		for _, addr := range addresses {
 			renewed, err := from.Conn(ctx, addr)
 			assert.NilError(t, err)
-			assert.Assert(t, renewed.SignOfLife(ctx, signTimeout), "the connection to %s is still the silent one", addr)
+			assert.Assert(t, renewed.PingAndWait(ctx, signTimeout), "the connection to %s is still the silent one", addr)
 		}
 		assert.Equal(t, n.dials.Load()-before, int64(len(addresses)))
 	})
--- a/internal/wire/conn.go
+++ b/internal/wire/conn.go
@@ -14,29 +14,29 @@
 )
 
 const (
-	// streamWindow is how many body bytes one direction of a stream may have
-	// under way, in bytes.
+	// streamWindow is the flow-control window of each direction of a stream, in
+	// body bytes.
 	streamWindow = 256 << 10
-	// inboxSize bounds the messages a stream holds unread: a window of the
-	// smallest useful chunks plus control messages.
-	inboxSize = 64
-	// maxPending bounds the bytes a connection holds unsent; senders wait
-	// beyond it.
+	// recvQueueSize is the capacity of a stream's receive queue, in messages: a
+	// window of minimum-cost chunks (see minCredit) plus control messages.
+	recvQueueSize = 64
+	// maxPending is the number of unsent bytes above which senders wait.
 	maxPending = 512 << 10
-	// maxStreams bounds the streams one connection may have open.
+	// maxStreams is the maximum number of open streams per connection.
 	maxStreams = 4096
-	// writeTimeout bounds one write to the peer, after which it counts as cut.
+	// writeTimeout bounds one write; a write that exceeds it closes the connection.
 	writeTimeout = 10 * time.Second
-	// readBuffer is the buffered input, in bytes.
-	readBuffer = 16 << 10
-	// keepScratch is the largest read buffer a connection keeps, in bytes.
-	keepScratch = 64 << 10
+	// readBufferSize is the size of the buffered reader, in bytes.
+	readBufferSize = 16 << 10
+	// maxRetainedBuffer is the largest read or write buffer that a connection
+	// keeps for reuse, in bytes.
+	maxRetainedBuffer = 64 << 10
 )
 
-// ErrClosed says the connection or stream is closed.
-var ErrClosed = errors.New("link closed")
+// ErrClosed is returned for operations on a closed connection or stream.
+var ErrClosed = errors.New("connection closed")
 
-// Conn is one connection with many streams.
+// Conn is a connection that multiplexes streams.
 type Conn struct {
 	nc       net.Conn
 	handlers Handlers
@@ -44,50 +44,52 @@
 	once     sync.Once
 	cause    atomic.Pointer[error]
 
-	out outgoing
+	out writeQueue
 
 	mu      sync.Mutex
 	streams map[uint64]*connStream
 	nextID  uint64
-	seen    idWindow
-	// born is when the connection was made; lastRead counts from it, so that a
-	// jump of the time of day does not touch it.
-	born time.Time
-	// lastRead is when the newest frame came, in nanoseconds since born.
-	lastRead atomic.Int64
-	signs    signs
-	strays   atomic.Uint64
+	opened  idWindow
+	// createdAt is the origin of lastRead. It carries a monotonic clock reading,
+	// so lastRead is not affected by changes of the wall clock.
+	createdAt time.Time
+	// lastRead is when the latest frame arrived, in nanoseconds since createdAt.
+	lastRead    atomic.Int64
+	liveness    liveness
+	strayFrames atomic.Uint64
 }
 
-// Handlers take what the peer starts.
+// Handlers are the callbacks of a connection.
 type Handlers struct {
-	// Accept is called in a goroutine of its own for every stream that the
-	// peer opens; nil refuses them.
+	// Accept is called in a new goroutine for every stream that the peer
+	// opens. If nil, streams opened by the peer are dropped.
 	Accept func(Stream)
-	// Control is called by the reader, in order, for every message that
-	// belongs to no stream; it must not block. nil drops them.
+	// Control is called in order, on the read loop, for every control message
+	// (a message outside any stream). It must not block. If nil, control
+	// messages are dropped.
 	Control func(msg.Message)
-	// Doubted is called when the connection comes into doubt; nil for nobody.
-	Doubted func()
+	// OnSuspect is called when the connection becomes suspect; may be nil.
+	OnSuspect func()
 }
 
-// controlStream is the stream number of messages that belong to no stream.
+// controlStream is the stream ID of control messages.
 const controlStream = 0
 
-// NewConn starts the reader of a connection. Senders write themselves.
+// NewConn wraps nc and starts its read loop. Writes happen on the goroutines of
+// the senders.
 func NewConn(nc net.Conn, h Handlers) *Conn {
 	c := &Conn{
-		nc:       nc,
-		handlers: h,
-		done:     make(chan struct{}),
-		streams:  make(map[uint64]*connStream),
-		born:     time.Now(),
+		nc:        nc,
+		handlers:  h,
+		done:      make(chan struct{}),
+		streams:   make(map[uint64]*connStream),
+		createdAt: time.Now(),
 	}
 	go c.readLoop()
 	return c
 }
 
-// Open starts a new stream towards the peer.
+// Open creates a stream to the peer. The peer sees it with its first message.
 func (c *Conn) Open() (Stream, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -95,7 +97,7 @@
 		return nil, c.Err()
 	}
 	if len(c.streams) >= maxStreams {
-		return nil, errors.Errorf("connection has its bound of %d streams", maxStreams)
+		return nil, errors.Errorf("connection has reached the limit of %d open streams", maxStreams)
 	}
 	c.nextID++
 	s := newConnStream(c, c.nextID)
@@ -103,29 +105,30 @@
 	return s, nil
 }
 
-// SendControl queues a message that belongs to no stream.
+// SendControl writes a message outside any stream, or queues it if another sender
+// is writing.
 func (c *Conn) SendControl(ctx context.Context, m msg.Message) error {
 	return c.send(ctx, controlStream, m)
 }
 
-// Ping asks the peer for a sign of life, which shows in LastRead.
-func (c *Conn) Ping() { go c.answerControl(&msg.Ping{}) }
+// Ping sends a ping without waiting. The peer's answer shows in LastRead.
+func (c *Conn) Ping() { go c.sendControlBounded(&msg.Ping{}) }
 
-// answerControl sends a small message in a goroutine of its own, because the
-// reader must never wait for the writer.
-func (c *Conn) answerControl(m msg.Message) {
+// sendControlBounded sends a control message and gives up after writeTimeout. Call
+// it in a new goroutine: the read loop must not block on writes.
+func (c *Conn) sendControlBounded(m msg.Message) {
 	ctx, cancel := context.WithTimeout(context.Background(), writeTimeout)
 	defer cancel()
 	_ = c.SendControl(ctx, m)
 }
 
-// Close ends the connection and every stream on it.
+// Close closes the connection and every stream on it.
 func (c *Conn) Close() { c.fail(ErrClosed) }
 
-// Done is closed when the connection has ended.
+// Done returns a channel that is closed when the connection has ended.
 func (c *Conn) Done() <-chan struct{} { return c.done }
 
-// Err gives the cause of the end, nil while the connection lives.
+// Err returns the error that ended the connection, or nil while it is open.
 func (c *Conn) Err() error {
 	if p := c.cause.Load(); p != nil {
 		return *p
@@ -133,13 +136,14 @@
 	return nil
 }
 
-// LastRead is when the newest frame came from the peer.
-func (c *Conn) LastRead() time.Time { return c.born.Add(time.Duration(c.lastRead.Load())) }
+// LastRead returns when the latest frame arrived from the peer, or when the
+// connection was created if none has.
+func (c *Conn) LastRead() time.Time { return c.createdAt.Add(time.Duration(c.lastRead.Load())) }
 
-// Strays counts frames for streams that are no longer open, which are dropped.
-func (c *Conn) Strays() uint64 { return c.strays.Load() }
+// StrayFrames returns the number of frames dropped because their stream was not open.
+func (c *Conn) StrayFrames() uint64 { return c.strayFrames.Load() }
 
-// Streams counts the open streams.
+// Streams returns the number of open streams.
 func (c *Conn) Streams() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -164,7 +168,7 @@
 }
 
 func (c *Conn) readLoop() {
-	r := bufio.NewReaderSize(c.nc, readBuffer)
+	r := bufio.NewReaderSize(c.nc, readBufferSize)
 	var scratch []byte
 	for {
 		stream, m, buf, err := ReadFrame(r, scratch)
@@ -173,11 +177,11 @@
 			return
 		}
 		scratch = buf
-		if cap(scratch) > keepScratch {
+		if cap(scratch) > maxRetainedBuffer {
 			scratch = nil
 		}
-		c.lastRead.Store(int64(time.Since(c.born)))
-		c.signs.heard()
+		c.lastRead.Store(int64(time.Since(c.createdAt)))
+		c.liveness.frameReceived()
 		if err := c.dispatch(stream, m); err != nil {
 			c.fail(err)
 			return
@@ -185,11 +189,12 @@
 	}
 }
 
-// dispatch hands a message to its stream, opening it where the peer may.
+// dispatch routes a message to its stream, which it opens if this is a valid first
+// message. Messages for unknown streams are dropped and counted.
 func (c *Conn) dispatch(id uint64, m msg.Message) error {
 	if id == controlStream {
 		if m.Kind() == msg.KindPing {
-			go c.answerControl(&msg.Pong{})
+			go c.sendControlBounded(&msg.Pong{})
 			return nil
 		}
 		if c.handlers.Control != nil {
@@ -199,10 +204,10 @@
 	}
 	c.mu.Lock()
 	s, ok := c.streams[id]
-	if !ok && c.handlers.Accept != nil && opens(m.Kind()) && c.seen.first(id) {
+	if !ok && c.handlers.Accept != nil && opensStream(m.Kind()) && c.opened.addIfNew(id) {
 		if len(c.streams) >= maxStreams {
 			c.mu.Unlock()
-			return errors.Errorf("peer opened more than %d streams", maxStreams)
+			return errors.Errorf("peer exceeded the limit of %d open streams", maxStreams)
 		}
 		s = newConnStream(c, id)
 		c.streams[id] = s
@@ -211,14 +216,14 @@
 	}
 	c.mu.Unlock()
 	if !ok {
-		c.strays.Add(1)
+		c.strayFrames.Add(1)
 		return nil
 	}
 	return s.deliver(m)
 }
 
-// opens says whether a message may be the first of a stream.
-func opens(k msg.Kind) bool {
+// opensStream reports whether a message of kind k may be the first of a stream.
+func opensStream(k msg.Kind) bool {
 	switch k {
 	case msg.KindReserve, msg.KindRun, msg.KindKeyClaim, msg.KindKeyDone, msg.KindPromise, msg.KindHandover:
 		return true
@@ -227,7 +232,7 @@
 	}
 }
 
-func (c *Conn) forget(id uint64) {
+func (c *Conn) removeStream(id uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.streams, id)
--- a/internal/wire/frame.go
+++ b/internal/wire/frame.go
@@ -1,10 +1,11 @@
-// Package wire carries typed messages between the system's processes.
+// Package wire implements the framed, multiplexed protocol between the
+// system's processes.
 //
-// A connection is a sequence of frames. A frame is a 4-byte big-endian length,
-// an 8-byte big-endian stream number, a 1-byte message kind and a msgpack
-// body; the length covers all that follows it. Many streams share one
-// connection; each has its own credit, so that one slow reader holds up no
-// other stream.
+// A connection carries a sequence of frames. A frame consists of a 4-byte
+// big-endian length, an 8-byte big-endian stream ID, a 1-byte message kind and
+// a msgpack body; the length covers everything after the length field. Many
+// streams share one connection. Flow control is per stream, so a slow reader
+// does not block other streams.
 package wire
 
 import (
@@ -17,20 +18,22 @@
 )
 
 const (
-	// Proto is the version of the frame protocol, checked in Hello.
-	Proto = 4
-	// MaxFrame bounds one frame, in bytes after the length field. The largest
-	// message is a part of a record set: values are at most 1 MB each.
-	MaxFrame = 2 << 20
-	// ChunkSize bounds one Data message, in bytes.
+	// ProtocolVersion is exchanged in Hello; peers with another version are refused.
+	ProtocolVersion = 4
+	// MaxFrameSize is the maximum frame length in bytes, excluding the length
+	// field. The largest message is a part of a record set, whose values are
+	// at most 1 MB each.
+	MaxFrameSize = 2 << 20
+	// ChunkSize is the maximum payload of one Data message, in bytes.
 	ChunkSize = 32 << 10
-	// headerSize is the length, stream and kind fields.
+	// headerSize covers the length, stream ID and kind fields, in bytes.
 	headerSize = 4 + 8 + 1
-	// minPayload is the stream and kind fields.
-	minPayload = 8 + 1
+	// minPayloadSize covers the stream ID and kind fields, in bytes.
+	minPayloadSize = 8 + 1
 )
 
-// AppendFrame appends the frame of one message to buf and returns it.
+// AppendFrame appends m, encoded as one frame, to buf and returns the extended
+// buffer. On error it returns buf with its original contents.
 func AppendFrame(buf []byte, stream uint64, m msg.Message) ([]byte, error) {
 	start := len(buf)
 	var header [headerSize]byte
@@ -42,25 +45,25 @@
 		return buf[:start], errors.Wrap(err, "encode message")
 	}
 	size := len(buf) - start - 4
-	if size > MaxFrame {
-		return buf[:start], errors.Errorf("message of %d bytes is over the frame bound of %d", size, MaxFrame)
+	if size > MaxFrameSize {
+		return buf[:start], errors.Errorf("message of %d bytes exceeds the maximum frame size of %d bytes", size, MaxFrameSize)
 	}
 	binary.BigEndian.PutUint32(buf[start:], uint32(size))
 	return buf, nil
 }
 
-// ReadFrame reads one frame. scratch is reused where it is large enough; the
-// returned slice is the buffer to pass next time. A frame that is too long,
-// too short, of an unknown kind or malformed is an error, and the connection
-// cannot be read further.
+// ReadFrame reads one frame. It reuses scratch if it is large enough; the
+// returned buf is the buffer to pass to the next call. A frame that is too
+// long, too short, malformed or of an unknown kind is an error, after which
+// the connection must not be read further.
 func ReadFrame(r io.Reader, scratch []byte) (stream uint64, m msg.Message, buf []byte, err error) {
 	var head [4]byte
 	if _, err = io.ReadFull(r, head[:]); err != nil {
 		return 0, nil, scratch, err
 	}
 	size := binary.BigEndian.Uint32(head[:])
-	if size < minPayload || size > MaxFrame {
-		return 0, nil, scratch, errors.Errorf("frame of %d bytes: want %d to %d", size, minPayload, MaxFrame)
+	if size < minPayloadSize || size > MaxFrameSize {
+		return 0, nil, scratch, errors.Errorf("frame length %d is out of range: want %d to %d bytes", size, minPayloadSize, MaxFrameSize)
 	}
 	if cap(scratch) < int(size) {
 		scratch = make([]byte, size)
@@ -73,19 +76,19 @@
 	return stream, m, scratch, err
 }
 
-// decodePayload decodes the part of a frame behind its length.
+// decodePayload decodes a frame without its length field.
 func decodePayload(payload []byte) (uint64, msg.Message, error) {
 	stream := binary.BigEndian.Uint64(payload)
 	m, err := msg.New(msg.Kind(payload[8]))
 	if err != nil {
 		return stream, nil, err
 	}
-	rest, err := m.UnmarshalMsg(payload[minPayload:])
+	trailing, err := m.UnmarshalMsg(payload[minPayloadSize:])
 	if err != nil {
 		return stream, nil, errors.Wrapf(err, "decode message kind %d", payload[8])
 	}
-	if len(rest) != 0 {
-		return stream, nil, errors.Errorf("message kind %d has %d bytes too many", payload[8], len(rest))
+	if len(trailing) != 0 {
+		return stream, nil, errors.Errorf("message kind %d has %d trailing bytes", payload[8], len(trailing))
 	}
 	return stream, m, nil
 }
--- a/internal/wire/frame_test.go
+++ b/internal/wire/frame_test.go
@@ -13,11 +13,11 @@
 	"github.com/radishhoist/radishhoist/internal/msg"
 )
 
-// FuzzReadFrame feeds arbitrary bytes to the decoder: it must neither panic
-// nor accept what it cannot write back.
+// FuzzReadFrame checks that arbitrary input does not panic the decoder, and that
+// every accepted frame can be encoded and decoded again.
 func FuzzReadFrame(f *testing.F) {
 	seeds := []msg.Message{
-		&msg.Hello{Proto: Proto, Host: "h1", DC: "a"}, &msg.Data{Bytes: []byte("body")},
+		&msg.Hello{Proto: ProtocolVersion, Host: "h1", DC: "a"}, &msg.Data{Bytes: []byte("body")},
 		&msg.Run{RequestID: "r", Method: "GET", URI: "/", Header: []msg.Field{{Name: "A", Value: "b"}}},
 		&msg.Rumor{Entries: []msg.Entry{{Kind: "Route", Name: "x", Version: 3, Value: []byte("{}")}}},
 		&msg.Versions{Buckets: []uint32{1, 2}, Items: []msg.VersionItem{{Kind: "Route", Name: "x", Version: 3}}},
@@ -34,15 +34,16 @@
 		if err != nil {
 			return
 		}
-		again, err := AppendFrame(nil, stream, m)
+		reencoded, err := AppendFrame(nil, stream, m)
 		assert.NilError(t, err)
-		_, m2, _, err := ReadFrame(bytes.NewReader(again), nil)
+		_, m2, _, err := ReadFrame(bytes.NewReader(reencoded), nil)
 		assert.NilError(t, err)
 		assert.Equal(t, m2.Kind(), m.Kind())
 	})
 }
 
-// connect makes two ends of a connection over loopback.
+// connect opens a loopback TCP connection. It returns one end as a Conn and the
+// other end raw.
 func connect(t *testing.T, accept func(Stream)) (*Conn, net.Conn) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -89,7 +90,7 @@
 	slow, err := sender.Open()
 	assert.NilError(t, err)
 	assert.NilError(t, slow.Send(ctx, &msg.Run{}))
-	<-streams // nobody reads this one
+	<-streams // the receiver never reads from this stream
 
 	short, stop := context.WithTimeout(ctx, 200*time.Millisecond)
 	defer stop()
@@ -99,7 +100,7 @@
 			break
 		}
 	}
-	assert.Assert(t, errors.Is(err, context.DeadlineExceeded), "the sender was not held back: %v", err)
+	assert.Assert(t, errors.Is(err, context.DeadlineExceeded), "the sender was not blocked by flow control: %v", err)
 	assert.Assert(t, sent*ChunkSize <= streamWindow)
 
 	fast, err := sender.Open()
@@ -124,6 +125,6 @@
 	assert.NilError(t, err)
 	m, err := (<-opened).Recv(context.Background())
 	assert.NilError(t, err)
-	assert.Equal(t, m.(*msg.Run).RequestID, "marker", "the repeated frame opened a stream")
-	assert.Equal(t, c.Strays(), uint64(1))
+	assert.Equal(t, m.(*msg.Run).RequestID, "marker", "the duplicate frame opened a stream")
+	assert.Equal(t, c.StrayFrames(), uint64(1))
 }
--- a/internal/wire/pipe.go
+++ b/internal/wire/pipe.go
@@ -7,23 +7,23 @@
 	"github.com/radishhoist/radishhoist/internal/msg"
 )
 
-// pipeDepth bounds the messages under way in one direction of a pipe.
+// pipeDepth is the buffer size of one direction of a pipe, in messages.
 const pipeDepth = 8
 
-// pipeEnd is one end of an in-process Stream: a front and a guard in the same
-// process talk through it without encoding a frame.
+// pipeEnd is one end of an in-process Stream. It connects a front and a guard in
+// the same process without encoding frames.
 type pipeEnd struct {
 	in, out chan msg.Message
 	peer    *pipeEnd
-	gone    chan struct{}
+	closed  chan struct{}
 	once    sync.Once
 }
 
-// Pipe gives the two ends of an in-process Stream.
+// Pipe returns the two ends of an in-process Stream.
 func Pipe() (Stream, Stream) {
 	ab, ba := make(chan msg.Message, pipeDepth), make(chan msg.Message, pipeDepth)
-	a := &pipeEnd{in: ba, out: ab, gone: make(chan struct{})}
-	b := &pipeEnd{in: ab, out: ba, gone: make(chan struct{})}
+	a := &pipeEnd{in: ba, out: ab, closed: make(chan struct{})}
+	b := &pipeEnd{in: ab, out: ba, closed: make(chan struct{})}
 	a.peer, b.peer = b, a
 	return a, b
 }
@@ -40,14 +40,14 @@
 
 func (p *pipeEnd) sendOne(ctx context.Context, m msg.Message) error {
 	select {
-	case <-p.peer.gone:
+	case <-p.peer.closed:
 		return ErrClosed
 	default:
 	}
 	select {
 	case p.out <- m:
 		return nil
-	case <-p.peer.gone:
+	case <-p.peer.closed:
 		return ErrClosed
 	case <-ctx.Done():
 		return ctx.Err()
@@ -66,7 +66,7 @@
 		return m, nil
 	case <-ctx.Done():
 		return nil, ctx.Err()
-	case <-p.peer.gone:
+	case <-p.peer.closed:
 	}
 	select {
 	case m := <-p.in:
@@ -78,5 +78,5 @@
 
 // Close implements Stream.
 func (p *pipeEnd) Close() {
-	p.once.Do(func() { close(p.gone) })
+	p.once.Do(func() { close(p.closed) })
 }
--- a/internal/wire/send.go
+++ b/internal/wire/send.go
@@ -10,21 +10,22 @@
 	"github.com/radishhoist/radishhoist/internal/msg"
 )
 
-// outgoing is what a connection has still to write. There is no writer
-// goroutine: a sender that finds nobody writing writes its own frames and all
-// that others add meanwhile. That saves two wake-ups on every message.
-type outgoing struct {
+// writeQueue holds the encoded frames that a connection has still to write. There
+// is no writer goroutine: a sender that finds no other sender writing writes its
+// own frames and those that others append meanwhile. This saves two goroutine
+// wake-ups per message.
+type writeQueue struct {
 	mu      sync.Mutex
 	pending []byte
 	spare   []byte
 	writing bool
-	// room is closed when the pending bytes have been taken, nil while nobody
-	// waits.
-	room chan struct{}
+	// spaceFreed is closed when the pending bytes are handed to the writing sender;
+	// nil while no sender waits for space.
+	spaceFreed chan struct{}
 }
 
-// send writes messages in one piece, or leaves them to the sender that is
-// writing now. It waits while too much is pending.
+// send writes messages contiguously, or queues them if another sender is writing.
+// It waits while more than maxPending bytes are unsent.
 func (c *Conn) send(ctx context.Context, stream uint64, ms ...msg.Message) error {
 	for {
 		wait, err := c.append(stream, ms)
@@ -44,52 +45,53 @@
 	}
 }
 
-// append adds frames and, where nobody writes, writes until nothing is left.
-// It returns a channel to wait on where too much is pending.
+// append queues frames and, if no other sender is writing, writes until the queue
+// is empty. If the queue is full it queues nothing and returns a channel to wait on
+// before the next attempt.
 func (c *Conn) append(stream uint64, ms []msg.Message) (<-chan struct{}, error) {
-	o := &c.out
-	o.mu.Lock()
-	if len(o.pending) > maxPending {
-		if o.room == nil {
-			o.room = make(chan struct{})
+	q := &c.out
+	q.mu.Lock()
+	if len(q.pending) > maxPending {
+		if q.spaceFreed == nil {
+			q.spaceFreed = make(chan struct{})
 		}
-		defer o.mu.Unlock()
-		return o.room, nil
+		defer q.mu.Unlock()
+		return q.spaceFreed, nil
 	}
-	start := len(o.pending)
+	start := len(q.pending)
 	for _, m := range ms {
 		var err error
-		if o.pending, err = AppendFrame(o.pending, stream, m); err != nil {
-			o.pending = o.pending[:start]
-			o.mu.Unlock()
+		if q.pending, err = AppendFrame(q.pending, stream, m); err != nil {
+			q.pending = q.pending[:start]
+			q.mu.Unlock()
 			return nil, err
 		}
 	}
-	if o.writing {
-		o.mu.Unlock()
+	if q.writing {
+		q.mu.Unlock()
 		return nil, nil
 	}
-	o.writing = true
-	for len(o.pending) > 0 {
-		batch := o.pending
-		o.pending, o.spare = o.spare[:0], nil
-		if o.room != nil {
-			close(o.room)
-			o.room = nil
+	q.writing = true
+	for len(q.pending) > 0 {
+		batch := q.pending
+		q.pending, q.spare = q.spare[:0], nil
+		if q.spaceFreed != nil {
+			close(q.spaceFreed)
+			q.spaceFreed = nil
 		}
-		o.mu.Unlock()
+		q.mu.Unlock()
 		err := c.write(batch)
-		o.mu.Lock()
-		if cap(batch) <= keepScratch {
-			o.spare = batch
+		q.mu.Lock()
+		if cap(batch) <= maxRetainedBuffer {
+			q.spare = batch
 		}
 		if err != nil {
 			c.fail(errors.Wrap(err, "write"))
 			break
 		}
 	}
-	o.writing = false
-	o.mu.Unlock()
+	q.writing = false
+	q.mu.Unlock()
 	return nil, nil
 }
 
--- a/internal/wire/stream.go
+++ b/internal/wire/stream.go
@@ -10,63 +10,66 @@
 	"github.com/pkg/errors"
 )
 
-// Stream is one conversation with a peer. Send and Recv may be called from two
-// goroutines at once; each by itself is for one goroutine at a time.
+// Stream is a bidirectional sequence of messages with a peer. Send and Recv may be
+// called concurrently with each other, but neither concurrently with itself.
 type Stream interface {
-	// Send sends messages in one piece; for Data it waits for the peer's
-	// credit first.
+	// Send sends messages contiguously. Data messages first wait for
+	// flow-control credit from the peer.
 	Send(ctx context.Context, ms ...msg.Message) error
-	// Recv gives the next message. Messages that came before the link was
-	// lost are given before the error.
+	// Recv returns the next message. Messages received before the connection
+	// ended are returned before its error.
 	Recv(ctx context.Context) (msg.Message, error)
-	// Close forgets the stream; what still comes for it is dropped.
+	// Close releases the stream; messages that still arrive for it are dropped.
 	Close()
 }
 
 // connStream is a Stream over a Conn.
 type connStream struct {
-	conn  *Conn
-	id    uint64
-	inbox chan msg.Message
+	conn      *Conn
+	id        uint64
+	recvQueue chan msg.Message
 
-	// credit is how many body bytes may still be sent.
 	creditMu sync.Mutex
-	credit   int
-	more     chan struct{}
-
-	// unacked is how many received body bytes were not yet returned as credit.
-	unacked   int
-	received  atomic.Int64
+	// credit is the number of body bytes that may still be sent.
+	credit int
+	// creditAdded holds a token when credit was added since the last wait.
+	creditAdded chan struct{}
+
+	// unreturned is the credit of consumed messages that has not been returned
+	// to the peer, in bytes.
+	unreturned int
+	// buffered is the number of body bytes received but not yet consumed.
+	buffered  atomic.Int64
 	closeOnce sync.Once
 }
 
 func newConnStream(c *Conn, id uint64) *connStream {
 	return &connStream{
-		conn:   c,
-		id:     id,
-		inbox:  make(chan msg.Message, inboxSize),
-		credit: streamWindow,
-		more:   make(chan struct{}, 1),
+		conn:        c,
+		id:          id,
+		recvQueue:   make(chan msg.Message, recvQueueSize),
+		credit:      streamWindow,
+		creditAdded: make(chan struct{}, 1),
 	}
 }
 
-// deliver is called by the connection's reader and never blocks: a peer that
-// overruns its credit or the inbox breaks the protocol.
+// deliver queues a message for Recv. It runs on the read loop and never blocks: a
+// peer that exceeds its credit or the receive queue violates the protocol.
 func (s *connStream) deliver(m msg.Message) error {
 	switch m := m.(type) {
 	case *msg.Window:
 		s.addCredit(int(m.Bytes))
 		return nil
 	case *msg.Data:
-		if len(m.Bytes) > ChunkSize || s.received.Add(int64(len(m.Bytes))) > streamWindow {
-			return errors.Errorf("stream %d: peer overran its window", s.id)
+		if len(m.Bytes) > ChunkSize || s.buffered.Add(int64(len(m.Bytes))) > streamWindow {
+			return errors.Errorf("stream %d: peer exceeded its flow-control window", s.id)
 		}
 	}
 	select {
-	case s.inbox <- m:
+	case s.recvQueue <- m:
 		return nil
 	default:
-		return errors.Errorf("stream %d: peer overran the inbox", s.id)
+		return errors.Errorf("stream %d: peer exceeded the receive queue", s.id)
 	}
 }
 
@@ -75,12 +78,12 @@
 	s.credit += n
 	s.creditMu.Unlock()
 	select {
-	case s.more <- struct{}{}:
+	case s.creditAdded <- struct{}{}:
 	default:
 	}
 }
 
-// takeCredit waits until n bytes may be sent.
+// takeCredit waits until n bytes of credit are available and spends them.
 func (s *connStream) takeCredit(ctx context.Context, n int) error {
 	for {
 		s.creditMu.Lock()
@@ -91,7 +94,7 @@
 		}
 		s.creditMu.Unlock()
 		select {
-		case <-s.more:
+		case <-s.creditAdded:
 		case <-s.conn.done:
 			return s.conn.Err()
 		case <-ctx.Done():
@@ -104,7 +107,7 @@
 func (s *connStream) Send(ctx context.Context, ms ...msg.Message) error {
 	for _, m := range ms {
 		if d, ok := m.(*msg.Data); ok {
-			// A small chunk costs as much inbox as a large one.
+			// A small chunk takes up as much of the receive queue as a large one.
 			if err := s.takeCredit(ctx, max(len(d.Bytes), minCredit)); err != nil {
 				return err
 			}
@@ -113,49 +116,50 @@
 	return s.conn.send(ctx, s.id, ms...)
 }
 
-// minCredit is what a chunk costs at least, so that a window of the smallest
-// chunks still fits the inbox.
-const minCredit = streamWindow / (inboxSize / 2)
+// minCredit is the minimum credit charged for a Data message, in bytes. It keeps a
+// full window of small chunks within half of the receive queue.
+const minCredit = streamWindow / (recvQueueSize / 2)
 
 // Recv implements Stream.
 func (s *connStream) Recv(ctx context.Context) (msg.Message, error) {
 	select {
-	case m := <-s.inbox:
-		return m, s.consumed(ctx, m)
+	case m := <-s.recvQueue:
+		return m, s.returnCredit(ctx, m)
 	default:
 	}
 	select {
-	case m := <-s.inbox:
-		return m, s.consumed(ctx, m)
+	case m := <-s.recvQueue:
+		return m, s.returnCredit(ctx, m)
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	case <-s.conn.done:
 	}
 	select {
-	case m := <-s.inbox:
-		return m, s.consumed(ctx, m)
+	case m := <-s.recvQueue:
+		return m, s.returnCredit(ctx, m)
 	default:
 		return nil, s.conn.Err()
 	}
 }
 
-// consumed returns credit for body bytes once half the window is used.
-func (s *connStream) consumed(ctx context.Context, m msg.Message) error {
+// returnCredit accounts for a consumed message and returns credit to the peer once
+// half of the window has been consumed.
+func (s *connStream) returnCredit(ctx context.Context, m msg.Message) error {
 	d, ok := m.(*msg.Data)
 	if !ok {
 		return nil
 	}
-	s.received.Add(-int64(len(d.Bytes)))
-	s.unacked += max(len(d.Bytes), minCredit)
-	if s.unacked < streamWindow/2 {
+	s.buffered.Add(-int64(len(d.Bytes)))
+	s.unreturned += max(len(d.Bytes), minCredit)
+	if s.unreturned < streamWindow/2 {
 		return nil
 	}
-	returned := uint32(s.unacked)
-	s.unacked = 0
+	returned := uint32(s.unreturned)
+	s.unreturned = 0
 	return s.conn.send(ctx, s.id, &msg.Window{Bytes: returned})
 }
 
 // Close implements Stream.
 func (s *connStream) Close() {
-	s.closeOnce.Do(func() { s.conn.forget(s.id) })
+	s.closeOnce.Do(func() { s.conn.removeStream(s.id) })
 }
--- a/internal/wire/window.go
+++ b/internal/wire/window.go
@@ -1,32 +1,33 @@
 package wire
 
-// idWindowSize is how far below the newest stream number an older one may
-// still open, in stream numbers.
+// idWindowSize is how far a stream ID may lag behind the highest one and still
+// open a stream.
 const idWindowSize = 2 * maxStreams
 
-// idWindow remembers which stream numbers have been opened, so that a late or
-// repeated first message never opens a stream twice. Peers number streams
-// upwards but may send their first messages slightly out of order.
+// idWindow is a sliding bitmap of the stream IDs that have been opened, so that a
+// late or duplicate first message never opens a stream twice. Peers assign
+// ascending IDs but may send the first messages slightly out of order.
 type idWindow struct {
-	newest uint64
-	bits   [idWindowSize / 64]uint64
+	highest uint64
+	bits    [idWindowSize / 64]uint64
 }
 
-// first reports whether id is seen for the first time, and marks it.
-func (w *idWindow) first(id uint64) bool {
-	if id+idWindowSize <= w.newest {
+// addIfNew records id and reports whether it was absent. IDs below the window count
+// as present.
+func (w *idWindow) addIfNew(id uint64) bool {
+	if id+idWindowSize <= w.highest {
 		return false
 	}
-	for w.newest < id {
-		if id-w.newest > idWindowSize {
+	for w.highest < id {
+		if id-w.highest > idWindowSize {
 			w.bits = [idWindowSize / 64]uint64{}
-			w.newest = id
+			w.highest = id
 			break
 		}
-		w.newest++
-		w.clear(w.newest)
+		w.highest++
+		w.clear(w.highest)
 	}
-	word, bit := w.at(id)
+	word, bit := w.locate(id)
 	if *word&bit != 0 {
 		return false
 	}
@@ -35,11 +36,12 @@
 }
 
 func (w *idWindow) clear(id uint64) {
-	word, bit := w.at(id)
+	word, bit := w.locate(id)
 	*word &^= bit
 }
 
-func (w *idWindow) at(id uint64) (*uint64, uint64) {
+// locate returns the bitmap word of id and the mask of its bit.
+func (w *idWindow) locate(id uint64) (*uint64, uint64) {
 	slot := id % idWindowSize
 	return &w.bits[slot/64], 1 << (slot % 64)
 }
