--- a/internal/peer/pool.go
+++ b/internal/peer/pool.go
@@ -1,5 +1,5 @@
-// Package peer holds this process's connections to the other hosts: one
-// outbound connection a host, made on demand, and the inbound ones.
+// Package peer manages the connections to other hosts: one outbound connection per
+// host, opened on demand, and the inbound connections.
 package peer
 
 import (
@@ -18,70 +18,70 @@
 )
 
 const (
-	// dialTimeout bounds one attempt to connect.
+	// dialTimeout bounds one connection attempt.
 	dialTimeout = 500 * time.Millisecond
-	// backoffMin and backoffMax bound the pause after a failed attempt.
+	// backoffMin and backoffMax bound the pause after a failed connection attempt.
 	backoffMin = 100 * time.Millisecond
 	backoffMax = 3 * time.Second
-	// idleClose is how long a connection without streams is kept.
-	idleClose = 5 * time.Minute
-	// maxInbound bounds the connections other hosts may open to this one.
+	// idleTimeout is how long an unused connection without streams is kept.
+	idleTimeout = 5 * time.Minute
+	// maxInbound is the maximum number of inbound connections.
 	maxInbound = 8192
-	// helloTimeout bounds the wait for an inbound connection's Hello.
+	// helloTimeout bounds the wait for the Hello of an inbound connection.
 	helloTimeout = 5 * time.Second
 )
 
-// keepAlive finds connections whose other end is gone or cut off.
+// keepAlive detects connections whose peer is gone or unreachable.
 var keepAlive = net.KeepAliveConfig{Enable: true, Idle: 3 * time.Second, Interval: time.Second, Count: 3}
 
-// Handlers take what other hosts start.
+// Handlers are the callbacks for inbound connections.
 type Handlers struct {
-	// Stream is called in a goroutine of its own for each stream.
+	// Stream is called in a new goroutine for each stream that a peer opens.
 	Stream func(from *msg.Hello, s wire.Stream)
-	// Control is called in order for each host's messages; it must not block.
+	// Control is called for each control message, in order per connection. It must
+	// not block.
 	Control func(from *msg.Hello, m msg.Message)
 }
 
-// Pool is the set of connections. It is safe for concurrent use.
+// Pool is the set of connections to and from other hosts. It is safe for concurrent use.
 type Pool struct {
 	self     msg.Hello
 	handlers Handlers
 	log      *slog.Logger
 	listener net.Listener
-	connect  connectFunc
+	dialPeer dialFunc
 	wg       sync.WaitGroup
 
 	mu sync.Mutex
-	// checkedAt is when the quiet connections were last asked for a sign of life.
-	checkedAt time.Time
-	closed    bool
-	links     map[string]*link
-	inbound   map[*wire.Conn]*msg.Hello
+	// lastQuietCheck is when the quiet connections were last pinged.
+	lastQuietCheck time.Time
+	closed         bool
+	links          map[string]*link
+	inbound        map[*wire.Conn]*msg.Hello
 }
 
-// connectFunc makes one connection to a peer address.
-type connectFunc func(ctx context.Context, network, address string) (net.Conn, error)
+// dialFunc opens a connection to a peer address.
+type dialFunc func(ctx context.Context, network, address string) (net.Conn, error)
 
 // link is the outbound connection to one address.
 type link struct {
-	mu      sync.Mutex
-	conn    *wire.Conn
-	retryAt time.Time
-	backoff time.Duration
-	lastErr error
-	used    time.Time
-	// dialling is closed when the attempt under way has ended, nil for none.
-	dialling chan struct{}
-	// retired are connections in doubt that were replaced while something was under
-	// way on them.
+	mu       sync.Mutex
+	conn     *wire.Conn
+	retryAt  time.Time
+	backoff  time.Duration
+	lastErr  error
+	lastUsed time.Time
+	// dialDone is closed when the current connection attempt ends; nil if there is none.
+	dialDone chan struct{}
+	// retired are replaced connections that still have open streams.
 	retired []*wire.Conn
-	// renewAt is when a connection in doubt may be replaced again, and renewal the
-	// pause before the next one.
-	renewAt time.Time
-	renewal time.Duration
+	// replaceAt is the earliest time at which a suspect connection may be replaced
+	// again, and replaceBackoff the latest pause between two replacements.
+	replaceAt      time.Time
+	replaceBackoff time.Duration
 }
 
-// Listen starts a Pool that takes connections on addr, IP:port.
+// Listen starts a Pool that accepts connections on addr, given as IP:port.
 func Listen(addr string, self msg.Hello, h Handlers, log *slog.Logger) (*Pool, error) {
 	listener, err := port.Listen("peers", addr)
 	if err != nil {
@@ -91,10 +91,10 @@
 	return newPool(listener, dialer.DialContext, self, h, log), nil
 }
 
-func newPool(listener net.Listener, connect connectFunc, self msg.Hello, h Handlers, log *slog.Logger) *Pool {
+func newPool(listener net.Listener, dial dialFunc, self msg.Hello, h Handlers, log *slog.Logger) *Pool {
 	self.Proto = wire.ProtocolVersion
 	p := &Pool{
-		self: self, handlers: h, log: log, listener: listener, connect: connect,
+		self: self, handlers: h, log: log, listener: listener, dialPeer: dial,
 		links: make(map[string]*link), inbound: make(map[*wire.Conn]*msg.Hello),
 	}
 	p.wg.Add(1)
@@ -102,7 +102,8 @@
 	return p
 }
 
-// Close ends every connection and waits for the accept loop.
+// Close closes every connection and waits for the accept loop and the inbound
+// connections to end.
 func (p *Pool) Close() {
 	_ = p.listener.Close()
 	p.mu.Lock()
@@ -136,9 +137,9 @@
 			return
 		}
 		p.mu.Lock()
-		full := len(p.inbound) >= maxInbound || p.closed
+		refuse := len(p.inbound) >= maxInbound || p.closed
 		p.mu.Unlock()
-		if full {
+		if refuse {
 			_ = nc.Close()
 			continue
 		}
@@ -147,7 +148,7 @@
 	}
 }
 
-// serve takes one inbound connection. Its first message must be Hello.
+// serve handles one inbound connection, whose first message must be Hello.
 func (p *Pool) serve(nc net.Conn) {
 	defer p.wg.Done()
 	if tcp, ok := nc.(*net.TCPConn); ok {
@@ -216,7 +217,8 @@
 	}
 }
 
-// Open starts a stream to the host at an address, on its connection or a new one.
+// Open opens a stream to the host at addr and returns it with its connection, which is
+// established if necessary.
 func (p *Pool) Open(ctx context.Context, addr string) (wire.Stream, *wire.Conn, error) {
 	conn, err := p.Conn(ctx, addr)
 	if err != nil {
@@ -226,8 +228,9 @@
 	return s, conn, err
 }
 
-// Conn gives the connection to a peer address, making it where there is none.
-// While a recent attempt has failed it returns that error at once.
+// Conn returns the connection to a peer address and establishes it if there is none.
+// During the back-off after a failed attempt it returns the error of that attempt
+// immediately.
 func (p *Pool) Conn(ctx context.Context, addr string) (*wire.Conn, error) {
 	l, err := p.link(addr)
 	if err != nil {
@@ -246,36 +249,36 @@
 	}
 }
 
-// get gives the connection or the last error, or a channel to wait on while
-// an attempt is under way, which it starts where needed.
+// get returns the connection or the last error. While a connection attempt is in
+// progress, which get starts if necessary, it returns a channel to wait on instead.
 func (l *link) get(dial func()) (*wire.Conn, <-chan struct{}, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := time.Now()
-	l.used = now
+	l.lastUsed = now
 	switch {
-	case l.dialling != nil:
-		return nil, l.dialling, nil
-	case l.usable() && !l.renews(now):
+	case l.dialDone != nil:
+		return nil, l.dialDone, nil
+	case l.usable() && !l.beginReplacement(now):
 		return l.conn, nil, nil
 	case !l.usable() && now.Before(l.retryAt):
 		return nil, nil, l.lastErr
 	}
-	l.dialling = make(chan struct{})
+	l.dialDone = make(chan struct{})
 	dial()
-	return nil, l.dialling, nil
+	return nil, l.dialDone, nil
 }
 
-// dialLink makes one attempt to connect and records how it ended.
+// dialLink makes one connection attempt and records its outcome.
 func (p *Pool) dialLink(l *link, addr string) {
 	conn, err := p.dial(addr)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	close(l.dialling)
-	l.dialling = nil
+	close(l.dialDone)
+	l.dialDone = nil
 	switch {
 	case err != nil && l.usable():
-		// The host may be frozen: what stands goes on when it wakes.
+		// Keep the suspect connection: the host may be frozen and recover.
 	case err != nil:
 		l.backoff = min(max(2*l.backoff, backoffMin), backoffMax)
 		l.retryAt = time.Now().Add(l.backoff)
@@ -302,11 +305,11 @@
 func (p *Pool) dial(addr string) (*wire.Conn, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), dialTimeout)
 	defer cancel()
-	nc, err := p.connect(ctx, "tcp", addr)
+	nc, err := p.dialPeer(ctx, "tcp", addr)
 	if err != nil {
 		return nil, err
 	}
-	conn := wire.NewConn(nc, wire.Handlers{OnSuspect: p.checkQuiet})
+	conn := wire.NewConn(nc, wire.Handlers{OnSuspect: p.pingQuietConns})
 	hello := p.self
 	if err := conn.SendControl(ctx, &hello); err != nil {
 		conn.Close()
@@ -315,47 +318,47 @@
 	return conn, nil
 }
 
-// Sweep closes connections that have been idle for long.
+// Sweep closes idle connections and removes their links.
 func (p *Pool) Sweep() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for addr, l := range p.links {
 		l.mu.Lock()
-		idle := time.Since(l.used) > idleClose
+		idle := time.Since(l.lastUsed) > idleTimeout
 		if idle && l.conn != nil && l.conn.Streams() == 0 {
 			l.conn.Close()
 		}
 		l.closeRetired()
-		if idle && l.dialling == nil && (l.conn == nil || l.conn.Err() != nil) && len(l.retired) == 0 {
+		if idle && l.dialDone == nil && (l.conn == nil || l.conn.Err() != nil) && len(l.retired) == 0 {
 			delete(p.links, addr)
 		}
 		l.mu.Unlock()
 	}
 }
 
-// Stats counts the connections, for the state dump.
+// Stats has connection counts for the state dump.
 type Stats struct {
-	Outbound int    `json:"outbound"`
-	Inbound  int    `json:"inbound"`
-	Streams  int    `json:"streams"`
-	Strays   uint64 `json:"strayFrames"`
+	Outbound    int    `json:"outbound"`
+	Inbound     int    `json:"inbound"`
+	Streams     int    `json:"streams"`
+	StrayFrames uint64 `json:"strayFrames"`
 }
 
-// Stats reads the counts.
+// Stats returns the current counts.
 func (p *Pool) Stats() Stats {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	s := Stats{Inbound: len(p.inbound)}
 	for c := range p.inbound {
 		s.Streams += c.Streams()
-		s.Strays += c.StrayFrames()
+		s.StrayFrames += c.StrayFrames()
 	}
 	for _, l := range p.links {
 		l.mu.Lock()
 		if l.conn != nil && l.conn.Err() == nil {
 			s.Outbound++
 			s.Streams += l.conn.Streams()
-			s.Strays += l.conn.StrayFrames()
+			s.StrayFrames += l.conn.StrayFrames()
 		}
 		l.mu.Unlock()
 	}
--- a/internal/peer/send.go
+++ b/internal/peer/send.go
@@ -9,22 +9,24 @@
 )
 
 const (
-	// livelyFor is how long a connection counts as alive after a frame. What is sent in
-	// that time to a connection that has fallen silent is lost; the repair finds it.
-	livelyFor = 2 * time.Second
-	// signTimeout is how long a peer has for a sign of life: as long as a request waits
-	// for a frame before its path counts as cut.
-	signTimeout = 300 * time.Millisecond
-	// renewalMin and renewalMax bound the time between two replacements of a connection
-	// in doubt: a host that is frozen leaves all its connections without a sign.
-	renewalMin = time.Second
-	renewalMax = 30 * time.Second
-	// checkInterval is the least time between two checks of all quiet connections.
-	checkInterval = time.Second
+	// aliveWindow is how long a connection counts as alive after the last frame received.
+	// A message sent within this time on a dead connection is lost; the periodic repair
+	// of records recovers it.
+	aliveWindow = 2 * time.Second
+	// pingTimeout bounds the wait for the answer to a ping. It equals the time that a
+	// request waits for a frame before its path counts as cut.
+	pingTimeout = 300 * time.Millisecond
+	// replaceBackoffMin and replaceBackoffMax bound the time between two replacements of
+	// a suspect connection, because a frozen host answers no ping on new connections
+	// either.
+	replaceBackoffMin = time.Second
+	replaceBackoffMax = 30 * time.Second
+	// quietCheckInterval is the minimum time between two checks of all quiet connections.
+	quietCheckInterval = time.Second
 )
 
-// SendLossy sends a message that belongs to no stream to a peer, one that a newer one
-// soon replaces: it may vanish in a connection that has fallen silent.
+// SendLossy sends a control message to a peer without checking that the connection is
+// alive, so the message may be lost. Use it for messages that are soon superseded.
 func (p *Pool) SendLossy(ctx context.Context, addr string, m msg.Message) error {
 	conn, err := p.Conn(ctx, addr)
 	if err != nil {
@@ -33,10 +35,10 @@
 	return conn.SendControl(ctx, m)
 }
 
-// SendControl sends a message that belongs to no stream to a peer. Where the peer
-// cannot be reached now the message is lost and the sender told. A connection that was
-// quiet for a while is asked for a sign of life, and where none comes the message goes
-// out once more on a new one; the peer may get it twice.
+// SendControl sends a control message to a peer, or returns an error if the peer cannot
+// be reached now. If nothing was received on the connection for aliveWindow, it pings
+// the peer, and without an answer it sends the message again on a new connection. The
+// peer may receive the message twice.
 func (p *Pool) SendControl(ctx context.Context, addr string, m msg.Message) error {
 	conn, err := p.Conn(ctx, addr)
 	if err != nil {
@@ -45,77 +47,79 @@
 	if err := conn.SendControl(ctx, m); err != nil {
 		return err
 	}
-	if time.Since(conn.LastRead()) < livelyFor || conn.PingAndWait(ctx, signTimeout) {
+	if time.Since(conn.LastRead()) < aliveWindow || conn.PingAndWait(ctx, pingTimeout) {
 		return nil
 	}
 	conn.Doubt()
-	renewed, err := p.Conn(ctx, addr)
-	if err != nil || renewed == conn {
+	newConn, err := p.Conn(ctx, addr)
+	if err != nil || newConn == conn {
 		return err
 	}
-	return renewed.SendControl(ctx, m)
+	return newConn.SendControl(ctx, m)
 }
 
-// checkQuiet asks every connection that is quiet for a sign of life, once one has come
-// into doubt: what silences one often silences many, and each would otherwise cost the
-// next request on it 0.3 s.
-func (p *Pool) checkQuiet() {
-	for _, conn := range p.quiet() {
+// pingQuietConns pings all quiet connections and marks those without an answer as
+// suspect. It runs when one connection becomes suspect: a network fault often affects
+// many connections at once, and each dead one would delay the next request on it by 0.3 s.
+func (p *Pool) pingQuietConns() {
+	for _, conn := range p.quietConns() {
 		go func() {
-			if !conn.PingAndWait(context.Background(), signTimeout) {
+			if !conn.PingAndWait(context.Background(), pingTimeout) {
 				conn.Doubt()
 			}
 		}()
 	}
 }
 
-// quiet lists the connections to check, none where that was done just now.
-func (p *Pool) quiet() []*wire.Conn {
+// quietConns returns the connections to ping, or none if the last check was less than
+// quietCheckInterval ago.
+func (p *Pool) quietConns() []*wire.Conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := time.Now()
-	if now.Sub(p.checkedAt) < checkInterval {
+	if now.Sub(p.lastQuietCheck) < quietCheckInterval {
 		return nil
 	}
-	p.checkedAt = now
+	p.lastQuietCheck = now
 	var out []*wire.Conn
 	for _, l := range p.links {
-		if conn := l.quiet(now); conn != nil {
+		if conn := l.quietConn(now); conn != nil {
 			out = append(out, conn)
 		}
 	}
 	return out
 }
 
-// quiet gives the connection where nothing has come on it for a while, else nil.
-func (l *link) quiet(now time.Time) *wire.Conn {
+// quietConn returns the connection if it is not suspect and nothing was received on it
+// for pingTimeout, else nil.
+func (l *link) quietConn(now time.Time) *wire.Conn {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if !l.usable() || l.conn.Suspect() || now.Sub(l.conn.LastRead()) < signTimeout {
+	if !l.usable() || l.conn.Suspect() || now.Sub(l.conn.LastRead()) < pingTimeout {
 		return nil
 	}
 	return l.conn
 }
 
-// usable says that there is a connection that has not ended. The caller holds the lock.
+// usable reports whether the link has an open connection. The caller holds l.mu.
 func (l *link) usable() bool { return l.conn != nil && l.conn.Err() == nil }
 
-// renews says that the connection is in doubt and another is to be made now. The caller
-// holds the lock.
-func (l *link) renews(now time.Time) bool {
+// beginReplacement reports whether the connection is suspect and should be replaced now,
+// and if so advances the replacement back-off. The caller holds l.mu.
+func (l *link) beginReplacement(now time.Time) bool {
 	if l.conn.HasReceived() && !l.conn.Suspect() {
-		l.renewal = 0
+		l.replaceBackoff = 0
 	}
-	if !l.conn.Suspect() || now.Before(l.renewAt) {
+	if !l.conn.Suspect() || now.Before(l.replaceAt) {
 		return false
 	}
-	l.renewal = min(max(2*l.renewal, renewalMin), renewalMax)
-	l.renewAt = now.Add(l.renewal)
+	l.replaceBackoff = min(max(2*l.replaceBackoff, replaceBackoffMin), replaceBackoffMax)
+	l.replaceAt = now.Add(l.replaceBackoff)
 	return true
 }
 
-// replace takes a new connection; the old one goes on for what is under way on it. The
-// caller holds the lock.
+// replace installs a new connection. The old one stays open for the streams on it. The
+// caller holds l.mu.
 func (l *link) replace(conn *wire.Conn) {
 	if l.usable() {
 		l.retired = append(l.retired, l.conn)
@@ -124,8 +128,8 @@
 	l.closeRetired()
 }
 
-// closeRetired closes the replaced connections on which nothing is under way any more.
-// The caller holds the lock.
+// closeRetired closes the replaced connections without open streams. The caller holds
+// l.mu.
 func (l *link) closeRetired() {
 	var kept []*wire.Conn
 	for _, c := range l.retired {
