--- a/internal/event/event.go
+++ b/internal/event/event.go
@@ -1,5 +1,5 @@
-// Package event is the catalogue of numbered log events. docs/EVENTS.md says
-// what each means and what to do; a test keeps the two equal.
+// Package event defines the numbered log events. docs/EVENTS.md documents their
+// meaning and the operator's action; a test keeps both in sync.
 package event
 
 import (
@@ -7,14 +7,14 @@
 	"log/slog"
 )
 
-// Event is one kind of log line.
+// Event is a kind of log line.
 type Event struct {
 	Number int
 	Name   string
 	Level  slog.Level
 }
 
-// The events. Numbers are never reused: 1xx process, 2xx front, 3xx guard,
+// Events by number; numbers are never reused: 1xx process, 2xx front, 3xx guard,
 // 4xx records and platform, 5xx membership, 6xx keys.
 var (
 	Started           = Event{100, "started", slog.LevelInfo}
@@ -63,7 +63,7 @@
 	ShardLost         = Event{601, "shard lost", slog.LevelWarn}
 )
 
-// All lists every event, for the catalogue test.
+// All returns every event, for the test that compares them with the documentation.
 func All() []Event {
 	return []Event{
 		Started, Ready, Draining, Drained, DrainTimeout, StartFailed, Reloaded, ReloadRefused, SettingsStrained,
@@ -76,7 +76,7 @@
 	}
 }
 
-// Log writes one event with its number and the given attributes.
+// Log logs an event with its number and the given attributes.
 func Log(l *slog.Logger, e Event, attrs ...slog.Attr) {
 	all := append([]slog.Attr{slog.Int("event", e.Number)}, attrs...)
 	l.LogAttrs(context.Background(), e.Level, e.Name, all...)
--- a/internal/event/read.go
+++ b/internal/event/read.go
@@ -8,23 +8,23 @@
 	"github.com/pkg/errors"
 )
 
-// maxLine bounds one log line that is read, in bytes.
-const maxLine = 4 << 20
+// maxLineLength is the maximum length of a log line that ReadLines accepts, in bytes.
+const maxLineLength = 4 << 20
 
-// ReadLines gives take the JSON text of each line of a log, from its first brace on:
-// what gathers logs may write before it. A line without a brace gives nil. The text
-// is good until take returns.
-func ReadLines(r io.Reader, take func(text []byte)) error {
+// ReadLines calls handle with the JSON text of each log line, starting at its first
+// brace, because log collectors may prepend a prefix. For a line without a brace, text
+// is nil. text is valid only until handle returns.
+func ReadLines(r io.Reader, handle func(text []byte)) error {
 	scanner := bufio.NewScanner(r)
-	scanner.Buffer(make([]byte, 0, 64<<10), maxLine)
+	scanner.Buffer(make([]byte, 0, 64<<10), maxLineLength)
 	for scanner.Scan() {
 		line := scanner.Bytes()
 		start := bytes.IndexByte(line, '{')
 		if start < 0 {
-			take(nil)
+			handle(nil)
 			continue
 		}
-		take(line[start:])
+		handle(line[start:])
 	}
-	return errors.Wrap(scanner.Err(), "read a log")
+	return errors.Wrap(scanner.Err(), "read log")
 }
--- a/internal/event/sample.go
+++ b/internal/event/sample.go
@@ -7,41 +7,44 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// sampleEvery is how many ordinary requests one is logged of. All hosts log the
-// same ones, so that what is logged of a request is logged whole.
-const sampleEvery = 32
+// sampleInterval means that one in sampleInterval ordinary requests is logged. All hosts
+// select the same requests, so that the log lines of a request are complete.
+const sampleInterval = 32
 
-// Sampled says that an ordinary request is logged.
-func Sampled(request string) bool { return xxhash.Sum64String(request)%sampleEvery == 0 }
+// Sampled reports whether the ordinary request with this ID is logged.
+func Sampled(requestID string) bool { return xxhash.Sum64String(requestID)%sampleInterval == 0 }
 
 const (
-	// failuresPerSecond bounds the failed requests that one role logs: at a
-	// host's peak of 81 requests a second every failure is, and under a flood
-	// the lines cost about 1 % of a core.
-	failuresPerSecond = 200
+	// maxLinesPerSecond bounds the lines that one Limiter allows. It lets every failed
+	// request be logged at a host's peak of 81 requests per second, and costs about 1 %
+	// of a core when the limit is reached.
+	maxLinesPerSecond = 200
 )
 
-// Limiter bounds the lines of one kind a second and counts those left out.
+// Limiter limits the log lines of one kind per second and counts those it suppresses.
 type Limiter struct {
-	mu    sync.Mutex
-	until time.Time
-	left  int
-	out   uint64
+	mu sync.Mutex
+	// windowEnd is when the current one-second window ends, and remaining the number
+	// of lines still allowed in it.
+	windowEnd time.Time
+	remaining int
+	// unreported counts the suppressed lines that Allow has not yet returned.
+	unreported uint64
 }
 
-// Allow takes one line and gives how many were left out before it, which the
-// line tells; false leaves it out.
-func (l *Limiter) Allow(now time.Time) (leftOut uint64, ok bool) {
+// Allow reports whether a line may be logged and how many lines were suppressed since
+// the last one allowed, which the caller logs with the line.
+func (l *Limiter) Allow(now time.Time) (suppressed uint64, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if !now.Before(l.until) {
-		l.until, l.left = now.Add(time.Second), failuresPerSecond
+	if !now.Before(l.windowEnd) {
+		l.windowEnd, l.remaining = now.Add(time.Second), maxLinesPerSecond
 	}
-	if l.left == 0 {
-		l.out++
+	if l.remaining == 0 {
+		l.unreported++
 		return 0, false
 	}
-	l.left--
-	leftOut, l.out = l.out, 0
-	return leftOut, true
+	l.remaining--
+	suppressed, l.unreported = l.unreported, 0
+	return suppressed, true
 }
--- a/internal/event/sink.go
+++ b/internal/event/sink.go
@@ -6,58 +6,58 @@
 	"sync/atomic"
 )
 
-// sinkDepth bounds the lines that wait for the output: about two seconds of the
-// busiest host's lines, 2 MB at most.
-const sinkDepth = 4096
+// sinkQueueSize is the capacity of a Sink's queue, in lines: about two seconds of output
+// of the busiest host, 2 MB at most.
+const sinkQueueSize = 4096
 
-// Sink writes lines in a goroutine of its own. It never makes a caller wait: a
-// line that finds it full is left out and counted.
+// Sink is an asynchronous line writer with a bounded queue. Write never blocks: if the
+// queue is full, the line is dropped and counted.
 type Sink struct {
-	lines chan []byte
-	done  chan struct{}
-	lost  atomic.Uint64
+	lines   chan []byte
+	done    chan struct{}
+	dropped atomic.Uint64
 
 	mu     sync.RWMutex
 	closed bool
 }
 
-// NewSink starts a Sink over an output.
+// NewSink starts a Sink that writes to w.
 func NewSink(w io.Writer) *Sink {
-	s := &Sink{lines: make(chan []byte, sinkDepth), done: make(chan struct{})}
+	s := &Sink{lines: make(chan []byte, sinkQueueSize), done: make(chan struct{})}
 	go func() {
 		defer close(s.done)
 		for line := range s.lines {
 			if _, err := w.Write(line); err != nil {
-				// The output is gone; there is nowhere left to say so.
-				s.lost.Add(1)
+				// The error cannot be logged, because this is the log output.
+				s.dropped.Add(1)
 			}
 		}
 	}()
 	return s
 }
 
-// Write implements io.Writer. It always succeeds.
+// Write implements io.Writer. It never returns an error, even if it drops the line.
 func (s *Sink) Write(line []byte) (int, error) {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	if s.closed {
-		s.lost.Add(1)
+		s.dropped.Add(1)
 		return len(line), nil
 	}
-	// The handler that calls uses its buffer again.
-	kept := append([]byte(nil), line...)
+	// The caller reuses its buffer after Write returns.
+	lineCopy := append([]byte(nil), line...)
 	select {
-	case s.lines <- kept:
+	case s.lines <- lineCopy:
 	default:
-		s.lost.Add(1)
+		s.dropped.Add(1)
 	}
 	return len(line), nil
 }
 
-// Lost counts the lines left out since the start.
-func (s *Sink) Lost() uint64 { return s.lost.Load() }
+// Dropped returns the number of lines dropped since the start.
+func (s *Sink) Dropped() uint64 { return s.dropped.Load() }
 
-// Close writes what waits and ends the goroutine. Later lines are left out.
+// Close writes the queued lines and stops the goroutine. Later lines are dropped.
 func (s *Sink) Close() {
 	s.mu.Lock()
 	if !s.closed {
--- a/internal/event/sink_test.go
+++ b/internal/event/sink_test.go
@@ -13,41 +13,41 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// stuck is an output that nobody reads until it is released.
-type stuck struct {
+// blockingWriter blocks every write until it is released.
+type blockingWriter struct {
 	release chan struct{}
 	mu      sync.Mutex
 	lines   int
 }
 
-func (s *stuck) Write(p []byte) (int, error) {
-	<-s.release
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.lines++
+func (w *blockingWriter) Write(p []byte) (int, error) {
+	<-w.release
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.lines++
 	return len(p), nil
 }
 
-// An output that nobody reads holds up no caller; what is left out is counted.
+// A blocked output does not block callers, and dropped lines are counted.
 func TestASlowReaderHoldsUpNobody(t *testing.T) {
-	out := &stuck{release: make(chan struct{})}
+	out := &blockingWriter{release: make(chan struct{})}
 	s := NewSink(out)
-	const lines = 3 * sinkDepth
+	const lines = 3 * sinkQueueSize
 	for range lines {
 		n, err := s.Write([]byte("line\n"))
 		assert.NilError(t, err)
 		assert.Equal(t, n, 5)
 	}
-	assert.Assert(t, s.Lost() >= lines-sinkDepth-1)
+	assert.Assert(t, s.Dropped() >= lines-sinkQueueSize-1)
 	close(out.release)
 	s.Close()
-	assert.Equal(t, uint64(out.lines)+s.Lost(), uint64(lines))
+	assert.Equal(t, uint64(out.lines)+s.Dropped(), uint64(lines))
 	_, err := s.Write([]byte("late\n"))
 	assert.NilError(t, err)
 	s.Close()
 }
 
-func TestLinesKeepTheirOrderAndContent(t *testing.T) {
+func TestSinkPreservesOrderAndContent(t *testing.T) {
 	var out, want bytes.Buffer
 	s := NewSink(&out)
 	buf := make([]byte, 0, 64)
@@ -61,10 +61,10 @@
 	assert.Equal(t, out.String(), want.String())
 }
 
-func TestTheLimiterCountsWhatItLeavesOut(t *testing.T) {
+func TestLimiterCountsSuppressedLines(t *testing.T) {
 	var l Limiter
 	now := time.Unix(100, 0)
-	for range failuresPerSecond {
+	for range maxLinesPerSecond {
 		_, ok := l.Allow(now)
 		assert.Assert(t, ok)
 	}
@@ -72,12 +72,12 @@
 		_, ok := l.Allow(now)
 		assert.Assert(t, !ok)
 	}
-	left, ok := l.Allow(now.Add(time.Second))
+	suppressed, ok := l.Allow(now.Add(time.Second))
 	assert.Assert(t, ok)
-	assert.Equal(t, left, uint64(7))
+	assert.Equal(t, suppressed, uint64(7))
 }
 
-func TestTheSampleIsTheSameEverywhere(t *testing.T) {
+func TestSamplingIsDeterministic(t *testing.T) {
 	n := 0
 	for i := range 32000 {
 		id := fmt.Sprint("request-", i)
