--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -1,5 +1,5 @@
-// Package state has the typed answers of a daemon's admin endpoints, shared by
-// the daemon and the command line.
+// Package state defines the paths and response types of a daemon's admin endpoints,
+// shared by the daemon and the command line.
 package state
 
 import (
@@ -11,7 +11,7 @@
 	"github.com/radishhoist/radishhoist/internal/teams"
 )
 
-// The admin endpoints.
+// Paths of the admin endpoints.
 const (
 	PathState   = "/v1/state"
 	PathStatus  = "/v1/status"
@@ -20,7 +20,7 @@
 	PathMetrics = "/metrics"
 )
 
-// Dump is the whole state of one process.
+// Dump is the full state of one process, served at PathState.
 type Dump struct {
 	Host      string                `json:"host"`
 	DC        string                `json:"dc"`
@@ -28,10 +28,10 @@
 	Phase     string                `json:"phase"`
 	Waiting   []string              `json:"waitingFor"`
 	Instances []guard.InstanceState `json:"instances"`
-	// Suspects are the requests that may end the instances that run them.
+	// Suspects are the requests suspected of crashing the instances that run them.
 	Suspects []guard.SuspectState  `json:"suspects"`
 	Services []front.ServiceStatus `json:"services"`
-	// Teams are the teams with a rate that this host knows of.
+	// Teams are the teams with a rate limit that this host knows.
 	Teams   []teams.State     `json:"teams"`
 	Paths   []front.PathState `json:"paths"`
 	Control control.State     `json:"control"`
@@ -39,7 +39,8 @@
 	Shards  []once.OwnedState `json:"shards"`
 }
 
-// Status is what is in force and why, as one host sees it.
+// Status summarizes what is in force and why (services, records and load) as seen by one
+// host, served at PathStatus.
 type Status struct {
 	Host     string                `json:"host"`
 	DC       string                `json:"dc"`
@@ -47,12 +48,13 @@
 	Phase    string                `json:"phase"`
 	Services []front.ServiceStatus `json:"services"`
 	Control  control.State         `json:"control"`
-	// Running counts the requests under way at this host's instances.
+	// Running counts the requests that this host's instances are executing.
 	Running int `json:"running"`
 	Queued  int `json:"queued"`
 }
 
-// Ready says whether the process takes traffic, and what it waits for.
+// Ready reports whether the process accepts traffic and, if not, what it waits for. It
+// is served at PathReady.
 type Ready struct {
 	Ready   bool     `json:"ready"`
 	Waiting []string `json:"waitingFor,omitempty"`
