--- a/verdict/problem.go
+++ b/verdict/problem.go
@@ -6,13 +6,13 @@
 	"strconv"
 )
 
-// Header names the response header that carries the verdict of a failure.
+// Header is the response header that carries the verdict of a failed request.
 const Header = "Radishhoist-Verdict"
 
 // ProblemType is the media type of RFC 9457.
 const ProblemType = "application/problem+json"
 
-// Problem is the RFC 9457 body of every failure a caller gets from a front.
+// Problem is the RFC 9457 body of every error response that a front sends to a caller.
 type Problem struct {
 	Type    string `json:"type"`
 	Title   string `json:"title"`
@@ -22,8 +22,8 @@
 	Request string `json:"request"`
 }
 
-// Status gives the HTTP status of a failure. 429 and 503 tell callers that the
-// request has not run: no other verdict gets one of them.
+// Status returns the HTTP status code for the failure. Callers take 429 and 503
+// to mean that the request did not run, so only NotRun failures get these codes.
 func (e *Error) Status() int {
 	switch e.Reason {
 	case ReasonNoRoute:
@@ -53,8 +53,8 @@
 	}
 }
 
-// Write sends the failure to a caller: status, verdict header, Retry-After in
-// whole seconds rounded up, and a problem body that names the request.
+// Write sends the failure as an HTTP response: status code, verdict header,
+// Retry-After rounded up to whole seconds, and a Problem body with the request ID.
 func (e *Error) Write(w http.ResponseWriter, requestID string) {
 	h := w.Header()
 	h.Set("Content-Type", ProblemType)
--- a/verdict/verdict.go
+++ b/verdict/verdict.go
@@ -1,9 +1,8 @@
-// Package verdict says whether a request may have run at its target.
+// Package verdict describes whether a failed request may have run on its target.
 //
-// Every failure that a caller, an operator or another process sees carries one
-// of three verdicts. A verdict is a claim about the past and is only ever
-// weakened, never strengthened, as it crosses a process: a process that does
-// not know says MayHaveRun.
+// Every failure reported to a caller, an operator or another process carries one
+// of three verdicts. A process that passes a failure on may weaken its verdict but
+// never strengthen it; a process that does not know reports MayHaveRun.
 package verdict
 
 import (
@@ -12,19 +11,19 @@
 	"github.com/pkg/errors"
 )
 
-// Verdict says whether a request may have run.
+// Verdict tells whether a request may have run on its target.
 type Verdict uint8
 
 const (
-	// MayHaveRun is the zero value: nothing is proved either way.
+	// MayHaveRun, the zero value, means that it is not known whether the request ran.
 	MayHaveRun Verdict = iota
-	// NotRun is proved: the request did not run and can no longer start.
+	// NotRun means that the request did not run and can no longer start.
 	NotRun
-	// Ran is proved: the target started to answer the request.
+	// Ran means that the target started to respond to the request.
 	Ran
 )
 
-// String gives the name used in headers, problem bodies and logs.
+// String returns the name used in headers, problem bodies and logs.
 func (v Verdict) String() string {
 	switch v {
 	case NotRun:
@@ -36,7 +35,7 @@
 	}
 }
 
-// Parse is the inverse of String; an unknown name is an error and MayHaveRun.
+// Parse is the inverse of String. For an unknown name it returns MayHaveRun and an error.
 func Parse(s string) (Verdict, error) {
 	for _, v := range []Verdict{MayHaveRun, NotRun, Ran} {
 		if v.String() == s {
@@ -46,10 +45,11 @@
 	return MayHaveRun, errors.Errorf("verdict %q: want may-have-run, not-run or ran", s)
 }
 
-// Reason is the cause of a failure, stable enough to alert on.
+// Reason is the machine-readable cause of a failure. The values are stable, so that
+// alerts can match on them.
 type Reason string
 
-// The reasons a request can fail with. docs/operate/answers.md explains each.
+// Reasons for a failed request, documented in docs/operate/answers.md.
 const (
 	ReasonNoRoute        Reason = "no-route"
 	ReasonBadRequest     Reason = "bad-request"
@@ -80,17 +80,17 @@
 	ReasonKeyTooOld      Reason = "key-too-old"
 )
 
-// Error is a failure with its verdict.
+// Error is a failed request with its verdict and reason.
 type Error struct {
 	Verdict Verdict
 	Reason  Reason
 	Detail  string
-	// RetryAfterMS is how long, in milliseconds, a caller should wait before
-	// another try can help; 0 where no later try is known to help.
+	// RetryAfterMS is how long, in milliseconds, a caller should wait before it
+	// retries; 0 if no later retry is known to help.
 	RetryAfterMS int64
 }
 
-// Error implements error.
+// Error implements the error interface.
 func (e *Error) Error() string {
 	if e.Detail == "" {
 		return fmt.Sprintf("%s (%s)", e.Reason, e.Verdict)
@@ -98,12 +98,12 @@
 	return fmt.Sprintf("%s (%s): %s", e.Reason, e.Verdict, e.Detail)
 }
 
-// New makes an Error without a Retry-After.
+// New returns an Error without a Retry-After time.
 func New(v Verdict, r Reason, detail string) *Error {
 	return &Error{Verdict: v, Reason: r, Detail: detail}
 }
 
-// Of finds the verdict of any error: MayHaveRun where it carries none.
+// Of returns the verdict carried by err, or MayHaveRun if it carries none.
 func Of(err error) Verdict {
 	var e *Error
 	if errors.As(err, &e) {
