--- a/record/configuration.go
+++ b/record/configuration.go
@@ -2,21 +2,21 @@
 
 import "strconv"
 
-// Configuration is a whole set of routes and services that comes into force at
-// once, under one version, and replaces the one before: what it no longer
-// names is gone with it. It stands beside Service and Route records; a route
-// of either kind may lead to a service of the other.
+// Configuration is a complete set of routes, services and teams that is applied
+// atomically, under one version. It replaces the previous Configuration: entries
+// that it no longer lists are removed. It coexists with Service and Route records,
+// and a route of either kind may refer to a service of the other.
 type Configuration struct {
-	// Label is the author's own name for this state of the set.
+	// Label is an optional name that the author gives to this version of the set.
 	Label    string         `json:"label,omitempty"`
 	Routes   []NamedRoute   `json:"routes"`
 	Services []NamedService `json:"services"`
-	// Teams are the groups of callers; they stand beside Team records.
+	// Teams are the groups of callers, in addition to Team records.
 	Teams []NamedTeam `json:"teams,omitempty"`
-	// RequireKeys refuses callers who show no key of a team, but for open routes, also
-	// where no team has any.
+	// RequireKeys rejects requests without a valid team key, except on open routes.
+	// It does so even if no team has a key.
 	RequireKeys bool `json:"requireKeys,omitempty"`
-	// Limits bounds what a caller may send; nil leaves it to the settings.
+	// Limits limits what a caller may send; nil means that the daemon's settings apply.
 	Limits *Limits `json:"limits,omitempty"`
 }
 
@@ -38,14 +38,14 @@
 	Team
 }
 
-// Limits bounds what a caller may send and how long it may take; 0 leaves a
-// bound to the settings.
+// Limits limits what a caller may send and how long it may take. Where a limit is
+// 0, the daemon's settings apply.
 type Limits struct {
-	// MaxHeaderBytes bounds a request header, in bytes.
+	// MaxHeaderBytes is the largest request header, in bytes.
 	MaxHeaderBytes int `json:"maxHeaderBytes,omitempty"`
-	// MaxBodyBytes bounds a request body, in bytes.
+	// MaxBodyBytes is the largest request body, in bytes.
 	MaxBodyBytes int64 `json:"maxBodyBytes,omitempty"`
-	// HeaderTimeoutMS is the time to send a request header, in milliseconds.
+	// HeaderTimeoutMS is the time a caller has to send a request header, in milliseconds.
 	HeaderTimeoutMS int `json:"headerTimeoutMS,omitempty"`
 	// IdleTimeoutMS is how long an idle connection is kept, in milliseconds.
 	IdleTimeoutMS int `json:"idleTimeoutMS,omitempty"`
@@ -56,69 +56,69 @@
 	maxLimitMS    = 86400000
 )
 
-func (c *Configuration) validate(f *faults) {
+func (c *Configuration) validate(f *fieldErrors) {
 	services := make(map[string]bool, len(c.Services))
 	for i := range c.Services {
 		s := &c.Services[i]
 		if s.Name == "" || services[s.Name] {
-			f.add(at("services", i, s.Name), "has no name of its own", "give each service a name that no other has")
+			f.add(entryPath("services", i, s.Name), "has a missing or duplicate name", "give each service a unique name")
 		}
 		services[s.Name] = true
-		f.under(at("services", i, s.Name), &s.Service)
+		f.addNested(entryPath("services", i, s.Name), &s.Service)
 	}
 	routes := make(map[string]bool, len(c.Routes))
 	for i := range c.Routes {
 		r := &c.Routes[i]
 		if r.Name == "" || routes[r.Name] {
-			f.add(at("routes", i, r.Name), "has no name of its own", "give each route a name that no other has")
+			f.add(entryPath("routes", i, r.Name), "has a missing or duplicate name", "give each route a unique name")
 		}
 		routes[r.Name] = true
-		f.under(at("routes", i, r.Name), &r.Route)
+		f.addNested(entryPath("routes", i, r.Name), &r.Route)
 	}
 	c.validateTeams(f)
 	if c.Limits == nil {
 		return
 	}
-	f.between("limits.maxHeaderBytes", c.Limits.MaxHeaderBytes, 0, maxLimitBytes)
-	f.between("limits.maxBodyBytes", int(c.Limits.MaxBodyBytes), 0, maxLimitBytes)
-	f.between("limits.headerTimeoutMS", c.Limits.HeaderTimeoutMS, 0, maxLimitMS)
-	f.between("limits.idleTimeoutMS", c.Limits.IdleTimeoutMS, 0, maxLimitMS)
+	f.checkRange("limits.maxHeaderBytes", c.Limits.MaxHeaderBytes, 0, maxLimitBytes)
+	f.checkRange("limits.maxBodyBytes", int(c.Limits.MaxBodyBytes), 0, maxLimitBytes)
+	f.checkRange("limits.headerTimeoutMS", c.Limits.HeaderTimeoutMS, 0, maxLimitMS)
+	f.checkRange("limits.idleTimeoutMS", c.Limits.IdleTimeoutMS, 0, maxLimitMS)
 }
 
-// validateTeams checks each team, and that no key belongs to two.
-func (c *Configuration) validateTeams(f *faults) {
+// validateTeams checks each team, and that no key belongs to more than one.
+func (c *Configuration) validateTeams(f *fieldErrors) {
 	teams := make(map[string]bool, len(c.Teams))
-	holders := make(map[string]string)
+	teamByHash := make(map[string]string)
 	for i := range c.Teams {
 		t := &c.Teams[i]
-		place := at("teams", i, t.Name)
-		if t.Name == "" || len(t.Name) > maxName || teams[t.Name] {
-			f.add(place, "has no name of its own", "give each team a name of 1 to "+strconv.Itoa(maxName)+" bytes that no other has")
+		path := entryPath("teams", i, t.Name)
+		if t.Name == "" || len(t.Name) > maxNameBytes || teams[t.Name] {
+			f.add(path, "has a missing, overlong or duplicate name", "give each team a unique name of 1 to "+strconv.Itoa(maxNameBytes)+" bytes")
 		}
 		teams[t.Name] = true
-		f.under(place, &t.Team)
+		f.addNested(path, &t.Team)
 		for _, h := range t.KeyHashes {
-			if other, ok := holders[h]; ok && other != t.Name {
-				f.add(place+".keyHashes", "has a key that team "+other+" has too", "leave it with one of the two, and give the other a key of its own")
+			if other, ok := teamByHash[h]; ok && other != t.Name {
+				f.add(path+".keyHashes", "has a key that team "+other+" also has", "remove the key from one of the two teams and give that team another")
 			}
-			holders[h] = t.Name
+			teamByHash[h] = t.Name
 		}
 	}
 }
 
-// at names one entry of a list in a fault.
-func at(list string, i int, name string) string {
+// entryPath returns the field path of one list entry: by name, or by index if it has none.
+func entryPath(list string, i int, name string) string {
 	if name == "" {
 		name = strconv.Itoa(i)
 	}
 	return list + "[" + name + "]"
 }
 
-// under adds the faults of a nested spec with its place before their fields.
-func (f *faults) under(place string, s Spec) {
-	var inner faults
-	s.validate(&inner)
-	for _, fault := range inner.list {
-		f.add(place+"."+fault.Field, fault.Wrong, fault.Remedy)
+// addNested validates a nested spec and adds its errors, with path prepended to their fields.
+func (f *fieldErrors) addNested(path string, s Spec) {
+	var nested fieldErrors
+	s.validate(&nested)
+	for _, e := range nested.list {
+		f.add(path+"."+e.Field, e.Wrong, e.Remedy)
 	}
 }
--- a/record/record.go
+++ b/record/record.go
@@ -1,10 +1,10 @@
-// Package record defines the records operators write and the objects the
-// system keeps for itself, with the checks that the command line and the
-// daemon share.
+// Package record defines the records that operators write and those that the
+// system itself stores, with the validation that the command line and the daemon
+// share.
 //
-// A record is a JSON document with kind, name, schemaVersion and spec. Two
-// schema versions of one kind may stand side by side; Parse reads either into
-// the newest Go form.
+// A record is a JSON document with kind, name, schemaVersion and spec. Records of
+// one kind may have different schema versions; Parse converts older ones to the
+// newest Go type.
 package record
 
 import (
@@ -16,21 +16,21 @@
 	"github.com/pkg/errors"
 )
 
-// Kind names a kind of record.
+// Kind is the type of a record.
 type Kind string
 
-// The operators' kinds, then the system's own.
+// Kinds written by operators, then kinds written by the system.
 const (
 	KindService Kind = "Service"
 	KindRoute   Kind = "Route"
 	KindTeam    Kind = "Team"
 	KindStop    Kind = "Stop"
-	// KindConfiguration is a whole set of routes and services in one record.
+	// KindConfiguration is a complete set of routes, services and teams in one record.
 	KindConfiguration Kind = "Configuration"
 	KindHost          Kind = "Host"
 	KindShardMap      Kind = "ShardMap"
 	KindStatus        Kind = "Status"
-	// KindCrasher is a request that ends the instances that run it.
+	// KindCrasher is a request that crashes the instances that run it.
 	KindCrasher Kind = "Crasher"
 )
 
@@ -38,21 +38,22 @@
 var OperatorKinds = []Kind{KindService, KindRoute, KindTeam, KindStop, KindConfiguration}
 
 const (
-	// MaxSize bounds a record that is written, in bytes; the platform holds
-	// values of 1 MB.
+	// MaxSize is the largest record that may be written, in bytes: the platform
+	// stores values of up to 1 MB.
 	MaxSize = 1 << 20
-	// maxParsed bounds a record that is read, in bytes: a platform's own shorter
-	// form of a Configuration grows when it is turned into a record.
-	maxParsed = 16 << 20
+	// maxParsedBytes is the largest record that is read. It is larger than MaxSize
+	// because a Configuration in a platform's own, more compact format grows when it
+	// is converted to a record.
+	maxParsedBytes = 16 << 20
 )
 
-// Key names one record.
+// Key identifies one record.
 type Key struct {
 	Kind Kind
 	Name string
 }
 
-// String gives the key as Kind/Name.
+// String returns the key as Kind/Name.
 func (k Key) String() string { return string(k.Kind) + "/" + k.Name }
 
 // ParseKey is the inverse of Key.String.
@@ -78,8 +79,8 @@
 
 // Spec is the typed content of a record.
 type Spec interface {
-	// validate reports every fault found in the spec.
-	validate(f *faults)
+	// validate adds an error to f for every invalid field.
+	validate(f *fieldErrors)
 }
 
 // Record is one parsed record.
@@ -87,14 +88,14 @@
 	Key
 	SchemaVersion int
 	// Version is the platform's version of the object, 0 before it is stored.
-	// In an operator's file it is the version that the edit started from.
+	// In an operator's file it is the version that the edit is based on.
 	Version int64
-	// Writer marks the write that stored the record: who, and a nonce.
+	// Writer identifies the write that stored the record: the writer and a nonce.
 	Writer string
 	Spec   Spec
 }
 
-// document is the JSON form.
+// document is the JSON form of a record.
 type document struct {
 	Kind          Kind            `json:"kind"`
 	Name          string          `json:"name"`
@@ -104,33 +105,33 @@
 	Spec          json.RawMessage `json:"spec"`
 }
 
-// TooNewError says a record has a schema version this program cannot read.
+// TooNewError reports a record whose schema version is newer than this program supports.
 type TooNewError struct {
 	Key    Key
 	Got    int
 	Newest int
 }
 
-// Error implements error.
+// Error implements the error interface.
 func (e *TooNewError) Error() string {
 	return fmt.Sprintf("%s: schemaVersion %d is newer than %d, the newest this program reads; upgrade it, or write schemaVersion %d",
 		e.Key, e.Got, e.Newest, e.Newest)
 }
 
-// InvalidError lists every fault of one record.
+// InvalidError lists every invalid field of one record.
 type InvalidError struct {
 	Key    Key
 	Faults []Fault
 }
 
-// Fault is one field that is wrong and what to write instead.
+// Fault describes one invalid field and what to write instead.
 type Fault struct {
 	Field  string `json:"field"`
 	Wrong  string `json:"wrong"`
 	Remedy string `json:"remedy"`
 }
 
-// Error implements error.
+// Error implements the error interface.
 func (e *InvalidError) Error() string {
 	lines := make([]string, 0, len(e.Faults))
 	for _, f := range e.Faults {
@@ -139,21 +140,20 @@
 	return strings.Join(lines, "\n")
 }
 
-type faults struct{ list []Fault }
+type fieldErrors struct{ list []Fault }
 
-func (f *faults) add(field, wrong, remedy string) {
+func (f *fieldErrors) add(field, wrong, remedy string) {
 	f.list = append(f.list, Fault{Field: field, Wrong: wrong, Remedy: remedy})
 }
 
-// Parse reads and checks one record. Its errors are *TooNewError,
-// *InvalidError or a plain error for JSON that cannot be read; each says what
-// to write instead.
+// Parse decodes and validates one record. It returns a *TooNewError, an
+// *InvalidError, or a plain error if the document cannot be decoded.
 func Parse(value []byte) (*Record, error) {
-	if len(value) > maxParsed {
-		return nil, errors.Errorf("record of %d bytes: the bound is %d", len(value), maxParsed)
+	if len(value) > maxParsedBytes {
+		return nil, errors.Errorf("record too large: %d bytes, limit %d bytes", len(value), maxParsedBytes)
 	}
 	var doc document
-	if err := strictJSON(value, &doc); err != nil {
+	if err := decodeStrict(value, &doc); err != nil {
 		return nil, errors.Wrap(err, "record is not a JSON document of kind, name, schemaVersion and spec")
 	}
 	kind, err := ParseKind(string(doc.Kind))
@@ -168,7 +168,7 @@
 	if err != nil {
 		return nil, err
 	}
-	var f faults
+	var f fieldErrors
 	spec.validate(&f)
 	if len(f.list) > 0 {
 		return nil, &InvalidError{Key: key, Faults: f.list}
@@ -178,13 +178,13 @@
 	}, nil
 }
 
-// Marshal gives the JSON form in the newest schema version, as it is stored:
-// without version, which the platform keeps beside it.
+// Marshal encodes a record as it is stored: in the newest schema version and
+// without the version field, which the platform stores separately.
 func Marshal(key Key, spec Spec) ([]byte, error) {
 	return MarshalBy(key, spec, "")
 }
 
-// MarshalBy is Marshal with the mark of the writer.
+// MarshalBy is like Marshal and sets the writer field.
 func MarshalBy(key Key, spec Spec, writer string) ([]byte, error) {
 	raw, err := json.Marshal(spec)
 	if err != nil {
@@ -194,18 +194,19 @@
 	return json.Marshal(doc)
 }
 
-// Edit gives a stored record in the form that an operator edits: indented,
-// with the version that the edit starts from.
+// Edit returns a stored record in the form that an operator edits: indented, with
+// the version that the edit is based on and without the writer field.
 func Edit(value []byte, version int64) ([]byte, error) {
 	var doc document
 	if err := json.Unmarshal(value, &doc); err != nil {
-		return nil, errors.Wrap(err, "stored record")
+		return nil, errors.Wrap(err, "decode stored record")
 	}
 	doc.Version, doc.Writer = version, ""
 	return json.MarshalIndent(doc, "", "  ")
 }
 
-// WriterOf reads the writer's mark of a stored record, "" where it has none.
+// WriterOf returns the writer field of a stored record, or "" if it has none or
+// cannot be decoded.
 func WriterOf(value []byte) string {
 	var doc document
 	if err := json.Unmarshal(value, &doc); err != nil {
@@ -214,26 +215,26 @@
 	return doc.Writer
 }
 
-// maxName bounds a record's name, in bytes.
-const maxName = 128
+// maxNameBytes is the longest record name.
+const maxNameBytes = 128
 
 func checkName(k Key) error {
-	if k.Name == "" || len(k.Name) > maxName {
-		return errors.Errorf("%s: name has %d bytes; write 1 to %d", k, len(k.Name), maxName)
+	if k.Name == "" || len(k.Name) > maxNameBytes {
+		return errors.Errorf("%s: name has %d bytes; write 1 to %d", k, len(k.Name), maxNameBytes)
 	}
 	for _, r := range k.Name {
-		if !nameRune(r) {
-			return errors.Errorf("%s: name has %q; write letters, digits, '.', '_' and '-' only", k, r)
+		if !isNameRune(r) {
+			return errors.Errorf("%s: name contains %q; use only letters, digits, '.', '_' and '-'", k, r)
 		}
 	}
 	return nil
 }
 
-func nameRune(r rune) bool {
+func isNameRune(r rune) bool {
 	return r >= 'a' && r <= 'z' || r >= 'A' && r <= 'Z' || r >= '0' && r <= '9' || r == '-' || r == '_' || r == '.'
 }
 
-func strictJSON(value []byte, into any) error {
+func decodeStrict(value []byte, into any) error {
 	dec := json.NewDecoder(bytes.NewReader(value))
 	dec.DisallowUnknownFields()
 	if err := dec.Decode(into); err != nil {
--- a/record/record_test.go
+++ b/record/record_test.go
@@ -8,8 +8,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// FuzzParse feeds arbitrary bytes to the parser: it must not panic, and what
-// it accepts it must accept again after a round trip.
+// FuzzParse feeds arbitrary bytes to Parse: it must not panic, and a record that it
+// accepts must survive a round trip through Marshal and Parse.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte(`{"kind":"Service","name":"x","schemaVersion":1,"spec":{"office":"o","preset":"quick","floorPercent":50}}`))
 	f.Add([]byte(`{"kind":"Route","name":"x","schemaVersion":1,"spec":{"pathPrefix":"/","service":"s"}}`))
--- a/record/route.go
+++ b/record/route.go
@@ -5,36 +5,37 @@
 	"time"
 )
 
-// Route leads requests to a service.
+// Route directs matching requests to a service.
 type Route struct {
-	// Host is the request's host without port; empty matches every host.
+	// Host is the request's host name without port; empty matches every host name.
 	Host string `json:"host,omitempty"`
-	// PathPrefix is matched by whole path segments of the path as it came, not
-	// decoded; the longest wins. One that ends in a slash does not match the
-	// path without that slash.
+	// PathPrefix matches whole segments of the undecoded request path; the longest
+	// match wins. A prefix that ends in a slash does not match the path without
+	// that slash.
 	PathPrefix string `json:"pathPrefix"`
-	// Methods limits the route; empty matches every method.
+	// Methods limits the route to these methods; empty matches every method.
 	Methods []string `json:"methods,omitempty"`
-	// Service is the name of the Service record; empty where Split is used.
+	// Service is the name of the Service record; empty if Split is used.
 	Service string `json:"service,omitempty"`
-	// Split divides the requests among several services by weight. What one of
-	// them cannot take is refused, not moved to another.
+	// Split divides the requests among several services by weight. Requests that
+	// one of them cannot take are rejected, not sent to another.
 	Split []Part `json:"split,omitempty"`
-	// Idempotent overrides what the method says: "yes", "no" or empty.
+	// Idempotent is "yes", "no", or empty to decide by the method.
 	Idempotent string `json:"idempotent,omitempty"`
-	// TimeoutMS is the deadline from arrival, in milliseconds;
-	// 0 means DefaultTimeoutMS. A caller may ask for less, never for more.
+	// TimeoutMS is the time limit for a request from its arrival, in milliseconds;
+	// 0 means DefaultTimeoutMS. A caller may ask for a shorter limit, never a longer
+	// one.
 	TimeoutMS int `json:"timeoutMS,omitempty"`
-	// ObjectiveMS is the time in which an answer is worth its whole value, in
-	// milliseconds; 0 means that any answer within the timeout is.
+	// ObjectiveMS is the latency objective, in milliseconds: a response within it has
+	// its full value. 0 means that any response within the timeout has.
 	ObjectiveMS int `json:"objectiveMS,omitempty"`
-	// MaxAttempts is the greatest number of instances that one request is sent
-	// to; 0 means DefaultMaxAttempts.
+	// MaxAttempts is the maximum number of instances that one request is sent to;
+	// 0 means DefaultMaxAttempts.
 	MaxAttempts int `json:"maxAttempts,omitempty"`
-	// Priority orders waiting requests: 0 to 3, higher first. That of the caller's
-	// team goes before it.
+	// Priority orders queued requests: 0 to 3, higher first. The priority of the
+	// caller's team overrides it.
 	Priority int `json:"priority,omitempty"`
-	// Open lets callers in without a team's key where keys are asked for.
+	// Open admits callers without a team key where keys are otherwise required.
 	Open bool `json:"open,omitempty"`
 }
 
@@ -42,28 +43,28 @@
 type Part struct {
 	// Service is the name of the Service record.
 	Service string `json:"service"`
-	// Weight is the share, relative to the sum of the route's weights; 0 sends
-	// the part nothing.
+	// Weight is the share of requests, relative to the sum of the route's weights;
+	// at 0 the service gets none.
 	Weight int `json:"weight"`
 }
 
-// The bounds and defaults of a Route.
+// Defaults and limits of Route fields.
 const (
 	DefaultTimeoutMS = 10000
 	maxTimeoutMS     = 600000
 	// MaxPriority is the highest priority of a route.
-	MaxPriority = 3
-	maxMethods  = 16
-	maxPath     = 2048
-	// DefaultMaxAttempts bounds the instances one request is sent to.
+	MaxPriority  = 3
+	maxMethods   = 16
+	maxPathBytes = 2048
+	// DefaultMaxAttempts is the default of Route.MaxAttempts.
 	DefaultMaxAttempts = 3
-	maxMaxAttempts     = 16
+	maxAttemptsLimit   = 16
 	maxParts           = 64
 	maxWeight          = 1000000
 )
 
-func (r *Route) validate(f *faults) {
-	if !strings.HasPrefix(r.PathPrefix, "/") || len(r.PathPrefix) > maxPath {
+func (r *Route) validate(f *fieldErrors) {
+	if !strings.HasPrefix(r.PathPrefix, "/") || len(r.PathPrefix) > maxPathBytes {
 		f.add("pathPrefix", "is "+quote(r.PathPrefix), `write a path that starts with "/", for example "/plans"`)
 	}
 	if strings.Contains(r.Host, ":") || strings.Contains(r.Host, "/") {
@@ -71,46 +72,46 @@
 	}
 	r.validateServices(f)
 	if r.Idempotent != "" && r.Idempotent != "yes" && r.Idempotent != "no" {
-		f.add("idempotent", "is "+quote(r.Idempotent), `write "yes", "no", or leave it out to go by the method`)
+		f.add("idempotent", "is "+quote(r.Idempotent), `write "yes" or "no", or leave it out to decide by the method`)
 	}
 	if len(r.Methods) > maxMethods {
-		f.add("methods", "has too many entries", "write 16 at most, or none for every method")
+		f.add("methods", "has too many entries", "write at most 16, or none to match every method")
 	}
 	for _, m := range r.Methods {
 		if m == "" || m != strings.ToUpper(m) {
 			f.add("methods", "has "+quote(m), `write HTTP methods in capitals, for example ["GET"]`)
 		}
 	}
-	f.between("timeoutMS", r.TimeoutMS, 0, maxTimeoutMS)
-	f.between("objectiveMS", r.ObjectiveMS, 0, maxTimeoutMS)
-	f.between("maxAttempts", r.MaxAttempts, 0, maxMaxAttempts)
-	f.between("priority", r.Priority, 0, MaxPriority)
+	f.checkRange("timeoutMS", r.TimeoutMS, 0, maxTimeoutMS)
+	f.checkRange("objectiveMS", r.ObjectiveMS, 0, maxTimeoutMS)
+	f.checkRange("maxAttempts", r.MaxAttempts, 0, maxAttemptsLimit)
+	f.checkRange("priority", r.Priority, 0, MaxPriority)
 }
 
-// validateServices checks that the route leads somewhere, in one way.
-func (r *Route) validateServices(f *faults) {
+// validateServices checks that the route has either a service or a valid split.
+func (r *Route) validateServices(f *fieldErrors) {
 	switch {
 	case r.Service == "" && len(r.Split) == 0:
 		f.add("service", "is missing", "write the name of a Service record, or a split")
 	case r.Service != "" && len(r.Split) > 0:
-		f.add("split", "is set beside service", "write one of the two")
+		f.add("split", "is set together with service", "write either service or split")
 	case len(r.Split) > maxParts:
-		f.add("split", "has too many parts", "write 64 at most")
+		f.add("split", "has too many parts", "write at most 64")
 	}
 	sum := 0
 	for _, p := range r.Split {
 		if p.Service == "" {
 			f.add("split.service", "is missing", "write the name of a Service record")
 		}
-		f.between("split.weight", p.Weight, 0, maxWeight)
+		f.checkRange("split.weight", p.Weight, 0, maxWeight)
 		sum += p.Weight
 	}
 	if len(r.Split) > 0 && sum == 0 {
-		f.add("split.weight", "is 0 in every part", "write a weight above 0 in one part at least")
+		f.add("split.weight", "is 0 in every part", "write a weight above 0 in at least one part")
 	}
 }
 
-// Parts lists the services that the route leads to, with their weights.
+// Parts returns the services that the route sends requests to, with their weights.
 func (r *Route) Parts() []Part {
 	if len(r.Split) > 0 {
 		return r.Split
@@ -118,11 +119,10 @@
 	return []Part{{Service: r.Service, Weight: 1}}
 }
 
-// Attempts is the greatest number of instances that one request is sent to.
+// Attempts returns the maximum number of instances that one request is sent to.
 func (r *Route) Attempts() int { return orDefault(r.MaxAttempts, DefaultMaxAttempts) }
 
-// Objective is the time in which an answer is worth its whole value: the
-// timeout where the route names none.
+// Objective returns the latency objective, or the timeout if the route has none.
 func (r *Route) Objective() time.Duration {
 	if r.ObjectiveMS == 0 {
 		return r.Timeout()
@@ -130,12 +130,13 @@
 	return time.Duration(r.ObjectiveMS) * time.Millisecond
 }
 
-// Timeout is the route's deadline from arrival.
+// Timeout returns the time limit for a request from its arrival.
 func (r *Route) Timeout() time.Duration {
 	return time.Duration(orDefault(r.TimeoutMS, DefaultTimeoutMS)) * time.Millisecond
 }
 
-// IsIdempotent decides by the override, else by RFC 9110 section 9.2.2.
+// IsIdempotent reports whether a request with the method is idempotent: by the
+// route's Idempotent field if set, else by RFC 9110, section 9.2.2.
 func (r *Route) IsIdempotent(method string) bool {
 	switch r.Idempotent {
 	case "yes":
@@ -151,21 +152,21 @@
 	}
 }
 
-// Stop is a planned stop of a host, or of one instance on it.
+// Stop is a planned drain of a host, or of one instance on it.
 type Stop struct {
 	// Host is the name of the host to drain.
 	Host string `json:"host"`
-	// Instance limits the stop to one instance's name; empty means all.
+	// Instance is the name of the only instance to drain; empty means all of them.
 	Instance string `json:"instance,omitempty"`
 	// Reason is shown to operators.
 	Reason string `json:"reason"`
 }
 
-func (s *Stop) validate(f *faults) {
+func (s *Stop) validate(f *fieldErrors) {
 	if s.Host == "" {
 		f.add("host", "is missing", "write the name of the host to drain, as `radishhoist status` shows it")
 	}
 	if s.Reason == "" {
-		f.add("reason", "is missing", "write why, for the operator who reads it at night")
+		f.add("reason", "is missing", "write why; `radishhoist status` shows it to operators")
 	}
 }
--- a/record/schema.go
+++ b/record/schema.go
@@ -7,7 +7,7 @@
 	"github.com/pkg/errors"
 )
 
-// newestSchema is the newest schema version this program reads and writes.
+// newestSchema returns the newest schema version that this program reads and writes.
 func newestSchema(k Kind) int {
 	if k == KindService {
 		return 2
@@ -15,7 +15,7 @@
 	return 1
 }
 
-// parseSpec reads a spec of any known schema version into the newest form.
+// parseSpec decodes a spec of any supported schema version into the newest Go type.
 func parseSpec(key Key, version int, raw json.RawMessage) (Spec, error) {
 	newest := newestSchema(key.Kind)
 	if version < 1 {
@@ -30,14 +30,14 @@
 	if key.Kind == KindService && version == 1 {
 		return parseServiceV1(key, raw)
 	}
-	spec := emptySpec(key.Kind)
-	if err := strictJSON(raw, spec); err != nil {
+	spec := newSpec(key.Kind)
+	if err := decodeStrict(raw, spec); err != nil {
 		return nil, errors.Wrapf(err, "%s: spec of schemaVersion %d", key, version)
 	}
 	return spec, nil
 }
 
-func emptySpec(k Kind) Spec {
+func newSpec(k Kind) Spec {
 	switch k {
 	case KindService:
 		return &Service{}
@@ -60,7 +60,7 @@
 	}
 }
 
-// serviceV1 is schema version 1 of Service: its floor was one percentage.
+// serviceV1 is schema version 1 of Service, whose floor is a single percentage.
 type serviceV1 struct {
 	Office       string `json:"office"`
 	FloorPercent int    `json:"floorPercent"`
@@ -69,14 +69,14 @@
 
 func parseServiceV1(key Key, raw json.RawMessage) (Spec, error) {
 	var v1 serviceV1
-	if err := strictJSON(raw, &v1); err != nil {
+	if err := decodeStrict(raw, &v1); err != nil {
 		return nil, errors.Wrapf(err, "%s: spec of schemaVersion 1", key)
 	}
 	return &Service{Office: v1.Office, Preset: v1.Preset, Floor: Floor{Percent: v1.FloorPercent}}, nil
 }
 
-// between reports a number outside its bounds.
-func (f *faults) between(field string, got, low, high int) {
+// checkRange adds an error if got is not between low and high, inclusive.
+func (f *fieldErrors) checkRange(field string, got, low, high int) {
 	if got < low || got > high {
 		f.add(field, strconv.Itoa(got)+" is out of bounds",
 			"write "+strconv.Itoa(low)+" to "+strconv.Itoa(high))
--- a/record/service.go
+++ b/record/service.go
@@ -2,45 +2,46 @@
 
 import "time"
 
-// The detection presets of a Service.
+// Failure-detection presets of a Service.
 const (
-	// PresetQuick weighs detection time more: a family waits at a counter.
+	// PresetQuick favours short detection times, for services with a customer
+	// waiting at a counter.
 	PresetQuick = "quick"
-	// PresetCareful weighs false ejections more: slots are few.
+	// PresetCareful favours few false ejections, for services with few slots.
 	PresetCareful = "careful"
 )
 
-// Service describes one service of an office.
+// Service describes one service of a customer.
 type Service struct {
-	// Office is the customer that owns the service.
+	// Office is the name of the customer that owns the service.
 	Office string `json:"office"`
-	// Preset picks the detection parameters, "quick" or "careful".
+	// Preset selects the failure-detection parameters: PresetQuick or PresetCareful.
 	Preset string `json:"preset"`
-	// Floor is the healthy capacity that ejection never goes below.
+	// Floor is the minimum healthy capacity; no ejection reduces capacity below it.
 	Floor Floor `json:"floor"`
-	// RetryPercent bounds retries and hedges as a share of fresh requests;
+	// RetryPercent limits retries and hedges to a percentage of original requests;
 	// 0 means DefaultRetryPercent.
 	RetryPercent int `json:"retryPercent,omitempty"`
-	// AnswerBufferKB bounds the answer kept back until it is proved whole;
-	// 0 means DefaultAnswerBufferKB.
+	// AnswerBufferKB is the size in KB up to which a response is held back until it
+	// is known to be complete; 0 means DefaultAnswerBufferKB.
 	AnswerBufferKB int `json:"answerBufferKB,omitempty"`
-	// KeyShards is the number of shards of the service's idempotency keys;
+	// KeyShards is the number of shards for the service's idempotency keys;
 	// 0 means DefaultKeyShards.
 	KeyShards int `json:"keyShards,omitempty"`
-	// KeyWindowSeconds is how long a finished key is remembered;
-	// 0 means DefaultKeyWindowSeconds.
+	// KeyWindowSeconds is how long an idempotency key is remembered after its request
+	// has finished; 0 means DefaultKeyWindowSeconds.
 	KeyWindowSeconds int `json:"keyWindowSeconds,omitempty"`
 }
 
-// Floor is the least healthy capacity of a service. Both bounds hold.
+// Floor is the minimum healthy capacity of a service. Both limits apply.
 type Floor struct {
-	// Percent is the share of the service's known slots.
+	// Percent is the percentage of the service's known slots.
 	Percent int `json:"percent"`
-	// Instances is a number of instances, 0 for none.
+	// Instances is the minimum number of instances; 0 means no minimum.
 	Instances int `json:"instances,omitempty"`
 }
 
-// The defaults of a Service.
+// Defaults of Service fields.
 const (
 	DefaultRetryPercent     = 10
 	DefaultAnswerBufferKB   = 256
@@ -49,42 +50,43 @@
 )
 
 const (
-	maxRetryPercent   = 50
-	maxAnswerBufferKB = 8 << 10
-	maxKeyShards      = 64
-	maxKeyWindow      = 86400
-	maxFloorInstances = 10000
+	maxRetryPercent     = 50
+	maxAnswerBufferKB   = 8 << 10
+	maxKeyShards        = 64
+	maxKeyWindowSeconds = 86400
+	maxFloorInstances   = 10000
 )
 
-func (s *Service) validate(f *faults) {
+func (s *Service) validate(f *fieldErrors) {
 	if s.Office == "" {
 		f.add("office", "is missing", "write the name of the office that owns the service")
 	}
 	if s.Preset != PresetQuick && s.Preset != PresetCareful {
-		f.add("preset", "is "+quote(s.Preset), `write "quick" (detection time first) or "careful" (false ejections first)`)
+		f.add("preset", "is "+quote(s.Preset), `write "quick" (faster detection) or "careful" (fewer false ejections)`)
 	}
-	f.between("floor.percent", s.Floor.Percent, 1, 100)
-	f.between("floor.instances", s.Floor.Instances, 0, maxFloorInstances)
-	f.between("retryPercent", s.RetryPercent, 0, maxRetryPercent)
-	f.between("answerBufferKB", s.AnswerBufferKB, 0, maxAnswerBufferKB)
-	f.between("keyShards", s.KeyShards, 0, maxKeyShards)
-	f.between("keyWindowSeconds", s.KeyWindowSeconds, 0, maxKeyWindow)
+	f.checkRange("floor.percent", s.Floor.Percent, 1, 100)
+	f.checkRange("floor.instances", s.Floor.Instances, 0, maxFloorInstances)
+	f.checkRange("retryPercent", s.RetryPercent, 0, maxRetryPercent)
+	f.checkRange("answerBufferKB", s.AnswerBufferKB, 0, maxAnswerBufferKB)
+	f.checkRange("keyShards", s.KeyShards, 0, maxKeyShards)
+	f.checkRange("keyWindowSeconds", s.KeyWindowSeconds, 0, maxKeyWindowSeconds)
 }
 
-// RetryShare is the retry budget as a fraction of fresh requests.
+// RetryShare returns the retry budget as a fraction of original requests.
 func (s *Service) RetryShare() float64 {
 	return float64(orDefault(s.RetryPercent, DefaultRetryPercent)) / 100
 }
 
-// AnswerBuffer is the answer bound in bytes.
+// AnswerBuffer returns the response buffer size in bytes.
 func (s *Service) AnswerBuffer() int {
 	return orDefault(s.AnswerBufferKB, DefaultAnswerBufferKB) << 10
 }
 
-// Shards is the number of key shards.
+// Shards returns the number of shards for idempotency keys.
 func (s *Service) Shards() uint32 { return uint32(orDefault(s.KeyShards, DefaultKeyShards)) }
 
-// KeyWindow is how long a finished key is remembered.
+// KeyWindow returns how long an idempotency key is remembered after its request has
+// finished.
 func (s *Service) KeyWindow() time.Duration {
 	return time.Duration(orDefault(s.KeyWindowSeconds, DefaultKeyWindowSeconds)) * time.Second
 }
--- a/record/system.go
+++ b/record/system.go
@@ -1,18 +1,18 @@
 package record
 
-// Host is written once by a host that joins, so that others find it.
+// Host is written once by each host when it joins, so that other hosts can find it.
 type Host struct {
-	// DC is the host's data centre.
+	// DC is the name of the host's data centre.
 	DC string `json:"dc"`
-	// Peer is the address its peers reach it at, IP:port for TCP and UDP.
+	// Peer is the address at which other hosts reach it, IP:port for TCP and UDP.
 	Peer string `json:"peer"`
 	// Admin is the address of its admin endpoints, IP:port.
 	Admin string `json:"admin"`
-	// Incarnation is the host's start, in Unix milliseconds.
+	// Incarnation is the start time of the host's process, in Unix milliseconds.
 	Incarnation uint64 `json:"incarnation"`
 }
 
-func (h *Host) validate(f *faults) {
+func (h *Host) validate(f *fieldErrors) {
 	if h.DC == "" {
 		f.add("dc", "is missing", "hosts write this record themselves; delete it and restart the host")
 	}
@@ -21,34 +21,36 @@
 	}
 }
 
-// ShardMap says who owns the idempotency keys of one service. It changes only
-// by conditional update, when ownership or the guards move.
+// ShardMap records which hosts own the idempotency keys of one service. It is
+// changed only by conditional updates, when an owner or the guards change.
 type ShardMap struct {
-	// Guards are the hosts whose promises make an owner's authority.
+	// Guards are the hosts that promise shards to their owners: an owner has
+	// authority while it holds promises from a majority of them.
 	Guards []string `json:"guards"`
-	// Prev are the guards before the last change. Until every shard's owner
-	// holds under both, majorities of both are needed.
+	// Prev are the guards before the last change. Until every shard's owner has had
+	// authority under both sets, an owner needs a majority of each.
 	Prev []string `json:"prev,omitempty"`
-	// Shards has one entry for every shard, in order.
+	// Shards has one entry per shard, in shard order.
 	Shards []Shard `json:"shards"`
-	// Nonce is the writer's mark, to tell its own write after a lost answer.
+	// Nonce identifies the write, so that a writer that got no response can tell
+	// whether its write was stored.
 	Nonce string `json:"nonce"`
 }
 
 // Shard is the ownership of one shard.
 type Shard struct {
-	// Owner is the host that may claim keys, and Life its process's start, in
-	// Unix milliseconds: a process that starts anew has lost the table.
+	// Owner is the host that may claim keys, and Life the start time of its process
+	// in Unix milliseconds: a restarted process has lost its key table.
 	Owner string `json:"owner"`
 	Life  uint64 `json:"life"`
-	// Epoch rises by one with every change of owner or guards.
+	// Epoch increases by one with every change of the owner or the guards.
 	Epoch uint64 `json:"epoch"`
-	// Held is the last epoch at which the owner is known to have had
-	// authority under both Guards and Prev.
+	// Held is the latest epoch in which the owner is known to have had authority
+	// under both Guards and Prev.
 	Held uint64 `json:"held,omitempty"`
 }
 
-func (m *ShardMap) validate(f *faults) {
+func (m *ShardMap) validate(f *fieldErrors) {
 	if len(m.Shards) == 0 {
 		f.add("shards", "is empty", "the system writes this record itself; delete it")
 	}
@@ -57,59 +59,60 @@
 	}
 }
 
-// Crasher is a request that has ended the instances that ran it, named by its print. The
-// system writes it once the request is stopped, so that a loss of all processes does
-// not forget it, and removes it when it is forgotten. An operator who deletes it lets
-// the request run again.
+// Crasher is a request that has crashed the instances that ran it. The name of the
+// record is the fingerprint of the request (crash.Print). The system writes the record
+// when it starts to refuse the request, so that this survives a restart of all
+// processes, and deletes it once the request is no longer blamed. An operator who
+// deletes it lets the request run again.
 type Crasher struct {
-	// Request is the request as it last ended an instance: method, host and path.
+	// Request is the method, host and path of the request that last crashed an instance.
 	Request string `json:"request"`
-	// Ends are the ends of instances that it explains.
+	// Ends are the instance ends that are attributed to the request.
 	Ends []InstanceEnd `json:"ends"`
 }
 
-// InstanceEnd is the end of one start of an instance.
+// InstanceEnd is the end of one run of an instance, from its start until it is gone.
 type InstanceEnd struct {
-	// ID names the start in the fleet.
+	// ID identifies the run of the instance in the fleet.
 	ID string `json:"id"`
 	// Service and Version are those of the instance.
 	Service string `json:"service"`
 	Version string `json:"version"`
-	// Host is the host that noticed it.
+	// Host is the host that detected the end.
 	Host string `json:"host"`
-	// AtMS is when it was noticed, in Unix milliseconds.
+	// AtMS is when the end was detected, in Unix milliseconds.
 	AtMS int64 `json:"atMS"`
 }
 
-func (c *Crasher) validate(f *faults) {
+func (c *Crasher) validate(f *fieldErrors) {
 	if len(c.Ends) == 0 {
 		f.add("ends", "is empty", "the system writes this record itself; delete it")
 	}
 	for _, e := range c.Ends {
 		if e.ID == "" {
-			f.add("ends", "has one without id", "the system writes this record itself; delete it")
+			f.add("ends", "contains an entry without id", "the system writes this record itself; delete it")
 		}
 	}
 }
 
-// Status is one data centre's summary of what is in force, written by one of
-// its hosts.
+// Status summarises which record sets the hosts of one data centre have in force. It
+// is written by one of these hosts.
 type Status struct {
-	// DC is the data centre.
+	// DC is the name of the data centre.
 	DC string `json:"dc"`
 	// Writer is the host that wrote the summary.
 	Writer string `json:"writer"`
-	// AtMS is when it was written, in Unix milliseconds of the writer.
+	// AtMS is when it was written, in Unix milliseconds by the writer's clock.
 	AtMS int64 `json:"atMS"`
-	// Hosts counts the live hosts of the data centre.
+	// Hosts is the number of live hosts in the data centre.
 	Hosts int `json:"hosts"`
-	// InForce counts hosts by the root hash of the set they have in force.
+	// InForce counts the hosts by the root hash of the record set they have in force.
 	InForce []InForce `json:"inForce"`
-	// Rejected lists records that are not in force as written, and why.
+	// Rejected lists the records that hosts have rejected, and why.
 	Rejected []Rejected `json:"rejected,omitempty"`
 }
 
-// InForce is how many hosts have one set in force.
+// InForce describes the hosts that have one record set in force.
 type InForce struct {
 	Revision int64    `json:"revision"`
 	Root     string   `json:"root"`
@@ -117,7 +120,7 @@
 	Behind   []string `json:"behind,omitempty"`
 }
 
-// Rejected is one record that was refused, with the version still in force.
+// Rejected is one rejected record, with the version still in force, 0 for none.
 type Rejected struct {
 	Key     string `json:"key"`
 	Version int64  `json:"version"`
@@ -125,7 +128,7 @@
 	Reason  string `json:"reason"`
 }
 
-func (s *Status) validate(f *faults) {
+func (s *Status) validate(f *fieldErrors) {
 	if s.DC == "" {
 		f.add("dc", "is missing", "the system writes this record itself; delete it")
 	}
--- a/record/team.go
+++ b/record/team.go
@@ -9,71 +9,71 @@
 	"golang.org/x/crypto/blake2b"
 )
 
-// Team is a group of callers within an office.
+// Team is a group of callers that belongs to one customer.
 type Team struct {
-	// Office is the customer the team belongs to.
+	// Office is the name of the customer that the team belongs to.
 	Office string `json:"office"`
-	// KeyHashes are the hashes of the keys that the team's callers show, as HashKey
-	// gives them: several while keys are changed.
+	// KeyHashes are the hashes of the team's keys in the form of KeyHash.String. There
+	// may be several, so that keys can be rotated.
 	KeyHashes []string `json:"keyHashes,omitempty"`
-	// Priority goes before that of the route: 0 to 3, higher first; nil leaves it to
-	// the route.
+	// Priority overrides the route's priority: 0 to 3, higher first; nil means that
+	// the route's applies.
 	Priority *int `json:"priority,omitempty"`
-	// RatePerSecond bounds the team's requests over all hosts; 0 for no bound.
+	// RatePerSecond limits the team's requests over all hosts; 0 means no limit.
 	RatePerSecond float64 `json:"ratePerSecond,omitempty"`
-	// Burst is how many requests may come at once; 0 means RatePerSecond.
+	// Burst is the number of requests that may arrive at once; 0 means RatePerSecond.
 	Burst float64 `json:"burst,omitempty"`
 }
 
 const (
-	maxRate     = 1000000
-	maxTeamKeys = 64
-	// MaxKey bounds a key, in bytes.
+	maxRatePerSecond = 1000000
+	maxTeamKeys      = 64
+	// MaxKey is the longest team key, in bytes.
 	MaxKey = 256
 )
 
-func (t *Team) validate(f *faults) {
+func (t *Team) validate(f *fieldErrors) {
 	if t.Office == "" {
 		f.add("office", "is missing", "write the name of the office the team belongs to")
 	}
 	if t.Priority != nil {
-		f.between("priority", *t.Priority, 0, MaxPriority)
+		f.checkRange("priority", *t.Priority, 0, MaxPriority)
 	}
-	rateBetween(f, "ratePerSecond", t.RatePerSecond)
-	rateBetween(f, "burst", t.Burst)
+	checkRate(f, "ratePerSecond", t.RatePerSecond)
+	checkRate(f, "burst", t.Burst)
 	if t.Burst > 0 && t.RatePerSecond == 0 {
 		f.add("burst", "is set without ratePerSecond", "write ratePerSecond too, or leave burst out")
 	}
 	if len(t.KeyHashes) > maxTeamKeys {
-		f.add("keyHashes", "has too many entries", "write "+strconv.Itoa(maxTeamKeys)+" at most, and withdraw keys that nobody uses")
+		f.add("keyHashes", "has too many entries", "write at most "+strconv.Itoa(maxTeamKeys)+" and withdraw unused keys")
 	}
 	seen := make(map[string]bool, len(t.KeyHashes))
 	for _, h := range t.KeyHashes {
 		if _, err := ParseKeyHash(h); err != nil {
-			f.add("keyHashes", "has an entry that is no hash", "write what `radishhoist teams key add` stores, never a key itself")
+			f.add("keyHashes", "contains an entry that is not a key hash", "write what `radishhoist teams key add` stores, never a key itself")
 		}
 		if seen[h] {
-			f.add("keyHashes", "has an entry twice", "write each hash once")
+			f.add("keyHashes", "contains a duplicate entry", "write each hash once")
 		}
 		seen[h] = true
 	}
 }
 
-func rateBetween(f *faults, field string, got float64) {
-	if !(got >= 0 && got <= maxRate) {
-		f.add(field, strconv.FormatFloat(got, 'g', -1, 64)+" is out of bounds", "write 0 to "+strconv.Itoa(maxRate))
+func checkRate(f *fieldErrors, field string, got float64) {
+	if !(got >= 0 && got <= maxRatePerSecond) {
+		f.add(field, strconv.FormatFloat(got, 'g', -1, 64)+" is out of bounds", "write 0 to "+strconv.Itoa(maxRatePerSecond))
 	}
 }
 
-// KeyHash is the first half of the BLAKE2b-256 hash of a team's key. A fast hash
-// suffices: keys are drawn at random, so that there is no list of likely ones to
-// try, as there is for passwords.
+// KeyHash is the first half of the BLAKE2b-256 hash of a team key. A fast hash is
+// sufficient because keys are generated at random: unlike passwords, they cannot be
+// found by trying likely values.
 type KeyHash [16]byte
 
-// hashPrefix marks the stored form of a KeyHash.
+// hashPrefix starts the stored form of a KeyHash.
 const hashPrefix = "b2-"
 
-// HashKey hashes a key.
+// HashKey returns the hash of a team key; bytes beyond MaxKey are ignored.
 func HashKey(key string) KeyHash {
 	var buf [MaxKey]byte
 	n := copy(buf[:], key)
@@ -81,20 +81,20 @@
 	return KeyHash(sum[:len(KeyHash{})])
 }
 
-// String gives the stored form.
+// String returns the stored form of the hash.
 func (h KeyHash) String() string { return hashPrefix + base64.RawURLEncoding.EncodeToString(h[:]) }
 
-// ParseKeyHash is the inverse of String.
+// ParseKeyHash is the inverse of KeyHash.String.
 func ParseKeyHash(s string) (KeyHash, error) {
 	var h KeyHash
 	raw, err := base64.RawURLEncoding.DecodeString(strings.TrimPrefix(s, hashPrefix))
 	if err != nil || len(raw) != len(h) || !strings.HasPrefix(s, hashPrefix) {
-		return h, errors.New("not the hash of a key")
+		return h, errors.New("not a team key hash")
 	}
 	return KeyHash(raw), nil
 }
 
-// KeyFault says what is wrong with a key that callers are to show, "" for nothing.
+// KeyFault describes what is wrong with a team key, or returns "" if it is valid.
 func KeyFault(key string) string {
 	switch {
 	case key == "":
@@ -102,7 +102,7 @@
 	case len(key) > MaxKey:
 		return "is longer than " + strconv.Itoa(MaxKey) + " bytes"
 	case strings.ContainsAny(key, " \t\r\n,"):
-		return "has a blank or a comma"
+		return "contains whitespace or a comma"
 	}
 	return ""
 }
