--- a/internal/settings/keys.go
+++ b/internal/settings/keys.go
@@ -19,24 +19,24 @@
 	section, name string
 	def           string
 	required      bool
-	// unit and bound are shown in the reference.
+	// unit and bound (the allowed values) are shown in the reference.
 	unit, bound string
 	doc         string
-	// remedy says what to write instead of a bad value.
+	// remedy is what to write instead of an invalid value.
 	remedy string
 	set    func(*Config, string) error
-	// get reads the value back, to tell what a new file changes.
+	// get returns the value in the form that set accepts, to compare two files.
 	get func(*Config) string
-	// live says that a running process takes a new value.
+	// live is set if a running process applies a new value.
 	live bool
 }
 
 const addressRemedy = "an IP number and a port, for example 127.0.0.1:8080"
 
 var keys = []key{
-	text("host", "name", "this host's name, unique in the fleet", func(c *Config) *string { return &c.Host }),
-	text("host", "dc", "the data centre this host stands in", func(c *Config) *string { return &c.DC }),
-	optional(text("host", "service", "the service whose target runs on this host; targets are told of it with requests that begin here", func(c *Config) *string { return &c.Service })),
+	identifier("host", "name", "this host's name, unique in the fleet", func(c *Config) *string { return &c.Host }),
+	identifier("host", "dc", "the data centre this host stands in", func(c *Config) *string { return &c.DC }),
+	optional(identifier("host", "service", "the service whose target runs on this host; targets are told of it with requests that begin here", func(c *Config) *string { return &c.Service })),
 	address("listen", "callers", "where callers' HTTP requests come in", false, func(c *Config) *string { return &c.Callers }),
 	address("listen", "peer", "where other hosts reach this one, TCP and UDP", false, func(c *Config) *string { return &c.Peer }),
 	address("listen", "announce", "where targets on this host announce themselves; a loopback address, or one of this host's own that callers or peers use", false, func(c *Config) *string { return &c.Announce }),
@@ -63,9 +63,9 @@
 	duration("control", "probe_timeout", "300ms", 10*time.Millisecond, 10*time.Second, "time a direct probe may go unanswered before other hosts are asked", func(c *Config) *time.Duration { return &c.ProbeTimeout }),
 	duration("control", "suspicion", "4s", 100*time.Millisecond, time.Minute, "time a suspected host has to refute; shorter is quicker and wrong more often", func(c *Config) *time.Duration { return &c.Suspicion }),
 	duration("control", "apply_within", "17s", 100*time.Millisecond, 10*time.Minute, "time in which an acknowledged record is to be in force on every host; written steps that together take longer are refused", func(c *Config) *time.Duration { return &c.ApplyWithin }),
-	derived(duration("control", "repair_interval", "5s", 100*time.Millisecond, time.Minute, "time between two digests of the record set to a random peer", func(c *Config) *time.Duration { return &c.RepairInterval }), repairMost),
-	derived(duration("control", "away_max", "2s", 100*time.Millisecond, time.Minute, "longest pause between two calls to a platform that does not answer; longer spares it, shorter notices its return sooner", func(c *Config) *time.Duration { return &c.AwayMax }), awayMaxMost),
-	derived(duration("control", "watch_wait", "25s", 100*time.Millisecond, 30*time.Second, "time the platform is asked to hold a watch open; shorter makes more calls and bounds how long a watcher can miss news without a sign", func(c *Config) *time.Duration { return &c.WatchWait }), watchWaitMost),
+	derived(duration("control", "repair_interval", "5s", 100*time.Millisecond, time.Minute, "time between two digests of the record set to a random peer", func(c *Config) *time.Duration { return &c.RepairInterval }), maxDerivedRepairInterval),
+	derived(duration("control", "away_max", "2s", 100*time.Millisecond, time.Minute, "longest pause between two calls to a platform that does not answer; longer spares it, shorter notices its return sooner", func(c *Config) *time.Duration { return &c.AwayMax }), maxDerivedAwayMax),
+	derived(duration("control", "watch_wait", "25s", 100*time.Millisecond, 30*time.Second, "time the platform is asked to hold a watch open; shorter makes more calls and bounds how long a watcher can miss news without a sign", func(c *Config) *time.Duration { return &c.WatchWait }), maxDerivedWatchWait),
 	duration("control", "status_interval", "5s", time.Second, time.Hour, "least time between two summaries of what is in force, which a data centre writes to the platform", func(c *Config) *time.Duration { return &c.StatusInterval }),
 	number("control", "watchers_per_dc", "2", "hosts", 1, 16, "hosts of a data centre that watch the platform; each waiting watch counts as a platform read", func(c *Config) *int { return &c.WatchersPerDC }),
 	duration("control", "promise_life", "3s", 100*time.Millisecond, time.Minute, "life of a promise to a key owner; longer rides out longer cuts and delays the successor more", func(c *Config) *time.Duration { return &c.PromiseLife }),
@@ -79,7 +79,7 @@
 	fraction("defaults", "retry_share", "0.1", 0, 0.5, "share", "repeats that each request earns, for the same services", func(c *Config) *float64 { return &c.RetryShare }),
 }
 
-func text(section, name, doc string, field func(*Config) *string) key {
+func identifier(section, name, doc string, field func(*Config) *string) key {
 	return key{
 		section: section, name: name, required: true, doc: doc,
 		unit: "name", bound: "1 to 64 letters, digits, '.', '_' or '-'",
@@ -95,17 +95,17 @@
 	}
 }
 
-// optional makes a key that need not be written.
+// optional returns k as an optional key without a default.
 func optional(k key) key {
 	k.required = false
 	k.def = ""
 	return k
 }
 
-const maxName = 64
+const maxNameBytes = 64
 
 func validName(v string) bool {
-	if v == "" || len(v) > maxName {
+	if v == "" || len(v) > maxNameBytes {
 		return false
 	}
 	return strings.Trim(v, "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789._-") == ""
@@ -207,15 +207,15 @@
 	}
 }
 
-// word is a key with a few values to choose from.
-func word(section, name, def, doc string, values []string, field func(*Config) *string) key {
+// choice returns a key whose value is one of a fixed list.
+func choice(section, name, def, doc string, values []string, field func(*Config) *string) key {
 	bound := strings.Join(values, ", ")
 	return key{
 		section: section, name: name, def: def, unit: "word", bound: bound, doc: doc, remedy: "one of " + bound,
 		get: func(c *Config) string { return *field(c) },
 		set: func(c *Config, v string) error {
 			if !slices.Contains(values, v) {
-				return errors.Errorf("%q is not one of them", v)
+				return errors.Errorf("%q is not an allowed value", v)
 			}
 			*field(c) = v
 			return nil
@@ -224,19 +224,19 @@
 }
 
 func presetKey() key {
-	return word("defaults", "preset", record.PresetQuick, "detection preset of services that the platform names without a Service record",
+	return choice("defaults", "preset", record.PresetQuick, "detection preset of services that the platform names without a Service record",
 		[]string{record.PresetQuick, record.PresetCareful}, func(c *Config) *string { return &c.Preset })
 }
 
-// AdapterOwn is the platform that speaks the product's own dialect.
+// AdapterOwn is the adapter for platforms that use this product's native API.
 const AdapterOwn = "own"
 
-// Adapters are the platforms that the settings may name; the daemon adds those
+// Adapters are the allowed values of [platform] adapter. The daemon adds the adapters
 // that it was built with.
 var Adapters = []string{AdapterOwn}
 
 func adapterKey() key {
-	k := word("platform", "adapter", AdapterOwn, "dialect of the platform, its callers and its targets", nil, func(c *Config) *string { return &c.Adapter })
+	k := choice("platform", "adapter", AdapterOwn, "dialect of the platform, its callers and its targets", nil, func(c *Config) *string { return &c.Adapter })
 	k.bound = AdapterOwn + ", or another that the daemon was built with"
 	k.remedy = AdapterOwn + ", or another that the daemon was built with"
 	k.set = func(c *Config, v string) error {
@@ -270,7 +270,7 @@
 	return key{
 		section: "peers", name: "seeds", def: "", unit: "IP:port list", bound: "addresses with commas between",
 		doc:    "peer addresses to start from while the platform is away",
-		remedy: "addresses with commas between, for example 10.0.0.1:7300, 10.0.0.2:7300",
+		remedy: "comma-separated addresses, for example 10.0.0.1:7300, 10.0.0.2:7300",
 		get:    func(c *Config) string { return strings.Join(c.Seeds, ", ") },
 		set: func(c *Config, v string) error {
 			c.Seeds = nil
@@ -290,24 +290,24 @@
 }
 
 func levelKey() key {
-	return live(word("log", "level", "info", "least level of events that are logged",
+	return live(choice("log", "level", "info", "least level of events that are logged",
 		[]string{"debug", "info", "warn", "error"}, func(c *Config) *string { return &c.LogLevel }))
 }
 
-// derived makes a key that follows from apply_within where it is not written.
-func derived(k key, most time.Duration) key {
+// derived returns k as a key whose default is derived from apply_within.
+func derived(k key, longest time.Duration) key {
 	k.def = ""
-	k.doc += fmt.Sprintf("; by default %g of apply_within, %s at most, less where the sum would not fit", stepShare, most)
+	k.doc += fmt.Sprintf("; by default %g of apply_within, %s at most, less where the sum would not fit", derivedShare, longest)
 	return k
 }
 
-// live marks a key whose new value a running process takes.
+// live returns k as a key whose new value a running process applies.
 func live(k key) key {
 	k.live = true
 	return k
 }
 
-// Reference is the settings reference as a Markdown table.
+// Reference returns the settings reference as a Markdown table.
 func Reference() string {
 	var b strings.Builder
 	b.WriteString("| section | key | unit | default | bound | taken at | meaning |\n|---|---|---|---|---|---|---|\n")
--- a/internal/settings/way_test.go
+++ b/internal/settings/propagation_test.go
@@ -9,35 +9,35 @@
 	"gotest.tools/v3/assert"
 )
 
-// The times of the steps follow from the bound, and together keep it.
-func TestTheStepsKeepTheBound(t *testing.T) {
+// Derived timings must add up to no more than apply_within.
+func TestDerivedTimingsMeetApplyWithin(t *testing.T) {
 	for bound := 750 * time.Millisecond; bound <= time.Minute; bound += 250 * time.Millisecond {
 		c, err := Parse("f.ini", []byte(good+fmt.Sprintf("[control]\napply_within = %s\n", bound)))
 		assert.NilError(t, err)
-		w := c.Way()
-		assert.Equal(t, w.Total(), w.Notice+w.Tell+w.Repair)
-		assert.Assert(t, w.Total() <= bound, "%s: %+v", bound, w)
-		assert.Assert(t, c.WatchWait >= stepLeast && c.AwayMax >= stepLeast && c.RepairInterval >= stepLeast)
+		d := c.Way()
+		assert.Equal(t, d.Total(), d.Notice+d.Distribution+d.Repair)
+		assert.Assert(t, d.Total() <= bound, "%s: %+v", bound, d)
+		assert.Assert(t, c.WatchWait >= minDerived && c.AwayMax >= minDerived && c.RepairInterval >= minDerived)
 		assert.Equal(t, len(c.Warnings), 0)
 	}
-	// At 2 s each step has what the design note says.
+	// At 2 s the derived share is 0.3, as in the design note.
 	c, err := Parse("f.ini", []byte(good+"[control]\napply_within = 2s\n"))
 	assert.NilError(t, err)
 	assert.Equal(t, c.WatchWait, 600*time.Millisecond)
 	assert.Assert(t, Default().Way().Total() <= Default().ApplyWithin)
 }
 
-// A platform may ask for more than can be kept: the host serves, and says so.
-func TestABoundThatNothingKeepsIsWarnedOf(t *testing.T) {
+// An apply_within that no timings can meet must give a warning, not an error.
+func TestUnattainableApplyWithinIsAWarning(t *testing.T) {
 	c, err := Parse("f.ini", []byte(good+"[control]\napply_within = 500ms\n"))
 	assert.NilError(t, err)
 	assert.Equal(t, len(c.Warnings), 1)
 	assert.Assert(t, strings.Contains(c.Warnings[0], "apply_within"))
 }
 
-// A time that is written goes before the derived one, and is refused with its keys
-// where a change would take too long.
-func TestStepsThatTakeTooLongAreRefused(t *testing.T) {
+// A configured timing overrides the derived one. If it makes a change take too long, the
+// error must name the keys involved.
+func TestTooLongTimingsAreRejected(t *testing.T) {
 	c, err := Parse("f.ini", []byte(good+"[control]\napply_within = 17s\nwatch_wait = 8s\nrepair_interval = 5s\n"))
 	assert.NilError(t, err)
 	assert.Equal(t, c.WatchWait, 8*time.Second)
--- a/internal/settings/reload.go
+++ b/internal/settings/reload.go
@@ -1,36 +1,35 @@
 package settings
 
-// Change is one key whose value differs between two files.
+// Change is one key whose value differs between two settings files.
 type Change struct {
 	// Key is the section and name, such as "[log] level".
 	Key string
-	// Live says that a running process takes the new value; any other waits for
-	// the next start.
+	// Live is set if a running process applies the new value; otherwise it is applied
+	// at the next start.
 	Live bool
 }
 
-// Compare lists what differs between two settings, in the order of the
-// reference.
-func Compare(old, fresh *Config) []Change {
+// Compare returns the keys whose values differ, in the order of the reference.
+func Compare(old, updated *Config) []Change {
 	var out []Change
 	for _, k := range keys {
-		if k.get(old) != k.get(fresh) {
+		if k.get(old) != k.get(updated) {
 			out = append(out, Change{Key: "[" + k.section + "] " + k.name, Live: k.live})
 		}
 	}
 	return out
 }
 
-// Adopt gives the settings of a running process under a new file: the live keys
-// have the new values, the others those that the process started with.
-func Adopt(running, fresh *Config) *Config {
+// Adopt returns the settings of a running process after a reload: the values of live
+// keys from updated, all other values from running.
+func Adopt(running, updated *Config) *Config {
 	out := *running
 	for _, k := range keys {
 		if !k.live {
 			continue
 		}
-		if err := k.set(&out, k.get(fresh)); err != nil {
-			// The value was accepted from the file in the same form.
+		if err := k.set(&out, k.get(updated)); err != nil {
+			// Cannot happen: the value passed the same check when it was loaded.
 			panic("settings: " + k.name + ": " + err.Error())
 		}
 	}
--- a/internal/settings/reload_test.go
+++ b/internal/settings/reload_test.go
@@ -6,20 +6,21 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestAdoptTakesLiveKeysOnly(t *testing.T) {
+func TestAdoptAppliesLiveKeysOnly(t *testing.T) {
 	running, err := Parse("f.ini", []byte(good))
 	assert.NilError(t, err)
-	fresh, err := Parse("f.ini", []byte(good+"[log]\nlevel = warn\n[guard]\ngrant_life = 2s\n"))
+	updated, err := Parse("f.ini", []byte(good+"[log]\nlevel = warn\n[guard]\ngrant_life = 2s\n"))
 	assert.NilError(t, err)
-	assert.DeepEqual(t, Compare(running, fresh), []Change{{Key: "[log] level", Live: true}, {Key: "[guard] grant_life"}})
-	adopted := Adopt(running, fresh)
+	assert.DeepEqual(t, Compare(running, updated), []Change{{Key: "[log] level", Live: true}, {Key: "[guard] grant_life"}})
+	adopted := Adopt(running, updated)
 	assert.Equal(t, adopted.LogLevel, "warn")
 	assert.Equal(t, adopted.GrantLife, running.GrantLife)
 	assert.DeepEqual(t, Compare(running, running), []Change(nil))
 }
 
-// Every key can be read back as it was set, or a change of it would be missed.
-func TestEveryKeyReadsBack(t *testing.T) {
+// For every key, get must return a value that set accepts and that reads back the same;
+// otherwise Compare would miss changes of the key.
+func TestEveryKeyRoundTrips(t *testing.T) {
 	c, err := Parse("f.ini", []byte(good))
 	assert.NilError(t, err)
 	for _, k := range keys {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,8 +1,8 @@
-// Package settings reads and checks the daemon's INI file.
+// Package settings loads and validates the daemon's INI file.
 //
-// Every key is one row of the table in keys.go with its unit, default, bound
-// and meaning; the reference page and `radishhoistd -reference` come from the
-// same table.
+// Every key is one row of the table in keys.go with its unit, default, bound and
+// meaning. The reference page and `radishhoistd -reference` are generated from that
+// table.
 package settings
 
 import (
@@ -18,114 +18,115 @@
 	"github.com/radishhoist/radishhoist/record"
 )
 
-// Config is the whole of a daemon's settings.
+// Config holds all settings of a daemon.
 type Config struct {
 	// Host is this host's name, unique in the fleet.
 	Host string
-	// DC is the data centre.
+	// DC is the name of this host's data centre.
 	DC string
-	// Service is the service whose target runs on this host; may be empty.
+	// Service is the service whose target runs on this host; it may be empty.
 	Service string
-	// Callers is where callers' HTTP requests come in, IP:port.
+	// Callers is the listen address for callers' HTTP requests, IP:port.
 	Callers string
-	// Peer is where other hosts reach this one by TCP and UDP, IP:port.
+	// Peer is the address at which other hosts reach this one by TCP and UDP, IP:port.
 	Peer string
-	// Announce is where targets announce themselves: a loopback IP:port, or one
-	// with the IP of Callers or Peer.
+	// Announce is the listen address for announcements of targets: a loopback IP:port,
+	// or one with the IP of Callers or Peer.
 	Announce string
-	// Ready is where readiness alone is served, IP:port; empty for nowhere.
+	// Ready is the listen address that serves only readiness, IP:port; empty for none.
 	Ready string
-	// Admin is where operators read state and metrics, IP:port.
+	// Admin is the listen address for state, metrics and readiness, IP:port.
 	Admin string
 	// Platform is the base URL of the platform's object API.
 	Platform string
-	// Adapter names the platform's dialect, one of Adapters.
+	// Adapter is the name of the platform adapter, one of Adapters.
 	Adapter string
-	// Seeds are peer addresses to start from while the platform is away.
+	// Seeds are peer addresses to join through if the platform is unavailable at start.
 	Seeds []string
-	// TeamAllowance and TeamOver are what a team may have beyond its limit in any
-	// TeamWindow over all hosts: requests, and a part of what the limit allows.
+	// TeamAllowance and TeamOver are how far a team may exceed its limit in any
+	// TeamWindow over all hosts: a number of requests plus a fraction of the limit.
 	TeamAllowance, TeamOver float64
 	TeamWindow              time.Duration
 	// LogLevel is debug, info, warn or error.
 	LogLevel string
 
-	// MaxHeaderBytes bounds a caller's request header, in bytes.
+	// MaxHeaderBytes is the largest request header from a caller, in bytes.
 	MaxHeaderBytes int
-	// MaxBodyBytes bounds a caller's request body, in bytes.
+	// MaxBodyBytes is the largest request body from a caller, in bytes.
 	MaxBodyBytes int
-	// BufferBodyBytes is how much of a request body is kept for a retry.
+	// BufferBodyBytes is the largest request body that is buffered for retries, in bytes.
 	BufferBodyBytes int
-	// MaxConns bounds the callers' connections.
+	// MaxConns is the maximum number of connections from callers.
 	MaxConns int
-	// MemoryMB is the memory the process may use, in MB; 0 for no bound.
+	// MemoryMB is the memory the process may use, in MB; 0 means no limit.
 	MemoryMB int
-	// MaxFDs is how many descriptors the process may hold; 0 for no bound.
+	// MaxFDs is the number of file descriptors the process may use; 0 means no limit.
 	MaxFDs int
-	// HeaderTimeout bounds the reading of a caller's request header.
+	// HeaderTimeout is the time a caller has to send a request header.
 	HeaderTimeout time.Duration
-	// IdleTimeout closes idle callers' connections.
+	// IdleTimeout is how long an idle connection from a caller is kept.
 	IdleTimeout time.Duration
 
-	// QueuePerSlot bounds the requests waiting at an instance, per slot.
+	// QueuePerSlot is the maximum number of requests queued at an instance, per slot.
 	QueuePerSlot int
-	// GrantLife is how long a reserved slot is held before run must come.
+	// GrantLife is how long a reserved slot is held for the request to run in it.
 	GrantLife time.Duration
-	// AnnounceExpiry is how long a target may go without announcing itself.
+	// AnnounceExpiry is how long after its last announcement a target counts as gone.
 	AnnounceExpiry time.Duration
-	// DrainTimeout bounds a graceful shutdown.
+	// DrainTimeout is the time from the stop signal until the process is killed.
 	DrainTimeout time.Duration
 	// TargetIdle is how long an idle connection to a target is kept.
 	TargetIdle time.Duration
 
 	// ProbeInterval is the time between two membership probes.
 	ProbeInterval time.Duration
-	// ProbeTimeout is how long a direct probe may go unanswered.
+	// ProbeTimeout is how long to wait for the response to a direct probe.
 	ProbeTimeout time.Duration
-	// Suspicion is how long a suspected host may refute before it is dead.
+	// Suspicion is how long a suspected host has to refute before it is declared dead.
 	Suspicion time.Duration
-	// RepairInterval is the time between two digests to a random peer.
+	// RepairInterval is the mean time between digests of the record set that are sent to
+	// a random peer.
 	RepairInterval time.Duration
 	// WatchersPerDC is how many hosts of a data centre watch the platform.
 	WatchersPerDC int
-	// PromiseLife is how long a promise to a key owner lasts.
+	// PromiseLife is how long a guard's promise to the owner of a key shard lasts.
 	PromiseLife time.Duration
-	// ApplyWithin is the time in which an acknowledged record is to be in force on
+	// ApplyWithin is the time within which an acknowledged record must be in force on
 	// every host.
 	ApplyWithin time.Duration
-	// stepsWritten says that one of AwayMax, WatchWait and RepairInterval was written.
-	stepsWritten bool
-	// Warnings say what the settings cannot keep, for the log at the start.
+	// timingsConfigured is set if AwayMax, WatchWait or RepairInterval is in the file.
+	timingsConfigured bool
+	// Warnings lists problems that do not keep the daemon from starting.
 	Warnings []string
-	// AwayMax is the longest pause between calls to an absent platform.
+	// AwayMax is the longest pause between calls to a platform that does not respond.
 	AwayMax time.Duration
-	// WatchWait is how long the platform is asked to hold a watch open.
+	// WatchWait is how long the platform is asked to hold a watch request open.
 	WatchWait time.Duration
-	// StatusInterval is the least time between two written summaries.
+	// StatusInterval is the minimum time between two Status records of a data centre.
 	StatusInterval time.Duration
 
-	// RetryReserve is how many repeats a service may have in a RetryWindow
-	// beyond its share of the requests, over all hosts.
+	// RetryReserve is the number of retries that a service may make in a RetryWindow
+	// in addition to its share of the requests, over all hosts.
 	RetryReserve float64
-	// RetryWindow is the span in which requests and repeats are counted.
+	// RetryWindow is the window in which requests and retries are counted.
 	RetryWindow time.Duration
 
-	// Preset, FloorShare and RetryShare describe services that the platform
-	// names without a Service record.
+	// Preset, FloorShare and RetryShare apply to services that the platform names
+	// without a Service record.
 	Preset     string
 	FloorShare float64
 	RetryShare float64
 }
 
-// Default gives every key's default; addresses have none.
+// Default returns the default settings. Required keys such as addresses are empty.
 func Default() *Config {
-	c := written()
-	c.deriveSteps()
+	c := staticDefaults()
+	c.deriveTimings()
 	return c
 }
 
-// written gives the defaults of the keys that do not follow from others.
-func written() *Config {
+// staticDefaults returns the defaults of all keys whose default is not derived.
+func staticDefaults() *Config {
 	c := &Config{}
 	for _, k := range keys {
 		if k.def != "" {
@@ -137,7 +138,7 @@
 	return c
 }
 
-// Load reads a file and reports every fault in it at once.
+// Load reads a settings file. Its error lists every problem in the file.
 func Load(path string) (*Config, error) {
 	file, err := ini.LoadSources(ini.LoadOptions{IgnoreInlineComment: true}, path)
 	if err != nil {
@@ -146,7 +147,7 @@
 	return fromFile(path, file)
 }
 
-// Parse is Load for a text in memory; name stands for the file in errors.
+// Parse is like Load for a text in memory; name is the file name in errors.
 func Parse(name string, text []byte) (*Config, error) {
 	file, err := ini.LoadSources(ini.LoadOptions{IgnoreInlineComment: true}, text)
 	if err != nil {
@@ -156,43 +157,43 @@
 }
 
 func fromFile(path string, file *ini.File) (*Config, error) {
-	c := written()
-	var wrong []string
-	wrong = append(wrong, unknownKeys(path, file)...)
+	c := staticDefaults()
+	var problems []string
+	problems = append(problems, unknownKeys(path, file)...)
 	for _, k := range keys {
 		section := file.Section(k.section)
 		if !section.HasKey(k.name) {
 			if k.required {
-				wrong = append(wrong, fmt.Sprintf("%s: [%s] %s: is missing; write %s", path, k.section, k.name, k.remedy))
+				problems = append(problems, fmt.Sprintf("%s: [%s] %s: is missing; write %s", path, k.section, k.name, k.remedy))
 			}
 			continue
 		}
 		value := section.Key(k.name).String()
 		if err := k.set(c, value); err != nil {
-			wrong = append(wrong, fmt.Sprintf("%s: [%s] %s: %v; write %s", path, k.section, k.name, err, k.remedy))
+			problems = append(problems, fmt.Sprintf("%s: [%s] %s: %v; write %s", path, k.section, k.name, err, k.remedy))
 		}
 	}
 	if err := c.checkAnnounce(); err != nil {
-		wrong = append(wrong, fmt.Sprintf("%s: [listen] announce: %v; write a loopback IP number and a port, for example 127.0.0.1:7700", path, err))
+		problems = append(problems, fmt.Sprintf("%s: [listen] announce: %v; write a loopback IP number and a port, for example 127.0.0.1:7700", path, err))
 	}
-	c.deriveSteps()
-	if err := c.checkWay(); err != nil {
-		wrong = append(wrong, fmt.Sprintf("%s: [control] apply_within: %s does not suffice: %v; make these shorter, leave them out, or write a longer apply_within", path, c.ApplyWithin, err))
+	c.deriveTimings()
+	if err := c.checkPropagationDelay(); err != nil {
+		problems = append(problems, fmt.Sprintf("%s: [control] apply_within: %s is too short: %v; shorten or remove these keys, or write a longer apply_within", path, c.ApplyWithin, err))
 	}
-	if len(wrong) > 0 {
-		return nil, errors.New(strings.Join(wrong, "\n"))
+	if len(problems) > 0 {
+		return nil, errors.New(strings.Join(problems, "\n"))
 	}
 	return c, nil
 }
 
-// checkAnnounce keeps announcements to this host: whoever announces a target
-// gets its requests.
+// checkAnnounce restricts the announce address to loopback or an IP of this host, because
+// whoever announces a target receives the target's requests.
 func (c *Config) checkAnnounce() error {
 	host := ipOf(c.Announce)
 	if host == "" || net.ParseIP(host).IsLoopback() || host == ipOf(c.Callers) || host == ipOf(c.Peer) {
 		return nil
 	}
-	return errors.Errorf("%q is not a loopback IP number, nor this host's own as callers or peers use it", host)
+	return errors.Errorf("%q is not a loopback IP number, nor the IP number of callers or peer", host)
 }
 
 func ipOf(addr string) string {
@@ -203,8 +204,8 @@
 	return host
 }
 
-// ServiceDefaults describes services that the platform names without a Service
-// record.
+// ServiceDefaults returns the settings of services that the platform names without a
+// Service record.
 func (c *Config) ServiceDefaults() record.Service {
 	return record.Service{
 		Office: "platform", Preset: c.Preset,
@@ -213,8 +214,8 @@
 	}
 }
 
-// ConnBound is how many callers' connections may be held: MaxConns, and at most
-// half of the descriptors, as each request may need one towards a peer or a
+// ConnBound returns the maximum number of connections from callers: MaxConns, but at
+// most half of MaxFDs, because each request may need another connection to a peer or a
 // target.
 func (c *Config) ConnBound() int {
 	if c.MaxFDs == 0 {
@@ -224,23 +225,23 @@
 }
 
 func unknownKeys(path string, file *ini.File) []string {
-	var wrong []string
+	var problems []string
 	for _, section := range file.Sections() {
 		for _, key := range section.Keys() {
-			if _, ok := find(section.Name(), key.Name()); ok {
+			if _, ok := findKey(section.Name(), key.Name()); ok {
 				continue
 			}
 			remedy := "remove it; `radishhoistd -reference` lists every key"
-			if near, ok := nearest(key.Name()); ok {
-				remedy = fmt.Sprintf("did you mean [%s] %s?", near.section, near.name)
+			if suggested, ok := suggestKey(key.Name()); ok {
+				remedy = fmt.Sprintf("did you mean [%s] %s?", suggested.section, suggested.name)
 			}
-			wrong = append(wrong, fmt.Sprintf("%s: [%s] %s: is not a key; %s", path, section.Name(), key.Name(), remedy))
+			problems = append(problems, fmt.Sprintf("%s: [%s] %s: is not a key; %s", path, section.Name(), key.Name(), remedy))
 		}
 	}
-	return wrong
+	return problems
 }
 
-func find(section, name string) (key, bool) {
+func findKey(section, name string) (key, bool) {
 	for _, k := range keys {
 		if k.section == section && k.name == name {
 			return k, true
@@ -249,9 +250,10 @@
 	return key{}, false
 }
 
-// nearest finds a key of the same name elsewhere, or one that shares a prefix.
-func nearest(name string) (key, bool) {
-	const prefix = 4
+// suggestKey returns a key of the same name in another section, or else one that shares
+// a prefix.
+func suggestKey(name string) (key, bool) {
+	const prefixLen = 4
 	name = strings.ToLower(name)
 	for _, k := range keys {
 		if k.name == name {
@@ -259,7 +261,7 @@
 		}
 	}
 	for _, k := range keys {
-		if len(name) >= prefix && strings.HasPrefix(k.name, name[:prefix]) {
+		if len(name) >= prefixLen && strings.HasPrefix(k.name, name[:prefixLen]) {
 			return k, true
 		}
 	}
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -27,7 +27,7 @@
 	assert.Equal(t, c.GrantLife, Default().GrantLife)
 }
 
-func TestFaultsNameFileSectionKeyAndRemedy(t *testing.T) {
+func TestErrorsNameFileSectionKeyAndRemedy(t *testing.T) {
 	for _, c := range []struct {
 		name, text string
 		want       []string
