--- a/internal/losses/lines.go
+++ b/internal/losses/lines.go
@@ -9,7 +9,7 @@
 	"github.com/radishhoist/radishhoist/verdict"
 )
 
-// The events that are read.
+// Numbers of the log events that are evaluated.
 var (
 	requestFailed   = event.RequestFailed.Number
 	requestAnswered = event.RequestAnswered.Number
@@ -18,14 +18,15 @@
 )
 
 const (
-	// statusFailed is the least status that tells of a failure, and statusTimeUp
-	// that of an instance whose time was up.
-	statusFailed = 500
-	statusTimeUp = 504
+	// minFailureStatus is the lowest HTTP status that counts as a failure, and
+	// statusTimeout the status for an instance that ran until the deadline.
+	minFailureStatus = 500
+	statusTimeout    = 504
 )
 
-// line is a line about a request: a front's when it has ended, or a guard's.
-type line struct {
+// logLine is a log line about a request, written by a front at the end of the request or
+// by a guard.
+type logLine struct {
 	At           time.Time `json:"time"`
 	Event        int       `json:"event"`
 	Request      string    `json:"request"`
@@ -35,14 +36,14 @@
 	Reason       string    `json:"reason"`
 	RepeatUnpaid bool      `json:"repeatUnpaid"`
 	Attempts     []attempt `json:"attempts"`
-	// Instance, ExcusedByCall and WaitedMS are of guards' lines.
+	// Instance, ExcusedByCall and WaitedMS are set in guards' lines.
 	Instance      string `json:"instance"`
 	ExcusedByCall bool   `json:"excusedByCall"`
 	WaitedMS      int64  `json:"waitedMS"`
 	LinesLeftOut  uint64 `json:"linesLeftOut"`
 }
 
-// attempt is one attempt as the front logs it.
+// attempt is one attempt as logged by the front.
 type attempt struct {
 	Target  string  `json:"target"`
 	Sick    float64 `json:"sick"`
@@ -50,20 +51,21 @@
 	MS      int64   `json:"ms"`
 }
 
-// last is the attempt that decided.
-func (l *line) last() attempt {
+// lastAttempt returns the attempt that determined the outcome, the zero value if there
+// was none.
+func (l *logLine) lastAttempt() attempt {
 	if len(l.Attempts) == 0 {
 		return attempt{}
 	}
 	return l.Attempts[len(l.Attempts)-1]
 }
 
-// Read takes every line of a log. Other text on a line before its first brace is
-// passed over; a line without one counts as unreadable.
-func (c *Collector) Read(r io.Reader) error { return event.ReadLines(r, c.take) }
+// Read adds every line of a log. Text before the first brace of a line is ignored; a line
+// without a brace counts as unreadable.
+func (c *Collector) Read(r io.Reader) error { return event.ReadLines(r, c.addLine) }
 
-func (c *Collector) take(text []byte) {
-	var l line
+func (c *Collector) addLine(text []byte) {
+	var l logLine
 	if json.Unmarshal(text, &l) != nil {
 		c.report.Unreadable++
 		return
@@ -71,26 +73,26 @@
 	c.report.LinesLeftOut += l.LinesLeftOut
 	switch l.Event {
 	case requestFailed:
-		c.ends = append(c.ends, l)
+		c.failures = append(c.failures, l)
 	case requestAnswered:
-		if l.Status >= statusFailed {
-			c.ends = append(c.ends, l)
+		if l.Status >= minFailureStatus {
+			c.failures = append(c.failures, l)
 		}
 	case requestEnded:
 		if l.ExcusedByCall {
-			c.excused[l.Request+"@"+l.Instance] = true
+			c.failedByCall[l.Request+"@"+l.Instance] = true
 		}
 	case requestRefused:
-		c.refusal(&l)
+		c.addRefusal(&l)
 	}
 }
 
-// refusal takes a guard's line about a request that got no slot.
-func (c *Collector) refusal(l *line) {
+// addRefusal adds a guard's line about a request that got no slot.
+func (c *Collector) addRefusal(l *logLine) {
 	if l.Reason == string(verdict.ReasonRetryBudget) {
 		c.report.Repeats.Refused++
 	}
-	if l.WaitedMS <= atOnce || l.Reason == string(verdict.ReasonCancelled) {
+	if l.WaitedMS <= immediateMS || l.Reason == string(verdict.ReasonCancelled) {
 		return
 	}
 	w, ok := c.waits[l.Service]
--- a/internal/losses/losses.go
+++ b/internal/losses/losses.go
@@ -1,10 +1,10 @@
-// Package losses sums up, from the daemons' logs, which requests callers lost and
-// why: by route, by cause and over time, each with a request to look at.
+// Package losses summarises failed requests from the daemons' logs by route, by cause and
+// over time, each with an example request.
 //
-// Every failure is logged, by its front and by the guards that it reached;
-// ordinary successes are sampled. What is counted here are therefore losses, not
-// shares of all requests. A line that was left out over a rate is missing here
-// too, and counted.
+// Every failed request is logged, by its front and by the guards that it reached, while
+// successful ones are sampled. The report therefore has numbers of failed requests, not
+// failure rates. Failures whose log lines were dropped by the rate limit are missing; the
+// report has the number of dropped lines.
 package losses
 
 import (
@@ -14,83 +14,87 @@
 	"time"
 )
 
-// Cause says why a request was lost.
+// Cause is the reason why a request failed.
 type Cause string
 
-// The causes. A failure of an instance is told apart by what was believed of the
-// instance when it was chosen, because each asks for another remedy.
+// Causes of failed requests. Failures at an instance are distinguished by the health
+// estimate of the instance when it was selected, because each needs another remedy.
 const (
-	// KnownSick: it was sent where a failure was to be expected; nothing better had
-	// room, or no repeat was left.
-	KnownSick Cause = "failed at an instance known to be sick"
-	// Doubtful: the instance was in doubt.
-	Doubtful Cause = "failed at an instance in doubt"
-	// BelievedWell: the instance was believed well and failed at once.
-	BelievedWell Cause = "failed at an instance believed well"
-	// FailedLate: the instance failed the request at the end of its run.
-	FailedLate Cause = "failed at the end of its run"
-	// CallFailed: one of the calls that the instance made failed.
-	CallFailed Cause = "a call of the instance failed"
-	// TimeUp: the instance ran until the deadline.
-	TimeUp Cause = "the instance ran until the deadline"
-	// CallerLeft: the caller gave up.
-	CallerLeft Cause = "the caller left"
+	// CauseUnhealthy: the instance was known to be unhealthy, but no better one had
+	// capacity, or no retry was left.
+	CauseUnhealthy Cause = "failed at an instance known to be sick"
+	// CauseSuspect: the health of the instance was uncertain.
+	CauseSuspect Cause = "failed at an instance in doubt"
+	// CauseHealthy: the instance was considered healthy and failed at once.
+	CauseHealthy Cause = "failed at an instance believed well"
+	// CauseLateFailure: the instance failed the request after it had run for longer
+	// than immediateMS.
+	CauseLateFailure Cause = "failed at the end of its run"
+	// CauseCallFailed: a call that the instance made to another service failed.
+	CauseCallFailed Cause = "a call of the instance failed"
+	// CauseTimeout: the instance ran until the deadline.
+	CauseTimeout Cause = "the instance ran until the deadline"
+	// CauseCancelled: the caller cancelled the request.
+	CauseCancelled Cause = "the caller left"
 )
 
-// refused is the cause of a request that this system ended itself.
-func refused(reason string) Cause {
+// rejectedCause returns the cause of a request that this system itself failed.
+func rejectedCause(reason string) Cause {
 	if reason == "cancelled" {
-		return CallerLeft
+		return CauseCancelled
 	}
 	return Cause("ended here: " + reason)
 }
 
 const (
-	// sickFrom and doubtFrom bound what is known of an instance: well instances are
-	// at 0.03, one failure takes the estimate to about 0.5.
-	sickFrom, doubtFrom = 0.5, 0.1
-	// atOnce is up to when a failure came at once, in milliseconds: sick instances
-	// fail within 2 ms, and links take some more.
-	atOnce = 50
+	// unhealthyThreshold and suspectThreshold apply to the logged probability that an
+	// instance is unhealthy. It is 0.03 for healthy instances; one failure raises it to
+	// about 0.5.
+	unhealthyThreshold, suspectThreshold = 0.5, 0.1
+	// immediateMS is the longest time of an immediate failure, in milliseconds.
+	// Unhealthy instances fail within 2 ms; the rest allows for network latency. A
+	// refusal within this time does not count as a wait.
+	immediateMS = 50
 )
 
-// Example is one request to look at with `radishhoist trace`.
+// Example is one request to inspect with `radishhoist trace`.
 type Example struct {
 	Request string    `json:"request"`
 	At      time.Time `json:"at"`
 }
 
-// Row counts the losses of one route by one cause.
+// Row counts the failed requests of one route with one cause.
 type Row struct {
 	Route   string  `json:"route"`
 	Service string  `json:"service"`
 	Cause   Cause   `json:"cause"`
 	Lost    int     `json:"lost"`
 	Example Example `json:"example"`
-	// Calls is how many of them were calls of an instance, whose own caller lost
-	// its request with them.
+	// Calls is how many of them were made by an instance. Each of them also fails the
+	// request that the instance was serving.
 	Calls int `json:"calls"`
 }
 
-// Window counts the losses of one span of time by cause.
+// Window counts the failed requests of one time window by cause.
 type Window struct {
 	From   time.Time     `json:"from"`
 	Lost   int           `json:"lost"`
 	Causes map[Cause]int `json:"causes"`
 }
 
-// Repeats are what repeats were spent and missed by lost requests.
+// Repeats counts the retries of failed requests.
 type Repeats struct {
-	// Sent were sent to a second instance and further ones.
+	// Sent is the number of attempts that reached an instance, without the first one of
+	// each request.
 	Sent int `json:"sent"`
-	// Unpaid are requests that could have been sent again but for the budget, and
-	// Refused the guards' refusals for it.
+	// Unpaid is the number of requests that were not retried because the retry budget
+	// was exhausted, and Refused the number of refusals by guards for that reason.
 	Unpaid  int     `json:"unpaid"`
 	Refused int     `json:"refused"`
 	Example Example `json:"example"`
 }
 
-// Waits are requests that waited in a queue and were refused in the end.
+// Waits counts the requests of one service that were refused after waiting in a queue.
 type Waits struct {
 	Service string        `json:"service"`
 	Count   int           `json:"count"`
@@ -98,44 +102,45 @@
 	Example Example       `json:"example"`
 }
 
-// Report is the sum of some logs.
+// Report is the summary of the logs that a Collector has read.
 type Report struct {
 	Lost    int      `json:"lost"`
 	Rows    []Row    `json:"rows"`
 	Windows []Window `json:"windows"`
 	Repeats Repeats  `json:"repeats"`
 	Waits   []Waits  `json:"waits"`
-	// LinesLeftOut counts lines that the daemons did not write over their rate, and
-	// Unreadable lines that are none of theirs.
+	// LinesLeftOut is the number of lines that the daemons dropped at their log rate
+	// limit, and Unreadable the number of lines that are not in the daemons' format.
 	LinesLeftOut uint64 `json:"linesLeftOut"`
 	Unreadable   int    `json:"unreadable"`
 }
 
-// Collector takes log lines in any order.
+// Collector reads log lines, in any order, for a Report.
 type Collector struct {
-	window time.Duration
-	ends   []line
-	// excused holds requests by instance that failed with a call of the instance.
-	excused map[string]bool
-	waits   map[string]*Waits
-	report  Report
+	window   time.Duration
+	failures []logLine
+	// failedByCall has "request@instance" for each request that failed because a call
+	// made by the instance failed.
+	failedByCall map[string]bool
+	waits        map[string]*Waits
+	report       Report
 }
 
-// NewCollector makes a Collector whose windows are so long.
+// NewCollector returns a Collector whose report has windows of the given length.
 func NewCollector(window time.Duration) *Collector {
-	return &Collector{window: window, excused: make(map[string]bool), waits: make(map[string]*Waits)}
+	return &Collector{window: window, failedByCall: make(map[string]bool), waits: make(map[string]*Waits)}
 }
 
-// Report sums up what was taken.
+// Report returns the summary of all lines read so far.
 func (c *Collector) Report() Report {
 	out := c.report
 	rows := make(map[[2]string]*Row)
 	windows := make(map[time.Time]*Window)
-	for i := range c.ends {
-		l := &c.ends[i]
-		cause := c.cause(l)
+	for i := range c.failures {
+		l := &c.failures[i]
+		cause := c.classify(l)
 		out.Lost++
-		out.Repeats.take(l)
+		out.Repeats.add(l)
 		addRow(rows, l, cause)
 		from := l.At.Truncate(c.window)
 		w, ok := windows[from]
@@ -163,7 +168,7 @@
 	return out
 }
 
-func addRow(rows map[[2]string]*Row, l *line, cause Cause) {
+func addRow(rows map[[2]string]*Row, l *logLine, cause Cause) {
 	key := [2]string{l.Route, string(cause)}
 	r, ok := rows[key]
 	if !ok {
@@ -171,46 +176,46 @@
 		rows[key] = r
 	}
 	r.Lost++
-	if isCall(l.Request) {
+	if isInstanceCall(l.Request) {
 		r.Calls++
 	}
 }
 
-// isCall says that an instance made the request: it adds to its own one's id after
-// a dot.
-func isCall(request string) bool { return strings.Contains(request, ".") }
+// isInstanceCall reports whether the request was made by an instance. Its ID is the ID of
+// the request that the instance was serving, a dot and a suffix.
+func isInstanceCall(request string) bool { return strings.Contains(request, ".") }
 
-// cause says why a request was lost.
-func (c *Collector) cause(l *line) Cause {
+// classify returns the cause of a failed request.
+func (c *Collector) classify(l *logLine) Cause {
 	if l.Event == requestFailed {
-		return refused(l.Reason)
+		return rejectedCause(l.Reason)
 	}
-	last := l.last()
+	last := l.lastAttempt()
 	switch {
-	case l.Status == statusTimeUp:
-		return TimeUp
-	case c.excused[l.Request+"@"+last.Target]:
-		return CallFailed
-	case last.MS > atOnce:
-		return FailedLate
-	case last.Sick >= sickFrom:
-		return KnownSick
-	case last.Sick >= doubtFrom:
-		return Doubtful
+	case l.Status == statusTimeout:
+		return CauseTimeout
+	case c.failedByCall[l.Request+"@"+last.Target]:
+		return CauseCallFailed
+	case last.MS > immediateMS:
+		return CauseLateFailure
+	case last.Sick >= unhealthyThreshold:
+		return CauseUnhealthy
+	case last.Sick >= suspectThreshold:
+		return CauseSuspect
 	default:
-		return BelievedWell
+		return CauseHealthy
 	}
 }
 
-// take counts the repeats of one lost request.
-func (r *Repeats) take(l *line) {
-	arrived := false
+// add counts the retries of one failed request.
+func (r *Repeats) add(l *logLine) {
+	ranBefore := false
 	for _, a := range l.Attempts {
 		ran := !strings.HasSuffix(a.Outcome, " not-run")
-		if arrived && ran {
+		if ranBefore && ran {
 			r.Sent++
 		}
-		arrived = arrived || ran
+		ranBefore = ranBefore || ran
 	}
 	if !l.RepeatUnpaid {
 		return
--- a/internal/losses/losses_test.go
+++ b/internal/losses/losses_test.go
@@ -41,8 +41,8 @@
 	}
 	assert.Assert(t, len(rows) == 7)
 	for _, want := range []row{
-		{"browse", KnownSick, 1, 0}, {"browse", Doubtful, 1, 0}, {"book", CallFailed, 1, 0}, {"check", FailedLate, 1, 1},
-		{"book", "ended here: queue-full", 1, 0}, {"book", CallerLeft, 1, 0}, {"book", TimeUp, 1, 0},
+		{"browse", CauseUnhealthy, 1, 0}, {"browse", CauseSuspect, 1, 0}, {"book", CauseCallFailed, 1, 0}, {"check", CauseLateFailure, 1, 1},
+		{"book", "ended here: queue-full", 1, 0}, {"book", CauseCancelled, 1, 0}, {"book", CauseTimeout, 1, 0},
 	} {
 		found := false
 		for _, have := range rows {
