--- a/internal/port/port.go
+++ b/internal/port/port.go
@@ -1,5 +1,5 @@
-// Package port opens the sockets that a program listens on, and says what to do
-// where another process has one of them.
+// Package port opens listening sockets. Its errors explain what to do if a port is already
+// in use.
 package port
 
 import (
@@ -9,20 +9,21 @@
 	"github.com/pkg/errors"
 )
 
-// Listen takes a TCP address, IP:port, for what is said of it, for example
-// "callers". Its error names the address and, where it is taken, the remedy;
-// errors.Is finds syscall.EADDRINUSE in it.
-func Listen(whom, address string) (net.Listener, error) {
+// Listen listens on a TCP address, IP:port. The purpose, for example "callers", is used in
+// errors. If the address is in use, the error says how to find the process, and it matches
+// syscall.EADDRINUSE with errors.Is.
+func Listen(purpose, address string) (net.Listener, error) {
 	l, err := net.Listen("tcp", address)
-	return l, Explain(err, whom, address)
+	return l, Explain(err, purpose, address)
 }
 
-// Explain words the error of a socket that could not be opened; nil stays nil.
-func Explain(err error, whom, address string) error {
+// Explain wraps an error from opening a socket with the purpose and the address, and with
+// a remedy if the address is in use. It returns nil if err is nil.
+func Explain(err error, purpose, address string) error {
 	if !errors.Is(err, syscall.EADDRINUSE) {
-		return errors.Wrapf(err, "listen for %s on %s", whom, address)
+		return errors.Wrapf(err, "listen for %s on %s", purpose, address)
 	}
-	_, number, _ := net.SplitHostPort(address)
+	_, portNumber, _ := net.SplitHostPort(address)
 	return errors.Wrapf(err, "listen for %s on %s: another process has this port; find it with `ss -lntup 'sport = :%s'` and end it, or use another address",
-		whom, address, number)
+		purpose, address, portNumber)
 }
--- a/internal/port/port_test.go
+++ b/internal/port/port_test.go
@@ -8,7 +8,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestATakenPortIsNamedWithTheRemedy(t *testing.T) {
+func TestPortInUseErrorNamesAddressAndRemedy(t *testing.T) {
 	l, err := Listen("callers", "127.0.0.1:0")
 	assert.NilError(t, err)
 	defer func() { _ = l.Close() }()
