--- a/internal/sleep/sleep.go
+++ b/internal/sleep/sleep.go
@@ -1,4 +1,4 @@
-// Package sleep waits for a time that a context can end sooner.
+// Package sleep provides a sleep that ends early when a context is done.
 package sleep
 
 import (
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// For waits for d and reports whether it has passed: false where the context ended
-// before.
+// For waits for d and reports whether it has passed. It returns false if ctx is done
+// first.
 func For(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
