--- a/internal/cli/suspects.go
+++ b/internal/cli/suspects.go
@@ -89,9 +89,9 @@
 func joinSuspects(known []guard.SuspectState, kept []objects.Object) []*suspect {
 	byPrint := make(map[string]*suspect)
 	for _, k := range known {
-		s := &suspect{Print: k.Print, Until: k.Until, Ends: k.Ends}
+		s := &suspect{Print: k.Fingerprint, Until: k.Until, Ends: k.Crashes}
 		s.tell(k.Instances)
-		byPrint[k.Print] = s
+		byPrint[k.Fingerprint] = s
 	}
 	for _, obj := range kept {
 		rec, err := record.Parse(obj.Value)
--- a/internal/cli/teams.go
+++ b/internal/cli/teams.go
@@ -134,12 +134,12 @@
 }
 
 func (u *teamUse) add(host string, s teams.State) {
-	used := s.Level / max(s.Room, 1)
+	used := s.Level / max(s.Capacity, 1)
 	switch {
 	case host == s.Home:
-		u.Rate, u.Burst, u.Used, u.Home, u.Close = s.Rate, s.Burst, used, host, s.Close
+		u.Rate, u.Burst, u.Used, u.Home, u.Close = s.Rate, s.Burst, used, host, s.NearLimit
 	case u.Home == "":
-		u.Rate, u.Burst, u.Used, u.Close = s.Rate, s.Burst, max(u.Used, used), u.Close || s.Close
+		u.Rate, u.Burst, u.Used, u.Close = s.Rate, s.Burst, max(u.Used, used), u.Close || s.NearLimit
 	}
 	if s.Passed > 0 {
 		u.Passed[host] = s.Passed
@@ -147,7 +147,7 @@
 	if s.Refused > 0 {
 		u.Refused[host] = s.Refused
 	}
-	if s.Alone {
+	if s.Standalone {
 		u.Alone = append(u.Alone, host)
 	}
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -89,8 +89,8 @@
 	RepairInterval time.Duration
 	// WatchersPerDC is how many hosts of a data centre watch the platform.
 	WatchersPerDC int
-	// PromiseLife is how long a guard's promise to the owner of a key shard lasts.
-	PromiseLife time.Duration
+	// LeaseDuration is how long a guard's promise to the owner of a key shard lasts.
+	LeaseDuration time.Duration
 	// ApplyWithin is the time within which an acknowledged record must be in force on
 	// every host.
 	ApplyWithin time.Duration
--- a/record/system.go
+++ b/record/system.go
@@ -41,8 +41,8 @@
 type Shard struct {
 	// Owner is the host that may claim keys, and Life the start time of its process
 	// in Unix milliseconds: a restarted process has lost its key table.
-	Owner string `json:"owner"`
-	Life  uint64 `json:"life"`
+	Owner       string `json:"owner"`
+	Incarnation uint64 `json:"life"`
 	// Epoch increases by one with every change of the owner or the guards.
 	Epoch uint64 `json:"epoch"`
 	// Held is the latest epoch in which the owner is known to have had authority
