--- a/internal/cli/admin.go
+++ b/internal/cli/admin.go
@@ -11,13 +11,13 @@
 )
 
 const (
-	// adminTimeout bounds one call to a daemon's admin address.
-	adminTimeout = 5 * time.Second
-	// maxAdminAnswer bounds its answer, in bytes.
-	maxAdminAnswer = 64 << 20
+	// adminTimeout is the time limit of one request to a daemon's admin address.
+	adminTimeout          = 5 * time.Second
+	maxAdminResponseBytes = 64 << 20
 )
 
-// adminGet reads one of a daemon's admin endpoints.
+// adminGet sends a GET request to an admin endpoint of the daemon at addr and decodes
+// the JSON response into the value that into points to.
 func adminGet(ctx context.Context, addr, path string, query, into any) error {
 	ctx, cancel := context.WithTimeout(ctx, adminTimeout)
 	defer cancel()
@@ -27,15 +27,15 @@
 	}
 	resp, err := http.DefaultClient.Do(req.WithContext(ctx))
 	if err != nil {
-		return errors.Wrapf(err, "no answer from the daemon's admin address %s; name another daemon with --admin", addr)
+		return errors.Wrapf(err, "no response from the daemon's admin address %s; select another daemon with --admin", addr)
 	}
 	defer func() { _ = resp.Body.Close() }()
-	body, err := io.ReadAll(io.LimitReader(resp.Body, maxAdminAnswer))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxAdminResponseBytes))
 	if err != nil {
-		return errors.Wrapf(err, "answer of %s", addr)
+		return errors.Wrapf(err, "read the response of %s", addr)
 	}
 	if resp.StatusCode != http.StatusOK {
 		return &InvalidError{string(body)}
 	}
-	return errors.Wrapf(decodeJSON(body, into), "answer of %s", addr)
+	return errors.Wrapf(decodeJSON(body, into), "decode the response of %s", addr)
 }
--- a/internal/cli/apply.go
+++ b/internal/cli/apply.go
@@ -18,13 +18,13 @@
 func (a *app) applyCommand() *cli.Command {
 	return &cli.Command{
 		Name: "apply", Usage: "write records from a file", ArgsUsage: " ",
-		Description: "A record with \"version\" is written only if that version still stands, else the other operator's\n" +
-			"change is shown and nothing is written. A record without it is created; where one stands already,\n" +
-			"the differences are shown and --replace is needed.",
+		Description: "A record with \"version\" is written only if that version is still current; otherwise the other\n" +
+			"operator's change is shown and nothing is written. A record without it is created; if it already\n" +
+			"exists, the differences are shown and --replace is required.",
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: "file", Aliases: []string{"f"}, Required: true, Usage: "`FILE` of one or more JSON records, - for standard input"},
-			&cli.BoolFlag{Name: "dry-run", Usage: "check and show what would change, write nothing"},
-			&cli.BoolFlag{Name: "replace", Usage: "replace what stands, whatever its version"},
+			&cli.BoolFlag{Name: "dry-run", Usage: "check the records and show what would change, without writing"},
+			&cli.BoolFlag{Name: "replace", Usage: "replace the stored record, whatever its version"},
 		},
 		Action: func(ctx context.Context, cmd *cli.Command) error {
 			records, err := a.readRecords(cmd.String("file"))
@@ -42,7 +42,8 @@
 	}
 }
 
-// readRecords reads and checks every record of a file before any is written.
+// readRecords reads and validates all records of a file, so that none is written if one
+// is invalid.
 func (a *app) readRecords(path string) ([]*record.Record, error) {
 	in := a.in
 	if path != "-" {
@@ -71,12 +72,13 @@
 		out = append(out, r)
 	}
 	if len(out) == 0 {
-		return nil, &InvalidError{path + ": holds no record; see docs/operate/records.md for examples"}
+		return nil, &InvalidError{path + ": contains no records; see docs/operate/records.md for examples"}
 	}
 	return out, nil
 }
 
-// apply writes one record on the condition that fits it.
+// apply writes one record on condition that the stored version is the record's own, or,
+// with replace, the version that was just read.
 func (a *app) apply(ctx context.Context, s objects.Store, r *record.Record, replace, dryRun bool) error {
 	current, err := s.Get(ctx, r.Key)
 	var missing *objects.NotFoundError
@@ -92,30 +94,30 @@
 		return err
 	}
 	if current.Version != 0 && len(changes) == 0 {
-		a.say("%s stands as written, at version %d", r.Key, current.Version)
+		a.printLine("%s is unchanged at version %d", r.Key, current.Version)
 		return nil
 	}
-	a.showChanges(r.Key, current.Version, changes)
+	a.printChanges(r.Key, current.Version, changes)
 	if current.Version != ifVersion {
 		return a.conflict(r, current, changes)
 	}
 	if dryRun {
-		a.say("dry run: nothing is written")
+		a.printLine("dry run: nothing was written")
 		return nil
 	}
 	return a.write(ctx, s, r, ifVersion)
 }
 
-// write stores the record under this call's own mark, so that a lost answer
-// can be told from another operator's write.
+// write stores the record with a writer mark that is unique to this write. If the response
+// is lost, the mark shows whether the stored record is this write or another operator's.
 func (a *app) write(ctx context.Context, s objects.Store, r *record.Record, ifVersion int64) error {
 	writer := operator() + " " + uuid.NewString()
 	value, err := record.MarshalBy(r.Key, r.Spec, writer)
 	if err != nil {
 		return err
 	}
-	mine := func(stored []byte) bool { return record.WriterOf(stored) == writer }
-	obj, err := objects.PutSettled(ctx, s, r.Key, value, ifVersion, mine)
+	isOwn := func(stored []byte) bool { return record.WriterOf(stored) == writer }
+	obj, err := objects.PutSettled(ctx, s, r.Key, value, ifVersion, isOwn)
 	var conflict *objects.ConflictError
 	if errors.As(err, &conflict) {
 		changes, _ := diffRecord(conflict.Current.Value, r)
@@ -124,11 +126,11 @@
 	if err != nil {
 		return errors.Wrap(err, r.Key.String())
 	}
-	a.say("%s is written at version %d; `radishhoist status` shows when it is in force everywhere", r.Key, obj.Version)
+	a.printLine("%s is written at version %d; `radishhoist status` shows when it is in force everywhere", r.Key, obj.Version)
 	return nil
 }
 
-// operator names who runs the command, for other operators to see.
+// operator returns the name of the user who runs the command, which other operators see.
 func operator() string {
 	if u := os.Getenv("USER"); u != "" {
 		return u
@@ -136,21 +138,22 @@
 	return "operator"
 }
 
-// conflict shows both sides of a record that another operator has changed.
+// conflict prints both sides of a record that another operator has changed and returns
+// the conflict as an error.
 func (a *app) conflict(r *record.Record, current objects.Object, changes []change) error {
-	a.say("%s: NOT written.", r.Key)
+	a.printLine("%s: NOT written.", r.Key)
 	switch {
 	case current.Version == 0:
-		a.say("  You edited version %d, and the record has been removed since.", r.Version)
+		a.printLine("  You edited version %d; the record has been deleted since.", r.Version)
 	case r.Version == 0:
-		a.say("  The record stands already, at version %d, written by %s.", current.Version, writerName(current.Value))
+		a.printLine("  The record already exists at version %d, written by %s.", current.Version, writerName(current.Value))
 	default:
-		a.say("  You edited version %d; version %d stands now, written by %s.", r.Version, current.Version, writerName(current.Value))
+		a.printLine("  You edited version %d; the current version is %d, written by %s.", r.Version, current.Version, writerName(current.Value))
 	}
 	for _, c := range changes {
-		a.say("  %-24s theirs: %-20s yours: %s", c.Field, c.Old, c.New)
+		a.printLine("  %-24s theirs: %-20s yours: %s", c.Field, c.Old, c.New)
 	}
-	a.say("  Read it with `radishhoist get %s %s`, decide, and apply again; --replace takes yours.", r.Kind, r.Name)
+	a.printLine("  Read it with `radishhoist get %s %s`, resolve the differences and apply again; --replace overwrites it with yours.", r.Kind, r.Name)
 	return &objects.ConflictError{Current: objects.Object{Kind: r.Kind, Name: r.Name, Version: current.Version}, IfVersion: r.Version}
 }
 
@@ -158,15 +161,15 @@
 	if w := record.WriterOf(value); w != "" {
 		return w
 	}
-	return "an unnamed writer"
+	return "an unknown writer"
 }
 
-func (a *app) showChanges(key record.Key, version int64, changes []change) {
+func (a *app) printChanges(key record.Key, version int64, changes []change) {
 	if version == 0 {
-		a.say("%s is new", key)
+		a.printLine("%s is new", key)
 		return
 	}
 	for _, c := range changes {
-		a.say("%s: %s: %s -> %s", key, c.Field, c.Old, c.New)
+		a.printLine("%s: %s: %s -> %s", key, c.Field, c.Old, c.New)
 	}
 }
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -1,6 +1,5 @@
-// Package cli is the command line of operators. It writes records through the
-// platform and reads what is in force from the daemons; it changes nothing in
-// any other way.
+// Package cli implements the operators' command line. It reads what is in force from the
+// daemons and changes the fleet only by writing records to the platform.
 package cli
 
 import (
@@ -18,7 +17,7 @@
 	"github.com/radishhoist/radishhoist/record"
 )
 
-// The exit codes. docs/operate/cli.md lists them.
+// Exit codes, as documented in docs/operate/cli.md.
 const (
 	ExitOK          = 0
 	ExitFailed      = 1
@@ -29,19 +28,19 @@
 	ExitUnsafe      = 6
 )
 
-// UnsafeError says that a change would hurt, and how to force it.
+// UnsafeError reports that a change could harm the service, and how to force it.
 type UnsafeError struct{ Text string }
 
 // Error implements error.
 func (e *UnsafeError) Error() string { return e.Text }
 
-// InvalidError says that the call or a file is wrong.
+// InvalidError reports invalid arguments or an invalid file.
 type InvalidError struct{ Text string }
 
 // Error implements error.
 func (e *InvalidError) Error() string { return e.Text }
 
-// ExitCode gives the exit code for an error.
+// ExitCode returns the exit code for an error.
 func ExitCode(err error) int {
 	var (
 		conflict    *objects.ConflictError
@@ -70,42 +69,43 @@
 	}
 }
 
-// app is one call of the command line.
+// app is one invocation of the command line.
 type app struct {
-	out    io.Writer
-	in     io.Reader
-	stores Adapters
+	out      io.Writer
+	in       io.Reader
+	adapters Adapters
 }
 
-// store makes the store that the flags name. The flag's check has seen the
-// adapter.
+// store creates the store that the flags select. The validator of the adapter flag has
+// checked that the adapter exists.
 func (a *app) store(cmd *cli.Command) objects.Store {
-	return a.stores[cmd.String("adapter")](cmd.String("platform"))
+	return a.adapters[cmd.String("adapter")](cmd.String("platform"))
 }
 
-// Adapters make the store of a platform at a URL, by the adapter's name.
+// Adapters maps the names of platform adapters to functions that create a store from the
+// platform's base URL.
 type Adapters map[string]func(url string) objects.Store
 
-// New builds the command line with its streams. The own dialect is always
-// there; others adds those of other platforms.
-func New(in io.Reader, out io.Writer, others Adapters) *cli.Command {
-	stores := Adapters{settings.AdapterOwn: func(url string) objects.Store { return objects.NewClient(url, time.Minute) }}
-	maps.Copy(stores, others)
+// New builds the command line on the given streams. The adapter for the project's own
+// object API is always available; extra adds the adapters of other platforms.
+func New(in io.Reader, out io.Writer, extra Adapters) *cli.Command {
+	adapters := Adapters{settings.AdapterOwn: func(url string) objects.Store { return objects.NewClient(url, time.Minute) }}
+	maps.Copy(adapters, extra)
 	checkAdapter := func(name string) error {
-		if _, ok := stores[name]; !ok {
-			return errors.Errorf("%q is not an adapter; write one of %v", name, slices.Sorted(maps.Keys(stores)))
+		if _, ok := adapters[name]; !ok {
+			return errors.Errorf("%q is not an adapter; use one of %v", name, slices.Sorted(maps.Keys(adapters)))
 		}
 		return nil
 	}
-	a := &app{out: out, in: in, stores: stores}
+	a := &app{out: out, in: in, adapters: adapters}
 	return &cli.Command{
 		Name:  "radishhoist",
-		Usage: "write and read the records of the proxy fleet, and see what is in force and why",
+		Usage: "read and write the records of the proxy fleet, and show what is in force and why",
 		Description: "Operators change the fleet only by writing records. Every write is conditional: it never\n" +
-			"overwrites another operator's change unseen. Start with `radishhoist status`.",
+			"overwrites another operator's change unnoticed. Start with `radishhoist status`.",
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: "platform", Usage: "base `URL` of the platform's object API", Sources: cli.EnvVars("RADISHHOIST_PLATFORM"), Value: "http://127.0.0.1:7000"},
-			&cli.StringFlag{Name: "adapter", Usage: "dialect of the platform, as the daemons' settings `NAME` it", Sources: cli.EnvVars("RADISHHOIST_ADAPTER"), Value: settings.AdapterOwn, Validator: checkAdapter},
+			&cli.StringFlag{Name: "adapter", Usage: "`NAME` of the platform adapter, as in the daemons' settings", Sources: cli.EnvVars("RADISHHOIST_ADAPTER"), Value: settings.AdapterOwn, Validator: checkAdapter},
 			&cli.StringFlag{Name: "admin", Usage: "admin `ADDRESS` of any daemon", Sources: cli.EnvVars("RADISHHOIST_ADMIN"), Value: "127.0.0.1:7900"},
 			&cli.StringFlag{Name: "output", Aliases: []string{"o"}, Usage: "`FORMAT`: table or json", Value: "table", Validator: checkFormat},
 		},
@@ -120,16 +120,16 @@
 
 func checkFormat(s string) error {
 	if s != "table" && s != "json" {
-		return errors.Errorf("%q is not a format; write table or json", s)
+		return errors.Errorf("%q is not a format; use table or json", s)
 	}
 	return nil
 }
 
 func asJSON(cmd *cli.Command) bool { return cmd.String("output") == "json" }
 
-func (a *app) say(format string, args ...any) { fmt.Fprintf(a.out, format+"\n", args...) }
+func (a *app) printLine(format string, args ...any) { fmt.Fprintf(a.out, format+"\n", args...) }
 
-// keyArg reads a record's key from the arguments: KIND NAME or KIND/NAME.
+// keyArg parses a record key from the arguments: KIND NAME or KIND/NAME.
 func keyArg(cmd *cli.Command) (record.Key, error) {
 	args := cmd.Args().Slice()
 	switch len(args) {
@@ -146,6 +146,6 @@
 		}
 		return record.Key{Kind: kind, Name: args[1]}, nil
 	default:
-		return record.Key{}, &InvalidError{"write a record as KIND NAME, for example: service plans"}
+		return record.Key{}, &InvalidError{"expected a record as KIND NAME, for example: service plans"}
 	}
 }
--- a/internal/cli/diff.go
+++ b/internal/cli/diff.go
@@ -15,17 +15,17 @@
 	New   string
 }
 
-// absent stands for a field that is not there.
+// absent is shown as the value of a missing field.
 const absent = "(none)"
 
-// diffRecord lists the fields of the spec that differ between a stored value,
-// empty for none, and a record. Both are compared in the newest schema.
+// diffRecord lists the spec fields that differ between a stored value, empty if there is
+// none, and a record. Both are converted to the newest schema first.
 func diffRecord(stored []byte, r *record.Record) ([]change, error) {
 	var old record.Spec
 	if len(stored) > 0 {
 		rec, err := record.Parse(stored)
 		if err != nil {
-			return []change{{Field: "spec", Old: "cannot be read: " + err.Error(), New: "as written"}}, nil
+			return []change{{Field: "spec", Old: "cannot be read: " + err.Error(), New: "the new spec"}}, nil
 		}
 		old = rec.Spec
 	}
@@ -60,7 +60,7 @@
 	return out
 }
 
-// flatten turns a spec into dotted fields and their JSON values.
+// flatten converts a spec to a map of dotted field names to JSON values.
 func flatten(spec record.Spec) (map[string]string, error) {
 	out := make(map[string]string)
 	if spec == nil {
@@ -74,14 +74,14 @@
 	if err := json.Unmarshal(raw, &tree); err != nil {
 		return nil, err
 	}
-	walk("", tree, out)
+	flattenInto("", tree, out)
 	return out, nil
 }
 
-func walk(prefix string, tree map[string]any, out map[string]string) {
+func flattenInto(prefix string, tree map[string]any, out map[string]string) {
 	for name, v := range tree {
 		if sub, ok := v.(map[string]any); ok {
-			walk(prefix+name+".", sub, out)
+			flattenInto(prefix+name+".", sub, out)
 			continue
 		}
 		text, err := json.Marshal(v)
--- a/internal/cli/losses.go
+++ b/internal/cli/losses.go
@@ -17,20 +17,20 @@
 	"github.com/radishhoist/radishhoist/internal/losses"
 )
 
-// lossWindow is the span of time that losses are counted in where none is named.
-const lossWindow = 5 * time.Second
+// defaultLossWindow is the default length of the time windows in which losses are counted.
+const defaultLossWindow = 5 * time.Second
 
 func (a *app) lossesCommand() *cli.Command {
 	return &cli.Command{
-		Name: "losses", Usage: "which requests were lost, where and why, from the logs of all hosts", ArgsUsage: "[FILE...]",
+		Name: "losses", Usage: "report which requests were lost, where and why, from the logs of all hosts", ArgsUsage: "[FILE...]",
 		Description: "Reads the daemons' logs from files, or from standard input, and counts lost requests by route, cause\n" +
-			"and time, the repeats that were spent and refused, and waits that ended in a refusal, each with a\n" +
-			"request for `radishhoist trace`.",
-		Flags: []cli.Flag{&cli.DurationFlag{Name: "window", Usage: "`SPAN` of time that losses are counted in", Value: lossWindow}},
+			"and time, the retries that were sent and refused, and the requests refused after waiting in a queue,\n" +
+			"each with an example request for `radishhoist trace`.",
+		Flags: []cli.Flag{&cli.DurationFlag{Name: "window", Usage: "`LENGTH` of the time windows in which losses are counted", Value: defaultLossWindow}},
 		Action: func(_ context.Context, cmd *cli.Command) error {
 			window := cmd.Duration("window")
 			if window <= 0 {
-				return &InvalidError{Text: "losses: --window " + window.String() + " is no span; write one above 0, for example 5s"}
+				return &InvalidError{Text: "losses: --window is " + window.String() + "; it must be above 0, for example 5s"}
 			}
 			c := losses.NewCollector(window)
 			if err := a.readAll(cmd.Args().Slice(), c.Read); err != nil {
@@ -40,12 +40,12 @@
 			if asJSON(cmd) {
 				return errors.Wrap(json.NewEncoder(a.out).Encode(report), "write the report")
 			}
-			return a.showLosses(&report)
+			return a.printLosses(&report)
 		},
 	}
 }
 
-// readAll reads each file in turn, or standard input where none is named.
+// readAll reads each file in turn, or standard input if there are none.
 func (a *app) readAll(files []string, read func(io.Reader) error) error {
 	if len(files) == 0 {
 		return read(a.in)
@@ -53,7 +53,7 @@
 	for _, name := range files {
 		f, err := os.Open(name)
 		if err != nil {
-			return errors.Wrap(err, "open a log")
+			return errors.Wrap(err, "open log file")
 		}
 		err = read(f)
 		_ = f.Close()
@@ -64,30 +64,30 @@
 	return nil
 }
 
-func (a *app) showLosses(r *losses.Report) error {
+func (a *app) printLosses(r *losses.Report) error {
 	w := tabwriter.NewWriter(a.out, 0, 0, 2, ' ', 0)
 	line := func(format string, args ...any) { _, _ = fmt.Fprintf(w, format+"\n", args...) }
-	line("%d requests lost; %d log lines were left out, %d could not be read", r.Lost, r.LinesLeftOut, r.Unreadable)
+	line("%d requests lost; %d log lines were dropped by the rate limit, %d could not be parsed", r.Lost, r.LinesLeftOut, r.Unreadable)
 	line("\nROUTE\tSERVICE\tCAUSE\tLOST\tCALLS\tEXAMPLE")
 	for _, row := range r.Rows {
 		line("%s\t%s\t%s\t%d\t%d\t%s", row.Route, row.Service, row.Cause, row.Lost, row.Calls, row.Example.Request)
 	}
-	line("\nFROM\tLOST\tMOST FOR")
+	line("\nFROM\tLOST\tMAIN CAUSE")
 	for _, window := range r.Windows {
-		cause := mostFor(window.Causes)
+		cause := mainCause(window.Causes)
 		line("%s\t%d\t%s (%d)", window.From.UTC().Format(time.TimeOnly), window.Lost, cause, window.Causes[cause])
 	}
-	line("\nrepeats of lost requests: %d sent; %d requests found none left, guards refused %d times; for example %s",
+	line("\nretries of lost requests: %d sent; %d requests not retried because the retry budget was used up, %d retries refused by guards; for example %s",
 		r.Repeats.Sent, r.Repeats.Unpaid, r.Repeats.Refused, r.Repeats.Example.Request)
-	line("\nSERVICE\tWAITED AND REFUSED\tLONGEST\tEXAMPLE")
+	line("\nSERVICE\tREFUSED AFTER WAIT\tLONGEST\tEXAMPLE")
 	for _, wait := range r.Waits {
 		line("%s\t%d\t%s\t%s", wait.Service, wait.Count, wait.Longest, wait.Example.Request)
 	}
 	return errors.Wrap(w.Flush(), "write the report")
 }
 
-// mostFor is the cause with the most losses, by name where two have as many.
-func mostFor(causes map[losses.Cause]int) losses.Cause {
+// mainCause returns the cause with the most losses, the first by name on a tie.
+func mainCause(causes map[losses.Cause]int) losses.Cause {
 	names := slices.Sorted(maps.Keys(causes))
 	return slices.MaxFunc(names, func(x, y losses.Cause) int { return causes[x] - causes[y] })
 }
--- a/internal/cli/records.go
+++ b/internal/cli/records.go
@@ -15,9 +15,9 @@
 
 func (a *app) getCommand() *cli.Command {
 	return &cli.Command{
-		Name: "get", Usage: "show one record in the form to edit", ArgsUsage: "KIND NAME",
-		Description: "The record is printed with the version it has now. Edit it and give it to `apply -f`: the write\n" +
-			"takes effect only if nobody has changed the record in between.",
+		Name: "get", Usage: "show one record in a form to edit", ArgsUsage: "KIND NAME",
+		Description: "The record is printed with its current version. Edit it and pass it to `apply -f`: the write\n" +
+			"takes effect only if nobody has changed the record in the meantime.",
 		Action: func(ctx context.Context, cmd *cli.Command) error {
 			key, err := keyArg(cmd)
 			if err != nil {
@@ -31,13 +31,13 @@
 			if err != nil {
 				return err
 			}
-			a.say("%s", text)
+			a.printLine("%s", text)
 			return nil
 		},
 	}
 }
 
-// row is one record in a list.
+// row is one record in the output of list and status.
 type row struct {
 	Kind    record.Kind `json:"kind"`
 	Name    string      `json:"name"`
@@ -65,9 +65,9 @@
 			}
 			rows := makeRows(page.Objects)
 			if asJSON(cmd) {
-				return a.json(rows)
+				return a.printJSON(rows)
 			}
-			a.rows(rows)
+			a.printRows(rows)
 			return nil
 		},
 	}
@@ -89,23 +89,23 @@
 	return rows
 }
 
-// summary is one line on what a record says.
+// summary describes a record in one line.
 func summary(r *record.Record) string {
 	switch s := r.Spec.(type) {
 	case *record.Service:
 		return fmt.Sprintf("office %s, preset %s, floor %d%%", s.Office, s.Preset, s.Floor.Percent)
 	case *record.Route:
-		return fmt.Sprintf("%s%s to service %s within %s", s.Host, s.PathPrefix, s.Service, s.Timeout())
+		return fmt.Sprintf("%s%s to service %s, timeout %s", s.Host, s.PathPrefix, s.Service, s.Timeout())
 	case *record.Team:
-		return fmt.Sprintf("office %s, %g requests a second", s.Office, s.RatePerSecond)
+		return fmt.Sprintf("office %s, %g requests per second", s.Office, s.RatePerSecond)
 	case *record.Stop:
 		return fmt.Sprintf("host %s %s: %s", s.Host, s.Instance, s.Reason)
 	case *record.Host:
-		return fmt.Sprintf("data centre %s, peers at %s, admin at %s", s.DC, s.Peer, s.Admin)
+		return fmt.Sprintf("data centre %s, peer address %s, admin address %s", s.DC, s.Peer, s.Admin)
 	case *record.Status:
-		return fmt.Sprintf("%d hosts, summed by %s", s.Hosts, s.Writer)
+		return fmt.Sprintf("%d hosts, summarized by %s", s.Hosts, s.Writer)
 	case *record.Crasher:
-		return fmt.Sprintf("%s, ended %d instances of %s", s.Request, len(s.Ends), s.Ends[0].Service)
+		return fmt.Sprintf("%s, %d instance terminations of service %s", s.Request, len(s.Ends), s.Ends[0].Service)
 	case *record.ShardMap:
 		return fmt.Sprintf("%d shards, %d guards", len(s.Shards), len(s.Guards))
 	default:
@@ -113,26 +113,26 @@
 	}
 }
 
-func (a *app) rows(rows []row) {
-	a.table("KIND\tNAME\tVERSION\tSAYS", func(w *tabwriter.Writer) {
+func (a *app) printRows(rows []row) {
+	a.printTable("KIND\tNAME\tVERSION\tSUMMARY", func(w *tabwriter.Writer) {
 		for _, r := range rows {
-			says := r.Summary
+			text := r.Summary
 			if r.Problem != "" {
-				says = "CANNOT BE READ: " + r.Problem
+				text = "CANNOT BE READ: " + r.Problem
 			}
-			fmt.Fprintf(w, "%s\t%s\t%d\t%s\n", r.Kind, r.Name, r.Version, says)
+			fmt.Fprintf(w, "%s\t%s\t%d\t%s\n", r.Kind, r.Name, r.Version, text)
 		}
 	})
 }
 
-func (a *app) table(head string, fill func(*tabwriter.Writer)) {
+func (a *app) printTable(head string, fill func(*tabwriter.Writer)) {
 	w := tabwriter.NewWriter(a.out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, head)
 	fill(w)
 	_ = w.Flush()
 }
 
-func (a *app) json(v any) error {
+func (a *app) printJSON(v any) error {
 	enc := json.NewEncoder(a.out)
 	enc.SetIndent("", "  ")
 	return enc.Encode(v)
@@ -140,10 +140,10 @@
 
 func (a *app) deleteCommand() *cli.Command {
 	return &cli.Command{
-		Name: "delete", Usage: "remove one record", ArgsUsage: "KIND NAME",
+		Name: "delete", Usage: "delete one record", ArgsUsage: "KIND NAME",
 		Flags: []cli.Flag{
-			&cli.IntFlag{Name: "version", Usage: "remove only this `VERSION`; the present one where left out"},
-			&cli.BoolFlag{Name: "force", Usage: "remove a service that routes still lead to"},
+			&cli.IntFlag{Name: "version", Usage: "delete only this `VERSION`; the current one if omitted"},
+			&cli.BoolFlag{Name: "force", Usage: "delete a service even if routes still lead to it"},
 		},
 		Action: func(ctx context.Context, cmd *cli.Command) error {
 			key, err := keyArg(cmd)
@@ -174,11 +174,11 @@
 	if err != nil {
 		return err
 	}
-	a.say("%s is removed as of version %d; `radishhoist status` shows when it is in force everywhere", key, obj.Version)
+	a.printLine("%s is removed as of version %d; `radishhoist status` shows when it is in force everywhere", key, obj.Version)
 	return nil
 }
 
-// checkUnused refuses to remove a service that routes lead to.
+// checkUnused returns an UnsafeError for a service that a route leads to.
 func checkUnused(ctx context.Context, s objects.Store, key record.Key) error {
 	if key.Kind != record.KindService {
 		return nil
@@ -193,7 +193,7 @@
 			continue
 		}
 		if route, ok := r.Spec.(*record.Route); ok && route.Service == key.Name {
-			return &UnsafeError{fmt.Sprintf("route %s still leads to service %s: its callers would get no answer; remove the route first, or add --force", r.Name, key.Name)}
+			return &UnsafeError{fmt.Sprintf("route %s still leads to service %s: its requests would fail; delete the route first, or use --force", r.Name, key.Name)}
 		}
 	}
 	return nil
--- a/internal/cli/status.go
+++ b/internal/cli/status.go
@@ -17,45 +17,46 @@
 
 func decodeJSON(b []byte, into any) error { return json.Unmarshal(b, into) }
 
-// statusReport is what `status` shows.
+// statusReport is the output of `status`.
 type statusReport struct {
-	Seen       *state.Status    `json:"seenBy,omitempty"`
-	DaemonErr  string           `json:"daemonProblem,omitempty"`
-	InForce    []*record.Status `json:"inForce"`
-	Platform   string           `json:"platformProblem,omitempty"`
-	Stops      []row            `json:"stops"`
-	Unreadable []row            `json:"unreadable,omitempty"`
+	DaemonStatus *state.Status    `json:"seenBy,omitempty"`
+	DaemonErr    string           `json:"daemonProblem,omitempty"`
+	InForce      []*record.Status `json:"inForce"`
+	PlatformErr  string           `json:"platformProblem,omitempty"`
+	Stops        []row            `json:"stops"`
+	Unreadable   []row            `json:"unreadable,omitempty"`
 }
 
 func (a *app) statusCommand() *cli.Command {
 	return &cli.Command{
 		Name: "status", Usage: "show what is in force where, and why", ArgsUsage: " ",
-		Description: "Per service: the healthy capacity against the floor, and which targets are left out on what\n" +
-			"evidence, as the daemon named by --admin sees it. Per data centre: how many hosts have which\n" +
-			"records in force, which are behind, and which records were refused.",
+		Description: "For each service: the healthy capacity against the floor, and which targets are left out and why, as\n" +
+			"seen by the daemon at --admin. For each data centre: how many hosts have which revision of the\n" +
+			"records in force, which hosts are behind, and which records were refused.",
 		Action: func(ctx context.Context, cmd *cli.Command) error {
-			r := a.gather(ctx, cmd)
+			r := a.collectStatus(ctx, cmd)
 			if asJSON(cmd) {
-				return a.json(r)
+				return a.printJSON(r)
 			}
-			a.showStatus(r)
+			a.printStatus(r)
 			return nil
 		},
 	}
 }
 
-// gather reads the daemon and the platform; either may be away.
-func (a *app) gather(ctx context.Context, cmd *cli.Command) *statusReport {
+// collectStatus queries the daemon and the platform. If one does not respond, the report has the
+// error and the data of the other.
+func (a *app) collectStatus(ctx context.Context, cmd *cli.Command) *statusReport {
 	r := &statusReport{InForce: []*record.Status{}, Stops: []row{}}
 	var seen state.Status
 	if err := adminGet(ctx, cmd.String("admin"), state.PathStatus, nil, &seen); err != nil {
 		r.DaemonErr = err.Error()
 	} else {
-		r.Seen = &seen
+		r.DaemonStatus = &seen
 	}
 	page, err := a.store(cmd).List(ctx, record.KindStatus, record.KindStop)
 	if err != nil {
-		r.Platform = err.Error()
+		r.PlatformErr = err.Error()
 		return r
 	}
 	for _, obj := range page.Objects {
@@ -73,52 +74,52 @@
 	return r
 }
 
-func (a *app) showStatus(r *statusReport) {
-	if r.Seen != nil {
-		a.showServices(r.Seen)
+func (a *app) printStatus(r *statusReport) {
+	if r.DaemonStatus != nil {
+		a.printServices(r.DaemonStatus)
 	} else {
-		a.say("Services: not known. %s", r.DaemonErr)
+		a.printLine("Services: unknown. %s", r.DaemonErr)
 	}
-	a.say("")
-	if r.Platform != "" {
-		a.say("Records in force: not known. %s", r.Platform)
-		a.say("The fleet goes on with the records it has; nothing can be changed until the platform is back.")
+	a.printLine("")
+	if r.PlatformErr != "" {
+		a.printLine("Records in force: unknown. %s", r.PlatformErr)
+		a.printLine("The fleet continues with the records it has; nothing can be changed until the platform is available again.")
 		return
 	}
-	a.showInForce(r.InForce)
+	a.printInForce(r.InForce)
 	for _, s := range r.Stops {
-		a.say("Planned stop %s: %s", s.Name, s.Summary)
+		a.printLine("Planned stop %s: %s", s.Name, s.Summary)
 	}
 }
 
-func (a *app) showServices(s *state.Status) {
-	a.say("As host %s (%s, %s) sees it; %d requests run on it, %d wait:", s.Host, s.DC, s.Phase, s.Running, s.Queued)
-	a.table("SERVICE\tPRESET\tSLOTS IN USE\tFLOOR\tSLOTS KNOWN\tNOT IN USE", func(w *tabwriter.Writer) {
+func (a *app) printServices(s *state.Status) {
+	a.printLine("As seen by host %s (%s, %s), which has %d requests running and %d queued:", s.Host, s.DC, s.Phase, s.Running, s.Queued)
+	a.printTable("SERVICE\tPRESET\tSLOTS IN USE\tFLOOR\tSLOTS KNOWN\tTARGETS NOT IN USE", func(w *tabwriter.Writer) {
 		for _, svc := range s.Services {
-			fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%d\t%s\n", svc.Name, svc.Preset, svc.Healthy, svc.Required, svc.Known, notUsed(svc))
+			fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%d\t%s\n", svc.Name, svc.Preset, svc.Healthy, svc.Required, svc.Known, unusedTargets(svc))
 		}
 	})
 	for _, svc := range s.Services {
 		if svc.Healthy < svc.Required {
-			a.say("SERVICE %s IS BELOW ITS FLOOR: traffic spreads over the least bad. See docs/operate/floor.md.", svc.Name)
+			a.printLine("SERVICE %s IS BELOW ITS FLOOR: traffic is spread over its least unhealthy targets. See docs/operate/floor.md.", svc.Name)
 		}
 		for _, t := range svc.Targets {
 			if t.Why != "" {
-				a.say("  %s on %s: %s, %s", t.Name, t.Host, t.Use, t.Why)
+				a.printLine("  %s on %s: %s, %s", t.Name, t.Host, t.Use, t.Why)
 			}
 		}
 	}
 	for _, m := range s.Control.Members {
 		if m.Status != "alive" {
-			a.say("  host %s (%s): %s", m.Host, m.DC, m.Status)
+			a.printLine("  host %s (%s): %s", m.Host, m.DC, m.Status)
 		}
 	}
 	if s.Control.Away {
-		a.say("  this host has no answer from the platform and goes on with the records it has")
+		a.printLine("  this host gets no response from the platform and continues with the records it has")
 	}
 }
 
-func notUsed(svc front.ServiceStatus) string {
+func unusedTargets(svc front.ServiceStatus) string {
 	var names []string
 	for _, t := range svc.Targets {
 		if t.Use != "used" {
@@ -131,11 +132,11 @@
 	return strings.Join(names, " ")
 }
 
-// statusOld is the age at which a data centre's summary is called old.
-const statusOld = 3 * time.Minute
+// staleSummaryAge is the age above which a data centre's summary is reported as old.
+const staleSummaryAge = 3 * time.Minute
 
-func (a *app) showInForce(list []*record.Status) {
-	a.table("DATA CENTRE\tHOSTS\tRECORDS AT\tIN FORCE ON\tBEHIND", func(w *tabwriter.Writer) {
+func (a *app) printInForce(list []*record.Status) {
+	a.printTable("DATA CENTRE\tHOSTS\tREVISION\tIN FORCE ON\tBEHIND", func(w *tabwriter.Writer) {
 		for _, s := range list {
 			for i, f := range s.InForce {
 				behind := "-"
@@ -147,16 +148,16 @@
 		}
 	})
 	for _, s := range list {
-		if age := time.Since(time.UnixMilli(s.AtMS)); age > statusOld {
-			a.say("  data centre %s: the summary is %s old", s.DC, age.Round(time.Second))
+		if age := time.Since(time.UnixMilli(s.AtMS)); age > staleSummaryAge {
+			a.printLine("  data centre %s: the summary is %s old", s.DC, age.Round(time.Second))
 		}
 		for _, r := range s.Rejected {
-			a.say("  REFUSED in %s: %s version %d; version %d stays in force: %s", s.DC, r.Key, r.Version, r.InForce, r.Reason)
+			a.printLine("  REFUSED in %s: %s version %d; version %d stays in force: %s", s.DC, r.Key, r.Version, r.InForce, r.Reason)
 		}
 	}
 }
 
-// explainQuery asks a daemon to explain a request.
+// explainQuery is the query of a daemon's explain endpoint.
 type explainQuery struct {
 	Method string `url:"method"`
 	URL    string `url:"url"`
@@ -165,11 +166,11 @@
 
 func (a *app) explainCommand() *cli.Command {
 	return &cli.Command{
-		Name: "explain", Usage: "say what would happen to a request now, and why; nothing is sent", ArgsUsage: "METHOD URL",
+		Name: "explain", Usage: "show how a request would be handled now, and why, without sending it", ArgsUsage: "METHOD URL",
 		Flags: []cli.Flag{&cli.StringFlag{Name: "team", Usage: "as if sent by `TEAM`"}},
 		Action: func(ctx context.Context, cmd *cli.Command) error {
 			if cmd.Args().Len() != 2 {
-				return &InvalidError{"write METHOD URL, for example: explain GET http://plans.example/plans/7"}
+				return &InvalidError{"expected METHOD URL, for example: explain GET http://plans.example/plans/7"}
 			}
 			q := explainQuery{Method: strings.ToUpper(cmd.Args().Get(0)), URL: cmd.Args().Get(1), Team: cmd.String("team")}
 			var e front.Explanation
@@ -177,46 +178,46 @@
 				return err
 			}
 			if asJSON(cmd) {
-				return a.json(e)
+				return a.printJSON(e)
 			}
-			a.showExplanation(&e)
+			a.printExplanation(&e)
 			return nil
 		},
 	}
 }
 
-func (a *app) showExplanation(e *front.Explanation) {
+func (a *app) printExplanation(e *front.Explanation) {
 	if e.Matched {
-		a.say("route      %s (version %d)", e.Route, e.Version)
-		a.say("service    %s", e.Service)
-		a.say("idempotent %t: %s", e.Idempotent, e.Because)
-		a.say("deadline   %d ms from arrival; priority %d", e.TimeoutMS, e.Priority)
+		a.printLine("route      %s (version %d)", e.Route, e.Version)
+		a.printLine("service    %s", e.Service)
+		a.printLine("idempotent %t: %s", e.Idempotent, e.Because)
+		a.printLine("deadline   %d ms from arrival; priority %d", e.TimeoutMS, e.Priority)
 	}
 	if e.Team != "" {
 		limit := "no rate limit"
 		if e.TeamRate > 0 {
-			limit = fmt.Sprintf("%g requests a second over all hosts", e.TeamRate)
+			limit = fmt.Sprintf("%g requests per second over all hosts", e.TeamRate)
 		}
-		a.say("team       %s: %s", e.Team, limit)
+		a.printLine("team       %s: %s", e.Team, limit)
 	}
 	if e.Target != "" {
-		a.say("target now %s on %s: %s", e.Target, e.TargetHost, e.TargetWhy)
+		a.printLine("target now %s on %s: %s", e.Target, e.TargetHost, e.TargetWhy)
 	}
 	for _, out := range e.LeftOut {
-		a.say("not used   %s", out)
+		a.printLine("not used   %s", out)
 	}
 	if e.Problem != "" {
-		a.say("PROBLEM    %s", e.Problem)
+		a.printLine("PROBLEM    %s", e.Problem)
 	}
 }
 
 func (a *app) stateCommand() *cli.Command {
 	return &cli.Command{
-		Name: "state", Usage: "print the whole state of one process as JSON", ArgsUsage: "HOST",
+		Name: "state", Usage: "print the complete state of one daemon as JSON", ArgsUsage: "HOST",
 		Description: "HOST is a host's name, looked up in the platform, or the IP:port of its admin address.",
 		Action: func(ctx context.Context, cmd *cli.Command) error {
 			if cmd.Args().Len() != 1 {
-				return &InvalidError{"write the host's name or its admin address"}
+				return &InvalidError{"expected the host's name or its admin address"}
 			}
 			addr, err := a.adminAddress(ctx, cmd, cmd.Args().First())
 			if err != nil {
@@ -226,12 +227,13 @@
 			if err := adminGet(ctx, addr, state.PathState, nil, &dump); err != nil {
 				return err
 			}
-			return a.json(dump)
+			return a.printJSON(dump)
 		},
 	}
 }
 
-// adminAddress finds a host's admin address.
+// adminAddress resolves a host name to the host's admin address. An argument that is
+// already an address is returned as it is.
 func (a *app) adminAddress(ctx context.Context, cmd *cli.Command, host string) (string, error) {
 	if strings.Contains(host, ":") {
 		return host, nil
--- a/internal/cli/stop.go
+++ b/internal/cli/stop.go
@@ -17,20 +17,20 @@
 func (a *app) stopCommand() *cli.Command {
 	return &cli.Command{
 		Name: "stop", Usage: "drain a host or one instance for a planned stop", ArgsUsage: "HOST",
-		Description: "Writes a Stop record. The host takes no new work within seconds and finishes what it has; nothing\n" +
-			"in flight is cut off. Wait for \"drained\" before you switch the host off. --undo takes the stop back.",
+		Description: "Writes a Stop record. Within seconds the host takes no new requests; it finishes those that are\n" +
+			"queued or running. Wait for \"drained\" before you switch the host off. --undo deletes the record.",
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: "instance", Usage: "stop only this `INSTANCE` of the host"},
-			&cli.StringFlag{Name: "reason", Usage: "`WHY`, for the operator who reads it at night"},
-			&cli.BoolFlag{Name: "wait", Usage: "show the progress until the host is drained"},
-			&cli.BoolFlag{Name: "progress", Usage: "only show the progress of a stop that stands"},
-			&cli.BoolFlag{Name: "undo", Usage: "take the stop back"},
-			&cli.BoolFlag{Name: "force", Usage: "stop even where a service would fall below its floor"},
-			&cli.DurationFlag{Name: "timeout", Value: 2 * time.Minute, Usage: "how long to wait"},
+			&cli.StringFlag{Name: "reason", Usage: "`REASON`, shown to other operators"},
+			&cli.BoolFlag{Name: "wait", Usage: "wait until the host is drained and show the progress"},
+			&cli.BoolFlag{Name: "progress", Usage: "only wait for an existing stop and show its progress"},
+			&cli.BoolFlag{Name: "undo", Usage: "delete the Stop record"},
+			&cli.BoolFlag{Name: "force", Usage: "stop even if a service would fall below its floor"},
+			&cli.DurationFlag{Name: "timeout", Value: 2 * time.Minute, Usage: "how long to wait until the host is drained"},
 		},
 		Action: func(ctx context.Context, cmd *cli.Command) error {
 			if cmd.Args().Len() != 1 {
-				return &InvalidError{"write the name of one host, as `radishhoist status` shows it"}
+				return &InvalidError{"expected the name of one host, as shown by `radishhoist status`"}
 			}
 			return a.stop(ctx, cmd, cmd.Args().First())
 		},
@@ -51,15 +51,15 @@
 	case cmd.Bool("undo"):
 		return a.delete(ctx, cmd, key)
 	case cmd.Bool("progress"):
-		return a.progress(ctx, cmd, host)
+		return a.awaitDrained(ctx, cmd, host)
 	}
 	if err := a.writeStop(ctx, cmd, host, key); err != nil {
 		return err
 	}
 	if cmd.Bool("wait") {
-		return a.progress(ctx, cmd, host)
+		return a.awaitDrained(ctx, cmd, host)
 	}
-	a.say("`radishhoist stop --progress %s` shows when it is drained", host)
+	a.printLine("`radishhoist stop --progress %s` shows when it is drained", host)
 	return nil
 }
 
@@ -78,7 +78,7 @@
 	if err != nil {
 		return err
 	}
-	// The same checks as for a file.
+	// Parse applies the same checks as to a record from a file.
 	r, err := record.Parse(value)
 	if err != nil {
 		return err
@@ -92,23 +92,24 @@
 	return a.write(ctx, s, r, r.Version)
 }
 
-// checkFloor refuses a stop that would leave a service below its floor.
+// checkFloor returns an UnsafeError if the stop would leave a service below its floor, or
+// if the daemon cannot be asked.
 func checkFloor(ctx context.Context, cmd *cli.Command, host, instance string) error {
 	var seen state.Status
 	if err := adminGet(ctx, cmd.String("admin"), state.PathStatus, nil, &seen); err != nil {
-		return &UnsafeError{fmt.Sprintf("cannot tell whether the floors would hold: %v; name a daemon with --admin, or add --force", err)}
+		return &UnsafeError{fmt.Sprintf("cannot check the floors: %v; select another daemon with --admin, or use --force", err)}
 	}
 	for _, svc := range seen.Services {
 		lost := usedSlots(svc, host, instance)
 		if lost > 0 && svc.Healthy-lost < svc.Required {
-			return &UnsafeError{fmt.Sprintf("service %s would have %d slots in use, its floor is %d: start instances elsewhere or wait for others to come back first; --force stops all the same",
+			return &UnsafeError{fmt.Sprintf("service %s would have %d slots in use, below its floor of %d: start instances elsewhere or wait until others recover; --force stops it anyway",
 				svc.Name, svc.Healthy-lost, svc.Required)}
 		}
 	}
 	return nil
 }
 
-// usedSlots counts the slots in use that a stop would take away.
+// usedSlots counts the slots in use that a stop would remove.
 func usedSlots(svc front.ServiceStatus, host, instance string) int {
 	slots := 0
 	for _, t := range svc.Targets {
@@ -119,11 +120,11 @@
 	return slots
 }
 
-// progressInterval is the time between two looks at a stop.
-const progressInterval = 500 * time.Millisecond
+// drainPollInterval is the interval at which the state of a draining host is read.
+const drainPollInterval = 500 * time.Millisecond
 
-// progress shows how a stop goes on until nothing runs on the host.
-func (a *app) progress(ctx context.Context, cmd *cli.Command, host string) error {
+// awaitDrained prints the progress of a stop until the host, or the one instance, is drained.
+func (a *app) awaitDrained(ctx context.Context, cmd *cli.Command, host string) error {
 	ctx, cancel := context.WithTimeout(ctx, cmd.Duration("timeout"))
 	defer cancel()
 	addr, err := a.adminAddress(ctx, cmd, host)
@@ -136,24 +137,25 @@
 		if err := adminGet(ctx, addr, state.PathState, nil, &dump); err != nil {
 			return err
 		}
-		line, drained := drainLine(&dump, cmd.String("instance"))
+		line, drained := drainProgress(&dump, cmd.String("instance"))
 		if line != last {
-			a.say("%s: %s", host, line)
+			a.printLine("%s: %s", host, line)
 			last = line
 		}
 		if drained {
 			return nil
 		}
 		select {
-		case <-time.After(progressInterval):
+		case <-time.After(drainPollInterval):
 		case <-ctx.Done():
-			return &UnsafeError{fmt.Sprintf("host %s is not drained yet: do not switch it off; look again with --progress", host)}
+			return &UnsafeError{fmt.Sprintf("host %s is not drained yet: do not switch it off; check again with --progress", host)}
 		}
 	}
 }
 
-// drainLine says how far a host, or one instance of it, is drained.
-func drainLine(dump *state.Dump, instance string) (string, bool) {
+// drainProgress describes how far a host, or one instance of it, is drained, and reports
+// whether it is.
+func drainProgress(dump *state.Dump, instance string) (string, bool) {
 	running, queued, leaving := 0, 0, true
 	for _, i := range dump.Instances {
 		if instance != "" && i.Name != instance {
@@ -167,8 +169,8 @@
 	case !leaving:
 		return "the stop is not in force on the host yet", false
 	case running+queued > 0:
-		return fmt.Sprintf("takes no new work; %d requests run, %d wait", running, queued), false
+		return fmt.Sprintf("takes no new requests; %d running, %d queued", running, queued), false
 	default:
-		return "drained: nothing runs on it", true
+		return "drained: no requests are running or queued", true
 	}
 }
--- a/internal/cli/suspects.go
+++ b/internal/cli/suspects.go
@@ -19,16 +19,16 @@
 
 func (a *app) suspectsCommand() *cli.Command {
 	return &cli.Command{
-		Name: "suspects", Usage: "list the requests that end the instances which run them",
-		Description: "Shows what the daemon at --admin knows, with the platform's records of those that are stopped. A stopped\n" +
-			"request is known by its PRINT, in answers and logs too.",
+		Name: "suspects", Usage: "list the requests suspected of terminating the instances that run them",
+		Description: "Shows the suspects known to the daemon at --admin and the platform's records of stopped requests. A stopped\n" +
+			"request is identified by its fingerprint, the PRINT, also in responses and logs.",
 		Action: a.listSuspects,
 		Commands: []*cli.Command{{
-			Name: "clear", Usage: "let a stopped request run again, on all hosts", ArgsUsage: "PRINT",
-			Description: "Three more ends stop it again.",
+			Name: "clear", Usage: "allow a stopped request again, on all hosts", ArgsUsage: "PRINT",
+			Description: "Three further terminations stop it again.",
 			Action: func(ctx context.Context, cmd *cli.Command) error {
 				if cmd.Args().Len() != 1 {
-					return &InvalidError{"write the print of one stopped request, as `radishhoist suspects` shows it"}
+					return &InvalidError{"expected the PRINT of one stopped request, as shown by `radishhoist suspects`"}
 				}
 				return a.delete(ctx, cmd, record.Key{Kind: record.KindCrasher, Name: cmd.Args().First()})
 			},
@@ -36,28 +36,29 @@
 	}
 }
 
-// suspect is a request that may end the instances that run it.
+// suspect is a request that may terminate the instances that run it.
 type suspect struct {
-	Print string `json:"print"`
-	// Until is when a stopped request may be tried again, empty for one that is only
-	// suspected or not known to the daemon.
-	Until string `json:"until,omitempty"`
-	// Ends counts the ends of instances that it has part in.
-	Ends int `json:"ends"`
-	// Request is method, host and path, which the platform's record alone tells.
+	Fingerprint string `json:"print"`
+	// StoppedUntil is when a stopped request may be tried again. It is empty for a request that
+	// is only suspected or that the daemon does not know.
+	StoppedUntil string `json:"until,omitempty"`
+	// TerminationCount counts the instance terminations that the request was involved in.
+	TerminationCount int `json:"ends"`
+	// Request is the method, host and path, known only from the platform's record.
 	Request  string   `json:"request,omitempty"`
 	Service  string   `json:"service"`
 	Versions []string `json:"versions"`
-	// SeenBy are the hosts that noticed its ends.
+	// SeenBy lists the hosts that detected the terminations.
 	SeenBy []string `json:"seenBy"`
-	// Since and Last are the times of its first end and its latest.
+	// Since and Last are the times of the first and the latest termination.
 	Since string `json:"since"`
 	Last  string `json:"last"`
-	// Instances are the ends of the starts that ended.
-	Instances []record.InstanceEnd `json:"instances"`
+	// Terminations has one entry for each instance start that was terminated.
+	Terminations []record.InstanceEnd `json:"instances"`
 }
 
-// suspectList is the answer of the command. Problem says why the records are missing.
+// suspectList is the output of `suspects`. Problem is the error if the platform's records
+// could not be read.
 type suspectList struct {
 	Suspects []*suspect `json:"suspects"`
 	Problem  string     `json:"problem,omitempty"`
@@ -65,7 +66,7 @@
 
 func (a *app) listSuspects(ctx context.Context, cmd *cli.Command) error {
 	if cmd.Args().Len() != 0 {
-		return &InvalidError{fmt.Sprintf("%q is no command; write `radishhoist suspects` or `radishhoist suspects clear PRINT`", cmd.Args().First())}
+		return &InvalidError{fmt.Sprintf("unknown command %q; use `radishhoist suspects` or `radishhoist suspects clear PRINT`", cmd.Args().First())}
 	}
 	var dump state.Dump
 	if err := adminGet(ctx, cmd.String("admin"), state.PathState, nil, &dump); err != nil {
@@ -76,24 +77,25 @@
 	if err != nil {
 		problem = "the platform's records are missing: " + err.Error()
 	}
-	list := suspectList{Suspects: joinSuspects(dump.Suspects, page.Objects), Problem: problem}
+	list := suspectList{Suspects: mergeSuspects(dump.Suspects, page.Objects), Problem: problem}
 	if asJSON(cmd) {
-		return a.json(list)
+		return a.printJSON(list)
 	}
 	a.printSuspects(list)
 	return nil
 }
 
-// joinSuspects adds what the platform keeps of stopped requests to what a daemon knows of
-// all, in order of their prints. A record that cannot be read is left to `radishhoist list`.
-func joinSuspects(known []guard.SuspectState, kept []objects.Object) []*suspect {
-	byPrint := make(map[string]*suspect)
-	for _, k := range known {
-		s := &suspect{Print: k.Print, Until: k.Until, Ends: k.Ends}
-		s.tell(k.Instances)
-		byPrint[k.Print] = s
+// mergeSuspects merges the platform's records of stopped requests into the suspects known to
+// a daemon, sorted by fingerprint. It skips records that cannot be parsed; `radishhoist list`
+// shows those.
+func mergeSuspects(fromDaemon []guard.SuspectState, stored []objects.Object) []*suspect {
+	byFingerprint := make(map[string]*suspect)
+	for _, k := range fromDaemon {
+		s := &suspect{Fingerprint: k.Print, StoppedUntil: k.Until, TerminationCount: k.Ends}
+		s.setTerminations(k.Instances)
+		byFingerprint[k.Print] = s
 	}
-	for _, obj := range kept {
+	for _, obj := range stored {
 		rec, err := record.Parse(obj.Value)
 		if err != nil {
 			continue
@@ -102,69 +104,69 @@
 		if !ok {
 			continue
 		}
-		s := byPrint[obj.Name]
+		s := byFingerprint[obj.Name]
 		if s == nil {
-			s = &suspect{Print: obj.Name, Ends: len(c.Ends)}
-			s.tell(c.Ends)
-			byPrint[obj.Name] = s
+			s = &suspect{Fingerprint: obj.Name, TerminationCount: len(c.Ends)}
+			s.setTerminations(c.Ends)
+			byFingerprint[obj.Name] = s
 		}
 		s.Request = c.Request
 	}
 	out := []*suspect{}
-	for _, s := range byPrint {
+	for _, s := range byFingerprint {
 		out = append(out, s)
 	}
-	slices.SortFunc(out, func(a, b *suspect) int { return cmp.Compare(a.Print, b.Print) })
+	slices.SortFunc(out, func(a, b *suspect) int { return cmp.Compare(a.Fingerprint, b.Fingerprint) })
 	return out
 }
 
-// tell adds what is known of the ends that it has part in.
-func (s *suspect) tell(ends []record.InstanceEnd) {
-	if len(ends) == 0 {
-		return // cleared while it was listed
+// setTerminations fills the fields that derive from the terminations.
+func (s *suspect) setTerminations(terminations []record.InstanceEnd) {
+	if len(terminations) == 0 {
+		return // The request was cleared while the list was made.
 	}
 	byTime := func(a, b record.InstanceEnd) int { return cmp.Compare(a.AtMS, b.AtMS) }
-	first, last := slices.MinFunc(ends, byTime), slices.MaxFunc(ends, byTime)
-	s.Service, s.Since, s.Last, s.Instances = first.Service, stamp(first.AtMS), stamp(last.AtMS), ends
-	for _, e := range ends {
-		s.Versions = append(s.Versions, e.Version)
-		s.SeenBy = append(s.SeenBy, e.Host)
+	first, last := slices.MinFunc(terminations, byTime), slices.MaxFunc(terminations, byTime)
+	s.Service, s.Since, s.Last, s.Terminations = first.Service, formatTime(first.AtMS), formatTime(last.AtMS), terminations
+	for _, t := range terminations {
+		s.Versions = append(s.Versions, t.Version)
+		s.SeenBy = append(s.SeenBy, t.Host)
 	}
-	s.Versions, s.SeenBy = distinct(s.Versions), distinct(s.SeenBy)
+	s.Versions, s.SeenBy = sortedUnique(s.Versions), sortedUnique(s.SeenBy)
 }
 
-// distinct sorts some names and leaves each once.
-func distinct(names []string) []string {
+// sortedUnique sorts names in place and returns them without duplicates.
+func sortedUnique(names []string) []string {
 	slices.Sort(names)
 	return slices.Compact(names)
 }
 
-// stamp gives a time in Unix milliseconds as operators read it.
-func stamp(ms int64) string { return time.UnixMilli(ms).UTC().Format(time.RFC3339) }
+// formatTime formats a time in Unix milliseconds for display.
+func formatTime(ms int64) string { return time.UnixMilli(ms).UTC().Format(time.RFC3339) }
 
 func (a *app) printSuspects(list suspectList) {
 	if list.Problem != "" {
-		a.say("%s", list.Problem)
+		a.printLine("%s", list.Problem)
 	}
 	if len(list.Suspects) == 0 {
-		a.say("no request is suspected of ending instances")
+		a.printLine("no request is suspected of ending instances")
 		return
 	}
-	a.table("PRINT\tSTATE\tENDS\tSERVICE\tVERSIONS\tSEEN BY\tSINCE\tLAST\tREQUEST", func(w *tabwriter.Writer) {
+	a.printTable("PRINT\tSTATE\tENDS\tSERVICE\tVERSIONS\tSEEN BY\tSINCE\tLAST\tREQUEST", func(w *tabwriter.Writer) {
 		for _, s := range list.Suspects {
-			fmt.Fprintf(w, "%s\t%s\t%d\t%s\t%s\t%s\t%s\t%s\t%s\n", s.Print, s.condition(), s.Ends, s.Service,
+			fmt.Fprintf(w, "%s\t%s\t%d\t%s\t%s\t%s\t%s\t%s\t%s\n", s.Fingerprint, s.state(), s.TerminationCount, s.Service,
 				strings.Join(s.Versions, ","), strings.Join(s.SeenBy, ","), s.Since, s.Last, s.Request)
 		}
 	})
 }
 
-// condition says what becomes of the request.
-func (s *suspect) condition() string {
+// state describes whether the request is stopped, for display.
+func (s *suspect) state() string {
 	switch {
-	case s.Until != "":
-		return "stopped until " + s.Until
+	case s.StoppedUntil != "":
+		return "stopped until " + s.StoppedUntil
 	case s.Request != "":
-		return "kept by the platform only"
+		return "known to the platform only"
 	default:
 		return "suspected"
 	}
--- a/internal/cli/teams.go
+++ b/internal/cli/teams.go
@@ -22,77 +22,80 @@
 )
 
 func (a *app) teamsCommand() *cli.Command {
-	keyFlags := []cli.Flag{&cli.DurationFlag{Name: "wait", Value: 20 * time.Second, Usage: "`TIME` to wait until the change is in force on every host; 0 for none"}}
+	keyFlags := []cli.Flag{&cli.DurationFlag{Name: "wait", Value: 20 * time.Second, Usage: "`TIME` to wait until the change is in force on every host; 0 checks once"}}
 	return &cli.Command{
-		Name: "teams", Usage: "list the teams that use their rate, over all hosts",
-		Description: "Asks every host that the platform names. A team's use is told by the host that keeps its account; requests\n" +
-			"are counted by the host that took them. Keys are never shown.",
+		Name: "teams", Usage: "list the use that teams make of their rate limits, over all hosts",
+		Description: "Queries every host that the platform lists. A team's usage comes from its home, the host that keeps its\n" +
+			"account; requests are counted by the host that received them. Keys are never shown.",
 		Action: a.listTeams,
 		Commands: []*cli.Command{{
-			Name: "key", Usage: "give a team a key, or withdraw one",
+			Name: "key", Usage: "add or withdraw a key of a team",
 			Commands: []*cli.Command{{
-				Name: "add", Usage: "draw a new key for a team and print it, this once", ArgsUsage: "TEAM", Flags: keyFlags,
+				Name: "add", Usage: "generate a new key for a team and print it once", ArgsUsage: "TEAM", Flags: keyFlags,
 				Action: a.addKey,
 			}, {
 				Name: "withdraw", Usage: "withdraw a key, read from standard input", ArgsUsage: "TEAM", Flags: keyFlags,
-				Description: "The key is read from standard input, so that it stands in no list of processes and no shell history.",
+				Description: "The key is read from standard input, so that it does not appear in process lists or the shell history.",
 				Action:      a.withdrawKey,
 			}},
 		}},
 	}
 }
 
-// teamUse is a team's use over all hosts.
-type teamUse struct {
+// teamUsage is a team's usage over all hosts.
+type teamUsage struct {
 	Team  string  `json:"team"`
 	Rate  float64 `json:"ratePerSecond"`
 	Burst float64 `json:"burst"`
-	// Used is how much of the room of its rate and burst is used, 1 for all.
-	Used float64 `json:"used"`
-	// Home keeps the account; Close says that all hosts ask it for each request.
-	Home  string `json:"home"`
-	Close bool   `json:"close"`
+	// UsedFraction is the fraction in use of the capacity that rate and burst give; 1 is all of it.
+	UsedFraction float64 `json:"used"`
+	// Home is the host that keeps the account. NearLimit is set if all hosts ask it about
+	// each request.
+	Home      string `json:"home"`
+	NearLimit bool   `json:"close"`
 	// Passed and Refused count requests by host.
 	Passed  map[string]uint64 `json:"passed"`
 	Refused map[string]uint64 `json:"refused"`
-	// Alone are the hosts that go by their own share, because no home answers them.
-	Alone []string `json:"alone,omitempty"`
+	// Standalone lists the hosts that apply their own share of the limit because no home
+	// responds to them.
+	Standalone []string `json:"alone,omitempty"`
 }
 
-// teamList is the answer of the command. Silent are hosts that gave no answer.
+// teamList is the output of `teams`. Unreachable lists the hosts that did not respond.
 type teamList struct {
-	Teams  []*teamUse `json:"teams"`
-	Silent []string   `json:"silent,omitempty"`
+	Teams       []*teamUsage `json:"teams"`
+	Unreachable []string     `json:"silent,omitempty"`
 }
 
 func (a *app) listTeams(ctx context.Context, cmd *cli.Command) error {
 	if cmd.Args().Len() != 0 {
-		return &InvalidError{fmt.Sprintf("%q is no command; write `radishhoist teams`, `radishhoist teams key add TEAM` or `radishhoist teams key withdraw TEAM`", cmd.Args().First())}
+		return &InvalidError{fmt.Sprintf("unknown command %q; use `radishhoist teams`, `radishhoist teams key add TEAM` or `radishhoist teams key withdraw TEAM`", cmd.Args().First())}
 	}
-	hosts, err := a.hosts(ctx, cmd)
+	hosts, err := a.adminAddresses(ctx, cmd)
 	if err != nil {
 		return err
 	}
-	known := make(map[string][]teams.State)
-	list := teamList{Teams: []*teamUse{}}
+	byHost := make(map[string][]teams.State)
+	list := teamList{Teams: []*teamUsage{}}
 	for _, name := range slices.Sorted(maps.Keys(hosts)) {
 		var dump state.Dump
 		if err := adminGet(ctx, hosts[name], state.PathState, nil, &dump); err != nil {
-			list.Silent = append(list.Silent, name)
+			list.Unreachable = append(list.Unreachable, name)
 			continue
 		}
-		known[name] = dump.Teams
+		byHost[name] = dump.Teams
 	}
-	list.Teams = joinTeams(known)
+	list.Teams = mergeTeams(byHost)
 	if asJSON(cmd) {
-		return a.json(list)
+		return a.printJSON(list)
 	}
 	a.printTeams(list)
 	return nil
 }
 
-// hosts gives the admin addresses of all hosts that the platform names.
-func (a *app) hosts(ctx context.Context, cmd *cli.Command) (map[string]string, error) {
+// adminAddresses returns the admin addresses of all hosts that the platform lists, by host
+// name.
+func (a *app) adminAddresses(ctx context.Context, cmd *cli.Command) (map[string]string, error) {
 	page, err := a.store(cmd).List(ctx, record.KindHost)
 	if err != nil {
 		return nil, err
@@ -108,38 +111,39 @@
 	return out, nil
 }
 
-// joinTeams adds up what the hosts know, the most used first. The home knows the
-// use best; a team whose home is silent shows the most that any host knows.
-func joinTeams(known map[string][]teams.State) []*teamUse {
-	byTeam := make(map[string]*teamUse)
-	for host, list := range known {
+// mergeTeams merges the hosts' states by team, the highest usage first. Usage comes from the
+// team's home, which has the most accurate value, or is the highest that any host reports
+// if the home is unreachable.
+func mergeTeams(byHost map[string][]teams.State) []*teamUsage {
+	byTeam := make(map[string]*teamUsage)
+	for host, list := range byHost {
 		for _, s := range list {
 			u := byTeam[s.Team]
 			if u == nil {
-				u = &teamUse{Team: s.Team, Passed: make(map[string]uint64), Refused: make(map[string]uint64)}
+				u = &teamUsage{Team: s.Team, Passed: make(map[string]uint64), Refused: make(map[string]uint64)}
 				byTeam[s.Team] = u
 			}
 			u.add(host, s)
 		}
 	}
-	out := []*teamUse{}
+	out := []*teamUsage{}
 	for _, u := range byTeam {
-		slices.Sort(u.Alone)
+		slices.Sort(u.Standalone)
 		out = append(out, u)
 	}
-	slices.SortFunc(out, func(x, y *teamUse) int {
-		return cmp.Or(cmp.Compare(y.Used, x.Used), cmp.Compare(x.Team, y.Team))
+	slices.SortFunc(out, func(x, y *teamUsage) int {
+		return cmp.Or(cmp.Compare(y.UsedFraction, x.UsedFraction), cmp.Compare(x.Team, y.Team))
 	})
 	return out
 }
 
-func (u *teamUse) add(host string, s teams.State) {
+func (u *teamUsage) add(host string, s teams.State) {
 	used := s.Level / max(s.Room, 1)
 	switch {
 	case host == s.Home:
-		u.Rate, u.Burst, u.Used, u.Home, u.Close = s.Rate, s.Burst, used, host, s.Close
+		u.Rate, u.Burst, u.UsedFraction, u.Home, u.NearLimit = s.Rate, s.Burst, used, host, s.Close
 	case u.Home == "":
-		u.Rate, u.Burst, u.Used, u.Close = s.Rate, s.Burst, max(u.Used, used), u.Close || s.Close
+		u.Rate, u.Burst, u.UsedFraction, u.NearLimit = s.Rate, s.Burst, max(u.UsedFraction, used), u.NearLimit || s.Close
 	}
 	if s.Passed > 0 {
 		u.Passed[host] = s.Passed
@@ -148,39 +152,39 @@
 		u.Refused[host] = s.Refused
 	}
 	if s.Alone {
-		u.Alone = append(u.Alone, host)
+		u.Standalone = append(u.Standalone, host)
 	}
 }
 
 func (a *app) printTeams(list teamList) {
-	for _, host := range list.Silent {
-		a.say("no answer from %s: what it let pass is missing", host)
+	for _, host := range list.Unreachable {
+		a.printLine("no response from %s: its requests are not counted", host)
 	}
 	if len(list.Teams) == 0 {
-		a.say("no team with a rate has sent a request of late")
+		a.printLine("no team with a rate limit has sent a request recently")
 		return
 	}
-	a.table("TEAM\tRATE\tBURST\tUSED\tSTATE\tHOME\tPASSED\tREFUSED\tREFUSED MOST BY", func(w *tabwriter.Writer) {
+	a.printTable("TEAM\tRATE\tBURST\tUSED\tSTATE\tHOME\tPASSED\tREFUSED\tREFUSED MOST BY", func(w *tabwriter.Writer) {
 		for _, u := range list.Teams {
 			most, count := largest(u.Refused)
 			by := ""
 			if count > 0 {
 				by = fmt.Sprintf("%s (%d)", most, count)
 			}
-			fmt.Fprintf(w, "%s\t%g/s\t%g\t%.0f%%\t%s\t%s\t%d\t%d\t%s\n", u.Team, u.Rate, u.Burst, 100*u.Used, u.condition(), u.Home,
+			fmt.Fprintf(w, "%s\t%g/s\t%g\t%.0f%%\t%s\t%s\t%d\t%d\t%s\n", u.Team, u.Rate, u.Burst, 100*u.UsedFraction, u.state(), u.Home,
 				total(u.Passed), total(u.Refused), by)
 		}
 	})
 }
 
-// condition says how the team's requests are decided now.
-func (u *teamUse) condition() string {
+// state describes how the team's requests are limited now, for display.
+func (u *teamUsage) state() string {
 	switch {
-	case len(u.Alone) > 0:
-		return "by share on " + strings.Join(u.Alone, ",")
-	case u.Used >= 1:
+	case len(u.Standalone) > 0:
+		return "own share on " + strings.Join(u.Standalone, ",")
+	case u.UsedFraction >= 1:
 		return "at its limit"
-	case u.Close:
+	case u.NearLimit:
 		return "close"
 	default:
 		return "below"
@@ -194,7 +198,7 @@
 	return sum
 }
 
-// largest gives the host with the greatest count, the first by name of several.
+// largest returns the host with the greatest count, the first by name on a tie.
 func largest(counts map[string]uint64) (host string, count uint64) {
 	for _, name := range slices.Sorted(maps.Keys(counts)) {
 		if counts[name] > count {
@@ -213,15 +217,15 @@
 	if err != nil {
 		return err
 	}
-	a.say("key %s", key)
-	a.say("It is shown this once; hand it to the team. Callers send it as Authorization: Bearer KEY.")
+	a.printLine("key %s", key)
+	a.printLine("The key is not shown again; give it to the team. Callers send it as Authorization: Bearer KEY.")
 	return nil
 }
 
 func (a *app) withdrawKey(ctx context.Context, cmd *cli.Command) error {
 	var key string
 	if _, err := fmt.Fscan(a.in, &key); err != nil || record.KeyFault(key) != "" {
-		return &InvalidError{"write the key to withdraw on standard input, for example: radishhoist teams key withdraw TEAM < file"}
+		return &InvalidError{"expected the key to withdraw on standard input, for example: radishhoist teams key withdraw TEAM < file"}
 	}
 	hash := record.HashKey(key).String()
 	return a.changeKeys(ctx, cmd, func(t *record.Team) error {
@@ -234,17 +238,17 @@
 	})
 }
 
-// changeKeys changes a Team record on the condition that it stands as it was read,
-// and waits until the change is in force on every host.
+// changeKeys updates a Team record on condition that it has not changed since it was read,
+// and waits until the update is in force on every host.
 func (a *app) changeKeys(ctx context.Context, cmd *cli.Command, change func(*record.Team) error) error {
 	if cmd.Args().Len() != 1 {
-		return &InvalidError{"write the name of one team"}
+		return &InvalidError{"expected the name of one team"}
 	}
 	s := a.store(cmd)
 	key := record.Key{Kind: record.KindTeam, Name: cmd.Args().First()}
 	current, err := s.Get(ctx, key)
 	if err != nil {
-		return errors.Wrap(err, "write the team with `radishhoist apply` first; one that stands in a Configuration gets its keys there")
+		return errors.Wrap(err, "create the team with `radishhoist apply` first; a team defined in a Configuration gets its keys there")
 	}
 	r, err := record.Parse(current.Value)
 	if err != nil {
@@ -256,20 +260,20 @@
 	if err := a.write(ctx, s, r, current.Version); err != nil {
 		return err
 	}
-	return a.awaitForce(ctx, cmd, s, key)
+	return a.awaitInForce(ctx, cmd, s, key)
 }
 
-// forcePause is the time between two looks at the hosts.
-const forcePause = 200 * time.Millisecond
+// inForcePollInterval is the interval at which the status of the hosts is read.
+const inForcePollInterval = 200 * time.Millisecond
 
-// awaitForce waits until every host that the platform names has a record's present
-// version in force, and names those that have not in time.
-func (a *app) awaitForce(ctx context.Context, cmd *cli.Command, s objects.Store, key record.Key) error {
+// awaitInForce waits until the current version of a record is in force on every host that the
+// platform lists. After the wait time it returns an error with the other hosts.
+func (a *app) awaitInForce(ctx context.Context, cmd *cli.Command, s objects.Store, key record.Key) error {
 	obj, err := s.Get(ctx, key)
 	if err != nil {
 		return err
 	}
-	hosts, err := a.hosts(ctx, cmd)
+	hosts, err := a.adminAddresses(ctx, cmd)
 	if err != nil {
 		return err
 	}
@@ -282,11 +286,11 @@
 			}
 		}
 		if len(hosts) == 0 {
-			a.say("in force on every host")
+			a.printLine("in force on every host")
 			return nil
 		}
-		if !time.Now().Before(end) || !sleep.For(ctx, forcePause) {
-			return errors.Errorf("NOT confirmed in force on %s; look again with `radishhoist status`", strings.Join(slices.Sorted(maps.Keys(hosts)), ", "))
+		if !time.Now().Before(end) || !sleep.For(ctx, inForcePollInterval) {
+			return errors.Errorf("NOT confirmed in force on %s; check again with `radishhoist status`", strings.Join(slices.Sorted(maps.Keys(hosts)), ", "))
 		}
 	}
 }
--- a/internal/cli/trace.go
+++ b/internal/cli/trace.go
@@ -19,34 +19,34 @@
 
 // logLine is one line of a daemon's log.
 type logLine struct {
-	at      time.Time
-	host    string
-	request string
-	name    string
-	event   int
-	// rest are the other fields, as JSON.
-	rest map[string]json.RawMessage
+	at          time.Time
+	host        string
+	request     string
+	eventName   string
+	eventNumber int
+	// fields holds the other fields as JSON.
+	fields map[string]json.RawMessage
 }
 
 func (a *app) traceCommand() *cli.Command {
 	return &cli.Command{
-		Name: "trace", Usage: "show a request's way in order, from the logs of several hosts", ArgsUsage: "REQUEST [FILE...]",
+		Name: "trace", Usage: "show the path of one request through the fleet, from the logs of several hosts", ArgsUsage: "REQUEST [FILE...]",
 		Description: "Reads the daemons' logs from files, or from standard input, and prints every line about one\n" +
-			"request: what the front believed when it chose, what the guard decided, how it ended. Other text on\n" +
-			"a line before its first brace is passed over. With no line found it says so and fails.",
+			"request: what the front knew when it chose a target, what the guard decided and how the request ended.\n" +
+			"Text before the first brace of a line is ignored. The command fails if no line is found.",
 		Action: func(_ context.Context, cmd *cli.Command) error {
 			args := cmd.Args().Slice()
 			if len(args) == 0 {
-				return &InvalidError{Text: "trace: write the request's id, as the caller has it in X-Request-Id"}
+				return &InvalidError{Text: "trace: expected the request ID, from the X-Request-Id header"}
 			}
 			lines, err := a.readLogs(args[0], args[1:])
 			if err != nil {
 				return err
 			}
 			if len(lines) == 0 {
-				return errors.Errorf("no line about request %s: ordinary requests are logged one in 32; failures always, up to a rate that linesLeftOut tells", args[0])
+				return errors.Errorf("no line about request %s: one in 32 ordinary requests is logged, and every failure up to a rate limit; linesLeftOut counts the lines above it", args[0])
 			}
-			a.showTrace(lines)
+			a.printTrace(lines)
 			return nil
 		},
 	}
@@ -62,86 +62,91 @@
 	return all, err
 }
 
-// readLog picks the lines about a request.
+// readLog returns the lines about a request.
 func readLog(r io.Reader, request string) ([]logLine, error) {
 	var out []logLine
 	err := event.ReadLines(r, func(text []byte) {
 		if !bytes.Contains(text, []byte(request)) {
 			return
 		}
-		if line, ok := parseLine(text); ok && belongs(line.request, request) {
+		if line, ok := parseLogLine(text); ok && isRequestOrItsCall(line.request, request) {
 			out = append(out, line)
 		}
 	})
 	return out, err
 }
 
-// belongs says that a line is about the request, or about a call whose id its
-// target has made from the request's by adding to it after a dot.
-func belongs(id, request string) bool {
+// isRequestOrItsCall reports whether id is the request's ID or that of a call that an instance
+// made for it: the instance appends a dot and a suffix to the request's ID.
+func isRequestOrItsCall(id, request string) bool {
 	return id == request || strings.HasPrefix(id, request+".")
 }
 
-func parseLine(text []byte) (logLine, bool) {
+func parseLogLine(text []byte) (logLine, bool) {
 	var line logLine
-	if err := json.Unmarshal(text, &line.rest); err != nil {
+	if err := json.Unmarshal(text, &line.fields); err != nil {
 		return logLine{}, false
 	}
-	for field, into := range map[string]any{"time": &line.at, "host": &line.host, "request": &line.request, "msg": &line.name, "event": &line.event} {
-		if raw, ok := line.rest[field]; ok {
+	for field, into := range map[string]any{"time": &line.at, "host": &line.host, "request": &line.request, "msg": &line.eventName, "event": &line.eventNumber} {
+		if raw, ok := line.fields[field]; ok {
 			if err := json.Unmarshal(raw, into); err != nil {
 				return logLine{}, false
 			}
-			delete(line.rest, field)
+			delete(line.fields, field)
 		}
 	}
 	for _, field := range []string{"dc", "level"} {
-		delete(line.rest, field)
+		delete(line.fields, field)
 	}
 	return line, true
 }
 
-// showTrace prints the lines in the order of their hosts' clocks, which may
-// differ a little: the front's line comes last, as it is written at the end.
-func (a *app) showTrace(lines []logLine) {
+// printTrace prints the lines in the order of the hosts' clocks, which may differ slightly. The
+// front's line normally comes last, because it is written when the request has ended.
+func (a *app) printTrace(lines []logLine) {
 	sort.SliceStable(lines, func(i, j int) bool { return lines[i].at.Before(lines[j].at) })
 	for _, l := range lines {
-		_, _ = fmt.Fprintf(a.out, "%s  %s  %d %s  %s\n", l.at.UTC().Format("15:04:05.000"), l.host, l.event, l.name, l.request)
+		_, _ = fmt.Fprintf(a.out, "%s  %s  %d %s  %s\n", l.at.UTC().Format("15:04:05.000"), l.host, l.eventNumber, l.eventName, l.request)
 		var fields []string
-		for field := range l.rest {
+		for field := range l.fields {
 			if field != "attempts" {
 				fields = append(fields, field)
 			}
 		}
 		slices.Sort(fields)
 		for i, field := range fields {
-			fields[i] = field + "=" + strings.Trim(string(l.rest[field]), `"`)
+			fields[i] = field + "=" + strings.Trim(string(l.fields[field]), `"`)
 		}
 		_, _ = fmt.Fprintf(a.out, "    %s\n", strings.Join(fields, "  "))
-		a.showAttempts(l.rest["attempts"])
+		a.printAttempts(l.fields["attempts"])
 	}
 }
 
-// traceAttempt is one attempt as the front logs it.
+// traceAttempt is one attempt in the log line of a front: what the front knew of the target
+// when it chose it, and the outcome.
 type traceAttempt struct {
 	Target, Host, Why, Outcome string
-	Sick                       float64
-	Running, Queued, Of        int
-	AgeMS, MS                  int64
-	LeftOut                    int `json:"leftOut"`
+	// Sick is the probability that the target was failing most requests.
+	Sick float64
+	// Of is the number of targets to choose from.
+	Running, Queued, Of int
+	// AgeMS is the age of the state that the front had of the target, -1 for none, and
+	// MS the duration of the attempt.
+	AgeMS, MS int64
+	LeftOut   int `json:"leftOut"`
 }
 
-func (a *app) showAttempts(raw json.RawMessage) {
+func (a *app) printAttempts(raw json.RawMessage) {
 	var attempts []traceAttempt
 	if len(raw) == 0 || json.Unmarshal(raw, &attempts) != nil {
 		return
 	}
 	for i, t := range attempts {
-		heard := fmt.Sprintf("heard of %d ms before", t.AgeMS)
+		age := fmt.Sprintf("state %d ms old", t.AgeMS)
 		if t.AgeMS < 0 {
-			heard = "not heard of before"
+			age = "no state received"
 		}
-		_, _ = fmt.Fprintf(a.out, "    attempt %d: %s on %s, %s of %d (%d left out); believed sick %.2f, %d running, %d queued, %s -> %s after %d ms\n",
-			i+1, t.Target, t.Host, t.Why, t.Of, t.LeftOut, t.Sick, t.Running, t.Queued, heard, t.Outcome, t.MS)
+		_, _ = fmt.Fprintf(a.out, "    attempt %d: %s on %s, %s among %d targets (%d left out); sick probability %.2f, %d running, %d queued, %s -> %s after %d ms\n",
+			i+1, t.Target, t.Host, t.Why, t.Of, t.LeftOut, t.Sick, t.Running, t.Queued, age, t.Outcome, t.MS)
 	}
 }
--- a/internal/cli/trace_test.go
+++ b/internal/cli/trace_test.go
@@ -27,13 +27,13 @@
 	assert.NilError(t, err)
 	for _, want := range []string{
 		"10:00:00.500  h2  306 request ended at the instance  r1", "instance=i1  sick=0.93  status=500",
-		"attempt 1: i1 on h2, least cost of 8 (1 left out); believed sick 0.02, 1 running, 0 queued, heard of 140 ms before -> status 500 after 3 ms",
+		"attempt 1: i1 on h2, least cost among 8 targets (1 left out); sick probability 0.02, 1 running, 0 queued, state 140 ms old -> status 500 after 3 ms",
 	} {
 		assert.Assert(t, strings.Contains(out, want), out)
 	}
 	assert.Assert(t, strings.Index(out, "306") < strings.Index(out, "206"))
 	assert.Assert(t, !strings.Contains(out, "r12"))
-	assert.Assert(t, strings.Contains(out, "200 request failed  r1.7"), "a call of the request's own is not shown")
+	assert.Assert(t, strings.Contains(out, "200 request failed  r1.7"), "a call made for the request is not shown")
 }
 
 func TestTraceSaysWhatIsMissing(t *testing.T) {
@@ -42,13 +42,13 @@
 	_, err = trace()
 	assert.Equal(t, ExitCode(err), ExitInvalid)
 	_, err = trace("r1", "/nowhere/at/all")
-	assert.ErrorContains(t, err, "open a log")
+	assert.ErrorContains(t, err, "open log file")
 }
 
 func TestAnUnknownAdapterIsNamed(t *testing.T) {
 	var out bytes.Buffer
 	err := New(strings.NewReader(""), &out, nil).Run(context.Background(), []string{"radishhoist", "--adapter", "other", "list"})
-	assert.ErrorContains(t, err, `"other" is not an adapter; write one of [own]`)
+	assert.ErrorContains(t, err, `"other" is not an adapter; use one of [own]`)
 }
 
 func TestLossesNameRouteCauseAndExample(t *testing.T) {
