--- a/cmd/radishhoist/main.go
+++ b/cmd/radishhoist/main.go
@@ -1,4 +1,4 @@
-// Command radishhoist is the operators' command line.
+// Command radishhoist is the command line for operators.
 package main
 
 import (
@@ -14,11 +14,11 @@
 	"github.com/radishhoist/radishhoist/platform"
 )
 
-// watchWait bounds a watch; the command line makes none.
+// watchWait is required to create a store. The command line does not watch.
 const watchWait = time.Second
 
-// adapters are the platforms beside the product's own. Configurations are only
-// read there, so that services need no defaults of their own.
+// adapters are those for platforms other than the project's own. The command line only
+// reads Configurations from these, so the default settings suffice for services.
 var adapters = cli.Adapters{
 	platform.Name: func(url string) objects.Store {
 		return platform.NewStore(url, watchWait, settings.Default().ServiceDefaults())
