--- a/cmd/radishhoistd/cgo.go
+++ b/cmd/radishhoistd/cgo.go
@@ -1,6 +1,6 @@
 package main
 
-// The hosts expect programs linked against the system's C library; without any
-// use of it the linker would leave it out.
+// The hosts expect programs that are linked against the system C library. Without a use of
+// cgo the linker would omit it.
 
 import "C"
--- a/cmd/radishhoistd/main.go
+++ b/cmd/radishhoistd/main.go
@@ -1,4 +1,4 @@
-// Command radishhoistd is the process that runs on every target host.
+// Command radishhoistd is the proxy daemon that runs on every target host.
 package main
 
 import (
@@ -26,7 +26,7 @@
 		Usage: "proxy daemon of one target host: front, guard and control",
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: "config", Aliases: []string{"c"}, Usage: "settings `FILE` (INI)"},
-			&cli.BoolFlag{Name: "check", Usage: "check the settings and exit"},
+			&cli.BoolFlag{Name: "check", Usage: "check the settings file and exit"},
 			&cli.BoolFlag{Name: "reference", Usage: "print every settings key and exit"},
 		},
 		Action: run,
@@ -44,7 +44,7 @@
 	}
 	path := cmd.String("config")
 	if path == "" {
-		return fmt.Errorf("no settings: write -config FILE; -reference lists every key")
+		return fmt.Errorf("no settings file: use -config FILE; -reference lists every key")
 	}
 	cfg, err := settings.Load(path)
 	if err != nil {
@@ -60,7 +60,8 @@
 	return serve(path, cfg)
 }
 
-// ports picks what speaks to the platform that the settings name.
+// ports returns the store, header names and required records for the platform adapter that
+// the settings select.
 func ports(cfg *settings.Config) daemon.Ports {
 	if cfg.Adapter == platform.Name {
 		return daemon.Ports{
@@ -75,9 +76,9 @@
 func serve(path string, cfg *settings.Config) error {
 	level := &slog.LevelVar{}
 	setLevel(level, cfg.LogLevel)
-	lines := event.NewSink(os.Stdout)
-	defer lines.Close()
-	log := slog.New(slog.NewJSONHandler(lines, &slog.HandlerOptions{Level: level}))
+	sink := event.NewSink(os.Stdout)
+	defer sink.Close()
+	log := slog.New(slog.NewJSONHandler(sink, &slog.HandlerOptions{Level: level}))
 	limitMemory(cfg.MemoryMB)
 	stop := make(chan os.Signal, 1)
 	signal.Notify(stop, syscall.SIGTERM, syscall.SIGINT)
@@ -95,30 +96,32 @@
 	})
 	<-stop
 	cancel()
-	again := make(chan os.Signal, 1)
-	signal.Notify(again, syscall.SIGTERM)
-	// A second interrupt from a terminal ends the process at once.
+	// Each further SIGTERM restarts the drain timeout.
+	extend := make(chan os.Signal, 1)
+	signal.Notify(extend, syscall.SIGTERM)
+	// Restores the default action of SIGINT: a second interrupt from a terminal ends the
+	// process at once.
 	signal.Stop(stop)
-	if !d.Shutdown(again) {
+	if !d.Shutdown(extend) {
 		return fmt.Errorf("requests were still running at the drain timeout of %s", cfg.DrainTimeout)
 	}
 	return nil
 }
 
-// setLevel takes a level that the settings have accepted.
+// setLevel sets the log level, whose name the settings have validated.
 func setLevel(level *slog.LevelVar, name string) {
 	if err := level.UnmarshalText([]byte(name)); err != nil {
 		panic("radishhoistd: " + err.Error())
 	}
 }
 
-// memoryShare is the part of the memory bound at which the garbage collector
-// begins to work as hard as it must: the rest is for what it does not count,
-// such as stacks and bytes that wait in sockets.
-const memoryShare = 0.7
+// memoryLimitFraction is the fraction of the configured memory that is set as the soft limit
+// of the garbage collector, above which it collects as often as necessary. The rest is for
+// memory that the limit does not count, such as stacks and data in socket buffers.
+const memoryLimitFraction = 0.7
 
 func limitMemory(mb int) {
 	if mb > 0 {
-		debug.SetMemoryLimit(int64(memoryShare * float64(mb<<20)))
+		debug.SetMemoryLimit(int64(memoryLimitFraction * float64(mb<<20)))
 	}
 }
