--- a/cmd/radishhoist-lab/main.go
+++ b/cmd/radishhoist-lab/main.go
@@ -1,5 +1,5 @@
-// Command radishhoist-lab runs the stand-ins of the platform and of targets,
-// the demo and the load tool. It is for development; hosts do not need it.
+// Command radishhoist-lab has the development tools: stand-ins for the platform and for
+// targets, a demo, a load generator, benchmarks and fault tests. Hosts do not need it.
 package main
 
 import (
@@ -26,7 +26,7 @@
 	defer stop()
 	cmd := &cli.Command{
 		Name:     "radishhoist-lab",
-		Usage:    "stand-ins, demo and load tool for development",
+		Usage:    "stand-ins, demo, load generator and measurements for development",
 		Commands: []*cli.Command{platformCommand(), targetCommand(), demoCommand(), loadCommand(), benchCommand(), grayCommand(), capacityCommand(), reserveCommand(), takeoverCommand(), soakCommand()},
 	}
 	if err := cmd.Run(ctx, os.Args); err != nil {
@@ -38,7 +38,7 @@
 func platformCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "platform",
-		Usage: "run a stand-in of the platform's object API",
+		Usage: "run a stand-in for the platform's object API",
 		Flags: []cli.Flag{&cli.StringFlag{Name: "listen", Value: "127.0.0.1:7000", Usage: "`ADDRESS` to listen on"}},
 		Action: func(ctx context.Context, cmd *cli.Command) error {
 			l, err := port.Listen("the platform stand-in", cmd.String("listen"))
@@ -61,15 +61,15 @@
 func targetCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "target",
-		Usage: "run a stand-in of one target instance",
+		Usage: "run a stand-in for one target instance",
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: "name", Required: true, Usage: "instance `NAME`"},
 			&cli.StringFlag{Name: "service", Required: true, Usage: "service `NAME`"},
 			&cli.StringFlag{Name: "listen", Value: "127.0.0.1:0", Usage: "`ADDRESS` to listen on"},
 			&cli.StringFlag{Name: "announce", Required: true, Usage: "the daemon's announce `ADDRESS`"},
-			&cli.IntFlag{Name: "slots", Value: 7, Usage: "requests run at once"},
-			&cli.DurationFlag{Name: "service-time", Value: 10 * time.Millisecond, Usage: "median `TIME` of a request"},
-			&cli.FloatFlag{Name: "spread", Value: 0.3, Usage: "standard deviation of its logarithm"},
+			&cli.IntFlag{Name: "slots", Value: 7, Usage: "number of requests that run concurrently"},
+			&cli.DurationFlag{Name: "service-time", Value: 10 * time.Millisecond, Usage: "median service `TIME` of a request"},
+			&cli.FloatFlag{Name: "spread", Value: 0.3, Usage: "standard deviation of the logarithm of the service time"},
 		},
 		Action: func(ctx context.Context, cmd *cli.Command) error {
 			s, err := target.Start(target.Config{
@@ -90,7 +90,7 @@
 func demoCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "demo",
-		Usage: "run platform, targets and daemons as processes, send traffic, turn a target gray",
+		Usage: "run platform, targets and daemons as processes, send traffic and inject a gray failure into a target",
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: "bin", Value: "bin", Usage: "`DIRECTORY` of the built programs"},
 			&cli.IntFlag{Name: "net", Usage: "third `NUMBER` of the loopback addresses, 0 to 255"},
@@ -107,10 +107,10 @@
 		Name:  "load",
 		Usage: "send requests to loopback addresses at a fixed rate and report the latencies",
 		Flags: []cli.Flag{
-			&cli.StringSliceFlag{Name: "to", Required: true, Usage: "`URL` on a loopback address; several take turns"},
+			&cli.StringSliceFlag{Name: "to", Required: true, Usage: "`URL` on a loopback address; several are used in turn"},
 			&cli.StringFlag{Name: "method", Value: "GET", Usage: "HTTP `METHOD`"},
-			&cli.IntFlag{Name: "rate", Value: 100, Usage: "requests a second"},
-			&cli.DurationFlag{Name: "for", Value: 10 * time.Second, Usage: "`TIME` to run, 10 minutes at most"},
+			&cli.IntFlag{Name: "rate", Value: 100, Usage: "requests per second"},
+			&cli.DurationFlag{Name: "for", Value: 10 * time.Second, Usage: "`TIME` to run, at most 10 minutes"},
 			&cli.IntFlag{Name: "body", Usage: "size of the request body in bytes"},
 		},
 		Action: func(ctx context.Context, cmd *cli.Command) error {
@@ -130,10 +130,10 @@
 func benchCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "bench",
-		Usage: "measure what front and guard add to a request, against calling the target directly",
+		Usage: "measure the overhead of front and guard per request, compared with calling the target directly",
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: "bin", Value: "bin", Usage: "`DIRECTORY` of the built programs"},
-			&cli.IntSliceFlag{Name: "rate", Value: []int{500, 2000, 4000}, Usage: "requests a second; several are measured in turn"},
+			&cli.IntSliceFlag{Name: "rate", Value: []int{500, 2000, 4000}, Usage: "requests per second; several rates are measured in turn"},
 		},
 		Action: func(ctx context.Context, cmd *cli.Command) error {
 			return lab.Bench(ctx, os.Stdout, cmd.String("bin"), cmd.IntSlice("rate"))
@@ -144,14 +144,14 @@
 func grayCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "gray",
-		Usage: "measure detection, ejection and load control in virtual time beside baselines",
+		Usage: "measure detection, ejection and load control in virtual time and compare them with baselines",
 		Flags: []cli.Flag{
-			&cli.IntFlag{Name: "seeds", Value: 10, Usage: "runs a case"},
-			&cli.IntFlag{Name: "first", Value: experiment.HeldOut, Usage: "first seed; the default ones are never used for tuning"},
+			&cli.IntFlag{Name: "seeds", Value: 10, Usage: "runs per case"},
+			&cli.IntFlag{Name: "first", Value: experiment.HeldOut, Usage: "first seed; those from the default on are never used for tuning"},
 			&cli.FloatFlag{Name: "noise-hours", Value: 2000, Usage: "length of the noise run in instance-hours"},
-			&cli.BoolFlag{Name: "recovery", Usage: "only list the failures that are left long after a spike"},
-			&cli.BoolFlag{Name: "ours", Usage: "leave the baselines out"},
-			&cli.BoolFlag{Name: "large", Usage: "add the target size"},
+			&cli.BoolFlag{Name: "recovery", Usage: "only list the failures that remain long after a load spike"},
+			&cli.BoolFlag{Name: "ours", Usage: "omit the baselines"},
+			&cli.BoolFlag{Name: "large", Usage: "add the runs at the target fleet size"},
 			&cli.StringFlag{Name: "svg", Usage: "write a plot to `FILE`"},
 		},
 		Action: func(_ context.Context, cmd *cli.Command) error {
@@ -175,10 +175,10 @@
 func capacityCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "capacity",
-		Usage: "measure the slopes behind docs/CAPACITY.md",
+		Usage: "measure how resource use grows with the fleet, for docs/CAPACITY.md",
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: "bin", Value: "bin", Usage: "`DIRECTORY` of the built programs"},
-			&cli.IntSliceFlag{Name: "daemons", Value: []int{10, 40, 100}, Usage: "numbers of real daemons"},
+			&cli.IntSliceFlag{Name: "daemons", Value: []int{10, 40, 100}, Usage: "numbers of daemon processes to measure with"},
 		},
 		Action: func(ctx context.Context, cmd *cli.Command) error {
 			return lab.Capacity(ctx, os.Stdout, cmd.String("bin"), cmd.IntSlice("daemons"))
@@ -189,15 +189,15 @@
 func soakCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "soak",
-		Usage: "run a fleet of real processes under seeded faults and check the promises",
+		Usage: "run a fleet of real processes with seeded fault injection and check its guarantees",
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: "bin", Value: "bin", Usage: "`DIRECTORY` of the built programs"},
 			&cli.IntFlag{Name: "seed", Value: 1, Usage: "first seed"},
 			&cli.IntFlag{Name: "seeds", Value: 1, Usage: "number of seeds, one after the other"},
-			&cli.IntFlag{Name: "hosts", Value: 9, Usage: "hosts, each with a daemon and an instance, 90 at most"},
-			&cli.DurationFlag{Name: "for", Value: 30 * time.Second, Usage: "`TIME` of one seed; the last 8 s are without faults"},
+			&cli.IntFlag{Name: "hosts", Value: 9, Usage: "hosts, each with a daemon and an instance, at most 90"},
+			&cli.DurationFlag{Name: "for", Value: 30 * time.Second, Usage: "`TIME` to run per seed; the last 8 s are without faults"},
 			&cli.IntFlag{Name: "net", Value: 77, Usage: "third `NUMBER` of the loopback addresses"},
-			&cli.StringFlag{Name: "logs", Usage: "`DIRECTORY` for the logs of seeds that break a promise"},
+			&cli.StringFlag{Name: "logs", Usage: "`DIRECTORY` for the logs of seeds that violate a guarantee"},
 		},
 		Action: func(ctx context.Context, cmd *cli.Command) error {
 			return soak.Seeds(ctx, os.Stdout, soak.Config{
@@ -210,7 +210,7 @@
 func reserveCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "reserve",
-		Usage: "compare reserve-then-run with one-step sending under a one-way cut",
+		Usage: "compare reserve-then-run with one-step sending under a one-way network partition",
 		Action: func(context.Context, *cli.Command) error {
 			experiment.ReportReserve(os.Stdout)
 			return nil
@@ -221,7 +221,7 @@
 func takeoverCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "takeover",
-		Usage: "measure what fresh keys are refused when the owner of key shards is killed, frozen or drained",
+		Usage: "measure how many new idempotency keys are refused when the owner of key shards is killed, frozen or drained",
 		Flags: []cli.Flag{&cli.StringFlag{Name: "bin", Value: "bin", Usage: "`DIRECTORY` of the built programs"}},
 		Action: func(ctx context.Context, cmd *cli.Command) error {
 			return lab.Takeover(ctx, os.Stdout, cmd.String("bin"))
