--- a/internal/cli/suspects.go
+++ b/internal/cli/suspects.go
@@ -91,9 +91,9 @@
 func mergeSuspects(fromDaemon []guard.SuspectState, stored []objects.Object) []*suspect {
 	byFingerprint := make(map[string]*suspect)
 	for _, k := range fromDaemon {
-		s := &suspect{Fingerprint: k.Print, StoppedUntil: k.Until, TerminationCount: k.Ends}
+		s := &suspect{Fingerprint: k.Fingerprint, StoppedUntil: k.Until, TerminationCount: k.Crashes}
 		s.setTerminations(k.Instances)
-		byFingerprint[k.Print] = s
+		byFingerprint[k.Fingerprint] = s
 	}
 	for _, obj := range stored {
 		rec, err := record.Parse(obj.Value)
--- a/internal/cli/teams.go
+++ b/internal/cli/teams.go
@@ -138,12 +138,12 @@
 }
 
 func (u *teamUsage) add(host string, s teams.State) {
-	used := s.Level / max(s.Room, 1)
+	used := s.Level / max(s.Capacity, 1)
 	switch {
 	case host == s.Home:
-		u.Rate, u.Burst, u.UsedFraction, u.Home, u.NearLimit = s.Rate, s.Burst, used, host, s.Close
+		u.Rate, u.Burst, u.UsedFraction, u.Home, u.NearLimit = s.Rate, s.Burst, used, host, s.NearLimit
 	case u.Home == "":
-		u.Rate, u.Burst, u.UsedFraction, u.NearLimit = s.Rate, s.Burst, max(u.UsedFraction, used), u.NearLimit || s.Close
+		u.Rate, u.Burst, u.UsedFraction, u.NearLimit = s.Rate, s.Burst, max(u.UsedFraction, used), u.NearLimit || s.NearLimit
 	}
 	if s.Passed > 0 {
 		u.Passed[host] = s.Passed
@@ -151,7 +151,7 @@
 	if s.Refused > 0 {
 		u.Refused[host] = s.Refused
 	}
-	if s.Alone {
+	if s.Standalone {
 		u.Standalone = append(u.Standalone, host)
 	}
 }
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -55,14 +55,14 @@
 	Instances func() []directory.Instance
 	// Pulse is called with what other hosts' guards tell of their instances. It
 	// must not block.
-	Pulse func(*msg.Pulse)
+	Pulse func(*msg.LoadReport)
 	// Ended is called with the ends of instances anywhere, and Cleared with what
 	// requests were cleared of. They must not block.
-	Ended   func(crash.End)
-	Cleared func(end string, p crash.Print)
+	Ended   func(crash.Crash)
+	Cleared func(end string, p crash.Fingerprint)
 	// Lifted is called with a request that may run again by an operator's word. It must
 	// not block.
-	Lifted func(p crash.Print)
+	Lifted func(p crash.Fingerprint)
 	// Teams holds teams to their rates; nil where nothing does.
 	Teams Teams
 	// Synced is called once the shard maps were read from the platform.
@@ -110,13 +110,13 @@
 	reports  map[string]report
 	reported time.Time
 	// contacts are the hosts that are known by address only.
-	contacts *contact.Book
+	contacts *contact.Contacts
 	watching bool
 	// away are the feeds whose last call failed.
 	away    map[objects.Feed]bool
 	traffic Traffic
 	// pulses says who is told of instances.
-	pulses *pulse.Spread
+	pulses *pulse.Limiter
 	// unkept are the requests that are stopped and do not stand in the platform yet.
 	unkept unkept
 	// endsSwept is when old ends were dropped last.
@@ -224,7 +224,7 @@
 func (c *Control) tick(now time.Time) {
 	c.mu.Lock()
 	c.members.Tick(now)
-	if c.members.Accused() {
+	if c.members.Suspected() {
 		c.selfDue = true
 	}
 	if c.selfDue {
@@ -272,7 +272,7 @@
 func (c *Control) Inject(obj objects.Object) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.replica.Local(c.peers(), msg.SetRecords, toEntries([]objects.Object{obj}))
+	c.replica.Publish(c.peers(), msg.SetRecords, toEntries([]objects.Object{obj}))
 	c.flush(time.Now())
 }
 
@@ -304,7 +304,7 @@
 		return
 	}
 	entry := msg.Entry{Kind: hostKind, Name: c.cfg.Host, Version: c.version, Value: value}
-	c.replica.Local(c.peers(), msg.SetHosts, []msg.Entry{entry})
+	c.replica.Publish(c.peers(), msg.SetHosts, []msg.Entry{entry})
 }
 
 // hostKind is the kind of the entries in msg.SetHosts.
@@ -313,7 +313,7 @@
 // peers lists whom to replicate with.
 func (c *Control) peers() config.Peers {
 	near, far := c.members.Live()
-	return config.Peers{Near: near, Far: far}
+	return config.Peers{Local: near, Remote: far}
 }
 
 // HandleControl takes a message from another host.
@@ -328,7 +328,7 @@
 	case *msg.Report:
 		c.takeReport(from.Host, m)
 		return
-	case *msg.Pulse:
+	case *msg.LoadReport:
 		c.takePulse(m)
 		return
 	case *msg.Digest:
@@ -388,7 +388,7 @@
 // cannot be sent is lost: repair finds it.
 func (c *Control) sendMessage(ctx context.Context, addr string, m msg.Message) {
 	switch m.(type) {
-	case *msg.Pulse, *msg.Report:
+	case *msg.LoadReport, *msg.Report:
 		_ = c.pool.SendLossy(ctx, addr, m)
 	default:
 		_ = c.pool.SendControl(ctx, addr, m)
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -38,7 +38,7 @@
 		Directory: directory,
 		Instances: noInstances,
 		Synced:    func() {},
-		Pulse:     func(*msg.Pulse) {},
+		Pulse:     func(*msg.LoadReport) {},
 	}, store, slog.New(slog.NewTextHandler(io.Discard, nil)))
 }
 
@@ -78,7 +78,7 @@
 	assert.Assert(t, len(*seen) > 0)
 	assert.Assert(t, !(*seen)[len(*seen)-1].Whole)
 
-	c.HandleControl(from, &msg.Snapshot{Set: msg.SetRecords, Entries: []msg.Entry{entry}, Last: true, Whole: true})
+	c.HandleControl(from, &msg.Snapshot{Set: msg.SetRecords, Entries: []msg.Entry{entry}, Last: true, Complete: true})
 	c.tick(now.Add(tickInterval))
 	assert.Assert(t, (*seen)[len(*seen)-1].Whole, "the set is whole, and the directory in force does not say so")
 }
@@ -104,8 +104,8 @@
 func TestTheRecordOfAClearedRequestIsRemoved(t *testing.T) {
 	c, _ := newTestControl(t)
 	now := time.Now()
-	const print = crash.Print(7)
-	c.hooks.Cleared = func(string, crash.Print) {}
+	const print = crash.Fingerprint(7)
+	c.hooks.Cleared = func(string, crash.Fingerprint) {}
 	key := record.Key{Kind: record.KindCrasher, Name: print.String()}
 	s := &record.Crasher{Request: "GET /status"}
 	for _, id := range []string{"a", "b", "c"} {
@@ -123,7 +123,7 @@
 // peer is all it hears: it must call back who sent it, and once only.
 func TestAHostThatKnowsNobodyCallsBackWhoProbesIt(t *testing.T) {
 	c, _ := newTestControl(t)
-	probe := &msg.Packet{Kind: msg.PacketPing, From: "b", FromPeer: "127.0.0.1:2", Target: "a"}
+	probe := &msg.Packet{Kind: msg.PacketPing, From: "b", FromAddr: "127.0.0.1:2", ProbedHost: "a"}
 	c.noticeStranger(probe)
 	now := time.Now()
 	c.tick(now)
@@ -135,8 +135,8 @@
 	assert.Assert(t, tellsOfItself && asks && pull.All && pull.Set == msg.SetHosts)
 
 	c.hosts["c"] = &directory.Host{Name: "c"}
-	c.noticeStranger(&msg.Packet{Kind: msg.PacketPing, From: "c", FromPeer: "127.0.0.1:3", Target: "a"})
-	assert.Equal(t, c.contacts.Strangers(), 1)
+	c.noticeStranger(&msg.Packet{Kind: msg.PacketPing, From: "c", FromAddr: "127.0.0.1:3", ProbedHost: "a"})
+	assert.Equal(t, c.contacts.Candidates(), 1)
 }
 
 // Of hosts that start at once only a few watch: those that come first among the
--- a/internal/control/crashers.go
+++ b/internal/control/crashers.go
@@ -29,14 +29,14 @@
 // unkept holds the records of stopped requests until they stand in the platform.
 type unkept struct {
 	mu      sync.Mutex
-	byPrint map[crash.Print][]byte
+	byPrint map[crash.Fingerprint][]byte
 	// toldAt is when a line told last that the platform does not take one.
 	toldAt time.Time
 }
 
 // Keep has a stopped request kept in the platform, so that a loss of all processes does
 // not forget it. It does not wait for that.
-func (c *Control) Keep(p crash.Print, request string, ends []record.InstanceEnd) {
+func (c *Control) Keep(p crash.Fingerprint, request string, ends []record.InstanceEnd) {
 	value, err := record.Marshal(crasherKey(p), &record.Crasher{Request: request, Ends: ends})
 	if err != nil {
 		c.logUnkept(p, err)
@@ -45,18 +45,18 @@
 	c.unkept.mu.Lock()
 	defer c.unkept.mu.Unlock()
 	if c.unkept.byPrint == nil {
-		c.unkept.byPrint = make(map[crash.Print][]byte)
+		c.unkept.byPrint = make(map[crash.Fingerprint][]byte)
 	}
 	c.unkept.byPrint[p] = value
 }
 
 // crasherKey is the key of a stopped request's record.
-func crasherKey(p crash.Print) record.Key {
+func crasherKey(p crash.Fingerprint) record.Key {
 	return record.Key{Kind: record.KindCrasher, Name: p.String()}
 }
 
 // next gives the record of one request that is to be kept; false for none.
-func (u *unkept) next() (crash.Print, []byte, bool) {
+func (u *unkept) next() (crash.Fingerprint, []byte, bool) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	for p, value := range u.byPrint {
@@ -65,7 +65,7 @@
 	return 0, nil, false
 }
 
-func (u *unkept) done(p crash.Print) {
+func (u *unkept) done(p crash.Fingerprint) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	delete(u.byPrint, p)
@@ -91,7 +91,7 @@
 }
 
 // keepCrasher writes one record. One that stands there already says the same.
-func (c *Control) keepCrasher(ctx context.Context, p crash.Print, value []byte) error {
+func (c *Control) keepCrasher(ctx context.Context, p crash.Fingerprint, value []byte) error {
 	_, err := c.store.Put(ctx, crasherKey(p), value, 0)
 	var conflict *objects.ConflictError
 	if errors.As(err, &conflict) {
@@ -102,7 +102,7 @@
 
 // tellUnkept logs that the platform does not take a record, the first time and each
 // unkeptLines after.
-func (c *Control) tellUnkept(now time.Time, p crash.Print, cause error) {
+func (c *Control) tellUnkept(now time.Time, p crash.Fingerprint, cause error) {
 	if !c.unkept.toldAt.IsZero() && now.Sub(c.unkept.toldAt) < unkeptLines {
 		return
 	}
@@ -110,7 +110,7 @@
 	c.logUnkept(p, cause)
 }
 
-func (c *Control) logUnkept(p crash.Print, cause error) {
+func (c *Control) logUnkept(p crash.Fingerprint, cause error) {
 	event.Log(c.log, event.RecordUnwritten, slog.String("record", crasherKey(p).String()), slog.String("cause", cause.Error()))
 }
 
@@ -120,7 +120,7 @@
 	if e.Kind != string(record.KindCrasher) {
 		return
 	}
-	p, err := crash.ParsePrint(e.Name)
+	p, err := crash.ParseFingerprint(e.Name)
 	if err != nil {
 		c.refuseEnd(time.Now(), e, err)
 		return
@@ -135,32 +135,32 @@
 		return // refused, with a line of its own
 	}
 	for _, end := range r.Spec.(*record.Crasher).Ends {
-		if time.Since(time.UnixMilli(end.AtMS)) > crash.Keep {
+		if time.Since(time.UnixMilli(end.AtMS)) > crash.RetentionPeriod {
 			continue
 		}
-		c.hooks.Ended(crash.End{
+		c.hooks.Ended(crash.Crash{
 			ID: end.ID, Software: crash.Software{Service: end.Service, Version: end.Version},
-			Host: end.Host, At: time.UnixMilli(end.AtMS), Prints: []crash.Print{p},
+			Host: end.Host, DetectedAt: time.UnixMilli(end.AtMS), Fingerprints: []crash.Fingerprint{p},
 		})
 	}
 }
 
 // clearEnds clears a request of all ends, for hosts that hear of them later. All hosts
 // that do so write the same, so that it spreads once. The caller holds the lock.
-func (c *Control) clearEnds(p crash.Print) {
+func (c *Control) clearEnds(p crash.Fingerprint) {
 	var cleared []msg.Entry
 	c.replica.Set(msg.SetEnds).Each(func(e msg.Entry) {
 		if e.Kind != endKind {
 			return
 		}
-		if end, err := readEnd(e); err == nil && slices.Contains(end.Prints, p) {
+		if end, err := readEnd(e); err == nil && slices.Contains(end.Fingerprints, p) {
 			cleared = append(cleared, clearedEntry(e.Name, p, e.Version))
 		}
 	})
-	c.replica.Local(c.peers(), msg.SetEnds, cleared)
+	c.replica.Publish(c.peers(), msg.SetEnds, cleared)
 }
 
-func clearedEntry(end string, p crash.Print, version int64) msg.Entry {
+func clearedEntry(end string, p crash.Fingerprint, version int64) msg.Entry {
 	return msg.Entry{Kind: clearedKind, Name: end + printStart + p.String(), Version: version}
 }
 
@@ -187,7 +187,7 @@
 			continue
 		}
 		last := slices.MaxFunc(s.Ends, func(x, y record.InstanceEnd) int { return int(x.AtMS - y.AtMS) })
-		if now.Sub(time.UnixMilli(last.AtMS)) > crash.Keep || c.blamed(key.Name, s.Ends) < crash.StopAfter {
+		if now.Sub(time.UnixMilli(last.AtMS)) > crash.RetentionPeriod || c.blamed(key.Name, s.Ends) < crash.BlockAfterIncidents {
 			out[key] = r.Version
 		}
 	}
--- a/internal/control/ends.go
+++ b/internal/control/ends.go
@@ -22,22 +22,22 @@
 )
 
 // TellEnd tells all hosts of the end of an instance.
-func (c *Control) TellEnd(e crash.End) {
-	m := msg.InstanceEnd{Service: e.Software.Service, SoftwareVersion: e.Software.Version, Host: e.Host, AtMS: e.At.UnixMilli()}
-	for _, p := range e.Prints {
+func (c *Control) TellEnd(e crash.Crash) {
+	m := msg.InstanceEnd{Service: e.Software.Service, SoftwareVersion: e.Software.Version, Host: e.Host, AtMS: e.DetectedAt.UnixMilli()}
+	for _, p := range e.Fingerprints {
 		m.Prints = append(m.Prints, uint64(p))
 	}
 	entry := msg.Entry{Kind: endKind, Name: e.ID, Version: m.AtMS}
 	var err error
 	if entry.Value, err = m.MarshalMsg(nil); err != nil {
-		c.refuseEnd(e.At, entry, err)
+		c.refuseEnd(e.DetectedAt, entry, err)
 		return
 	}
 	c.tellEnds(entry)
 }
 
 // TellCleared tells all hosts that a request had no part in an end.
-func (c *Control) TellCleared(end string, p crash.Print) {
+func (c *Control) TellCleared(end string, p crash.Fingerprint) {
 	c.mu.Lock()
 	version := c.endVersion(end, time.Now())
 	c.mu.Unlock()
@@ -47,7 +47,7 @@
 func (c *Control) tellEnds(e msg.Entry) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.replica.Local(c.peers(), msg.SetEnds, []msg.Entry{e})
+	c.replica.Publish(c.peers(), msg.SetEnds, []msg.Entry{e})
 	c.flush(time.Now())
 }
 
@@ -60,14 +60,14 @@
 	var err error
 	switch e.Kind {
 	case endKind:
-		var end crash.End
+		var end crash.Crash
 		if end, err = readEnd(e); err == nil {
 			c.hooks.Ended(end)
 		}
 	case clearedKind:
-		var p crash.Print
+		var p crash.Fingerprint
 		cut := strings.LastIndex(e.Name, printStart)
-		if p, err = crash.ParsePrint(e.Name[cut+1:]); err == nil && cut >= 0 {
+		if p, err = crash.ParseFingerprint(e.Name[cut+1:]); err == nil && cut >= 0 {
 			c.hooks.Cleared(e.Name[:cut], p)
 		}
 	}
@@ -76,17 +76,17 @@
 	}
 }
 
-func readEnd(e msg.Entry) (crash.End, error) {
+func readEnd(e msg.Entry) (crash.Crash, error) {
 	var m msg.InstanceEnd
 	if _, err := m.UnmarshalMsg(e.Value); err != nil {
-		return crash.End{}, err
+		return crash.Crash{}, err
 	}
-	end := crash.End{
+	end := crash.Crash{
 		ID: e.Name, Software: crash.Software{Service: m.Service, Version: m.SoftwareVersion},
-		Host: m.Host, At: time.UnixMilli(m.AtMS),
+		Host: m.Host, DetectedAt: time.UnixMilli(m.AtMS),
 	}
 	for _, p := range m.Prints {
-		end.Prints = append(end.Prints, crash.Print(p))
+		end.Fingerprints = append(end.Fingerprints, crash.Fingerprint(p))
 	}
 	return end, nil
 }
@@ -101,7 +101,7 @@
 
 // oldEnd says that an entry of msg.SetEnds is no longer remembered.
 func oldEnd(now time.Time, e msg.Entry) bool {
-	return now.Sub(time.UnixMilli(e.Version)).Abs() > crash.Keep
+	return now.Sub(time.UnixMilli(e.Version)).Abs() > crash.RetentionPeriod
 }
 
 // sweepEnds drops ends that are no longer remembered. The caller holds the lock.
--- a/internal/control/ends_test.go
+++ b/internal/control/ends_test.go
@@ -32,20 +32,20 @@
 	f.Add(clearedKind, "no print", []byte(nil))
 	f.Add("other", "x", []byte(nil))
 	f.Fuzz(func(t *testing.T, kind, name string, value []byte) {
-		book := crash.NewBook()
+		book := crash.NewTracker()
 		now := time.Now()
 		c := newOver(awayStore{}, func(*directory.Directory) {})
-		c.hooks.Ended = func(e crash.End) {
+		c.hooks.Ended = func(e crash.Crash) {
 			assert.Equal(t, e.ID, name)
 			book.Add(now, e)
 		}
-		c.hooks.Cleared = func(end string, p crash.Print) {
+		c.hooks.Cleared = func(end string, p crash.Fingerprint) {
 			assert.Equal(t, end+printStart, name[:len(end)+1])
 			book.Clear(now, end, p)
 		}
 		c.applyEnd(now, msg.Entry{Kind: kind, Name: name, Version: now.UnixMilli(), Value: value})
-		for _, v := range book.Verdicts(now) {
-			assert.Assert(t, !v.Everywhere(now), "one end stops nothing")
+		for _, v := range book.Assess(now) {
+			assert.Assert(t, !v.BlockedEverywhere(now), "one end stops nothing")
 		}
 	})
 }
@@ -78,7 +78,7 @@
 	var lines logtest.Buffer
 	c := newOver(store, func(*directory.Directory) {})
 	c.log = slog.New(slog.NewTextHandler(&lines, nil))
-	for p := range crash.Print(3) {
+	for p := range crash.Fingerprint(3) {
 		c.Keep(p+1, "GET /status", []record.InstanceEnd{{ID: "i@1", AtMS: 1000}})
 	}
 	told := func() int { return strings.Count(lines.String(), "403 Forbidden") }
--- a/internal/control/hosts.go
+++ b/internal/control/hosts.go
@@ -69,14 +69,14 @@
 	}
 	c.hosts[e.Name] = h
 	delete(c.forgetAt, e.Name)
-	c.members.Learn(now, e.Name, state.DC, state.Peer, e.Version)
+	c.members.Update(now, e.Name, state.DC, state.Peer, e.Version)
 }
 
 func toWire(i directory.Instance) msg.HostInstance {
 	return msg.HostInstance{
 		Name: i.Name, Service: i.Service, Slots: uint32(i.Slots), Conns: uint32(i.Conns), Version: i.Version,
 		State: uint8(i.State), Health: uint8(i.Health), Evidence: i.Evidence, StartedMS: i.StartedMS,
-		WarmLeftMS: uint32(i.WarmLeft.Milliseconds()),
+		WarmLeftMS: uint32(i.WarmUpLeft.Milliseconds()),
 	}
 }
 
@@ -85,7 +85,7 @@
 	return directory.Instance{
 		Name: i.Name, Service: i.Service, Slots: int(i.Slots), Conns: int(i.Conns), Version: i.Version,
 		State: directory.InstanceState(i.State), Health: detect.Health(i.Health), Evidence: i.Evidence, StartedMS: i.StartedMS,
-		WarmLeft: left, WarmAt: now.Add(left),
+		WarmUpLeft: left, WarmUpEnd: now.Add(left),
 	}
 }
 
@@ -107,7 +107,7 @@
 			event.Log(c.log, event.SetLoaded, slog.Int("records", c.replica.Set(msg.SetRecords).Len()),
 				slog.Int64("newest", c.replica.Set(msg.SetRecords).Newest()))
 		}
-		c.compiled = c.compiled.Next(c.records.list(), whole)
+		c.compiled = c.compiled.Recompile(c.records.list(), whole)
 		c.compiledTo = c.replica.Set(msg.SetRecords).Newest()
 	}
 	hosts := make([]*directory.Host, 0, len(c.hosts))
@@ -131,7 +131,7 @@
 			return false
 		}
 	}
-	return c.replica.Whole()
+	return c.replica.Complete()
 }
 
 // forgetDead drops hosts that have been dead for long.
@@ -147,7 +147,7 @@
 		if e, ok := c.replica.Set(msg.SetHosts).Get(config.Key{Kind: hostKind, Name: host}); ok {
 			e.Version++
 			e.Deleted, e.Value = true, nil
-			c.replica.Local(c.peers(), msg.SetHosts, []msg.Entry{e})
+			c.replica.Publish(c.peers(), msg.SetHosts, []msg.Entry{e})
 			c.flush(now)
 		}
 	}
@@ -157,10 +157,10 @@
 // has just started while the platform is away knows nobody; its old peers go on
 // probing its address, and it calls back who does. The caller holds the lock.
 func (c *Control) noticeStranger(p *msg.Packet) {
-	if p.From == "" || p.From == c.cfg.Host || p.FromPeer == "" || c.knows(p.From) {
+	if p.From == "" || p.From == c.cfg.Host || p.FromAddr == "" || c.knows(p.From) {
 		return
 	}
-	c.contacts.Probed(p.From, p.FromPeer)
+	c.contacts.AddProber(p.From, p.FromAddr)
 }
 
 // knows says that the fleet has told of a host.
@@ -172,16 +172,16 @@
 // callContacts tells hosts that are known by address only of this one, and asks
 // for what they know. The caller holds the lock.
 func (c *Control) callContacts(now time.Time) {
-	if c.contacts.Met(c.knows, c.members.Alone()) {
-		c.replica.Retell(c.peers(), msg.SetHosts, config.Key{Kind: hostKind, Name: c.cfg.Host})
+	if c.contacts.AllReached(c.knows, c.members.NoPeers()) {
+		c.replica.Resend(c.peers(), msg.SetHosts, config.Key{Kind: hostKind, Name: c.cfg.Host})
 	}
-	for _, call := range c.contacts.Due(now, c.knows, c.members.Alone()) {
+	for _, call := range c.contacts.NextCalls(now, c.knows, c.members.NoPeers()) {
 		self, ok := c.replica.Set(msg.SetHosts).Get(config.Key{Kind: hostKind, Name: c.cfg.Host})
 		if !ok {
 			return
 		}
 		c.queueTo(call.Addr, &msg.Rumor{Set: msg.SetHosts, Entries: []msg.Entry{self}})
-		c.queueTo(call.Addr, call.Ask(hostKind))
+		c.queueTo(call.Addr, call.PullRequest(hostKind))
 	}
 }
 
--- a/internal/control/join.go
+++ b/internal/control/join.go
@@ -102,7 +102,7 @@
 func (c *Control) meet(all []hostListing) {
 	for _, l := range all {
 		if l.name != c.cfg.Host {
-			c.contacts.Listed(l.name, l.DC, l.Peer, c.knows(l.name))
+			c.contacts.AddListed(l.name, l.DC, l.Peer, c.knows(l.name))
 		}
 	}
 }
--- a/internal/control/pulse.go
+++ b/internal/control/pulse.go
@@ -9,20 +9,20 @@
 
 // Tell passes a pulse of this host's guard to fronts. Each other data centre gets one
 // copy, which is passed on there. Where the rate does not suffice for all, some are told.
-func (c *Control) Tell(p *msg.Pulse, to pulse.Reach) {
+func (c *Control) Tell(p *msg.LoadReport, to pulse.Reach) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
 	near, dcs := c.members.Live()
 	if to == pulse.ToAll {
-		relayed := &msg.Pulse{Relay: true, Loads: p.Loads}
-		c.tellAll(c.pulses.Far(now, dcs), relayed)
+		relayed := &msg.LoadReport{Forward: true, Loads: p.Loads}
+		c.tellAll(c.pulses.SelectRemote(now, dcs), relayed)
 	}
-	c.tellAll(c.pulses.Near(now, near, to), p)
+	c.tellAll(c.pulses.SelectLocal(now, near, to), p)
 }
 
 // tellAll sends a pulse to some hosts. The caller holds the lock.
-func (c *Control) tellAll(hosts []string, p *msg.Pulse) {
+func (c *Control) tellAll(hosts []string, p *msg.LoadReport) {
 	for _, host := range hosts {
 		if h, ok := c.hosts[host]; ok {
 			c.queueTo(h.Peer, p)
@@ -31,10 +31,10 @@
 }
 
 // takePulse hands a pulse of another host on.
-func (c *Control) takePulse(p *msg.Pulse) {
+func (c *Control) takePulse(p *msg.LoadReport) {
 	c.hooks.Pulse(p)
-	if p.Relay {
+	if p.Forward {
 		near, _ := c.members.Live()
-		c.tellAll(c.pulses.Near(time.Now(), near, pulse.ToAll), &msg.Pulse{Loads: p.Loads})
+		c.tellAll(c.pulses.SelectLocal(time.Now(), near, pulse.ToAll), &msg.LoadReport{Loads: p.Loads})
 	}
 }
--- a/internal/control/pulse_test.go
+++ b/internal/control/pulse_test.go
@@ -36,9 +36,9 @@
 func told(c *Control) (all, relayed int) {
 	for addr, box := range c.outboxes.boxes {
 		for _, m := range box.waiting {
-			if p, ok := m.(*msg.Pulse); ok {
+			if p, ok := m.(*msg.LoadReport); ok {
 				all++
-				if p.Relay {
+				if p.Forward {
 					relayed++
 				}
 			}
@@ -48,13 +48,13 @@
 	return all, relayed
 }
 
-func aPulse() *msg.Pulse {
-	return &msg.Pulse{Loads: []msg.InstanceLoad{{Service: "s", Instance: "i"}}}
+func aPulse() *msg.LoadReport {
+	return &msg.LoadReport{Loads: []msg.InstanceLoad{{Service: "s", Instance: "i"}}}
 }
 
 func TestASmallFleetIsToldEverythingWithOneCopyADataCentre(t *testing.T) {
 	c := withHosts(t, 7, 8, 8)
-	c.Tell(aPulse(), pulse.ToNear)
+	c.Tell(aPulse(), pulse.ToLocal)
 	all, relayed := told(c)
 	assert.Equal(t, all, 7)
 	assert.Equal(t, relayed, 0)
@@ -67,8 +67,8 @@
 func TestARelayedPulseIsPassedOnNearbyOnly(t *testing.T) {
 	c := withHosts(t, 7, 8)
 	heard := 0
-	c.hooks.Pulse = func(*msg.Pulse) { heard++ }
-	c.HandleControl(&msg.Hello{Host: "f100"}, &msg.Pulse{Relay: true, Loads: aPulse().Loads})
+	c.hooks.Pulse = func(*msg.LoadReport) { heard++ }
+	c.HandleControl(&msg.Hello{Host: "f100"}, &msg.LoadReport{Forward: true, Loads: aPulse().Loads})
 	all, relayed := told(c)
 	assert.Equal(t, heard, 1)
 	assert.Equal(t, all, 7)
@@ -84,9 +84,9 @@
 func TestALargeFleetIsToldOfLoads(t *testing.T) {
 	for _, hosts := range []int{22, 60, 90} {
 		c := withHosts(t, hosts, 30)
-		c.Tell(aPulse(), pulse.ToNear)
+		c.Tell(aPulse(), pulse.ToLocal)
 		all, _ := told(c)
-		assert.Assert(t, all >= min(hosts, pulse.Burst-pulse.TurnReserve-1), "%d of %d", all, hosts)
+		assert.Assert(t, all >= min(hosts, pulse.Burst-pulse.ChangeReserve-1), "%d of %d", all, hosts)
 	}
 }
 
@@ -97,19 +97,19 @@
 		c := withHosts(t, hosts, 20, 20)
 		begun := time.Now()
 		for range 200 {
-			c.Tell(aPulse(), pulse.ToNear)
+			c.Tell(aPulse(), pulse.ToLocal)
 		}
 		loads, _ := told(c)
-		assert.Assert(t, float64(loads) <= pulse.TurnReserve+pulse.PerSecond*time.Since(begun).Seconds()+1)
+		assert.Assert(t, float64(loads) <= pulse.ChangeReserve+pulse.MaxRate*time.Since(begun).Seconds()+1)
 		c.Tell(aPulse(), pulse.ToAll)
 		turned, relayed := told(c)
-		assert.Assert(t, turned >= min(hosts+2, pulse.TurnReserve-1))
+		assert.Assert(t, turned >= min(hosts+2, pulse.ChangeReserve-1))
 		assert.Equal(t, relayed, 2)
 		for range 200 {
 			c.Tell(aPulse(), pulse.ToAll)
 		}
 		more, _ := told(c)
-		assert.Assert(t, float64(loads+turned+more) <= pulse.Burst+pulse.PerSecond*time.Since(begun).Seconds()+1)
+		assert.Assert(t, float64(loads+turned+more) <= pulse.Burst+pulse.MaxRate*time.Since(begun).Seconds()+1)
 	}
 }
 
@@ -141,5 +141,5 @@
 		c.Tell(aPulse(), pulse.ToFew)
 	}
 	more, _ := told(c)
-	assert.Assert(t, float64(asked+more) <= pulse.AsksPerSecond*(1+time.Since(begun).Seconds())+1)
+	assert.Assert(t, float64(asked+more) <= pulse.FewHostsMaxRate*(1+time.Since(begun).Seconds())+1)
 }
--- a/internal/control/status.go
+++ b/internal/control/status.go
@@ -43,7 +43,7 @@
 	}
 	c.reported = now
 	set := c.replica.Set(msg.SetRecords)
-	r := &msg.Report{Root: set.Root(), Newest: set.Newest(), Whole: c.replica.Whole()}
+	r := &msg.Report{Root: set.Root(), Newest: set.Newest(), Whole: c.replica.Complete()}
 	for _, rejected := range c.records.rejected {
 		if len(r.Rejected) < maxBehind {
 			r.Rejected = append(r.Rejected, rejected)
@@ -210,7 +210,7 @@
 	defer c.mu.Unlock()
 	set := c.replica.Set(msg.SetRecords)
 	s := State{
-		Version: c.version, Leaving: c.leaving, Whole: c.replica.Whole(),
+		Version: c.version, Leaving: c.leaving, Whole: c.replica.Complete(),
 		Records: set.Len(), Root: fmt.Sprintf("%016x", set.Root()), Newest: set.Newest(), InForce: c.inForce,
 		Watching: c.watching, Away: len(c.away) > 0, Isolated: c.members.Isolated(),
 		Confirmed: c.confirmed.state(time.Now()),
--- a/internal/control/take.go
+++ b/internal/control/take.go
@@ -50,7 +50,7 @@
 	read := readPage(page)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.replica.Local(c.peers(), msg.SetRecords, read.entries)
+	c.replica.Publish(c.peers(), msg.SetRecords, read.entries)
 	c.confirmed.note(feed, began, fromPlatform)
 	c.takePage(page, read.hosts)
 }
--- a/internal/core/admit/admit.go
+++ b/internal/core/admit/admit.go
@@ -24,20 +24,20 @@
 	ID ID
 	// Class is the fairness class of the caller's team.
 	Class uint32
-	// Priority is 0 to 3; higher runs first. Within, 0 to 3 too, orders those of one
+	// Priority is 0 to 3; higher runs first. SubPriority, 0 to 3 too, orders those of one
 	// priority: that of the route where the caller's team has one of its own.
-	Priority, Within uint8
+	Priority, SubPriority uint8
 	// Deadline is when the caller stops waiting.
 	Deadline time.Time
 	// Objective is until when the answer is worth its whole value; zero means
 	// until the deadline.
 	Objective time.Time
-	// Expect is how long the request is expected to run; 0 where its front does
+	// ExpectedService is how long the request is expected to run; 0 where its front does
 	// not know.
-	Expect time.Duration
-	// Insist takes a place in the queue also where the answer would miss the
+	ExpectedService time.Duration
+	// AllowLate takes a place in the queue also where the answer would miss the
 	// objective: the front has found no better one.
-	Insist bool
+	AllowLate bool
 	// Reserve holds the slot for a later Run in place of starting at once.
 	Reserve bool
 }
@@ -99,7 +99,7 @@
 const levels = Priorities * Priorities
 
 // level is the request's rank: the priority, then the rank within it.
-func (r *Request) level() int { return int(r.Priority)*Priorities + int(r.Within) }
+func (r *Request) level() int { return int(r.Priority)*Priorities + int(r.SubPriority) }
 
 const (
 	// initialService is the service time assumed before any is measured.
@@ -206,12 +206,12 @@
 	if q.draining {
 		return []Decision{{ID: r.ID, Action: Refuse, Reason: verdict.ReasonDraining}}
 	}
-	r.Priority, r.Within = min(r.Priority, Priorities-1), min(r.Within, Priorities-1)
+	r.Priority, r.SubPriority = min(r.Priority, Priorities-1), min(r.SubPriority, Priorities-1)
 	if r.Objective.IsZero() {
 		r.Objective = r.Deadline
 	}
-	if r.Expect <= 0 {
-		r.Expect = q.service
+	if r.ExpectedService <= 0 {
+		r.ExpectedService = q.service
 	}
 	t := &ticket{Request: r}
 	if q.busy < q.cfg.Slots && q.queued == 0 {
@@ -219,11 +219,11 @@
 		return []Decision{q.seat(now, t)}
 	}
 	wait := q.expectedWait(now, t)
-	end := now.Add(wait + r.Expect)
+	end := now.Add(wait + r.ExpectedService)
 	hopeless := end.After(r.Deadline)
 	// A front that can still choose is sent on at once. Beyond a slot's worth
 	// of late work, more of it would only wait for a refusal.
-	if hopeless || t.late && (!r.Insist || q.countLate(now) >= q.cfg.Slots) {
+	if hopeless || t.late && (!r.AllowLate || q.countLate(now) >= q.cfg.Slots) {
 		return []Decision{{ID: r.ID, Action: Refuse, Reason: verdict.ReasonQueueFull, RetryAfter: max(wait, minRetryAfter)}}
 	}
 	return q.enqueue(t, wait)
@@ -326,7 +326,7 @@
 func (q *Queue) fill(now time.Time, out []Decision) []Decision {
 	for q.busy < q.cfg.Slots && q.queued > 0 {
 		t := q.next(now)
-		if now.Add(t.Expect).After(t.Deadline) {
+		if now.Add(t.ExpectedService).After(t.Deadline) {
 			out = append(out, q.refuse(t, verdict.ReasonDeadline, q.service))
 			continue
 		}
--- a/internal/core/admit/admit_test.go
+++ b/internal/core/admit/admit_test.go
@@ -75,7 +75,7 @@
 			assert.Assert(t, q.Queued() <= q.cfg.Slots*q.cfg.QueuePerSlot)
 			for p, work := range q.Waiting() {
 				var sum time.Duration
-				q.levels[p].each(func(t *ticket) { sum += t.Expect })
+				q.levels[p].each(func(t *ticket) { sum += t.ExpectedService })
 				assert.Equal(t, work, sum)
 			}
 		}
@@ -160,7 +160,7 @@
 	now := time.Unix(0, 0)
 	q := NewQueue(Config{Slots: 1, QueuePerSlot: 8, GrantLife: time.Second})
 	offer := func(id ID, priority, within uint8) {
-		q.Offer(now, Request{ID: id, Priority: priority, Within: within, Deadline: now.Add(time.Minute), Expect: time.Millisecond})
+		q.Offer(now, Request{ID: id, Priority: priority, SubPriority: within, Deadline: now.Add(time.Minute), ExpectedService: time.Millisecond})
 	}
 	offer(1, 0, 0)
 	offer(2, 2, 1)
--- a/internal/core/admit/fair.go
+++ b/internal/core/admit/fair.go
@@ -21,7 +21,7 @@
 	c := t.Class % Classes
 	l.classes[c] = append(l.classes[c], t)
 	l.count++
-	l.work += t.Expect
+	l.work += t.ExpectedService
 }
 
 // pop takes, of the next class in turn that has any, the request that suits and
@@ -44,7 +44,7 @@
 		t := l.classes[c][first]
 		l.classes[c] = append(l.classes[c][:first:first], l.classes[c][first+1:]...)
 		l.count--
-		l.work -= t.Expect
+		l.work -= t.ExpectedService
 		l.turn = c + 1
 		return t
 	}
@@ -69,7 +69,7 @@
 		if other == t {
 			l.classes[c] = append(l.classes[c][:i:i], l.classes[c][i+1:]...)
 			l.count--
-			l.work -= t.Expect
+			l.work -= t.ExpectedService
 			return
 		}
 	}
@@ -80,7 +80,7 @@
 func (l *level) lost(now time.Time) []*ticket {
 	var out []*ticket
 	l.each(func(t *ticket) {
-		if now.Add(t.Expect).After(t.Deadline) || t.givenUp(now) {
+		if now.Add(t.ExpectedService).After(t.Deadline) || t.givenUp(now) {
 			out = append(out, t)
 		}
 	})
--- a/internal/core/admit/load_test.go
+++ b/internal/core/admit/load_test.go
@@ -73,7 +73,7 @@
 		now = now.Add(time.Duration(rng.ExpFloat64() / rate * float64(time.Second)))
 		heap.Push(&todo, moment{now, func(now time.Time) {
 			out.sent++
-			r := Request{ID: ID(out.sent), Deadline: now.Add(8 * time.Second), Expect: 400 * time.Millisecond, Insist: true}
+			r := Request{ID: ID(out.sent), Deadline: now.Add(8 * time.Second), ExpectedService: 400 * time.Millisecond, AllowLate: true}
 			if aimed {
 				r.Objective = now.Add(1500 * time.Millisecond)
 			}
@@ -106,14 +106,14 @@
 
 func TestAFrontThatCanChooseIsSentOnAtOnce(t *testing.T) {
 	q := NewQueue(Config{Slots: 1, QueuePerSlot: 4, GrantLife: time.Second})
-	r := Request{ID: 1, Deadline: base.Add(10 * time.Second), Objective: base.Add(time.Second), Expect: 900 * time.Millisecond}
+	r := Request{ID: 1, Deadline: base.Add(10 * time.Second), Objective: base.Add(time.Second), ExpectedService: 900 * time.Millisecond}
 	assert.Equal(t, q.Offer(base, r)[0].Action, Start)
 	r.ID = 2
 	q.service = 900 * time.Millisecond
 	d := q.Offer(base, r)[0]
 	assert.Equal(t, d.Action, Refuse)
 	assert.Assert(t, d.RetryAfter > 0)
-	r.ID, r.Insist = 3, true
+	r.ID, r.AllowLate = 3, true
 	assert.Equal(t, q.Offer(base, r)[0].Action, Wait)
 	r.ID = 4
 	assert.Equal(t, q.Offer(base, r)[0].Action, Refuse, "late work beyond a slot's worth only waits for a refusal")
@@ -123,7 +123,7 @@
 	q := NewQueue(Config{Slots: 1, QueuePerSlot: 4, GrantLife: time.Second})
 	offer := func(id ID, priority uint8, objective time.Duration) {
 		q.Offer(base, Request{
-			ID: id, Priority: priority, Insist: true, Expect: 100 * time.Millisecond,
+			ID: id, Priority: priority, AllowLate: true, ExpectedService: 100 * time.Millisecond,
 			Deadline: base.Add(20 * time.Second), Objective: base.Add(objective),
 		})
 	}
@@ -155,16 +155,16 @@
 	q.service = 400 * time.Millisecond
 	for id := range ID(12) {
 		q.Offer(base, Request{
-			ID: id + 1, Expect: 400 * time.Millisecond,
+			ID: id + 1, ExpectedService: 400 * time.Millisecond,
 			Deadline: base.Add(8 * time.Second), Objective: base.Add(1500 * time.Millisecond),
 		})
 	}
 	assert.Equal(t, q.Queued(), 8)
-	call := Request{ID: 20, Expect: 80 * time.Millisecond, Deadline: base.Add(1200 * time.Millisecond), Objective: base.Add(300 * time.Millisecond)}
+	call := Request{ID: 20, ExpectedService: 80 * time.Millisecond, Deadline: base.Add(1200 * time.Millisecond), Objective: base.Add(300 * time.Millisecond)}
 	assert.Equal(t, q.Offer(base, call)[0].Action, Wait)
 	assert.Equal(t, q.Done(base.Add(100*time.Millisecond), 1, 400*time.Millisecond)[0].ID, call.ID)
 
-	long := Request{ID: 21, Expect: 400 * time.Millisecond, Deadline: base.Add(8 * time.Second), Objective: base.Add(1100 * time.Millisecond)}
+	long := Request{ID: 21, ExpectedService: 400 * time.Millisecond, Deadline: base.Add(8 * time.Second), Objective: base.Add(1100 * time.Millisecond)}
 	urgent := long
 	urgent.ID, urgent.Priority, urgent.Objective = 22, 1, base.Add(1500*time.Millisecond)
 	assert.Equal(t, q.Offer(base, long)[0].Action, Wait, "it goes before those that have until 1500 ms")
@@ -207,7 +207,7 @@
 		if now.Sub(base)%(2*tick) == 0 {
 			next++
 			arrived[next] = now
-			take(now, q.Offer(now, Request{ID: next, Objective: now.Add(objective), Deadline: now.Add(8 * time.Second), Expect: took, Insist: true}))
+			take(now, q.Offer(now, Request{ID: next, Objective: now.Add(objective), Deadline: now.Add(8 * time.Second), ExpectedService: took, AllowLate: true}))
 		}
 		take(now, q.Tick(now))
 	}
--- a/internal/core/admit/wait.go
+++ b/internal/core/admit/wait.go
@@ -5,7 +5,7 @@
 )
 
 // feasible says that a waiting request that starts now meets its objective.
-func (t *ticket) feasible(now time.Time) bool { return !now.Add(t.Expect).After(t.Objective) }
+func (t *ticket) feasible(now time.Time) bool { return !now.Add(t.ExpectedService).After(t.Objective) }
 
 // givenUp says that a request has waited until its objective and is given back:
 // others that are still in time go before it, so that under overload it would mostly
@@ -36,7 +36,7 @@
 // have been next.
 func (q *Queue) expectedWait(now time.Time, t *ticket) time.Duration {
 	wait := q.waitBehind(now, t)
-	t.late = now.Add(wait + t.Expect).After(t.Objective)
+	t.late = now.Add(wait + t.ExpectedService).After(t.Objective)
 	if t.late {
 		wait = q.waitBehind(now, t)
 	}
@@ -49,7 +49,7 @@
 	for l := newcomer.level(); l < levels; l++ {
 		q.levels[l].each(func(t *ticket) {
 			if l > newcomer.level() || t.goesBefore(now, newcomer) {
-				ahead += t.Expect
+				ahead += t.ExpectedService
 			}
 		})
 	}
--- a/internal/core/announce/announce.go
+++ b/internal/core/announce/announce.go
@@ -40,12 +40,12 @@
 	gone
 )
 
-// Word is what tells the announcements of an instance apart.
-type Word struct {
-	// Born is when the instance started, in Unix milliseconds of its own clock: an
+// Stamp is what tells the announcements of an instance apart.
+type Stamp struct {
+	// StartedMS is when the instance started, in Unix milliseconds of its own clock: an
 	// instance that starts again under its name tells another one. 0 where it does
 	// not say.
-	Born int64
+	StartedMS int64
 	// Sequence grows with each announcement of one start, 0 where the instance does
 	// not count them.
 	Sequence uint64
@@ -55,28 +55,28 @@
 type entry struct {
 	address string
 	// word is the newest that counted, and past are the earlier starts.
-	word  Word
+	word  Stamp
 	past  []int64
 	heard time.Time
 	state state
 }
 
-// Book remembers the instances of one host. It is not safe for concurrent use.
-type Book struct {
+// Tracker remembers the instances of one host. It is not safe for concurrent use.
+type Tracker struct {
 	byName map[string]*entry
 	// holders are the instances present, by address.
 	holders map[string]string
 }
 
-// NewBook makes an empty Book.
-func NewBook() *Book {
-	return &Book{byName: make(map[string]*entry), holders: make(map[string]string)}
+// NewTracker makes an empty Book.
+func NewTracker() *Tracker {
+	return &Tracker{byName: make(map[string]*entry), holders: make(map[string]string)}
 }
 
 // Outcome says what an announcement does.
 type Outcome struct {
-	// Counts is false for an announcement that is older than what is known.
-	Counts bool
+	// Accepted is false for an announcement that is older than what is known.
+	Accepted bool
 	// Restarted says that it is the first of a new start of the instance: whatever
 	// its last start held is lost.
 	Restarted bool
@@ -84,8 +84,8 @@
 	Replaces string
 }
 
-// Hear takes one announcement.
-func (b *Book) Hear(now time.Time, name, address string, w Word) Outcome {
+// Apply takes one announcement.
+func (b *Tracker) Apply(now time.Time, name, address string, w Stamp) Outcome {
 	b.forget(now)
 	e, known := b.byName[name]
 	restarted := known && e.newStart(now, w)
@@ -111,22 +111,22 @@
 		delete(b.holders, e.address)
 	}
 	if restarted {
-		e.retire(w.Born)
+		e.retire(w.StartedMS)
 	}
-	e.word = Word{Born: w.Born, Sequence: max(e.word.Sequence, w.Sequence)}
+	e.word = Stamp{StartedMS: w.StartedMS, Sequence: max(e.word.Sequence, w.Sequence)}
 	e.address, e.heard, e.state = address, now, present
 	b.holders[address] = name
-	return Outcome{Counts: true, Restarted: restarted, Replaces: holder}
+	return Outcome{Accepted: true, Restarted: restarted, Replaces: holder}
 }
 
 // newStart says that a word is the first heard of another, newer start. Clocks may
 // go back between two starts, so that an earlier time alone does not make it an
 // old one.
-func (e *entry) newStart(now time.Time, w Word) bool {
+func (e *entry) newStart(now time.Time, w Stamp) bool {
 	switch {
-	case w.Born == 0 || w.Born == e.word.Born || slices.Contains(e.past, w.Born):
+	case w.StartedMS == 0 || w.StartedMS == e.word.StartedMS || slices.Contains(e.past, w.StartedMS):
 		return false
-	case w.Born > e.word.Born:
+	case w.StartedMS > e.word.StartedMS:
 		return true
 	default:
 		return w.Sequence > 0 && w.Sequence <= firstWords || now.Sub(e.heard) > silence
@@ -135,26 +135,26 @@
 
 // late says that a word that is not of a new start is no newer than the last one,
 // or not of the start that runs.
-func (e *entry) late(w Word) bool {
-	return w.Born != e.word.Born || w.Sequence > 0 && w.Sequence <= e.word.Sequence
+func (e *entry) late(w Stamp) bool {
+	return w.StartedMS != e.word.StartedMS || w.Sequence > 0 && w.Sequence <= e.word.Sequence
 }
 
 // retire remembers the start known so far as past, and begins another one.
 func (e *entry) retire(born int64) {
-	if e.word.Born != 0 {
-		e.past = append(e.past, e.word.Born)
+	if e.word.StartedMS != 0 {
+		e.past = append(e.past, e.word.StartedMS)
 	}
 	if len(e.past) > maxPast {
 		e.past = e.past[1:]
 	}
-	e.word = Word{Born: born}
+	e.word = Stamp{StartedMS: born}
 }
 
 // Leave takes an instance's leave: nothing that this start announced before
 // counts any more. born is the start that leaves, 0 where it is not told. It
 // reports whether the instance is gone with it: an earlier start's leave does not
 // take the one that runs out of service.
-func (b *Book) Leave(now time.Time, name string, born int64) bool {
+func (b *Tracker) Leave(now time.Time, name string, born int64) bool {
 	e, known := b.byName[name]
 	if !known {
 		e = &entry{}
@@ -163,11 +163,11 @@
 	switch {
 	case !known && born == 0:
 		// Whatever started before this leave is gone with it.
-		e.word.Born = now.UnixMilli()
+		e.word.StartedMS = now.UnixMilli()
 	case !known:
-		e.word.Born = born
-	case born == 0 || born == e.word.Born:
-	case e.newStart(now, Word{Born: born}):
+		e.word.StartedMS = born
+	case born == 0 || born == e.word.StartedMS:
+	case e.newStart(now, Stamp{StartedMS: born}):
 		e.retire(born)
 	default:
 		return false
@@ -179,9 +179,9 @@
 	return true
 }
 
-// Misled says that the address answers for another instance: whoever announces
+// MarkMisdirected says that the address answers for another instance: whoever announces
 // it next has it.
-func (b *Book) Misled(name string) {
+func (b *Tracker) MarkMisdirected(name string) {
 	if e, known := b.byName[name]; known && b.holders[e.address] == name {
 		delete(b.holders, e.address)
 		e.state = replaced
@@ -189,7 +189,7 @@
 }
 
 // forget drops what is too old to matter, and the oldest beyond the bound.
-func (b *Book) forget(now time.Time) {
+func (b *Tracker) forget(now time.Time) {
 	oldest := ""
 	for name, e := range b.byName {
 		if now.Sub(e.heard) > memory {
@@ -205,7 +205,7 @@
 	}
 }
 
-func (b *Book) drop(name string, e *entry) {
+func (b *Tracker) drop(name string, e *entry) {
 	if b.holders[e.address] == name {
 		delete(b.holders, e.address)
 	}
--- a/internal/core/balance/balance.go
+++ b/internal/core/balance/balance.go
@@ -17,48 +17,48 @@
 	Slots int
 	// Running is the guard's count when it last told, and Waiting the work that
 	// then waited before this request, in the time of one slot.
-	Running int
-	Waiting time.Duration
+	Running    int
+	QueuedWork time.Duration
 	// LoadAge is how old that count is.
 	LoadAge time.Duration
 	// Typical is what an old count is taken to have become.
-	Typical Typical
+	Typical TypicalLoad
 	// Pending is how many requests this front has under way there beyond
 	// those that the count already holds.
 	Pending int
 	// Service is the expected service time of this request there, 0 where
 	// unknown.
 	Service time.Duration
-	// Path is the round trip to its host, 0 where unknown.
-	Path time.Duration
+	// RoundTrip is the round trip to its host, 0 where unknown.
+	RoundTrip time.Duration
 	// Warmth is 0 for an instance that has just started, up to 1.
 	Warmth float64
 	// Local says the instance is in the chooser's data centre.
 	Local bool
-	// Fails is the chance that the request fails there.
-	Fails float64
+	// FailureProbability is the chance that the request fails there.
+	FailureProbability float64
 }
 
-// Typical is the load of a service's instances at present as far as is known: by
+// TypicalLoad is the load of a service's instances at present as far as is known: by
 // fresh counts, a slot.
-type Typical struct {
+type TypicalLoad struct {
 	// Running is the share of the slots that are taken, and Waiting the work that
 	// waits before the request.
-	Running float64
-	Waiting time.Duration
+	Running    float64
+	QueuedWork time.Duration
 }
 
-// Stakes is what the choice means for one request.
-type Stakes struct {
+// CostWeights is what the choice means for one request.
+type CostWeights struct {
 	// Objective is the time in which the answer is worth its whole value, and
 	// Left how much of it is left.
 	Objective, Left time.Duration
 	// FailureWeight is how much of the value a failure takes: 1 for work that
 	// cannot be repeated, less for work that can.
 	FailureWeight float64
-	// Distance is what bytes between data centres are worth, as a part of the
+	// RemoteWeight is what bytes between data centres are worth, as a part of the
 	// value.
-	Distance float64
+	RemoteWeight float64
 }
 
 const (
@@ -89,26 +89,26 @@
 )
 
 // Cost estimates what a request costs at a candidate, in seconds.
-func Cost(c Candidate, s Stakes) float64 {
+func Cost(c Candidate, s CostWeights) float64 {
 	service := c.Service
 	if service <= 0 {
 		service = defaultService
 	}
-	path := c.Path
+	path := c.RoundTrip
 	if path <= 0 && !c.Local {
 		path = unknownRemotePath
 	}
 	slots := float64(max(c.Slots, 1))
 	fresh := math.Exp2(-float64(c.LoadAge) / float64(staleAfter))
 	running := fresh*float64(c.Running) + (1-fresh)*c.Typical.Running*slots + float64(c.Pending)
-	waiting := fresh*c.Waiting.Seconds()/slots + (1-fresh)*c.Typical.Waiting.Seconds()
+	waiting := fresh*c.QueuedWork.Seconds()/slots + (1-fresh)*c.Typical.QueuedWork.Seconds()
 	busy := min(running/slots, 1)
 	wait := waiting + service.Seconds()*max(running+1-slots, 0)/slots
 	run := (service.Seconds()*(1+slowdown*busy*busy) + wait) / max(c.Warmth, minWarmth)
 	total := path.Seconds() + run
-	value := (1 - c.Fails*s.FailureWeight) * s.worth(total)
+	value := (1 - c.FailureProbability*s.FailureWeight) * s.worth(total)
 	if !c.Local {
-		value -= s.Distance
+		value -= s.RemoteWeight
 	}
 	return total + valueStake*s.Objective.Seconds()*(1-value)
 }
@@ -116,7 +116,7 @@
 // worth is the part of a request's value that an answer after some seconds is
 // expected to have: all of it well within the objective, little well beyond.
 // Service times vary by half of their mean and more, so that it falls slowly.
-func (s Stakes) worth(seconds float64) float64 {
+func (s CostWeights) worth(seconds float64) float64 {
 	left := s.Left.Seconds()
 	if s.Objective <= 0 {
 		return 1
--- a/internal/core/balance/balance_test.go
+++ b/internal/core/balance/balance_test.go
@@ -10,11 +10,11 @@
 
 // idle is an instance with nothing against it.
 func idle() Candidate {
-	return Candidate{Slots: 4, Service: 400 * time.Millisecond, Path: time.Millisecond, Warmth: 1, Local: true, Fails: 0.03}
+	return Candidate{Slots: 4, Service: 400 * time.Millisecond, RoundTrip: time.Millisecond, Warmth: 1, Local: true, FailureProbability: 0.03}
 }
 
-func once() Stakes {
-	return Stakes{Objective: 1500 * time.Millisecond, Left: 1500 * time.Millisecond, FailureWeight: 1, Distance: 0.03}
+func once() CostWeights {
+	return CostWeights{Objective: 1500 * time.Millisecond, Left: 1500 * time.Millisecond, FailureWeight: 1, RemoteWeight: 0.03}
 }
 
 func TestWhatCosts(t *testing.T) {
@@ -22,14 +22,14 @@
 	again.FailureWeight = 0.3
 	for _, c := range []struct {
 		name          string
-		stakes        Stakes
+		stakes        CostWeights
 		better, worse func(*Candidate)
 	}{
-		{"a likely failure", once(), func(*Candidate) {}, func(c *Candidate) { c.Fails = 0.5 }},
-		{"a likely failure, against a queue that still meets the objective", once(), func(c *Candidate) { c.Running, c.Waiting = 4, 1200*time.Millisecond }, func(c *Candidate) { c.Fails = 0.6 }},
-		{"a queue that misses the objective, against a doubtful instance", once(), func(c *Candidate) { c.Fails = 0.3 }, func(c *Candidate) { c.Running, c.Waiting = 4, 12*time.Second }},
-		{"another data centre", once(), func(*Candidate) {}, func(c *Candidate) { c.Local, c.Path = false, 2*time.Millisecond }},
-		{"a failure costs more than distance", once(), func(c *Candidate) { c.Local = false }, func(c *Candidate) { c.Fails = 0.2 }},
+		{"a likely failure", once(), func(*Candidate) {}, func(c *Candidate) { c.FailureProbability = 0.5 }},
+		{"a likely failure, against a queue that still meets the objective", once(), func(c *Candidate) { c.Running, c.QueuedWork = 4, 1200*time.Millisecond }, func(c *Candidate) { c.FailureProbability = 0.6 }},
+		{"a queue that misses the objective, against a doubtful instance", once(), func(c *Candidate) { c.FailureProbability = 0.3 }, func(c *Candidate) { c.Running, c.QueuedWork = 4, 12*time.Second }},
+		{"another data centre", once(), func(*Candidate) {}, func(c *Candidate) { c.Local, c.RoundTrip = false, 2*time.Millisecond }},
+		{"a failure costs more than distance", once(), func(c *Candidate) { c.Local = false }, func(c *Candidate) { c.FailureProbability = 0.2 }},
 		{"a cold start", once(), func(*Candidate) {}, func(c *Candidate) { c.Warmth = 0.3 }},
 		{"a busy instance", again, func(*Candidate) {}, func(c *Candidate) { c.Running = 4 }},
 	} {
--- a/internal/core/chance/chance.go
+++ b/internal/core/chance/chance.go
@@ -19,24 +19,24 @@
 // any of it moves the estimate little: one failure is strong evidence under
 // all of them.
 type Model struct {
-	// WellFor and SickFor are the mean times that the two states last.
-	WellFor, SickFor time.Duration
-	// WellFails and SickFails are the shares of requests that fail in them.
-	WellFails, SickFails float64
+	// MeanWell and MeanSick are the mean times that the two states last.
+	MeanWell, MeanSick time.Duration
+	// WellFailureRate and SickFailureRate are the shares of requests that fail in them.
+	WellFailureRate, SickFailureRate float64
 }
 
 // Default suits instances that are sick for several seconds at a time.
 func Default() Model {
-	return Model{WellFor: 30 * time.Second, SickFor: 12 * time.Second, WellFails: 0.03, SickFails: 0.8}
+	return Model{MeanWell: 30 * time.Second, MeanSick: 12 * time.Second, WellFailureRate: 0.03, SickFailureRate: 0.8}
 }
 
 // usual is the share of the time that an instance is sick.
 func (m Model) usual() float64 {
-	return m.SickFor.Seconds() / (m.SickFor.Seconds() + m.WellFor.Seconds())
+	return m.MeanSick.Seconds() / (m.MeanSick.Seconds() + m.MeanWell.Seconds())
 }
 
 // rate is how fast an estimate drifts back to the usual share, a second.
-func (m Model) rate() float64 { return 1/m.WellFor.Seconds() + 1/m.SickFor.Seconds() }
+func (m Model) rate() float64 { return 1/m.MeanWell.Seconds() + 1/m.MeanSick.Seconds() }
 
 // Estimate is what is known of one instance at a moment. The zero value knows
 // nothing yet.
@@ -45,8 +45,8 @@
 	at   time.Time
 }
 
-// At gives an estimate as it was told by its guard.
-func At(now time.Time, sick float64) Estimate {
+// EstimateAt gives an estimate as it was told by its guard.
+func EstimateAt(now time.Time, sick float64) Estimate {
 	return Estimate{sick: min(max(sick, 0), 1), at: now}
 }
 
@@ -62,26 +62,26 @@
 // silentDoubt is how much an estimate may rise by silence alone.
 const silentDoubt = 0.05
 
-// Doubt is Sick as a choice among instances should take it. An instance of which nothing
+// SickForSelection is Sick as a choice among instances should take it. An instance of which nothing
 // is heard may have turned sick, but to leave it out for that would keep anything from
 // being heard of it: silence alone raises the doubt to silentDoubt at most. A failure that
 // was seen is forgotten as Sick forgets it.
-func (e *Estimate) Doubt(now time.Time, m Model) float64 {
+func (e *Estimate) SickForSelection(now time.Time, m Model) float64 {
 	return min(e.Sick(now, m), max(e.sick, silentDoubt))
 }
 
-// Fails is the chance to be reckoned with that the next request fails.
-func (e *Estimate) Fails(now time.Time, m Model) float64 {
-	sick := e.Doubt(now, m)
-	return sick*m.SickFails + (1-sick)*m.WellFails
+// FailureProbability is the chance to be reckoned with that the next request fails.
+func (e *Estimate) FailureProbability(now time.Time, m Model) float64 {
+	sick := e.SickForSelection(now, m)
+	return sick*m.SickFailureRate + (1-sick)*m.WellFailureRate
 }
 
-// Saw takes the outcome of one request.
-func (e *Estimate) Saw(now time.Time, failed bool, m Model) {
+// Observe takes the outcome of one request.
+func (e *Estimate) Observe(now time.Time, failed bool, m Model) {
 	sick := e.Sick(now, m)
-	ifSick, ifWell := 1-m.SickFails, 1-m.WellFails
+	ifSick, ifWell := 1-m.SickFailureRate, 1-m.WellFailureRate
 	if failed {
-		ifSick, ifWell = m.SickFails, m.WellFails
+		ifSick, ifWell = m.SickFailureRate, m.WellFailureRate
 	}
 	e.sick = sick * ifSick / (sick*ifSick + (1-sick)*ifWell)
 	e.at = now
--- a/internal/core/chance/chance_test.go
+++ b/internal/core/chance/chance_test.go
@@ -15,13 +15,13 @@
 	m := Default()
 	var e Estimate
 	assert.Equal(t, e.Sick(start, m), m.usual())
-	e.Saw(start, true, m)
+	e.Observe(start, true, m)
 	assert.Assert(t, e.Sick(start, m) > 0.8)
 	assert.Assert(t, e.Sick(start.Add(15*time.Second), m) < 0.45)
-	e.Saw(start, false, m)
-	e.Saw(start, false, m)
+	e.Observe(start, false, m)
+	e.Observe(start, false, m)
 	assert.Assert(t, e.Sick(start, m) < 0.4)
-	e.Saw(start, false, m)
+	e.Observe(start, false, m)
 	assert.Assert(t, e.Sick(start, m) < 0.15)
 }
 
@@ -32,7 +32,7 @@
 			now = now.Add(time.Duration(rapid.IntRange(-500, 5000).Draw(t, "gapMS")) * time.Millisecond)
 			before := e.Sick(now, m)
 			failed := rapid.Bool().Draw(t, "failed")
-			e.Saw(now, failed, m)
+			e.Observe(now, failed, m)
 			after := e.Sick(now, m)
 			assert.Assert(t, after >= 0 && after <= 1)
 			assert.Assert(t, failed == (after > before) || before == after)
@@ -55,17 +55,17 @@
 	m := Default()
 	const rounding = 1e-9
 	var unknown Estimate
-	assert.Equal(t, unknown.Doubt(start, m), silentDoubt, "one that has just started")
+	assert.Equal(t, unknown.SickForSelection(start, m), silentDoubt, "one that has just started")
 	rapid.Check(t, func(t *rapid.T) {
-		e := At(start, rapid.Float64Range(0, 1).Draw(t, "sick"))
+		e := EstimateAt(start, rapid.Float64Range(0, 1).Draw(t, "sick"))
 		now := start
 		for range rapid.IntRange(0, 20).Draw(t, "outcomes") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 5000).Draw(t, "gapMS")) * time.Millisecond)
-			e.Saw(now, rapid.Bool().Draw(t, "failed"), m)
+			e.Observe(now, rapid.Bool().Draw(t, "failed"), m)
 		}
-		heard := e.Doubt(now, m)
+		heard := e.SickForSelection(now, m)
 		later := now.Add(time.Duration(rapid.IntRange(0, 100000).Draw(t, "silentMS")) * time.Millisecond)
-		doubt := e.Doubt(later, m)
+		doubt := e.SickForSelection(later, m)
 		assert.Assert(t, doubt <= max(heard, silentDoubt)+rounding, "silence alone")
 		assert.Assert(t, doubt <= e.Sick(later, m)+rounding)
 		if heard > m.usual() {
@@ -89,18 +89,18 @@
 	for range perSecond * seconds {
 		now = now.Add(time.Second / perSecond)
 		for i := range sick {
-			stay := m.WellFor
+			stay := m.MeanWell
 			if sick[i] {
-				stay = m.SickFor
+				stay = m.MeanSick
 			}
 			if rng.Float64() < 1/(stay.Seconds()*perSecond) {
 				sick[i] = !sick[i]
 			}
 		}
 		fails := func(i int) bool {
-			share := m.WellFails
+			share := m.WellFailureRate
 			if sick[i] {
-				share = m.SickFails
+				share = m.SickFailureRate
 			}
 			return rng.Float64() < share
 		}
@@ -115,7 +115,7 @@
 				failed++
 			}
 		}
-		estimates[i].Saw(now, fails(i), m)
+		estimates[i].Observe(now, fails(i), m)
 	}
 	byEstimate, byChance := float64(failed)/float64(sent), float64(random)/float64(sent)
 	t.Logf("failed: %.3f by the estimate, %.3f at random", byEstimate, byChance)
--- a/internal/core/chance/share.go
+++ b/internal/core/chance/share.go
@@ -26,18 +26,18 @@
 	return Share{value: min(max(value, 0), 1), at: now}
 }
 
-// Now is the share at a moment.
-func (s *Share) Now(now time.Time) float64 {
+// At is the share at a moment.
+func (s *Share) At(now time.Time) float64 {
 	return s.value * math.Exp2(-max(now.Sub(s.at), 0).Seconds()/shareHalf.Seconds())
 }
 
-// Saw takes one outcome.
-func (s *Share) Saw(now time.Time, is bool) {
+// Observe takes one outcome.
+func (s *Share) Observe(now time.Time, is bool) {
 	x := 0.0
 	if is {
 		x = 1
 	}
-	s.value = s.Now(now)
+	s.value = s.At(now)
 	s.value += shareWeight * (x - s.value)
 	s.at = now
 }
--- a/internal/core/config/ends_test.go
+++ b/internal/core/config/ends_test.go
@@ -13,7 +13,7 @@
 // On a calm day no host says anything of ends. A host that starts gets those that there
 // are with the hosts that it asks for.
 func TestEndsCostNothingWhereThereAreNone(t *testing.T) {
-	peers := Peers{Near: []string{"other"}}
+	peers := Peers{Local: []string{"other"}}
 	n := NewNode(DefaultConfig(), rand.New(rand.NewPCG(1, 2)))
 	now := time.Unix(1000, 0)
 	digests := func() map[msg.SetID]bool {
@@ -33,7 +33,7 @@
 	out, _ := n.Take()
 	assert.Equal(t, len(out), 1)
 
-	n.Local(peers, msg.SetEnds, []msg.Entry{{Kind: "End", Name: "i", Version: 1}})
+	n.Publish(peers, msg.SetEnds, []msg.Entry{{Kind: "End", Name: "i", Version: 1}})
 	n.Take()
 	assert.Assert(t, digests()[msg.SetEnds])
 	n.Step(peers, "starter", &msg.Pull{Set: msg.SetHosts, All: true})
--- a/internal/core/config/node.go
+++ b/internal/core/config/node.go
@@ -33,14 +33,14 @@
 
 // Peers gives the live peers to choose from, by host name.
 type Peers struct {
-	// Near are those in the same data centre.
-	Near []string
-	// Far are the others, a list for each data centre.
-	Far [][]string
+	// Local are those in the same data centre.
+	Local []string
+	// Remote are the others, a list for each data centre.
+	Remote [][]string
 }
 
 // empty says there is nobody.
-func (p Peers) empty() bool { return len(p.Near)+len(p.Far) == 0 }
+func (p Peers) empty() bool { return len(p.Local)+len(p.Remote) == 0 }
 
 // Outbound is one message to send.
 type Outbound struct {
@@ -116,9 +116,9 @@
 // Set gives one replicated set, to read.
 func (n *Node) Set(id msg.SetID) *Set { return n.sets[id] }
 
-// Whole says the record set was complete at least once, so that traffic may
+// Complete says the record set was complete at least once, so that traffic may
 // be served from it.
-func (n *Node) Whole() bool { return n.whole[msg.SetRecords] }
+func (n *Node) Complete() bool { return n.whole[msg.SetRecords] }
 
 // Take gives what is to be sent and what has come into force since last time.
 func (n *Node) Take() ([]Outbound, []Applied) {
@@ -127,14 +127,14 @@
 	return out, applied
 }
 
-// Local applies entries from the platform or of this host and spreads them.
-func (n *Node) Local(peers Peers, set msg.SetID, entries []msg.Entry) {
+// Publish applies entries from the platform or of this host and spreads them.
+func (n *Node) Publish(peers Peers, set msg.SetID, entries []msg.Entry) {
 	n.take(peers, set, "", entries)
 }
 
-// Retell sends an entry once more to as many peers as when it was news, for peers that
+// Resend sends an entry once more to as many peers as when it was news, for peers that
 // were not known then.
-func (n *Node) Retell(peers Peers, set msg.SetID, key Key) {
+func (n *Node) Resend(peers Peers, set msg.SetID, key Key) {
 	e, held := n.sets[set].Get(key)
 	if !held {
 		return
@@ -193,7 +193,7 @@
 // for news that starts here.
 func (n *Node) targets(peers Peers, from string) []string {
 	var out []string
-	near := peers.Near
+	near := peers.Local
 	for _, i := range n.sample(len(near), n.cfg.FanOut+1) {
 		if near[i] != from && len(out) < n.cfg.FanOut {
 			out = append(out, near[i])
@@ -202,7 +202,7 @@
 	if from != "" {
 		return out
 	}
-	for _, dc := range peers.Far {
+	for _, dc := range peers.Remote {
 		for _, i := range n.sample(len(dc), n.cfg.FarCopies) {
 			out = append(out, dc[i])
 		}
@@ -291,7 +291,7 @@
 		if msg.SetID(id) == msg.SetEnds && len(s.entries) == 0 {
 			continue // there are none on most days, and a peer that has some opens a repair
 		}
-		n.send(to, &msg.Digest{Set: msg.SetID(id), Root: s.Root(), Whole: n.whole[id]})
+		n.send(to, &msg.Digest{Set: msg.SetID(id), Root: s.Root(), Complete: n.whole[id]})
 	}
 }
 
@@ -309,10 +309,10 @@
 	if peers.empty() {
 		return "", false
 	}
-	share := max(n.cfg.FarShare, 1/float64(len(peers.Near)+1))
-	list := peers.Near
-	if len(peers.Far) > 0 && (len(list) == 0 || n.rng.Float64() < share) {
-		list = peers.Far[n.rng.IntN(len(peers.Far))]
+	share := max(n.cfg.FarShare, 1/float64(len(peers.Local)+1))
+	list := peers.Local
+	if len(peers.Remote) > 0 && (len(list) == 0 || n.rng.Float64() < share) {
+		list = peers.Remote[n.rng.IntN(len(peers.Remote))]
 	}
 	if len(list) == 0 {
 		return "", false
--- a/internal/core/config/node_test.go
+++ b/internal/core/config/node_test.go
@@ -45,7 +45,7 @@
 func TestALargeEntryIsAnnouncedAndPulledOnce(t *testing.T) {
 	a, b, c := newTestNode(1), newTestNode(2), newTestNode(3)
 	for _, n := range []*Node{a, b} {
-		n.Local(Peers{Near: []string{"c"}}, msg.SetRecords, []msg.Entry{entry("main", 7, 10*largeValue)})
+		n.Publish(Peers{Local: []string{"c"}}, msg.SetRecords, []msg.Entry{entry("main", 7, 10*largeValue)})
 	}
 	assert.Equal(t, deliver(t, a, c, "a", "c"), 0)
 	assert.Equal(t, deliver(t, b, c, "b", "c"), 0)
@@ -75,15 +75,15 @@
 
 func TestASmallEntryIsPushed(t *testing.T) {
 	a, c := newTestNode(1), newTestNode(3)
-	a.Local(Peers{Near: []string{"c"}}, msg.SetRecords, []msg.Entry{entry("main", 7, 100)})
+	a.Publish(Peers{Local: []string{"c"}}, msg.SetRecords, []msg.Entry{entry("main", 7, 100)})
 	assert.Equal(t, deliver(t, a, c, "a", "c"), 100)
 }
 
 // Two hosts with different small sets repair both ways by one list.
 func TestASmallSetIsRepairedByItsList(t *testing.T) {
 	a, b := newTestNode(1), newTestNode(2)
-	a.Local(Peers{}, msg.SetHosts, []msg.Entry{entry("only-a", 1, 10), entry("both", 5, 10)})
-	b.Local(Peers{}, msg.SetHosts, []msg.Entry{entry("only-b", 1, 10), entry("both", 9, 10)})
+	a.Publish(Peers{}, msg.SetHosts, []msg.Entry{entry("only-a", 1, 10), entry("both", 5, 10)})
+	b.Publish(Peers{}, msg.SetHosts, []msg.Entry{entry("only-b", 1, 10), entry("both", 9, 10)})
 	a.Take()
 	b.Take()
 	b.Step(Peers{}, "a", &msg.Digest{Set: msg.SetHosts, Root: a.Set(msg.SetHosts).Root()})
@@ -102,7 +102,7 @@
 	n := newTestNode(1)
 	route := msg.Entry{Kind: "Route", Name: "r", Version: 3}
 	n.LoadList(Peers{}, []msg.Entry{entry("main", 5, 10), route}, 5, nil)
-	assert.Assert(t, n.Whole())
+	assert.Assert(t, n.Complete())
 	onlyRoutes := func(kind string) bool { return kind == "Route" }
 	n.LoadList(Peers{}, nil, 9, onlyRoutes)
 	set := n.Set(msg.SetRecords)
@@ -113,5 +113,5 @@
 
 	fresh := newTestNode(2)
 	fresh.LoadList(Peers{}, []msg.Entry{route}, 5, onlyRoutes)
-	assert.Assert(t, !fresh.Whole())
+	assert.Assert(t, !fresh.Complete())
 }
--- a/internal/core/config/relay.go
+++ b/internal/core/config/relay.go
@@ -43,8 +43,8 @@
 	}
 	waiting := n.relays
 	n.relays = relays{due: n.now.Add(relayPause)}
-	for _, i := range n.sample(len(peers.Near), n.cfg.FanOut) {
-		to := peers.Near[i]
+	for _, i := range n.sample(len(peers.Local), n.cfg.FanOut) {
+		to := peers.Local[i]
 		if news := n.newsFor(to, waiting); len(news) > 0 {
 			n.push(to, msg.SetHosts, news)
 		}
--- a/internal/core/config/relay_test.go
+++ b/internal/core/config/relay_test.go
@@ -15,7 +15,7 @@
 	return msg.Entry{Kind: "Host", Name: name, Version: version, Value: make([]byte, 300)}
 }
 
-var nearPeers = Peers{Near: []string{"b", "c", "d", "e", "f", "g"}}
+var nearPeers = Peers{Local: []string{"b", "c", "d", "e", "f", "g"}}
 
 // rumors counts the messages and entries that a node sends, by receiver.
 func rumors(n *Node) (messages, entries int) {
@@ -60,7 +60,7 @@
 	n := newTestNode(1)
 	n.Tick(start, nearPeers)
 	n.Take()
-	n.Step(nearPeers, "z", &msg.Snapshot{Set: msg.SetHosts, Entries: []msg.Entry{hostEntry("a", 1)}, Last: true, Whole: true})
+	n.Step(nearPeers, "z", &msg.Snapshot{Set: msg.SetHosts, Entries: []msg.Entry{hostEntry("a", 1)}, Last: true, Complete: true})
 	_, held := n.Set(msg.SetHosts).Get(Key{"Host", "a"})
 	messages, _ := rumors(n)
 	assert.Assert(t, held && messages == 0)
@@ -72,7 +72,7 @@
 		messages, _ := rumors(n)
 		assert.Equal(t, messages, n.cfg.FanOut)
 	}
-	n.Local(nearPeers, msg.SetHosts, []msg.Entry{hostEntry("self", 1)})
+	n.Publish(nearPeers, msg.SetHosts, []msg.Entry{hostEntry("self", 1)})
 	messages, _ = rumors(n)
 	assert.Equal(t, messages, n.cfg.FanOut, "a host's own news is sent at once")
 }
@@ -80,7 +80,7 @@
 // A host is not told what it has told, in a flood either.
 func TestNobodyIsToldItsOwnNews(t *testing.T) {
 	n := newTestNode(1)
-	peers := Peers{Near: []string{"b", "c"}}
+	peers := Peers{Local: []string{"b", "c"}}
 	n.Tick(start, peers)
 	n.relays.due = start.Add(relayPause)
 	n.Step(peers, "b", &msg.Rumor{Set: msg.SetHosts, Entries: []msg.Entry{hostEntry("x", 1)}})
--- a/internal/core/config/step.go
+++ b/internal/core/config/step.go
@@ -30,7 +30,7 @@
 		return
 	}
 	if m.Root == n.sets[m.Set].Root() {
-		n.whole[m.Set] = n.whole[m.Set] || m.Whole
+		n.whole[m.Set] = n.whole[m.Set] || m.Complete
 		return
 	}
 	s := n.sets[m.Set]
@@ -151,7 +151,7 @@
 	}
 	parts := n.batches(entries)
 	for i, part := range parts {
-		n.send(to, &msg.Snapshot{Set: id, Entries: part, Part: uint32(i), Last: i == len(parts)-1, Whole: true})
+		n.send(to, &msg.Snapshot{Set: id, Entries: part, Part: uint32(i), Last: i == len(parts)-1, Complete: true})
 	}
 }
 
@@ -162,7 +162,7 @@
 		n.applyQuietly(from, m)
 		return
 	}
-	if m.Set >= msg.Sets || n.whole[m.Set] || from != n.snapshot[m.Set].from || m.Part != n.snapshot[m.Set].next || !m.Whole {
+	if m.Set >= msg.Sets || n.whole[m.Set] || from != n.snapshot[m.Set].from || m.Part != n.snapshot[m.Set].next || !m.Complete {
 		return
 	}
 	n.snapshot[m.Set].next++
--- a/internal/core/contact/contact.go
+++ b/internal/core/contact/contact.go
@@ -43,13 +43,13 @@
 type Call struct {
 	// Addr is where it listens for other hosts, and Host its name, empty for a seed.
 	Addr, Host string
-	// Whole says that it is asked for all hosts that it knows, not for itself alone.
-	Whole bool
+	// Full says that it is asked for all hosts that it knows, not for itself alone.
+	Full bool
 }
 
-// Ask is the question of the call, for what hosts of a kind of entry say.
-func (c Call) Ask(kind string) *msg.Pull {
-	if c.Whole {
+// PullRequest is the question of the call, for what hosts of a kind of entry say.
+func (c Call) PullRequest(kind string) *msg.Pull {
+	if c.Full {
 		return &msg.Pull{Set: msg.SetHosts, All: true}
 	}
 	return &msg.Pull{Set: msg.SetHosts, Items: []msg.VersionItem{{Kind: kind, Name: c.Host}}}
@@ -63,8 +63,8 @@
 	next       time.Time
 }
 
-// Book holds whom to call. It is not safe for concurrent use.
-type Book struct {
+// Contacts holds whom to call. It is not safe for concurrent use.
+type Contacts struct {
 	dc  string
 	rng *rand.Rand
 
@@ -83,43 +83,43 @@
 }
 
 // New makes a Book for a host of a data centre.
-func New(dc string, seeds []string, rng *rand.Rand) *Book {
-	b := &Book{dc: dc, rng: rng, strangers: make(map[string]*stranger), isSeed: make(map[string]bool), wholeWait: wholeAgainMin}
+func New(dc string, seeds []string, rng *rand.Rand) *Contacts {
+	b := &Contacts{dc: dc, rng: rng, strangers: make(map[string]*stranger), isSeed: make(map[string]bool), wholeWait: wholeAgainMin}
 	for _, addr := range seeds {
 		b.addSeed(addr)
 	}
 	return b
 }
 
-func (b *Book) addSeed(addr string) {
+func (b *Contacts) addSeed(addr string) {
 	if !b.isSeed[addr] {
 		b.isSeed[addr] = true
 		b.seeds = append(b.seeds, addr)
 	}
 }
 
-// Listed takes a host that the platform names. known says that the fleet has told of
+// AddListed takes a host that the platform names. known says that the fleet has told of
 // it already.
-func (b *Book) Listed(name, dc, addr string, known bool) {
+func (b *Contacts) AddListed(name, dc, addr string, known bool) {
 	b.addSeed(addr)
 	if !known {
 		b.add(name, addr, dc == b.dc)
 	}
 }
 
-// Probed takes a host that is not known and that has sent a packet.
-func (b *Book) Probed(name, addr string) {
+// AddProber takes a host that is not known and that has sent a packet.
+func (b *Contacts) AddProber(name, addr string) {
 	if _, waits := b.strangers[name]; !waits && len(b.strangers) < maxStrangers {
 		b.add(name, addr, false)
 	}
 }
 
-// Strangers counts the hosts that are waited for.
-func (b *Book) Strangers() int { return len(b.strangers) }
+// Candidates counts the hosts that are waited for.
+func (b *Contacts) Candidates() int { return len(b.strangers) }
 
 // add takes a stranger in at a random place, so that hosts that start at once and
 // read the same list do not all call the same hosts.
-func (b *Book) add(name, addr string, near bool) {
+func (b *Contacts) add(name, addr string, near bool) {
 	if old, waits := b.strangers[name]; waits {
 		old.addr, old.near, old.tries = addr, near, 0
 		return
@@ -132,9 +132,9 @@
 	b.order[i], b.order[last] = b.order[last], b.order[i]
 }
 
-// Due lists whom to call now. known says which hosts the fleet has told of, and alone
+// NextCalls lists whom to call now. known says which hosts the fleet has told of, and alone
 // that there is none.
-func (b *Book) Due(now time.Time, known func(name string) bool, alone bool) []Call {
+func (b *Contacts) NextCalls(now time.Time, known func(name string) bool, alone bool) []Call {
 	if now.Before(b.nextRound) {
 		return nil
 	}
@@ -150,10 +150,10 @@
 	return calls
 }
 
-// Met says, once, that the hosts that were called are known now, or given up. Most of
+// AllReached says, once, that the hosts that were called are known now, or given up. Most of
 // them learn of this host only if it tells the fleet of itself anew: what it said
 // before reached those alone that it knew then.
-func (b *Book) Met(known func(name string) bool, alone bool) bool {
+func (b *Contacts) AllReached(known func(name string) bool, alone bool) bool {
 	if !b.calling || alone {
 		return false
 	}
@@ -166,7 +166,7 @@
 }
 
 // forget drops the strangers that are known by now, and those that do not answer.
-func (b *Book) forget(known func(name string) bool) {
+func (b *Contacts) forget(known func(name string) bool) {
 	kept := b.order[:0]
 	for _, s := range b.order {
 		if s.tries >= maxTries || known(s.name) {
@@ -180,12 +180,12 @@
 }
 
 // callStrangers picks a round's calls: one near host first, then any.
-func (b *Book) callStrangers(now time.Time, alone bool) []Call {
+func (b *Contacts) callStrangers(now time.Time, alone bool) []Call {
 	var calls []Call
 	call := func(s *stranger) {
 		s.tries++
 		s.next = now.Add(callAgain)
-		calls = append(calls, Call{Addr: s.addr, Host: s.name, Whole: len(calls) == 0 && b.wholeDue(now, alone)})
+		calls = append(calls, Call{Addr: s.addr, Host: s.name, Full: len(calls) == 0 && b.wholeDue(now, alone)})
 	}
 	if s := b.firstDue(now, func(s *stranger) bool { return s.near }); s != nil {
 		call(s)
@@ -203,7 +203,7 @@
 	return calls
 }
 
-func (b *Book) firstDue(now time.Time, fits func(*stranger) bool) *stranger {
+func (b *Contacts) firstDue(now time.Time, fits func(*stranger) bool) *stranger {
 	for _, s := range b.order {
 		if !now.Before(s.next) && s.tries < maxTries && fits(s) {
 			return s
@@ -213,7 +213,7 @@
 }
 
 // wholeDue says that the next call is to ask for all hosts, and counts it.
-func (b *Book) wholeDue(now time.Time, alone bool) bool {
+func (b *Contacts) wholeDue(now time.Time, alone bool) bool {
 	enough := alone || len(b.strangers) > fewMissing
 	if !enough || now.Before(b.wholeAt) {
 		return false
@@ -224,7 +224,7 @@
 }
 
 // callSeeds picks seeds in turn, for a host that knows nobody else.
-func (b *Book) callSeeds(now time.Time) []Call {
+func (b *Contacts) callSeeds(now time.Time) []Call {
 	if now.Before(b.seedAt) {
 		return nil
 	}
@@ -233,7 +233,7 @@
 	for range min(callsAtOnce, len(b.seeds)) {
 		addr := b.seeds[0]
 		b.seeds = append(b.seeds[1:], addr)
-		calls = append(calls, Call{Addr: addr, Whole: true})
+		calls = append(calls, Call{Addr: addr, Full: true})
 	}
 	return calls
 }
--- a/internal/core/contact/contact_test.go
+++ b/internal/core/contact/contact_test.go
@@ -12,16 +12,16 @@
 
 var start = time.Unix(1000, 0)
 
-func newBook(seeds ...string) *Book {
+func newBook(seeds ...string) *Contacts {
 	return New("dc0", seeds, rand.New(rand.NewPCG(1, 2)))
 }
 
 func nobody(string) bool { return false }
 
 // listAll names some hosts of five data centres.
-func listAll(b *Book, hosts int) {
+func listAll(b *Contacts, hosts int) {
 	for i := range hosts {
-		b.Listed(fmt.Sprint("h", i), fmt.Sprint("dc", i%5), fmt.Sprint("addr", i), false)
+		b.AddListed(fmt.Sprint("h", i), fmt.Sprint("dc", i%5), fmt.Sprint("addr", i), false)
 	}
 }
 
@@ -32,11 +32,11 @@
 	listAll(b, 354)
 	calls, whole := 0, 0
 	for at := time.Duration(0); at < time.Second; at += 50 * time.Millisecond {
-		due := b.Due(start.Add(at), nobody, false)
+		due := b.NextCalls(start.Add(at), nobody, false)
 		assert.Assert(t, len(due) <= callsAtOnce)
 		for i, c := range due {
 			calls++
-			if c.Whole {
+			if c.Full {
 				whole++
 				assert.Equal(t, i, 0)
 			}
@@ -57,7 +57,7 @@
 		known := make(map[string]bool)
 		called := make(map[string]int)
 		for at := time.Duration(0); at < time.Minute; at += 50 * time.Millisecond {
-			for _, c := range b.Due(start.Add(at), func(h string) bool { return known[h] }, false) {
+			for _, c := range b.NextCalls(start.Add(at), func(h string) bool { return known[h] }, false) {
 				assert.Assert(t, !known[c.Host], "%s was known", c.Host)
 				called[c.Host]++
 				known[c.Host] = rapid.IntRange(0, 2).Draw(t, "answers") == 0
@@ -67,7 +67,7 @@
 			n := called[fmt.Sprint("h", i)]
 			assert.Assert(t, n >= 1 && n <= maxTries, "h%d was called %d times", i, n)
 		}
-		assert.Equal(t, b.Strangers(), 0)
+		assert.Equal(t, b.Candidates(), 0)
 	})
 }
 
@@ -75,25 +75,25 @@
 // only where nobody else is heard of.
 func TestAHostAloneAsksForEverybody(t *testing.T) {
 	b := newBook("seed1", "seed2", "seed1")
-	due := b.Due(start, nobody, true)
-	assert.DeepEqual(t, due, []Call{{Addr: "seed1", Whole: true}, {Addr: "seed2", Whole: true}})
-	assert.Equal(t, len(b.Due(start.Add(roundInterval), nobody, true)), 0)
+	due := b.NextCalls(start, nobody, true)
+	assert.DeepEqual(t, due, []Call{{Addr: "seed1", Full: true}, {Addr: "seed2", Full: true}})
+	assert.Equal(t, len(b.NextCalls(start.Add(roundInterval), nobody, true)), 0)
 
-	b.Probed("h1", "addr1")
-	due = b.Due(start.Add(2*roundInterval), nobody, true)
-	assert.DeepEqual(t, due, []Call{{Addr: "addr1", Host: "h1", Whole: true}})
-	assert.Equal(t, len(b.Due(start.Add(callAgain+2*roundInterval), func(string) bool { return true }, false)), 0)
+	b.AddProber("h1", "addr1")
+	due = b.NextCalls(start.Add(2*roundInterval), nobody, true)
+	assert.DeepEqual(t, due, []Call{{Addr: "addr1", Host: "h1", Full: true}})
+	assert.Equal(t, len(b.NextCalls(start.Add(callAgain+2*roundInterval), func(string) bool { return true }, false)), 0)
 }
 
 // That the hosts called are known now is told once, and not while nobody is known.
 func TestAMeetingIsToldOnce(t *testing.T) {
 	b := newBook()
-	b.Listed("h1", "dc0", "addr1", false)
+	b.AddListed("h1", "dc0", "addr1", false)
 	everybody := func(string) bool { return true }
-	assert.Assert(t, !b.Met(everybody, false), "nobody was called")
-	b.Due(start, nobody, true)
-	assert.Assert(t, !b.Met(nobody, false))
-	assert.Assert(t, !b.Met(everybody, true))
-	assert.Assert(t, b.Met(everybody, false))
-	assert.Assert(t, !b.Met(everybody, false))
+	assert.Assert(t, !b.AllReached(everybody, false), "nobody was called")
+	b.NextCalls(start, nobody, true)
+	assert.Assert(t, !b.AllReached(nobody, false))
+	assert.Assert(t, !b.AllReached(everybody, true))
+	assert.Assert(t, b.AllReached(everybody, false))
+	assert.Assert(t, !b.AllReached(everybody, false))
 }
--- a/internal/core/crash/crash.go
+++ b/internal/core/crash/crash.go
@@ -20,32 +20,32 @@
 	Service, Version string
 }
 
-// End is the end of one start of an instance.
-type End struct {
+// Crash is the end of one start of an instance.
+type Crash struct {
 	// ID names the start in the fleet.
 	ID       string
 	Software Software
 	// Host is the host that noticed it.
 	Host string
-	// At is when it was noticed, by the clock of that host, in whole milliseconds.
-	At time.Time
-	// Prints are the requests that it ran, those that had begun last first, each once.
-	Prints []Print
+	// DetectedAt is when it was noticed, by the clock of that host, in whole milliseconds.
+	DetectedAt time.Time
+	// Fingerprints are the requests that it ran, those that had begun last first, each once.
+	Fingerprints []Fingerprint
 }
 
 // The bounds of what is remembered.
 const (
-	// MaxPrints bounds the suspects of one end. A request that crashes its
+	// MaxFingerprints bounds the suspects of one end. A request that crashes its
 	// instance does so soon after it began.
-	MaxPrints = 32
+	MaxFingerprints = 32
 	// maxEnds bounds the ends that are remembered; the oldest go first.
 	maxEnds = 256
-	// Keep is how long an end is remembered, longer than any pause.
-	Keep = 2 * time.Hour
+	// RetentionPeriod is how long an end is remembered, longer than any pause.
+	RetentionPeriod = 2 * time.Hour
 )
 
-// Book holds the ends of the fleet. It is not safe for concurrent use.
-type Book struct {
+// Tracker holds the ends of the fleet. It is not safe for concurrent use.
+type Tracker struct {
 	ends map[string]*entry
 	// cleared are the suspects that an end's requests have been cleared of, also
 	// where the end is not known yet.
@@ -54,46 +54,46 @@
 
 // entry is one end, with when it was heard of on this host's clock.
 type entry struct {
-	End
+	Crash
 	heard time.Time
 }
 
 // clearing says that a request had no part in an end.
 type clearing struct {
 	end   string
-	print Print
+	print Fingerprint
 }
 
-// NewBook makes an empty Book.
-func NewBook() *Book {
-	return &Book{ends: make(map[string]*entry), cleared: make(map[clearing]time.Time)}
+// NewTracker makes an empty Book.
+func NewTracker() *Tracker {
+	return &Tracker{ends: make(map[string]*entry), cleared: make(map[clearing]time.Time)}
 }
 
 // Add takes an end, or more of what ran there, and reports whether it was news. What is
 // kept of a stopped request names it alone.
-func (b *Book) Add(now time.Time, e End) bool {
-	if len(e.Prints) == 0 {
+func (b *Tracker) Add(now time.Time, e Crash) bool {
+	if len(e.Fingerprints) == 0 {
 		return false
 	}
-	e.At = e.At.Truncate(time.Millisecond)
+	e.DetectedAt = e.DetectedAt.Truncate(time.Millisecond)
 	known, ok := b.ends[e.ID]
 	if !ok {
-		known = &entry{End: e, heard: now}
-		known.Prints = nil
+		known = &entry{Crash: e, heard: now}
+		known.Fingerprints = nil
 		b.ends[e.ID] = known
 		b.forget(now)
 	}
-	before := len(known.Prints)
-	known.Prints = distinct(slices.Concat(known.Prints, e.Prints))
-	known.Prints = known.Prints[:min(len(known.Prints), MaxPrints)]
-	return len(known.Prints) > before
+	before := len(known.Fingerprints)
+	known.Fingerprints = distinct(slices.Concat(known.Fingerprints, e.Fingerprints))
+	known.Fingerprints = known.Fingerprints[:min(len(known.Fingerprints), MaxFingerprints)]
+	return len(known.Fingerprints) > before
 }
 
 // distinct leaves the first of equal prints: an instance that runs a request several times
 // ends once under it.
-func distinct(prints []Print) []Print {
-	seen := make(map[Print]bool, len(prints))
-	return slices.DeleteFunc(prints, func(p Print) bool {
+func distinct(prints []Fingerprint) []Fingerprint {
+	seen := make(map[Fingerprint]bool, len(prints))
+	return slices.DeleteFunc(prints, func(p Fingerprint) bool {
 		again := seen[p]
 		seen[p] = true
 		return again
@@ -102,7 +102,7 @@
 
 // Clear takes the word that a request had no part in an end, because it has
 // completed at the same software, and reports whether it was news.
-func (b *Book) Clear(now time.Time, end string, p Print) bool {
+func (b *Tracker) Clear(now time.Time, end string, p Fingerprint) bool {
 	c := clearing{end, p}
 	if _, known := b.cleared[c]; known {
 		return false
@@ -112,20 +112,20 @@
 	return true
 }
 
-// EndsOf lists the ends that a request is suspected of, in order of their names.
-func (b *Book) EndsOf(p Print) []End {
-	var out []End
+// CrashesOf lists the ends that a request is suspected of, in order of their names.
+func (b *Tracker) CrashesOf(p Fingerprint) []Crash {
+	var out []Crash
 	for _, e := range b.ends {
 		if b.blames(e, p) {
-			out = append(out, e.End)
+			out = append(out, e.Crash)
 		}
 	}
-	slices.SortFunc(out, func(x, y End) int { return cmp.Compare(x.ID, y.ID) })
+	slices.SortFunc(out, func(x, y Crash) int { return cmp.Compare(x.ID, y.ID) })
 	return out
 }
 
-func (b *Book) blames(e *entry, p Print) bool {
-	if !slices.Contains(e.Prints, p) {
+func (b *Tracker) blames(e *entry, p Fingerprint) bool {
+	if !slices.Contains(e.Fingerprints, p) {
 		return false
 	}
 	_, cleared := b.cleared[clearing{e.ID, p}]
@@ -133,26 +133,26 @@
 }
 
 // forget drops what is older than Keep, and the oldest ends beyond the bound.
-func (b *Book) forget(now time.Time) {
+func (b *Tracker) forget(now time.Time) {
 	for id, e := range b.ends {
-		if now.Sub(e.heard) > Keep {
+		if now.Sub(e.heard) > RetentionPeriod {
 			delete(b.ends, id)
 		}
 	}
 	for c, at := range b.cleared {
-		if now.Sub(at) > Keep {
+		if now.Sub(at) > RetentionPeriod {
 			delete(b.cleared, c)
 		}
 	}
 	for len(b.ends) > maxEnds {
 		delete(b.ends, b.oldest())
 	}
-	for len(b.cleared) > maxEnds*MaxPrints {
+	for len(b.cleared) > maxEnds*MaxFingerprints {
 		clear(b.cleared)
 	}
 }
 
-func (b *Book) oldest() string {
+func (b *Tracker) oldest() string {
 	var first *entry
 	for _, e := range b.ends {
 		if first == nil || e.heard.Before(first.heard) || e.heard.Equal(first.heard) && e.ID < first.ID {
--- a/internal/core/crash/crash_test.go
+++ b/internal/core/crash/crash_test.go
@@ -17,31 +17,31 @@
 )
 
 // add tells a book of an end at a second.
-func add(b *Book, second int, s Software, prints ...Print) {
+func add(b *Tracker, second int, s Software, prints ...Fingerprint) {
 	at := start.Add(time.Duration(second) * time.Second)
-	b.Add(at, End{ID: fmt.Sprint(second), Software: s, At: at, Prints: prints})
+	b.Add(at, Crash{ID: fmt.Sprint(second), Software: s, DetectedAt: at, Fingerprints: prints})
 }
 
-func verdictAt(b *Book, second int, p Print) Verdict {
-	return b.Verdicts(start.Add(time.Duration(second) * time.Second))[p]
+func verdictAt(b *Tracker, second int, p Fingerprint) Assessment {
+	return b.Assess(start.Add(time.Duration(second) * time.Second))[p]
 }
 
 // A request that has part in one end after another is stopped at the third; those that
 // ran beside it, each time others, are not, nor is one that ran beside it twice.
-func TestTheRequestCommonToTheEndsIsStopped(t *testing.T) {
-	b := NewBook()
+func TestRequestCommonToCrashesIsBlocked(t *testing.T) {
+	b := NewTracker()
 	add(b, 1, v1, 7, 10, 11, 12)
 	add(b, 2, v1, 7, 10, 13)
-	assert.Equal(t, verdictAt(b, 2, 7).Ends, 2)
+	assert.Equal(t, verdictAt(b, 2, 7).Crashes, 2)
 	suspect := verdictAt(b, 2, 7)
-	assert.Assert(t, !suspect.Stopped(start.Add(2*time.Second), v1))
+	assert.Assert(t, !suspect.Blocked(start.Add(2*time.Second), v1))
 	add(b, 3, v1, 14, 7)
 	v := verdictAt(b, 3, 7)
 	now := start.Add(3 * time.Second)
-	assert.Equal(t, v.Ends, 3)
-	assert.Assert(t, v.Stopped(now, v1) && v.Stopped(now, v2) && v.Everywhere(now))
-	for _, innocent := range []Print{10, 11, 12, 13, 14} {
-		assert.Equal(t, verdictAt(b, 3, innocent).Ends, 0, "%d: the ends are explained", innocent)
+	assert.Equal(t, v.Crashes, 3)
+	assert.Assert(t, v.Blocked(now, v1) && v.Blocked(now, v2) && v.BlockedEverywhere(now))
+	for _, innocent := range []Fingerprint{10, 11, 12, 13, 14} {
+		assert.Equal(t, verdictAt(b, 3, innocent).Crashes, 0, "%d: the ends are explained", innocent)
 	}
 }
 
@@ -54,14 +54,14 @@
 //
 // Evidence: all hosts held four ends against the request after the first, which names it
 // four times.
-func TestAnEndCountsOnceForARequestThatRanTwice(t *testing.T) {
-	b := NewBook()
+func TestCrashCountsOncePerRequest(t *testing.T) {
+	b := NewTracker()
 	add(b, 1, v1, 7, 7, 7, 10)
-	assert.Equal(t, verdictAt(b, 1, 7).Ends, 1)
+	assert.Equal(t, verdictAt(b, 1, 7).Crashes, 1)
 	add(b, 2, v1, 7, 7)
 	v := verdictAt(b, 2, 7)
-	assert.Equal(t, v.Ends, 2)
-	assert.Assert(t, !v.Everywhere(start.Add(2*time.Second)))
+	assert.Equal(t, v.Crashes, 2)
+	assert.Assert(t, !v.BlockedEverywhere(start.Add(2*time.Second)))
 }
 
 // What users would see: a request that many send is refused by all hosts for minutes,
@@ -74,21 +74,21 @@
 //
 // Evidence: four instances that ran a popular request were lost within two milliseconds
 // before any had completed it; all hosts refused it, so that nothing could clear it.
-func TestInstancesThatAreLostTogetherCountOnce(t *testing.T) {
-	b := NewBook()
+func TestInstancesLostTogetherAreOneIncident(t *testing.T) {
+	b := NewTracker()
 	for n := range 7 {
 		at := start.Add(time.Duration(n) * OneMoment / 6)
-		b.Add(at, End{ID: fmt.Sprint("rack", n), Software: v1, At: at, Prints: []Print{7, Print(100 + n)}})
+		b.Add(at, Crash{ID: fmt.Sprint("rack", n), Software: v1, DetectedAt: at, Fingerprints: []Fingerprint{7, Fingerprint(100 + n)}})
 	}
 	v := verdictAt(b, 1, 7)
-	assert.Equal(t, v.Ends, 7)
-	assert.Equal(t, v.Moments, 1)
-	assert.Assert(t, !v.Everywhere(start.Add(time.Second)))
+	assert.Equal(t, v.Crashes, 7)
+	assert.Equal(t, v.Incidents, 1)
+	assert.Assert(t, !v.BlockedEverywhere(start.Add(time.Second)))
 	add(b, 2, v1, 7)
 	add(b, 3, v1, 7)
 	v = verdictAt(b, 3, 7)
-	assert.Equal(t, v.Moments, 3)
-	assert.Assert(t, v.Everywhere(start.Add(3*time.Second)), "the ends of other moments count")
+	assert.Equal(t, v.Incidents, 3)
+	assert.Assert(t, v.BlockedEverywhere(start.Add(3*time.Second)), "the ends of other moments count")
 }
 
 // What users would see: a request that had ended three instances reaches others through a
@@ -101,80 +101,80 @@
 // Cause: an end that was known already was left as it was.
 //
 // Evidence: the property that hosts agree whatever the order, with ends told in parts.
-func TestAnEndThatIsToldInPartsIsWhole(t *testing.T) {
-	b := NewBook()
+func TestCrashReceivedInPartsIsComplete(t *testing.T) {
+	b := NewTracker()
 	for second := range 3 {
 		add(b, second, v1, 7)
-		add(b, second, v1, 7, 8, Print(100+second))
+		add(b, second, v1, 7, 8, Fingerprint(100+second))
 	}
 	add(b, 3, v1, 8)
 	now := start.Add(3 * time.Second)
 	v := verdictAt(b, 3, 8)
-	assert.Assert(t, v.Everywhere(now), "it had part in four ends")
-	assert.Assert(t, !b.Add(now, End{ID: "0", Software: v1, At: start, Prints: []Print{8, 7}}), "nothing new")
+	assert.Assert(t, v.BlockedEverywhere(now), "it had part in four ends")
+	assert.Assert(t, !b.Add(now, Crash{ID: "0", Software: v1, DetectedAt: start, Fingerprints: []Fingerprint{8, 7}}), "nothing new")
 }
 
 // Two such requests at once are both found, also where they shared an end.
 func TestTwoRequestsAtOnceAreBothStopped(t *testing.T) {
-	b := NewBook()
+	b := NewTracker()
 	for second := range 3 {
-		add(b, 10+second, v1, 7, Print(100+second))
-		add(b, 20+second, v1, 8, Print(200+second))
+		add(b, 10+second, v1, 7, Fingerprint(100+second))
+		add(b, 20+second, v1, 8, Fingerprint(200+second))
 	}
 	add(b, 30, v1, 7, 8)
-	verdicts := b.Verdicts(start.Add(30 * time.Second))
-	assert.Equal(t, verdicts[7].Ends, 4)
-	assert.Equal(t, verdicts[8].Ends, 4, "the end that they shared counts for both")
+	verdicts := b.Assess(start.Add(30 * time.Second))
+	assert.Equal(t, verdicts[7].Crashes, 4)
+	assert.Equal(t, verdicts[8].Crashes, 4, "the end that they shared counts for both")
 	assert.Equal(t, len(verdicts), 2)
 }
 
 // A path that ran on every instance that ended, and completes elsewhere, is cleared:
 // before it is stopped, and also after.
 func TestACompletedRequestIsCleared(t *testing.T) {
-	b := NewBook()
+	b := NewTracker()
 	for second := range 3 {
-		add(b, second, v1, 7, Print(100+second))
+		add(b, second, v1, 7, Fingerprint(100+second))
 	}
 	now := start.Add(3 * time.Second)
 	v := verdictAt(b, 3, 7)
-	assert.Assert(t, v.Stopped(now, v1))
-	for _, e := range b.EndsOf(7) {
+	assert.Assert(t, v.Blocked(now, v1))
+	for _, e := range b.CrashesOf(7) {
 		assert.Assert(t, b.Clear(now, e.ID, 7))
 		assert.Assert(t, !b.Clear(now, e.ID, 7), "once is news")
 	}
-	assert.Equal(t, verdictAt(b, 3, 7).Ends, 0)
-	assert.Equal(t, len(b.EndsOf(7)), 0)
+	assert.Equal(t, verdictAt(b, 3, 7).Crashes, 0)
+	assert.Equal(t, len(b.CrashesOf(7)), 0)
 }
 
 // Software that it has not ended is tried after a while, that which it has ended later,
 // and each further end makes that longer.
 func TestAStoppedRequestIsTriedAgain(t *testing.T) {
-	b := NewBook()
+	b := NewTracker()
 	for second := range 3 {
 		add(b, second, v1, 7)
 	}
 	v := verdictAt(b, 2, 7)
 	last := start.Add(2 * time.Second)
-	assert.Assert(t, v.Stopped(last.Add(newSoftwarePause-1), v2))
-	assert.Assert(t, !v.Stopped(last.Add(newSoftwarePause), v2), "a new version may do better")
-	assert.Assert(t, v.Stopped(last.Add(firstPause-1), v1))
-	assert.Assert(t, !v.Stopped(last.Add(firstPause), v1))
+	assert.Assert(t, v.Blocked(last.Add(newSoftwarePause-1), v2))
+	assert.Assert(t, !v.Blocked(last.Add(newSoftwarePause), v2), "a new version may do better")
+	assert.Assert(t, v.Blocked(last.Add(firstPause-1), v1))
+	assert.Assert(t, !v.Blocked(last.Add(firstPause), v1))
 	add(b, 400, v1, 7)
 	v = verdictAt(b, 400, 7)
-	assert.Assert(t, v.Stopped(start.Add(400*time.Second+2*firstPause-1), v1), "one more end, twice the pause")
+	assert.Assert(t, v.Blocked(start.Add(400*time.Second+2*firstPause-1), v1), "one more end, twice the pause")
 	add(b, 500, v2, 7)
 	v = verdictAt(b, 500, 7)
-	assert.Assert(t, v.Stopped(start.Add(500*time.Second+newSoftwarePause), v2), "the new version is no better")
+	assert.Assert(t, v.Blocked(start.Add(500*time.Second+newSoftwarePause), v2), "the new version is no better")
 }
 
-func TestABookForgets(t *testing.T) {
-	b := NewBook()
+func TestOldCrashesAreRemoved(t *testing.T) {
+	b := NewTracker()
 	for second := range 3 {
 		add(b, second, v1, 7)
 	}
-	assert.Equal(t, len(b.Verdicts(start.Add(Keep+3*time.Second))), 0)
+	assert.Equal(t, len(b.Assess(start.Add(RetentionPeriod+3*time.Second))), 0)
 	for n := range 3 * maxEnds {
-		add(b, 10000+n, v1, Print(n+1))
+		add(b, 10000+n, v1, Fingerprint(n+1))
 	}
 	assert.Equal(t, len(b.ends), maxEnds)
 	_, newest := b.ends[fmt.Sprint(10000+3*maxEnds-1)]
@@ -187,14 +187,14 @@
 func TestHostsAgreeWhateverTheOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		software := rapid.SampledFrom([]Software{v1, v2})
-		var ends []End
+		var ends []Crash
 		for n := range rapid.IntRange(0, 12).Draw(t, "ends") {
-			prints := rapid.SliceOfNDistinct(rapid.Custom(func(t *rapid.T) Print { return Print(rapid.IntRange(1, 6).Draw(t, "print")) }), 0, 4, rapid.ID).Draw(t, "prints")
+			prints := rapid.SliceOfNDistinct(rapid.Custom(func(t *rapid.T) Fingerprint { return Fingerprint(rapid.IntRange(1, 6).Draw(t, "print")) }), 0, 4, rapid.ID).Draw(t, "prints")
 			at := start.Add(time.Duration(rapid.IntRange(0, 8).Draw(t, "moment")) * 2 * OneMoment)
-			ends = append(ends, End{ID: fmt.Sprint(n), Software: software.Draw(t, "software"), At: at, Prints: prints})
+			ends = append(ends, Crash{ID: fmt.Sprint(n), Software: software.Draw(t, "software"), DetectedAt: at, Fingerprints: prints})
 		}
-		completes := Print(rapid.IntRange(0, 6).Draw(t, "completes"))
-		one, other := NewBook(), NewBook()
+		completes := Fingerprint(rapid.IntRange(0, 6).Draw(t, "completes"))
+		one, other := NewTracker(), NewTracker()
 		rng := rand.New(rand.NewPCG(1, rapid.Uint64().Draw(t, "order")))
 		order := rng.Perm(len(ends))
 		for i := range ends {
@@ -204,42 +204,42 @@
 		for _, i := range order {
 			other.Clear(start, ends[i].ID, completes)
 			part := ends[i]
-			part.Prints = part.Prints[:len(part.Prints)/2]
+			part.Fingerprints = part.Fingerprints[:len(part.Fingerprints)/2]
 			other.Add(start, part)
 			other.Add(start, ends[i])
 			other.Add(start, ends[i])
 		}
-		verdicts := one.Verdicts(start)
-		assert.DeepEqual(t, verdicts, other.Verdicts(start))
-		assert.Equal(t, verdicts[completes].Ends, 0)
-		parts := make(map[Print]int)
-		at := make(map[Print]map[time.Time]bool)
+		verdicts := one.Assess(start)
+		assert.DeepEqual(t, verdicts, other.Assess(start))
+		assert.Equal(t, verdicts[completes].Crashes, 0)
+		parts := make(map[Fingerprint]int)
+		at := make(map[Fingerprint]map[time.Time]bool)
 		for _, e := range ends {
-			for _, p := range e.Prints {
+			for _, p := range e.Fingerprints {
 				parts[p]++
 				if at[p] == nil {
 					at[p] = make(map[time.Time]bool)
 				}
-				at[p][e.At] = true
+				at[p][e.DetectedAt] = true
 			}
 		}
-		unexplained := make(map[Print]int)
+		unexplained := make(map[Fingerprint]int)
 		for _, e := range ends {
-			if slices.ContainsFunc(e.Prints, func(p Print) bool { v := verdicts[p]; return !v.Until.IsZero() }) {
+			if slices.ContainsFunc(e.Fingerprints, func(p Fingerprint) bool { v := verdicts[p]; return !v.BlockedUntil.IsZero() }) {
 				continue
 			}
-			for _, p := range e.Prints {
+			for _, p := range e.Fingerprints {
 				unexplained[p]++
 			}
 		}
 		for p, count := range parts {
 			v := verdicts[p]
 			switch {
-			case !v.Until.IsZero():
-				assert.Assert(t, v.Moments >= StopAfter && v.Moments == len(at[p]) && v.Ends <= count)
+			case !v.BlockedUntil.IsZero():
+				assert.Assert(t, v.Incidents >= BlockAfterIncidents && v.Incidents == len(at[p]) && v.Crashes <= count)
 			case p != completes:
-				assert.Equal(t, v.Ends, unexplained[p])
-				assert.Assert(t, len(at[p]) < StopAfter || unexplained[p] == 0, "%d: explained by what is stopped", p)
+				assert.Equal(t, v.Crashes, unexplained[p])
+				assert.Assert(t, len(at[p]) < BlockAfterIncidents || unexplained[p] == 0, "%d: explained by what is stopped", p)
 			}
 		}
 	})
@@ -248,25 +248,25 @@
 // Where such requests come together, each end has several of them: one that had part in
 // three is stopped as soon as one of these is not explained by another.
 func TestRequestsThatCrashTogetherAreAllStopped(t *testing.T) {
-	b := NewBook()
+	b := NewTracker()
 	for second := range 4 {
 		add(b, second, v1, 7, 8)
 	}
-	assert.Equal(t, len(b.Verdicts(start.Add(4*time.Second))), 1, "one explains them all")
+	assert.Equal(t, len(b.Assess(start.Add(4*time.Second))), 1, "one explains them all")
 	add(b, 5, v1, 8, 100)
-	verdicts := b.Verdicts(start.Add(5 * time.Second))
-	assert.Equal(t, verdicts[8].Ends, 5)
+	verdicts := b.Assess(start.Add(5 * time.Second))
+	assert.Equal(t, verdicts[8].Crashes, 5)
 	add(b, 6, v1, 7, 101)
-	verdicts = b.Verdicts(start.Add(6 * time.Second))
-	assert.Assert(t, !verdicts[7].Until.IsZero() && !verdicts[8].Until.IsZero())
+	verdicts = b.Assess(start.Add(6 * time.Second))
+	assert.Assert(t, !verdicts[7].BlockedUntil.IsZero() && !verdicts[8].BlockedUntil.IsZero())
 	assert.Equal(t, len(verdicts), 2, "which explain all the ends")
 }
 
-func TestAPrintIsOfWhatTheCallerSends(t *testing.T) {
+func TestFingerprintCoversWhatTheCallerSends(t *testing.T) {
 	base := Request{Method: "POST", Host: "Desk.example", URI: "/a/b?c", Team: "x", Body: []byte("body"), Length: 4}
 	same := base
 	same.Host = "desk.example"
-	assert.Equal(t, base.Print(), same.Print())
+	assert.Equal(t, base.Fingerprint(), same.Fingerprint())
 	for _, change := range []func(*Request){
 		func(r *Request) { r.Method = "GET" },
 		func(r *Request) { r.Host = "other.example" },
@@ -278,7 +278,7 @@
 	} {
 		other := base
 		change(&other)
-		assert.Assert(t, other.Print() != base.Print(), "%+v", other)
+		assert.Assert(t, other.Fingerprint() != base.Fingerprint(), "%+v", other)
 	}
 }
 
@@ -288,7 +288,7 @@
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
-				r.Print()
+				r.Fingerprint()
 			}
 		})
 	}
--- a/internal/core/crash/print.go
+++ b/internal/core/crash/print.go
@@ -8,17 +8,17 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Print identifies a request by what a target sees of it; 0 is none. Requests
-// with one Print are one request that comes again.
-type Print uint64
+// Fingerprint identifies a request by what a target sees of it; 0 is none. Requests
+// with one Fingerprint are one request that comes again.
+type Fingerprint uint64
 
 // String gives the print as operators see it.
-func (p Print) String() string { return fmt.Sprintf("%016x", uint64(p)) }
+func (p Fingerprint) String() string { return fmt.Sprintf("%016x", uint64(p)) }
 
-// ParsePrint reads a print as String gives it.
-func ParsePrint(s string) (Print, error) {
+// ParseFingerprint reads a print as String gives it.
+func ParseFingerprint(s string) (Fingerprint, error) {
 	p, err := strconv.ParseUint(s, 16, 64)
-	return Print(p), err
+	return Fingerprint(p), err
 }
 
 // Request is what a Print is made of: the caller's own words, not what differs
@@ -34,9 +34,9 @@
 	Length int64
 }
 
-// Print gives the request's print. Bodies that are too large to keep differ by
+// Fingerprint gives the request's print. Bodies that are too large to keep differ by
 // what is kept and by their length.
-func (r *Request) Print() Print {
+func (r *Request) Fingerprint() Fingerprint {
 	var d xxhash.Digest
 	d.Reset()
 	for _, part := range []string{r.Method, strings.ToLower(r.Host), r.URI, r.Team} {
@@ -45,5 +45,5 @@
 	}
 	_, _ = d.Write([]byte{byte(r.Length), byte(r.Length >> 8), byte(r.Length >> 16), byte(r.Length >> 24)})
 	_, _ = d.Write(r.Body)
-	return Print(max(d.Sum64(), 1))
+	return Fingerprint(max(d.Sum64(), 1))
 }
--- a/internal/core/crash/verdict.go
+++ b/internal/core/crash/verdict.go
@@ -8,19 +8,19 @@
 )
 
 const (
-	// StopAfter is at how many moments with ends a request is stopped. Fewer would stop
+	// BlockAfterIncidents is at how many moments with ends a request is stopped. Fewer would stop
 	// one that ran by chance on two instances that ended for another reason.
-	StopAfter = 3
-	// RepeatBelow is under how many such moments a suspected request is still offered
+	BlockAfterIncidents = 3
+	// RetryBelowIncidents is under how many such moments a suspected request is still offered
 	// again: the second may be chance, a third instance is not risked for it.
-	RepeatBelow = 2
+	RetryBelowIncidents = 2
 	// OneMoment is how far apart the ends of instances that are lost together are
 	// noticed. They have one cause, such as a rack's loss of power, and count once: a
 	// request that ends its instances runs for longer than that before each.
 	OneMoment = 10 * time.Millisecond
-	// SettleFor is how long after the last of its ends a request waits before it is
+	// ClearanceWait is how long after the last of its ends a request waits before it is
 	// refused or given up: a host that has seen it complete says so by then nearly always.
-	SettleFor = 250 * time.Millisecond
+	ClearanceWait = 250 * time.Millisecond
 )
 
 const (
@@ -33,55 +33,55 @@
 	maxPause   = 40 * time.Minute
 )
 
-// Verdict is what is known of one request. The zero value is a request that
+// Assessment is what is known of one request. The zero value is a request that
 // nobody suspects.
-type Verdict struct {
-	// Ends is in how many ends it had part that no other request explains, and Moments
+type Assessment struct {
+	// Crashes is in how many ends it had part that no other request explains, and Incidents
 	// at how many moments these were.
-	Ends, Moments int
-	// Last is when this host heard of the latest of them.
-	Last time.Time
-	// Until is when it may reach the software that it has ended again, and
+	Crashes, Incidents int
+	// LastReceived is when this host heard of the latest of them.
+	LastReceived time.Time
+	// BlockedUntil is when it may reach the software that it has ended again, and
 	// UntilOther when it may reach any other; zero where it is not stopped.
-	Until, UntilOther time.Time
-	// Ended is the software that it has ended.
-	Ended []Software
+	BlockedUntil, UntilOther time.Time
+	// CrashedSoftware is the software that it has ended.
+	CrashedSoftware []Software
 }
 
-// Stopped says that the request must not reach an instance of some software.
-func (v *Verdict) Stopped(now time.Time, s Software) bool {
-	if slices.Contains(v.Ended, s) {
-		return now.Before(v.Until)
+// Blocked says that the request must not reach an instance of some software.
+func (v *Assessment) Blocked(now time.Time, s Software) bool {
+	if slices.Contains(v.CrashedSoftware, s) {
+		return now.Before(v.BlockedUntil)
 	}
 	return now.Before(v.UntilOther)
 }
 
-// WaitForNews is how much longer a request waits for news that may clear it before it is
+// ClearanceTimeLeft is how much longer a request waits for news that may clear it before it is
 // refused or given up: zero or less where there is nothing to wait for.
-func (v *Verdict) WaitForNews(now time.Time) time.Duration {
-	if v.Moments < RepeatBelow {
+func (v *Assessment) ClearanceTimeLeft(now time.Time) time.Duration {
+	if v.Incidents < RetryBelowIncidents {
 		return 0
 	}
-	return v.Last.Add(SettleFor).Sub(now)
+	return v.LastReceived.Add(ClearanceWait).Sub(now)
 }
 
-// Everywhere says that the request must not reach any instance.
-func (v *Verdict) Everywhere(now time.Time) bool { return now.Before(v.UntilOther) }
+// BlockedEverywhere says that the request must not reach any instance.
+func (v *Assessment) BlockedEverywhere(now time.Time) bool { return now.Before(v.UntilOther) }
 
-// Verdicts are the requests that are suspected. They do not change once given.
-type Verdicts map[Print]Verdict
+// Assessments are the requests that are suspected. They do not change once given.
+type Assessments map[Fingerprint]Assessment
 
-// Verdicts gives what is known of each suspected request. Of those with part in ends at
+// Assess gives what is known of each suspected request. Of those with part in ends at
 // StopAfter moments the one that explains the most is stopped, which clears all that
 // ran beside it; then the one that explains most of the rest, and so on. One end
 // that nothing else explains is enough: where several such requests come at once,
 // each runs beside others. What is left suspects without stopping.
-func (b *Book) Verdicts(now time.Time) Verdicts {
+func (b *Tracker) Assess(now time.Time) Assessments {
 	b.forget(now)
 	left := b.byPrint()
 	grave := maps.Clone(left)
-	maps.DeleteFunc(grave, func(_ Print, ends []*entry) bool { return moments(ends) < StopAfter })
-	out := make(Verdicts)
+	maps.DeleteFunc(grave, func(_ Fingerprint, ends []*entry) bool { return moments(ends) < BlockAfterIncidents })
+	out := make(Assessments)
 	for {
 		worst, found := most(grave, left)
 		if !found {
@@ -91,16 +91,16 @@
 		explain(left, grave[worst])
 	}
 	for p, ends := range left {
-		out[p] = Verdict{Ends: len(ends), Moments: moments(ends), Last: lastHeard(ends)}
+		out[p] = Assessment{Crashes: len(ends), Incidents: moments(ends), LastReceived: lastHeard(ends)}
 	}
 	return out
 }
 
 // byPrint lists the ends that each request is suspected of.
-func (b *Book) byPrint() map[Print][]*entry {
-	out := make(map[Print][]*entry)
+func (b *Tracker) byPrint() map[Fingerprint][]*entry {
+	out := make(map[Fingerprint][]*entry)
 	for _, e := range b.ends {
-		for _, p := range e.Prints {
+		for _, p := range e.Fingerprints {
 			if b.blames(e, p) {
 				out[p] = append(out[p], e)
 			}
@@ -111,7 +111,7 @@
 
 // most finds the request that explains the most ends of those left, among the grave ones;
 // of equals the one whose print is least, which is the same on every host.
-func most(grave, left map[Print][]*entry) (worst Print, found bool) {
+func most(grave, left map[Fingerprint][]*entry) (worst Fingerprint, found bool) {
 	for p := range grave {
 		ends, unexplained := left[p]
 		if !unexplained {
@@ -125,7 +125,7 @@
 }
 
 // explain takes ends off every request that was suspected of them.
-func explain(left map[Print][]*entry, ends []*entry) {
+func explain(left map[Fingerprint][]*entry, ends []*entry) {
 	explained := make(map[string]bool, len(ends))
 	for _, e := range ends {
 		explained[e.ID] = true
@@ -141,16 +141,16 @@
 }
 
 // stopped is the verdict on a request that has part in some ends.
-func stopped(ends []*entry) Verdict {
-	v := Verdict{Ends: len(ends), Moments: moments(ends), Last: lastHeard(ends)}
-	v.UntilOther = v.Last.Add(newSoftwarePause)
-	v.Until = v.Last.Add(pause(v.Moments))
+func stopped(ends []*entry) Assessment {
+	v := Assessment{Crashes: len(ends), Incidents: moments(ends), LastReceived: lastHeard(ends)}
+	v.UntilOther = v.LastReceived.Add(newSoftwarePause)
+	v.BlockedUntil = v.LastReceived.Add(pause(v.Incidents))
 	for _, e := range ends {
-		if !slices.Contains(v.Ended, e.Software) {
-			v.Ended = append(v.Ended, e.Software)
+		if !slices.Contains(v.CrashedSoftware, e.Software) {
+			v.CrashedSoftware = append(v.CrashedSoftware, e.Software)
 		}
 	}
-	slices.SortFunc(v.Ended, func(x, y Software) int {
+	slices.SortFunc(v.CrashedSoftware, func(x, y Software) int {
 		return cmp.Or(cmp.Compare(x.Service, y.Service), cmp.Compare(x.Version, y.Version))
 	})
 	return v
@@ -160,7 +160,7 @@
 func moments(ends []*entry) int {
 	times := make([]time.Time, 0, len(ends))
 	for _, e := range ends {
-		times = append(times, e.At)
+		times = append(times, e.DetectedAt)
 	}
 	slices.SortFunc(times, time.Time.Compare)
 	n := 0
@@ -182,7 +182,7 @@
 // pause is how long a request is kept from what it has ended at some moments.
 func pause(moments int) time.Duration {
 	p := firstPause
-	for range moments - StopAfter {
+	for range moments - BlockAfterIncidents {
 		p = min(2*p, maxPause)
 	}
 	return p
--- a/internal/core/detect/detect_test.go
+++ b/internal/core/detect/detect_test.go
@@ -36,7 +36,7 @@
 	for b.now.Sub(start) < limit {
 		b.now = b.now.Add(50 * time.Millisecond)
 		b.ref.Add(b.now, b.draw(peers), false)
-		if b.det.Answer(b.now, b.ref.At(b.now), b.draw(own), b.rng.Float64() < failing) {
+		if b.det.AddAnswer(b.now, b.ref.At(b.now), b.draw(own), b.rng.Float64() < failing) {
 			return b.now.Sub(start), true
 		}
 	}
@@ -107,7 +107,7 @@
 		b.now = b.now.Add(age)
 		b.ref.Add(b.now, b.draw(1), false)
 		for range 7 {
-			b.det.Stuck(b.now, b.ref.At(b.now), age)
+			b.det.AddPending(b.now, b.ref.At(b.now), age)
 		}
 	}
 	assert.Equal(t, b.det.Health(), Suspect)
@@ -122,6 +122,6 @@
 	}
 	for range 1000 {
 		now = now.Add(10 * time.Millisecond)
-		assert.Assert(t, !d.Answer(now, ref.At(now), time.Minute, true))
+		assert.Assert(t, !d.AddAnswer(now, ref.At(now), time.Minute, true))
 	}
 }
--- a/internal/core/detect/detector.go
+++ b/internal/core/detect/detector.go
@@ -78,15 +78,15 @@
 	return max(d.slow.value, d.failing.value, d.at)
 }
 
-// Conviction is the evidence at which the present suspicion began, in nats.
-func (d *Detector) Conviction() float64 { return d.at }
+// SuspicionEvidence is the evidence at which the present suspicion began, in nats.
+func (d *Detector) SuspicionEvidence() float64 { return d.at }
 
-// Since is when the present suspicion began.
-func (d *Detector) Since() time.Time { return d.since }
+// SuspectSince is when the present suspicion began.
+func (d *Detector) SuspectSince() time.Time { return d.since }
 
-// Answer takes one answer of the instance and reports whether the judgement
+// AddAnswer takes one answer of the instance and reports whether the judgement
 // has changed. failed covers errors and broken or mismatched answers.
-func (d *Detector) Answer(now time.Time, ref Summary, service time.Duration, failed bool) bool {
+func (d *Detector) AddAnswer(now time.Time, ref Summary, service time.Duration, failed bool) bool {
 	if ref.Count < minReference {
 		return false
 	}
@@ -102,10 +102,10 @@
 	return d.decide(now)
 }
 
-// Stuck takes the age of a request that is still running; the caller reports
+// AddPending takes the age of a request that is still running; the caller reports
 // each request again whenever its age has doubled. An age is a lower bound of
 // the service time, so that it can only speak against the instance.
-func (d *Detector) Stuck(now time.Time, ref Summary, age time.Duration) bool {
+func (d *Detector) AddPending(now time.Time, ref Summary, age time.Duration) bool {
 	step := slowStep(d.params, ref, age)
 	if ref.Count < minReference || step <= 0 {
 		return false
--- a/internal/core/directory/directory.go
+++ b/internal/core/directory/directory.go
@@ -37,11 +37,11 @@
 	// StartedMS is when the instance was first announced, in Unix milliseconds
 	// of its guard.
 	StartedMS int64
-	// WarmLeft is how much longer the instance is slow after its start, at the
+	// WarmUpLeft is how much longer the instance is slow after its start, at the
 	// moment of the announcement.
-	WarmLeft time.Duration
-	// WarmAt is when it is warm, on this process's clock.
-	WarmAt time.Time
+	WarmUpLeft time.Duration
+	// WarmUpEnd is when it is warm, on this process's clock.
+	WarmUpEnd time.Time
 }
 
 // Host is one host, as it announces itself and as membership sees it.
@@ -108,9 +108,9 @@
 	*record.ShardMap
 }
 
-// RampUp is how long a new instance takes to reach its full share where it says
+// DefaultWarmUp is how long a new instance takes to reach its full share where it says
 // nothing of its warm-up itself.
-const RampUp = 10 * time.Second
+const DefaultWarmUp = 10 * time.Second
 
 // Build compiles hosts into an earlier compilation of the records.
 func Build(records *Records, hosts []*Host) *Directory {
@@ -151,9 +151,9 @@
 	}
 }
 
-// Stopping finds a planned stop that covers an instance of a host; instance
+// PlannedStop finds a planned stop that covers an instance of a host; instance
 // "" asks for the host as a whole.
-func (d *Directory) Stopping(host, instance string) *record.Stop {
+func (d *Directory) PlannedStop(host, instance string) *record.Stop {
 	for _, s := range d.Stops {
 		if s.Host == host && (s.Instance == "" || s.Instance == instance) {
 			return s
--- a/internal/core/directory/records.go
+++ b/internal/core/directory/records.go
@@ -25,11 +25,11 @@
 
 // Compile turns parsed records into their lookup form.
 func Compile(all []*record.Record, whole bool) *Records {
-	return (&Records{}).Next(all, whole)
+	return (&Records{}).Recompile(all, whole)
 }
 
-// Next is Compile with the parts of an earlier compilation that still hold.
-func (r *Records) Next(all []*record.Record, whole bool) *Records {
+// Recompile is Compile with the parts of an earlier compilation that still hold.
+func (r *Records) Recompile(all []*record.Record, whole bool) *Records {
 	out := &Records{
 		teams: make(map[string]*record.Team),
 		maps:  make(map[string]*ShardMap),
--- a/internal/core/eject/eject.go
+++ b/internal/core/eject/eject.go
@@ -27,22 +27,22 @@
 
 // Result is the outcome of the rule.
 type Result struct {
-	// Out marks the members that are left out, by index.
-	Out []bool
+	// Ejected marks the members that are left out, by index.
+	Ejected []bool
 	// Healthy is the capacity that remains, in slots.
 	Healthy int
 	// Required is the floor, in slots.
 	Required int
 	// Known is the service's whole capacity, in slots.
 	Known int
-	// Kept counts suspects that stay only because of the floor.
-	Kept int
+	// KeptSuspects counts suspects that stay only because of the floor.
+	KeptSuspects int
 }
 
 // Apply runs the rule. Required slots are the floor's percentage of all known
 // slots, rounded up; the floor's number of instances holds as well.
 func Apply(members []Member, floor record.Floor) Result {
-	res := Result{Out: make([]bool, len(members))}
+	res := Result{Ejected: make([]bool, len(members))}
 	usable := 0
 	var suspects []int
 	for i, m := range members {
@@ -61,10 +61,10 @@
 	for _, i := range suspects {
 		left := res.Healthy - members[i].Slots
 		if left < res.Required || usable-1 < max(floor.Instances, 1) {
-			res.Kept++
+			res.KeptSuspects++
 			continue
 		}
-		res.Out[i] = true
+		res.Ejected[i] = true
 		res.Healthy = left
 		usable--
 	}
--- a/internal/core/eject/eject_test.go
+++ b/internal/core/eject/eject_test.go
@@ -29,9 +29,9 @@
 		r := Apply(members, floor)
 		left, ejected := 0, false
 		for i, m := range members {
-			ejected = ejected || r.Out[i]
-			assert.Assert(t, !r.Out[i] || m.Usable && m.Suspect)
-			if m.Usable && !r.Out[i] {
+			ejected = ejected || r.Ejected[i]
+			assert.Assert(t, !r.Ejected[i] || m.Usable && m.Suspect)
+			if m.Usable && !r.Ejected[i] {
 				left += m.Slots
 			}
 		}
@@ -45,7 +45,7 @@
 		}
 		again := Apply(back, floor)
 		for i := range members {
-			assert.Equal(t, again.Out[n-1-i], r.Out[i])
+			assert.Equal(t, again.Ejected[n-1-i], r.Ejected[i])
 		}
 	})
 }
@@ -56,6 +56,6 @@
 		{Name: "c", Slots: 5, Usable: true}, {Name: "d", Slots: 5, Usable: true},
 	}
 	r := Apply(members, record.Floor{Percent: 75})
-	assert.Equal(t, r.Out[1], false, "a suspect was left out although a dead one has used up the room")
-	assert.Equal(t, r.Kept, 1)
+	assert.Equal(t, r.Ejected[1], false, "a suspect was left out although a dead one has used up the room")
+	assert.Equal(t, r.KeptSuspects, 1)
 }
--- a/internal/core/header/header.go
+++ b/internal/core/header/header.go
@@ -25,9 +25,9 @@
 	// NotRun is the answer header by which a target says that it did not run
 	// the request.
 	NotRun string
-	// Proof is the answer header that every success of a target carries; one
+	// TargetMarker is the answer header that every success of a target carries; one
 	// without it is not the target's answer.
-	Proof string
+	TargetMarker string
 	// Team is the header that tells a target the caller's team, where teams show keys;
 	// what the caller itself says there is dropped.
 	Team string
--- a/internal/core/member/live_test.go
+++ b/internal/core/member/live_test.go
@@ -55,7 +55,7 @@
 			switch action := rapid.IntRange(0, 3).Draw(t, "action"); {
 			case action == 0:
 				dc := fmt.Sprint("dc", rapid.IntRange(0, 3).Draw(t, "dc"))
-				n.Learn(now, host, dc, host, int64(step+1))
+				n.Update(now, host, dc, host, int64(step+1))
 			case action == 1 && known:
 				n.setStatus(now, m, Suspect)
 			case action == 2 && known:
@@ -90,7 +90,7 @@
 	t.Helper()
 	n, now := newTestNode(), time.Unix(1000, 0)
 	for i := range hosts {
-		n.Learn(now, hostName(i), fmt.Sprint("dc", i%5), hostName(i), 1)
+		n.Update(now, hostName(i), fmt.Sprint("dc", i%5), hostName(i), 1)
 	}
 	version := int64(1)
 	return testing.AllocsPerRun(200, func() {
@@ -98,7 +98,7 @@
 		m := n.members[hostName(7)]
 		n.setStatus(now, m, Dead)
 		n.Live()
-		n.Learn(now, m.Host, m.DC, m.Peer, version)
+		n.Update(now, m.Host, m.DC, m.PeerAddr, version)
 		n.Live()
 		n.changes = n.changes[:0]
 	})
@@ -112,13 +112,13 @@
 		b.Run(fmt.Sprint(hosts), func(b *testing.B) {
 			n, now := newTestNode(), time.Unix(1000, 0)
 			for i := range hosts {
-				n.Learn(now, hostName(i), fmt.Sprint("dc", i%5), hostName(i), 1)
+				n.Update(now, hostName(i), fmt.Sprint("dc", i%5), hostName(i), 1)
 			}
 			m := n.members[hostName(7)]
 			for k := range b.N {
 				n.setStatus(now, m, Dead)
 				n.Live()
-				n.Learn(now, m.Host, m.DC, m.Peer, int64(k+2))
+				n.Update(now, m.Host, m.DC, m.PeerAddr, int64(k+2))
 				n.Live()
 				n.changes = n.changes[:0]
 			}
--- a/internal/core/member/member.go
+++ b/internal/core/member/member.go
@@ -50,9 +50,9 @@
 	// ProbeTimeout is how long a direct probe may go unanswered before
 	// others are asked; it must exceed the round trip across data centres.
 	ProbeTimeout time.Duration
-	// Suspicion is how long a suspect may refute. Shorter is quicker and
+	// SuspicionTimeout is how long a suspect may refute. Shorter is quicker and
 	// wrong more often.
-	Suspicion time.Duration
+	SuspicionTimeout time.Duration
 	// Helpers is how many hosts are asked to probe indirectly.
 	Helpers int
 	// FarShare is the share of probes that go to another data centre.
@@ -60,31 +60,31 @@
 	// DeadProbe is the time between two probes of a host held for dead, which
 	// heal a split whose both sides hold each other for dead.
 	DeadProbe time.Duration
-	// NotesPerPacket bounds the claims in one packet.
-	NotesPerPacket int
+	// ClaimsPerPacket bounds the claims in one packet.
+	ClaimsPerPacket int
 }
 
 // DefaultConfig suits data centres a few milliseconds apart.
 func DefaultConfig(host string) Config {
 	return Config{
-		Host:           host,
-		ProbeInterval:  time.Second,
-		ProbeTimeout:   300 * time.Millisecond,
-		Suspicion:      4 * time.Second,
-		Helpers:        3,
-		FarShare:       0.1,
-		DeadProbe:      5 * time.Second,
-		NotesPerPacket: 12,
+		Host:             host,
+		ProbeInterval:    time.Second,
+		ProbeTimeout:     300 * time.Millisecond,
+		SuspicionTimeout: 4 * time.Second,
+		Helpers:          3,
+		FarShare:         0.1,
+		DeadProbe:        5 * time.Second,
+		ClaimsPerPacket:  12,
 	}
 }
 
 // Member is one host as this process sees it.
 type Member struct {
-	Host    string
-	DC      string
-	Peer    string
-	Version int64
-	Status  Status
+	Host     string
+	DC       string
+	PeerAddr string
+	Version  int64
+	Status   Status
 	// Since is when the status began.
 	Since time.Time
 	// LastHeard is when a packet of the host last came.
@@ -151,7 +151,7 @@
 
 // rumor is a claim still to be spread.
 type rumor struct {
-	note msg.Note
+	note msg.MemberClaim
 	left int
 }
 
@@ -175,9 +175,9 @@
 	n.accused = false
 }
 
-// Accused says that others claim this host's present version is not alive:
+// Suspected says that others claim this host's present version is not alive:
 // the caller writes a greater version to refute.
-func (n *Node) Accused() bool { return n.accused }
+func (n *Node) Suspected() bool { return n.accused }
 
 // Isolated says that this host hears almost nobody, so that its judgement of
 // others is worth nothing.
@@ -213,8 +213,8 @@
 // Node is next called and are not to be changed.
 func (n *Node) Live() (near []string, far [][]string) { return n.live.near, n.live.far }
 
-// Alone says that no other host is known to live.
-func (n *Node) Alone() bool {
+// NoPeers says that no other host is known to live.
+func (n *Node) NoPeers() bool {
 	near, far := n.Live()
 	return len(near)+len(far) == 0
 }
@@ -226,9 +226,9 @@
 	return out, changes
 }
 
-// Learn takes what a host says of itself. A greater version than known is
+// Update takes what a host says of itself. A greater version than known is
 // proof of life and refutes older claims.
-func (n *Node) Learn(now time.Time, host, dc, peer string, version int64) {
+func (n *Node) Update(now time.Time, host, dc, peer string, version int64) {
 	if host == n.cfg.Host {
 		return
 	}
@@ -240,7 +240,7 @@
 	if ok && version <= m.learnt {
 		return
 	}
-	m.DC, m.Peer, m.learnt = dc, peer, version
+	m.DC, m.PeerAddr, m.learnt = dc, peer, version
 	n.revive(now, m, version)
 	n.live.keep(m)
 }
--- a/internal/core/member/probe.go
+++ b/internal/core/member/probe.go
@@ -50,7 +50,7 @@
 	m := n.members[host]
 	n.seq++
 	n.probes[n.seq] = &probe{host: host, sent: now}
-	n.send(m.Peer, &msg.Packet{Kind: msg.PacketPing, Seq: n.seq, Target: host})
+	n.send(m.PeerAddr, &msg.Packet{Kind: msg.PacketPing, Seq: n.seq, ProbedHost: host})
 }
 
 // recentlyDead is how long a host held for dead is probed often: most come back
@@ -67,7 +67,7 @@
 	n.nextDead = now.Add(n.cfg.DeadProbe/2 + time.Duration(n.rng.Int64N(int64(n.cfg.DeadProbe))))
 	var dead, heard []string
 	for _, m := range n.members {
-		if m.Status != Dead || m.Peer == "" {
+		if m.Status != Dead || m.PeerAddr == "" {
 			continue
 		}
 		dead = append(dead, m.Host)
@@ -86,9 +86,9 @@
 	host := dead[n.rng.IntN(len(dead))]
 	m := n.members[host]
 	n.seq++
-	p := &msg.Packet{Kind: msg.PacketPing, Seq: n.seq, Target: host}
-	p.Notes = append(p.Notes, msg.Note{Host: host, Version: m.Version, Status: uint8(Dead)})
-	n.send(m.Peer, p)
+	p := &msg.Packet{Kind: msg.PacketPing, Seq: n.seq, ProbedHost: host}
+	p.Claims = append(p.Claims, msg.MemberClaim{Host: host, Version: m.Version, Status: uint8(Dead)})
+	n.send(m.PeerAddr, p)
 }
 
 // judgeProbes asks helpers after ProbeTimeout and accuses after ProbeInterval.
@@ -123,7 +123,7 @@
 		if helper.Host == p.host || helper.Status != Alive {
 			continue
 		}
-		n.send(helper.Peer, &msg.Packet{Kind: msg.PacketPingRequest, Seq: seq, Target: p.host, TargetPeer: m.Peer})
+		n.send(helper.PeerAddr, &msg.Packet{Kind: msg.PacketPingRequest, Seq: seq, ProbedHost: p.host, ProbedAddr: m.PeerAddr})
 		if asked++; asked == n.cfg.Helpers {
 			return
 		}
@@ -143,7 +143,7 @@
 
 func (n *Node) accuse(now time.Time, m *Member, s Status) {
 	n.setStatus(now, m, s)
-	n.spread(msg.Note{Host: m.Host, Version: m.Version, Status: uint8(s)})
+	n.spread(msg.MemberClaim{Host: m.Host, Version: m.Version, Status: uint8(s)})
 }
 
 // burySuspects holds suspects for dead that did not refute in time.
@@ -152,7 +152,7 @@
 		return
 	}
 	for _, m := range n.suspects {
-		if now.Sub(m.Since) >= n.cfg.Suspicion {
+		if now.Sub(m.Since) >= n.cfg.SuspicionTimeout {
 			n.accuse(now, m, Dead)
 		}
 	}
@@ -161,7 +161,7 @@
 // spreadFactor is how many packets per doubling of the fleet carry a claim.
 const spreadFactor = 3
 
-func (n *Node) spread(note msg.Note) {
+func (n *Node) spread(note msg.MemberClaim) {
 	left := spreadFactor
 	for size := len(n.members); size > 0; size /= 2 {
 		left += spreadFactor
@@ -171,7 +171,7 @@
 
 // takeNotes picks the claims for one packet: first what is said of the target
 // itself, then those least spread.
-func (n *Node) takeNotes(target string) []msg.Note {
+func (n *Node) takeNotes(target string) []msg.MemberClaim {
 	if len(n.notes) == 0 {
 		return nil
 	}
@@ -189,8 +189,8 @@
 		}
 		return a.note.Host < b.note.Host
 	})
-	order = order[:min(len(order), n.cfg.NotesPerPacket)]
-	out := make([]msg.Note, 0, len(order))
+	order = order[:min(len(order), n.cfg.ClaimsPerPacket)]
+	out := make([]msg.MemberClaim, 0, len(order))
 	for _, r := range order {
 		out = append(out, r.note)
 		if r.left--; r.left <= 0 {
@@ -201,8 +201,8 @@
 }
 
 func (n *Node) send(to string, p *msg.Packet) {
-	p.From, p.FromVersion, p.FromPeer = n.cfg.Host, n.version, n.peer
-	p.Notes = append(p.Notes, n.takeNotes(p.Target)...)
+	p.From, p.FromVersion, p.FromAddr = n.cfg.Host, n.version, n.peer
+	p.Claims = append(p.Claims, n.takeNotes(p.ProbedHost)...)
 	n.out = append(n.out, Datagram{To: to, Packet: p})
 }
 
@@ -212,7 +212,7 @@
 		m.LastHeard = now
 		n.revive(now, m, p.FromVersion)
 	}
-	for _, note := range p.Notes {
+	for _, note := range p.Claims {
 		n.stepNote(now, note)
 	}
 	switch p.Kind {
@@ -228,20 +228,20 @@
 // stepPing answers, and tells a sender that is held for dead or suspect what
 // is claimed of it, so that it can refute.
 func (n *Node) stepPing(p *msg.Packet) {
-	if p.Target != n.cfg.Host {
+	if p.ProbedHost != n.cfg.Host {
 		return
 	}
-	ack := &msg.Packet{Kind: msg.PacketAck, Seq: p.Seq, Target: p.From}
+	ack := &msg.Packet{Kind: msg.PacketAck, Seq: p.Seq, ProbedHost: p.From}
 	if m, ok := n.members[p.From]; ok && m.Status != Alive {
-		ack.Notes = append(ack.Notes, msg.Note{Host: m.Host, Version: m.Version, Status: uint8(m.Status)})
+		ack.Claims = append(ack.Claims, msg.MemberClaim{Host: m.Host, Version: m.Version, Status: uint8(m.Status)})
 	}
-	n.send(p.FromPeer, ack)
+	n.send(p.FromAddr, ack)
 }
 
 func (n *Node) stepPingRequest(now time.Time, p *msg.Packet) {
 	n.seq++
-	n.relays[n.seq] = relay{peer: p.FromPeer, seq: p.Seq, sent: now}
-	n.send(p.TargetPeer, &msg.Packet{Kind: msg.PacketPing, Seq: n.seq, Target: p.Target})
+	n.relays[n.seq] = relay{peer: p.FromAddr, seq: p.Seq, sent: now}
+	n.send(p.ProbedAddr, &msg.Packet{Kind: msg.PacketPing, Seq: n.seq, ProbedHost: p.ProbedHost})
 }
 
 func (n *Node) stepAck(now time.Time, p *msg.Packet) {
@@ -265,7 +265,7 @@
 }
 
 // stepNote takes a claim about one version of a host.
-func (n *Node) stepNote(now time.Time, note msg.Note) {
+func (n *Node) stepNote(now time.Time, note msg.MemberClaim) {
 	status := Status(note.Status)
 	if status != Suspect && status != Dead {
 		return
--- a/internal/core/once/attempt.go
+++ b/internal/core/once/attempt.go
@@ -23,12 +23,12 @@
 	Done
 )
 
-// Send is what the front sends next.
-type Send uint8
+// Action is what the front sends next.
+type Action uint8
 
 // The messages an attempt asks for.
 const (
-	SendNothing Send = iota
+	SendNothing Action = iota
 	SendReserve
 	SendRun
 	SendCancel
@@ -52,12 +52,12 @@
 // Verdict reads the verdict; it is final once the phase is Done.
 func (a *Attempt) Verdict() verdict.Verdict { return a.verdict }
 
-// Whole says that the whole answer arrived and was proved.
-func (a *Attempt) Whole() bool { return a.phase == Done && a.whole }
+// ResponseComplete says that the whole answer arrived and was proved.
+func (a *Attempt) ResponseComplete() bool { return a.phase == Done && a.whole }
 
 // Begin starts the attempt. An idempotent request runs in one step; any other
 // reserves first, and with claim also waits for the key's owner.
-func (a *Attempt) Begin(idempotent, claim bool) Send {
+func (a *Attempt) Begin(idempotent, claim bool) Action {
 	if a.phase != Idle {
 		return SendNothing
 	}
@@ -70,9 +70,9 @@
 	return SendReserve
 }
 
-// Granted takes the guard's grant. A second grant, or one that comes after
+// HandleGrant takes the guard's grant. A second grant, or one that comes after
 // the attempt has ended, changes nothing: the guard lets it lapse.
-func (a *Attempt) Granted() Send {
+func (a *Attempt) HandleGrant() Action {
 	if a.phase != Reserving {
 		return SendNothing
 	}
@@ -80,8 +80,8 @@
 	return a.runIfReady()
 }
 
-// Claimed takes the owner's agreement that this request may run.
-func (a *Attempt) Claimed() Send {
+// HandleClaimAccepted takes the owner's agreement that this request may run.
+func (a *Attempt) HandleClaimAccepted() Action {
 	if a.phase != Reserving {
 		return SendNothing
 	}
@@ -89,7 +89,7 @@
 	return a.runIfReady()
 }
 
-func (a *Attempt) runIfReady() Send {
+func (a *Attempt) runIfReady() Action {
 	if !a.haveSlot || a.awaitClaim {
 		return SendNothing
 	}
@@ -97,15 +97,15 @@
 	return SendRun
 }
 
-// Head takes the start of the target's answer.
-func (a *Attempt) Head() {
+// HandleResponseStart takes the start of the target's answer.
+func (a *Attempt) HandleResponseStart() {
 	if a.phase == Running {
 		a.phase = Answering
 	}
 }
 
-// End takes the end of the answer; whole says that length and hash agree.
-func (a *Attempt) End(whole bool) {
+// HandleResponseEnd takes the end of the answer; whole says that length and hash agree.
+func (a *Attempt) HandleResponseEnd(whole bool) {
 	if a.phase != Answering {
 		return
 	}
@@ -113,10 +113,10 @@
 	a.finish(verdict.Ran)
 }
 
-// Failed takes the guard's word that the attempt is over. Before Run was sent
+// HandleFailure takes the guard's word that the attempt is over. Before Run was sent
 // nothing can have run, whatever the guard says; after the answer has begun
 // the request did run.
-func (a *Attempt) Failed(v verdict.Verdict) {
+func (a *Attempt) HandleFailure(v verdict.Verdict) {
 	switch a.phase {
 	case Reserving:
 		a.finish(verdict.NotRun)
@@ -127,9 +127,9 @@
 	}
 }
 
-// GiveUp ends the attempt from the front's side: link lost, deadline, caller
+// Abort ends the attempt from the front's side: link lost, deadline, caller
 // gone, or a claim that was refused. It says whether to tell the guard.
-func (a *Attempt) GiveUp() Send {
+func (a *Attempt) Abort() Action {
 	switch a.phase {
 	case Idle:
 		a.finish(verdict.NotRun)
--- a/internal/core/once/history_test.go
+++ b/internal/core/once/history_test.go
@@ -63,7 +63,7 @@
 	t.Logf("%d histories, outcomes by kind %v", runs, total)
 }
 
-func TestKeyCheckCatchesPlantedFaults(t *testing.T) {
+func TestHistoryCheckDetectsInjectedBugs(t *testing.T) {
 	for name, c := range map[string]struct {
 		plant simPlant
 		fault simFault
--- a/internal/core/once/model_test.go
+++ b/internal/core/once/model_test.go
@@ -79,7 +79,7 @@
 	return m
 }
 
-func (m *model) send(i int, s once.Send) {
+func (m *model) send(i int, s once.Action) {
 	switch s {
 	case once.SendReserve:
 		m.toGuard[i] = append(m.toGuard[i], reserveMsg)
@@ -97,7 +97,7 @@
 		return
 	}
 	again := a.Verdict() == verdict.NotRun || (m.plant.retryMayHaveRun && a.Verdict() == verdict.MayHaveRun)
-	if again && !a.Whole() && m.begun < len(m.attempts) {
+	if again && !a.ResponseComplete() && m.begun < len(m.attempts) {
 		m.begun++
 		m.send(m.begun-1, m.attempts[m.begun-1].Begin(false, false))
 		return
@@ -151,7 +151,7 @@
 		}
 	}
 	if cur := m.begun - 1; m.attempts[cur].Phase() != once.Done {
-		add(func() string { return "front gives up" }, func(m *model) { m.send(cur, m.attempts[cur].GiveUp()); m.settle(cur) })
+		add(func() string { return "front gives up" }, func(m *model) { m.send(cur, m.attempts[cur].Abort()); m.settle(cur) })
 	}
 	return out
 }
@@ -228,7 +228,7 @@
 	m.guards[i].ran = ran
 	m.toGuard[i], m.toFront[i] = nil, nil
 	if m.attempts[i].Phase() != once.Done && i < m.begun {
-		m.attempts[i].GiveUp()
+		m.attempts[i].Abort()
 		m.settle(i)
 	}
 }
@@ -237,12 +237,12 @@
 	a := &m.attempts[i]
 	switch message {
 	case grantMsg:
-		m.send(i, a.Granted())
+		m.send(i, a.HandleGrant())
 	case refuseMsg:
-		a.Failed(verdict.NotRun)
+		a.HandleFailure(verdict.NotRun)
 	case answerMsg:
-		a.Head()
-		a.End(true)
+		a.HandleResponseStart()
+		a.HandleResponseEnd(true)
 	}
 	m.settle(i)
 }
@@ -255,7 +255,7 @@
 		return "the request ran twice"
 	case m.over && m.final == verdict.NotRun && ran > 0:
 		return "the caller was told not-run, and the request ran"
-	case m.over && m.attempts[m.begun-1].Whole() && ran != 1:
+	case m.over && m.attempts[m.begun-1].ResponseComplete() && ran != 1:
 		return "the caller got an answer, and the request did not run"
 	}
 	return ""
@@ -322,7 +322,7 @@
 	t.Logf("%d states", states)
 }
 
-func TestModelCatchesPlantedFaults(t *testing.T) {
+func TestModelCheckerDetectsInjectedBugs(t *testing.T) {
 	for name, p := range map[string]plant{
 		"guard starts after cancel":       {startAfterCancel: true},
 		"front repeats what may have run": {retryMayHaveRun: true},
--- a/internal/core/once/owner.go
+++ b/internal/core/once/owner.go
@@ -72,7 +72,7 @@
 	for i, s := range m.Shards {
 		id := ShardID{service, uint32(i)}
 		have, owned := o.shards[id]
-		if s.Owner != o.host || s.Life != o.start {
+		if s.Owner != o.host || s.Incarnation != o.start {
 			delete(o.shards, id)
 			continue
 		}
@@ -196,7 +196,7 @@
 // Done takes the end of a claimed request and reports whether this host owns
 // the shard; else the front tells the present owner. It needs no authority:
 // it only adds knowledge.
-func (o *Owner) Done(now time.Time, d *msg.KeyDone) bool {
+func (o *Owner) Done(now time.Time, d *msg.KeyResult) bool {
 	s, ok := o.shards[ShardID{d.Service, d.Shard}]
 	if !ok || s.frozen {
 		return false
--- a/internal/core/once/placement.go
+++ b/internal/core/once/placement.go
@@ -38,7 +38,7 @@
 	m := &record.ShardMap{Guards: guards}
 	for i := range shards {
 		owner := preferred(service, i, guards, nil)
-		m.Shards = append(m.Shards, record.Shard{Owner: owner, Life: lifeOf(hosts, owner), Epoch: uint64(wall.Unix())})
+		m.Shards = append(m.Shards, record.Shard{Owner: owner, Incarnation: lifeOf(hosts, owner), Epoch: uint64(wall.Unix())})
 	}
 	return m
 }
@@ -64,11 +64,11 @@
 	changed := false
 	for i := range m.Shards {
 		s := &m.Shards[i]
-		if usable(hosts, s.Owner) && lifeOf(hosts, s.Owner) == s.Life {
+		if usable(hosts, s.Owner) && lifeOf(hosts, s.Owner) == s.Incarnation {
 			continue
 		}
 		if preferred(service, uint32(i), m.Guards, hosts) == self {
-			s.Owner, s.Life = self, lifeOf(hosts, self)
+			s.Owner, s.Incarnation = self, lifeOf(hosts, self)
 			s.Epoch++
 			changed = true
 		}
--- a/internal/core/once/sim_test.go
+++ b/internal/core/once/sim_test.go
@@ -328,7 +328,7 @@
 		}
 	}
 	owner := s.index(f.view.Shards[shard].Owner)
-	claim := &msg.KeyClaim{Service: simService, Shard: shard, Key: key, RequestID: id, MintedMS: minted}
+	claim := &msg.KeyClaim{Service: simService, Shard: shard, Key: key, RequestID: id, CreatedMS: minted}
 	s.message(front, owner, func() {
 		o := s.hosts[owner]
 		now := s.now
@@ -355,21 +355,21 @@
 	s.at(time.Duration(s.rng.IntN(1500))*time.Millisecond, -1, func() {
 		if s.rng.IntN(10) == 0 {
 			settle(keyOutput{outcome: once.ClaimRefused})
-			s.done(f, c, &msg.KeyDone{Verdict: verdict.NotRun})
+			s.done(f, c, &msg.KeyResult{Verdict: verdict.NotRun})
 			return
 		}
 		s.executed[c.Key]++
 		answer := fmt.Sprintf("%s#%d", c.Key, s.executed[c.Key])
 		if s.rng.IntN(10) == 0 {
-			s.done(f, c, &msg.KeyDone{Verdict: verdict.MayHaveRun})
+			s.done(f, c, &msg.KeyResult{Verdict: verdict.MayHaveRun})
 			return
 		}
 		settle(keyOutput{outcome: once.ClaimRun, answer: answer, ran: true})
-		s.done(f, c, &msg.KeyDone{Verdict: verdict.Ran, Whole: true, Kept: true, Body: []byte(answer)})
+		s.done(f, c, &msg.KeyResult{Verdict: verdict.Ran, Complete: true, Stored: true, Body: []byte(answer)})
 	})
 }
 
-func (s *sim) done(f *simHost, c *msg.KeyClaim, d *msg.KeyDone) {
+func (s *sim) done(f *simHost, c *msg.KeyClaim, d *msg.KeyResult) {
 	d.Service, d.Shard, d.Key, d.RequestID = c.Service, c.Shard, c.Key, c.RequestID
 	if !f.up || f.view == nil {
 		return
--- a/internal/core/once/table.go
+++ b/internal/core/once/table.go
@@ -20,12 +20,12 @@
 	ClaimBusy
 	// ClaimReplay gives the finished answer again.
 	ClaimReplay
-	// ClaimReused means the key stands for a request with another body.
-	ClaimReused
+	// ClaimKeyReused means the key stands for a request with another body.
+	ClaimKeyReused
 	// ClaimMayHaveRun means a request with the key may have run.
 	ClaimMayHaveRun
-	// ClaimRanUnkept means the request ran, but its answer is not kept.
-	ClaimRanUnkept
+	// ClaimResponseNotStored means the request ran, but its answer is not kept.
+	ClaimResponseNotStored
 	// ClaimUnknown means the key may be one that an earlier owner knew, and
 	// this one does not.
 	ClaimUnknown
@@ -126,7 +126,7 @@
 	}
 	switch {
 	case e.bodyHash != c.BodyHash:
-		return ClaimReused, nil
+		return ClaimKeyReused, nil
 	case e.state == keyClaimed && e.requestID == c.RequestID:
 		return ClaimRun, nil
 	case e.state == keyClaimed:
@@ -134,7 +134,7 @@
 	case e.state == keyMayHaveRun:
 		return ClaimMayHaveRun, nil
 	case !e.kept:
-		return ClaimRanUnkept, nil
+		return ClaimResponseNotStored, nil
 	default:
 		return ClaimReplay, &msg.KeyClaimed{Status: e.status, Header: e.header, Body: e.body}
 	}
@@ -142,7 +142,7 @@
 
 // admitNew decides about a key that the table does not hold.
 func (t *Table) admitNew(now time.Time, wallMS int64, c *msg.KeyClaim) ClaimOutcome {
-	minted := c.MintedMS
+	minted := c.CreatedMS
 	if minted > wallMS+t.cfg.Skew.Milliseconds() {
 		minted = 0 // a clock that is so far ahead proves nothing
 	}
@@ -162,7 +162,7 @@
 
 // Done takes the end of a claimed request. A request that did not run gives
 // its key back.
-func (t *Table) Done(now time.Time, d *msg.KeyDone) {
+func (t *Table) Done(now time.Time, d *msg.KeyResult) {
 	e, ok := t.entries[d.Key]
 	if !ok || e.requestID != d.RequestID || e.state == keyFinished {
 		return
@@ -171,12 +171,12 @@
 	case d.Verdict == verdict.NotRun && e.state == keyClaimed:
 		delete(t.entries, d.Key)
 		return
-	case d.Verdict != verdict.Ran || !d.Whole:
+	case d.Verdict != verdict.Ran || !d.Complete:
 		e.state = keyMayHaveRun
 	default:
 		e.state = keyFinished
 		e.status, e.header = d.Status, d.Header
-		if e.kept = d.Kept && t.bytes+len(d.Body) <= t.cfg.MaxBytes; e.kept {
+		if e.kept = d.Stored && t.bytes+len(d.Body) <= t.cfg.MaxBytes; e.kept {
 			e.body = d.Body
 			t.bytes += len(d.Body)
 		}
@@ -202,7 +202,7 @@
 	for key, e := range t.entries {
 		entries = append(entries, msg.KeyEntry{
 			Key: key, BodyHash: e.bodyHash, RequestID: e.requestID, State: uint8(e.state),
-			AgeMS: now.Sub(e.at).Milliseconds(), Kept: e.kept, Status: e.status, Header: e.header, Body: e.body,
+			AgeMS: now.Sub(e.at).Milliseconds(), Stored: e.kept, Status: e.status, Header: e.header, Body: e.body,
 		})
 	}
 	return entries, t.since, max(t.opaqueFrom.Sub(now).Milliseconds(), 0)
@@ -218,7 +218,7 @@
 		at := now.Add(-time.Duration(m.AgeMS) * time.Millisecond)
 		t.entries[m.Key] = &keyEntry{
 			bodyHash: m.BodyHash, requestID: m.RequestID, state: keyState(m.State), at: at, due: at.Add(cfg.ClaimLife),
-			kept: m.Kept, status: m.Status, header: m.Header, body: m.Body,
+			kept: m.Stored, status: m.Status, header: m.Header, body: m.Body,
 		}
 		t.bytes += len(m.Body)
 	}
--- a/internal/core/pulse/pulse.go
+++ b/internal/core/pulse/pulse.go
@@ -11,26 +11,26 @@
 )
 
 const (
-	// PerSecond bounds the pulses that a host sends, copies and those passed
+	// MaxRate bounds the pulses that a host sends, copies and those passed
 	// on counted each: with 110 bytes a pulse 7 KB a second, whatever the fleet's
 	// size, of the 19 KB a second that control may take. Beyond the bound fewer hosts
 	// hear of each change, and others each time.
 	//
 	// It guards against instances without work: a front that is told of no loads hardly
 	// chooses those of which it happens to have heard nothing.
-	PerSecond = 64
+	MaxRate = 64
 	// Burst is how many may be sent at once: a turned estimate that is told
 	// and passed on in a fleet of 300 hosts.
 	Burst = 128
-	// TurnReserve is the part of the burst that is left for turned estimates.
-	TurnReserve = Burst / 2
+	// ChangeReserve is the part of the burst that is left for turned estimates.
+	ChangeReserve = Burst / 2
 	// few is how many hosts hear that an instance would like a request: enough that one
 	// of them soon has one, and few enough that not all send one.
 	few = 4
-	// AsksPerSecond bounds the pulses to few hosts, beside PerSecond: where many
+	// FewHostsMaxRate bounds the pulses to few hosts, beside PerSecond: where many
 	// instances turn, that news takes all there is, and just then those that are well
 	// again need a request that shows it. It is also how many may be sent at once.
-	AsksPerSecond = 16
+	FewHostsMaxRate = 16
 )
 
 // Reach says who is told of a pulse.
@@ -39,27 +39,27 @@
 const (
 	// ToFew tells some hosts nearby.
 	ToFew Reach = iota
-	// ToNear tells the hosts nearby.
-	ToNear
+	// ToLocal tells the hosts nearby.
+	ToLocal
 	// ToAll tells the hosts nearby and those of the other data centres. It goes before
 	// the others where the rate does not suffice for all.
 	ToAll
 )
 
-// Spread is one host's rate of pulses. It is not safe for concurrent use.
-type Spread struct {
+// Limiter is one host's rate of pulses. It is not safe for concurrent use.
+type Limiter struct {
 	rng         *rand.Rand
 	limit, asks *rate.Limiter
 }
 
 // New makes a Spread with its whole burst.
-func New(rng *rand.Rand) *Spread {
-	return &Spread{rng: rng, limit: rate.NewLimiter(PerSecond, Burst), asks: rate.NewLimiter(AsksPerSecond, AsksPerSecond)}
+func New(rng *rand.Rand) *Limiter {
+	return &Limiter{rng: rng, limit: rate.NewLimiter(MaxRate, Burst), asks: rate.NewLimiter(FewHostsMaxRate, FewHostsMaxRate)}
 }
 
-// Far picks a host of each other data centre to pass a turned estimate on there:
+// SelectRemote picks a host of each other data centre to pass a turned estimate on there:
 // bytes between data centres are dear.
-func (s *Spread) Far(now time.Time, dcs [][]string) []string {
+func (s *Limiter) SelectRemote(now time.Time, dcs [][]string) []string {
 	var out []string
 	for _, hosts := range dcs {
 		if s.take(now, 1, ToAll) == 1 {
@@ -69,9 +69,9 @@
 	return out
 }
 
-// Near picks the hosts nearby that are told, from a random one on: as many as the
+// SelectLocal picks the hosts nearby that are told, from a random one on: as many as the
 // rate allows.
-func (s *Spread) Near(now time.Time, hosts []string, to Reach) []string {
+func (s *Limiter) SelectLocal(now time.Time, hosts []string, to Reach) []string {
 	if len(hosts) == 0 {
 		return nil
 	}
@@ -87,14 +87,14 @@
 }
 
 // take gives how many of some pulses may be sent now, and takes them.
-func (s *Spread) take(now time.Time, count int, to Reach) int {
+func (s *Limiter) take(now time.Time, count int, to Reach) int {
 	limit := s.limit
 	if to == ToFew {
 		limit = s.asks
 	}
 	room := int(limit.TokensAt(now))
-	if to == ToNear {
-		room -= TurnReserve
+	if to == ToLocal {
+		room -= ChangeReserve
 	}
 	count = max(min(count, room), 0)
 	limit.AllowN(now, count)
--- a/internal/core/quota/front.go
+++ b/internal/core/quota/front.go
@@ -114,10 +114,10 @@
 func (n *Node) send(now time.Time, a *account, to string, ask uint32) {
 	a.seq++
 	p := n.packet(to)
-	p.Uses = append(p.Uses, msg.TeamUse{
-		Team: a.team, Seq: a.seq, Count: a.count, Base: a.told,
+	p.Usages = append(p.Usages, msg.TeamUsage{
+		Team: a.team, Seq: a.seq, Count: a.count, Confirmed: a.told,
 		Level: float32(max(a.used.now(now, a.rate())-float64(a.count-a.told), 0)), Known: a.isKnown(now),
-		Same: a.confirmedBy == to, Relayed: n.relays(a), Ask: ask,
+		ConfirmedByReceiver: a.confirmedBy == to, Relayed: n.relays(a), QueryID: ask,
 	})
 	if a.count != a.told && a.sentAt.IsZero() {
 		a.sentAt = now
@@ -220,26 +220,26 @@
 	} else {
 		a.used.raise(now, a.rate(), level)
 	}
-	a.heedClose(now, l.CloseMS)
-	if l.Ask == 0 {
+	a.heedClose(now, l.NearLimitMS)
+	if l.QueryID == 0 {
 		return
 	}
-	if _, waits := n.asks[l.Ask]; !waits {
+	if _, waits := n.asks[l.QueryID]; !waits {
 		// A home that was passed over, or its successor, grants it as well.
-		if by, known := n.settled[l.Ask]; known && l.Granted && by.host != from {
-			delete(n.settled, l.Ask)
+		if by, known := n.settled[l.QueryID]; known && l.Granted && by.host != from {
+			delete(n.settled, l.QueryID)
 			a.count--
 			n.due[a.team] = a
 		}
 		return
 	}
-	delete(n.asks, l.Ask)
-	n.settled[l.Ask] = settled{host: from, at: now}
+	delete(n.asks, l.QueryID)
+	n.settled[l.QueryID] = settled{host: from, at: now}
 	wait := time.Duration(l.WaitMS) * time.Millisecond
 	if !l.Granted {
 		a.refusedWait, a.refusedUntil = wait, now.Add(min(wait, refusedFor))
 	}
-	n.resolve(now, l.Ask, a, l.Granted, wait)
+	n.resolve(now, l.QueryID, a, l.Granted, wait)
 }
 
 // heedClose makes this host ask for each request for some time.
--- a/internal/core/quota/home.go
+++ b/internal/core/quota/home.go
@@ -8,10 +8,10 @@
 
 // takeUse takes what a front has let pass, and decides where it asks for one
 // request more.
-func (n *Node) takeUse(now time.Time, p *msg.TeamPacket, u *msg.TeamUse) {
+func (n *Node) takeUse(now time.Time, p *msg.TeamPacket, u *msg.TeamUsage) {
 	limit, limited := n.cfg.Limit(u.Team)
 	if !limited {
-		n.answer(p.From, msg.TeamLevel{Team: u.Team, Seq: u.Seq, Count: u.Count, Known: true, Ask: u.Ask, Granted: true})
+		n.answer(p.From, msg.TeamLevel{Team: u.Team, Seq: u.Seq, Count: u.Count, Known: true, QueryID: u.QueryID, Granted: true})
 		return
 	}
 	a := n.account(now, u.Team, limit)
@@ -23,8 +23,8 @@
 			n.due[a.team] = a
 		}
 	}
-	l := msg.TeamLevel{Team: u.Team, Seq: u.Seq, Count: u.Count, Ask: u.Ask}
-	if u.Ask != 0 {
+	l := msg.TeamLevel{Team: u.Team, Seq: u.Seq, Count: u.Count, QueryID: u.QueryID}
+	if u.QueryID != 0 {
 		if n.learning(now) {
 			return
 		}
@@ -32,7 +32,7 @@
 	}
 	n.watch(now, a)
 	if n.close[a.team] != nil {
-		l.CloseMS = uint32(closeFor.Milliseconds())
+		l.NearLimitMS = uint32(closeFor.Milliseconds())
 	}
 	l.Level, l.Known = float32(a.level(now)), a.isKnown(now)
 	n.answer(p.From, l)
@@ -59,23 +59,23 @@
 
 // heard gives how many requests a use tells of that are not in the level yet. An
 // older use than the last tells nothing.
-func (a *account) heard(now time.Time, f *front, u *msg.TeamUse) int64 {
+func (a *account) heard(now time.Time, f *front, u *msg.TeamUsage) int64 {
 	if u.Seq <= f.seq {
 		return 0
 	}
 	more := u.Count - f.count
-	if f.seq == 0 || !u.Same && u.Base != f.base {
+	if f.seq == 0 || !u.ConfirmedByReceiver && u.Confirmed != f.base {
 		// The host told another home meanwhile, and brings its level.
 		a.hear(now, float64(u.Level), u.Known)
-		more = u.Count - u.Base
+		more = u.Count - u.Confirmed
 	}
-	f.seq, f.count, f.base, f.heardAt = u.Seq, u.Count, u.Base, now
+	f.seq, f.count, f.base, f.heardAt = u.Seq, u.Count, u.Confirmed, now
 	return more
 }
 
 // grant decides about a request that was asked for, once for each number.
-func (n *Node) grant(now time.Time, a *account, f *front, u *msg.TeamUse, l *msg.TeamLevel) {
-	if f.granted[u.Ask%asksKept] == u.Ask {
+func (n *Node) grant(now time.Time, a *account, f *front, u *msg.TeamUsage, l *msg.TeamLevel) {
+	if f.granted[u.QueryID%asksKept] == u.QueryID {
 		l.Granted = true
 		return
 	}
@@ -89,7 +89,7 @@
 		n.due[a.team] = a
 	}
 	if ok {
-		f.granted[u.Ask%asksKept] = u.Ask
+		f.granted[u.QueryID%asksKept] = u.QueryID
 	}
 	l.Granted, l.WaitMS = ok, uint32(wait.Milliseconds())
 }
@@ -116,19 +116,19 @@
 func (n *Node) shadow(now time.Time, a *account) {
 	if next := n.homesOf(a)[1]; next != "" && next != n.cfg.Host {
 		p := n.packet(next)
-		p.Notices = append(p.Notices, msg.TeamNotice{Team: a.team, Level: float32(a.level(now)), CloseMS: uint32(closeFor.Milliseconds())})
+		p.Notices = append(p.Notices, msg.TeamNotice{Team: a.team, Level: float32(a.level(now)), NearLimitMS: uint32(closeFor.Milliseconds())})
 	}
 }
 
 func (n *Node) notify(now time.Time, a *account) {
 	a.noticed = now
-	notice := msg.TeamNotice{Team: a.team, Level: float32(a.level(now)), CloseMS: uint32(closeFor.Milliseconds())}
+	notice := msg.TeamNotice{Team: a.team, Level: float32(a.level(now)), NearLimitMS: uint32(closeFor.Milliseconds())}
 	if len(n.hosts) <= directly {
 		n.tell(notice, func(Host) bool { return true })
 		return
 	}
 	n.tell(notice, func(h Host) bool { return h.DC == n.dc })
-	notice.Relay = true
+	notice.Forward = true
 	told := make(map[string]int)
 	first := n.rng.IntN(len(n.hosts))
 	for i := range n.hosts {
@@ -157,10 +157,10 @@
 	}
 	a := n.account(now, m.Team, limit)
 	a.used.raise(now, a.rate(), float64(m.Level))
-	a.heedClose(now, m.CloseMS)
-	if m.Relay {
+	a.heedClose(now, m.NearLimitMS)
+	if m.Forward {
 		pass := *m
-		pass.Relay = false
+		pass.Forward = false
 		n.tell(pass, func(h Host) bool { return h.DC == n.dc })
 	}
 }
--- a/internal/core/quota/quota.go
+++ b/internal/core/quota/quota.go
@@ -228,7 +228,7 @@
 // packet is the datagram under way to a host.
 func (n *Node) packet(to string) *msg.TeamPacket {
 	if i, ok := n.open[to]; ok {
-		if p := n.out[i].Packet; len(p.Uses)+len(p.Levels)+len(p.Notices) < maxEntries {
+		if p := n.out[i].Packet; len(p.Usages)+len(p.Levels)+len(p.Notices) < maxEntries {
 			return p
 		}
 	}
@@ -241,8 +241,8 @@
 // Step takes a datagram of another host.
 func (n *Node) Step(now time.Time, p *msg.TeamPacket) {
 	n.wake(now)
-	for i := range p.Uses {
-		n.takeUse(now, p, &p.Uses[i])
+	for i := range p.Usages {
+		n.takeUse(now, p, &p.Usages[i])
 	}
 	for i := range p.Levels {
 		n.takeLevel(now, p.From, &p.Levels[i])
--- a/internal/core/retry/origin.go
+++ b/internal/core/retry/origin.go
@@ -41,9 +41,9 @@
 // NewOrigins knows no route.
 func NewOrigins() *Origins { return &Origins{byRoute: make(map[uint32]*origin)} }
 
-// Saw takes one request of a route. idle says that nothing ran on the host where
+// Observe takes one request of a route. idle says that nothing ran on the host where
 // it began.
-func (o *Origins) Saw(now time.Time, route uint32, idle bool) {
+func (o *Origins) Observe(now time.Time, route uint32, idle bool) {
 	e, ok := o.byRoute[route]
 	if !ok {
 		if len(o.byRoute) >= maxOrigins {
@@ -59,15 +59,15 @@
 	}
 }
 
-// Callers reports whether the route's requests are known to be callers' own.
-func (o *Origins) Callers(route uint32) bool {
+// IsCallerRoute reports whether the route's requests are known to be callers' own.
+func (o *Origins) IsCallerRoute(route uint32) bool {
 	e, ok := o.byRoute[route]
 	return ok && e.idle >= callersLeast && e.idle >= callersShare*e.all
 }
 
-// Calls reports whether the route's requests are known to be calls. Where hosts hardly
+// IsCallRoute reports whether the route's requests are known to be calls. Where hosts hardly
 // ever idle, neither may be known.
-func (o *Origins) Calls(route uint32) bool {
+func (o *Origins) IsCallRoute(route uint32) bool {
 	e, ok := o.byRoute[route]
 	return ok && e.all >= callsLeast && e.idle <= callsShare*e.all
 }
--- a/internal/core/retry/origin_test.go
+++ b/internal/core/retry/origin_test.go
@@ -18,12 +18,12 @@
 	const callers, calls, unknown = 1, 2, 3
 	for range 400 {
 		now = now.Add(100 * time.Millisecond)
-		o.Saw(now, callers, rng.Float64() < 0.2)
-		o.Saw(now, calls, rng.Float64() < 0.01)
+		o.Observe(now, callers, rng.Float64() < 0.2)
+		o.Observe(now, calls, rng.Float64() < 0.01)
 	}
-	assert.Assert(t, o.Callers(callers))
-	assert.Assert(t, !o.Callers(calls))
-	assert.Assert(t, !o.Callers(unknown))
+	assert.Assert(t, o.IsCallerRoute(callers))
+	assert.Assert(t, !o.IsCallerRoute(calls))
+	assert.Assert(t, !o.IsCallerRoute(unknown))
 }
 
 // A route that callers no longer use is calls again.
@@ -31,20 +31,20 @@
 	o := NewOrigins()
 	now := time.Unix(1000, 0)
 	for range 10 {
-		o.Saw(now, 1, true)
+		o.Observe(now, 1, true)
 	}
-	assert.Assert(t, o.Callers(1))
+	assert.Assert(t, o.IsCallerRoute(1))
 	for range 600 {
 		now = now.Add(time.Second)
-		o.Saw(now, 1, false)
+		o.Observe(now, 1, false)
 	}
-	assert.Assert(t, !o.Callers(1))
+	assert.Assert(t, !o.IsCallerRoute(1))
 }
 
 func TestOriginsAreBounded(t *testing.T) {
 	o := NewOrigins()
 	for route := range uint32(3 * maxOrigins) {
-		o.Saw(time.Unix(1000, 0), route, true)
+		o.Observe(time.Unix(1000, 0), route, true)
 	}
 	assert.Assert(t, len(o.byRoute) <= maxOrigins)
 }
--- a/internal/core/retry/retry.go
+++ b/internal/core/retry/retry.go
@@ -55,20 +55,20 @@
 // SetLimits changes the limits.
 func (b *Budget) SetLimits(l Limits) { b.limits = l }
 
-// Fresh records the first send of a request that may be a caller's. It earns a part of a
+// AddRequest records the first send of a request that may be a caller's. It earns a part of a
 // repeat. callOfRepeat is the chance, 0 to 1, that it is a call of a run that was itself a
 // repeat: so much of it counts as a repeat that nobody asked the budget for, and only the
 // rest earns any.
-func (b *Budget) Fresh(now time.Time, callOfRepeat float64) {
+func (b *Budget) AddRequest(now time.Time, callOfRepeat float64) {
 	c := b.current(now)
 	c.requests += 1 - callOfRepeat
 	c.repeats += callOfRepeat
 }
 
-// Call records the first send of a call that a run makes. It earns nothing: its caller's
+// AddCall records the first send of a call that a run makes. It earns nothing: its caller's
 // request does so where that was sent to. ofRepeat is the chance that the run was itself a
 // repeat.
-func (b *Budget) Call(now time.Time, ofRepeat float64) { b.current(now).repeats += ofRepeat }
+func (b *Budget) AddCall(now time.Time, ofRepeat float64) { b.current(now).repeats += ofRepeat }
 
 // Take pays for one repeat that is sent at once and reports whether the budget
 // had it.
@@ -76,7 +76,7 @@
 	if !b.Hold(now, 0) {
 		return false
 	}
-	b.Use(now)
+	b.UseHeld(now)
 	return true
 }
 
@@ -84,15 +84,15 @@
 // budget had it. keep is the part of the whole allowance, 0 to 1, that must be
 // left for repeats that matter more.
 func (b *Budget) Hold(now time.Time, keep float64) bool {
-	if b.Left(now)-keep*b.allowance(now) < 1 {
+	if b.Available(now)-keep*b.allowance(now) < 1 {
 		return false
 	}
 	b.held++
 	return true
 }
 
-// Use records that a repeat that was held is sent now.
-func (b *Budget) Use(now time.Time) {
+// UseHeld records that a repeat that was held is sent now.
+func (b *Budget) UseHeld(now time.Time) {
 	b.Release()
 	b.current(now).repeats++
 }
@@ -101,8 +101,8 @@
 // Budget held, before its service was gone for a while, changes nothing.
 func (b *Budget) Release() { b.held = max(b.held-1, 0) }
 
-// Left is how many repeats the budget has now.
-func (b *Budget) Left(now time.Time) float64 {
+// Available is how many repeats the budget has now.
+func (b *Budget) Available(now time.Time) float64 {
 	left := b.allowance(now) - float64(b.held)
 	for i := range b.buckets {
 		left -= b.buckets[i].repeats
--- a/internal/core/retry/retry_test.go
+++ b/internal/core/retry/retry_test.go
@@ -20,7 +20,7 @@
 		var fresh, repeats []time.Time
 		for range rapid.IntRange(1, 500).Draw(t, "requests") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 400).Draw(t, "gapMS")) * time.Millisecond)
-			b.Fresh(now, 0)
+			b.AddRequest(now, 0)
 			fresh = append(fresh, now)
 			for b.Take(now) {
 				repeats = append(repeats, now)
@@ -39,7 +39,7 @@
 	b := NewBudget(time.Unix(0, 0), Limits{Share: 0.1, Window: 10 * time.Second})
 	now := time.Unix(1000, 0)
 	for range 1000 {
-		b.Fresh(now, 0)
+		b.AddRequest(now, 0)
 	}
 	now = now.Add(time.Minute)
 	assert.Assert(t, !b.Take(now))
@@ -78,13 +78,13 @@
 	assert.Assert(t, b.Hold(now, 0))
 	assert.Assert(t, !b.Hold(now, 0))
 	b.Release()
-	b.Use(now)
-	assert.Equal(t, b.Left(now), 1.0)
+	b.UseHeld(now)
+	assert.Equal(t, b.Available(now), 1.0)
 	assert.Assert(t, !b.Hold(now, 0.5), "half of the allowance is left for what matters more")
 	assert.Assert(t, b.Hold(now, 0))
 	b.Release()
 	b.Release()
-	assert.Equal(t, b.Left(now), 1.0, "what another budget held gives this one nothing")
+	assert.Equal(t, b.Available(now), 1.0, "what another budget held gives this one nothing")
 }
 
 // What may be a call of a repeated run is a repeat that nobody asked for, and earns none;
@@ -92,19 +92,19 @@
 func TestCallsOfRepeatsCountAsRepeats(t *testing.T) {
 	now := time.Unix(1000, 0)
 	b := NewBudget(now.Add(-time.Minute), Limits{Reserve: 2, Window: 10 * time.Second})
-	b.Fresh(now, 0.75)
-	b.Fresh(now, 0.75)
+	b.AddRequest(now, 0.75)
+	b.AddRequest(now, 0.75)
 	assert.Assert(t, !b.Take(now))
 	assert.Assert(t, b.Take(now.Add(11*time.Second)))
 
 	b = NewBudget(now, Limits{Share: 0.5, Window: 10 * time.Second})
 	for range 10 {
-		b.Fresh(now, 1)
+		b.AddRequest(now, 1)
 	}
-	assert.Equal(t, b.Left(now), 0.0, "what earned repeats here let a service have 217 where 199 were allowed")
+	assert.Equal(t, b.Available(now), 0.0, "what earned repeats here let a service have 217 where 199 were allowed")
 	b = NewBudget(now, Limits{Share: 0.5, Window: 10 * time.Second})
 	for range 10 {
-		b.Call(now, 0)
+		b.AddCall(now, 0)
 	}
-	assert.Equal(t, b.Left(now), 0.0, "a call of a run that is no repeat")
+	assert.Equal(t, b.Available(now), 0.0, "a call of a run that is no repeat")
 }
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -100,30 +100,30 @@
 	d.budget = store
 	store.Observe(newLateCalls(log).tell)
 	d.keys = keys.New(keys.Config{
-		Host: cfg.Host, Life: uint64(d.started.UnixMilli()), PromiseLife: cfg.PromiseLife,
-	}, keys.Hooks{Wrote: func(obj objects.Object) { d.control.Inject(obj) }}, store, log)
+		Host: cfg.Host, Incarnation: uint64(d.started.UnixMilli()), LeaseDuration: cfg.LeaseDuration,
+	}, keys.Hooks{DistributeMap: func(obj objects.Object) { d.control.Inject(obj) }}, store, log)
 	d.guard = guard.New(guard.Config{
 		Host: cfg.Host, QueuePerSlot: cfg.QueuePerSlot, GrantLife: cfg.GrantLife,
 		TargetIdle: cfg.TargetIdle, Dialect: ports.Dialect,
 	}, guardLimits(cfg), log, d.keys, guard.Hooks{
 		Changed: func() { d.control.InstancesChanged() },
 		Pulse:   d.pulse,
-		Ended:   func(e crash.End) { d.control.TellEnd(e) },
-		Cleared: func(end string, p crash.Print) { d.control.TellCleared(end, p) },
-		Stopped: func(s guard.Stopped) { d.control.Keep(s.Print, s.Request, s.Ends) },
+		Crashed: func(e crash.Crash) { d.control.TellEnd(e) },
+		Cleared: func(end string, p crash.Fingerprint) { d.control.TellCleared(end, p) },
+		Blocked: func(s guard.BlockedRequest) { d.control.Keep(s.Fingerprint, s.Request, s.Crashes) },
 	})
 	d.teams = teams.New(teams.Config{
-		Host: cfg.Host, Incarnation: uint64(d.started.UnixMilli()), Allowance: cfg.TeamAllowance, Over: cfg.TeamOver, Window: cfg.TeamWindow,
+		Host: cfg.Host, Incarnation: uint64(d.started.UnixMilli()), Allowance: cfg.TeamAllowance, AllowanceFraction: cfg.TeamOver, Window: cfg.TeamWindow,
 		Send: func(to string, p *msg.TeamPacket) { d.control.SendTeams(to, p) },
 	})
 	d.control = control.New(controlConfig(cfg, ports.Needs, d.started), control.Hooks{
 		Directory: d.setDirectory,
 		Instances: d.guard.Instances,
-		Pulse:     func(p *msg.Pulse) { d.front.HearPulse(p) },
-		Ended:     d.guard.HearEnd,
-		Cleared:   d.guard.HearCleared,
-		Lifted:    d.guard.Lift,
-		Synced:    d.keys.Synced,
+		Pulse:     func(p *msg.LoadReport) { d.front.HandleLoadReport(p) },
+		Ended:     d.guard.ApplyCrash,
+		Cleared:   d.guard.ApplyCleared,
+		Lifted:    d.guard.ClearSuspect,
+		Synced:    d.keys.MarkSynced,
 		Teams:     d.teams,
 	}, store, log)
 	d.front = front.New(front.Config{
@@ -161,7 +161,7 @@
 
 func controlConfig(cfg *settings.Config, needs []record.Key, started time.Time) control.Config {
 	m := member.DefaultConfig(cfg.Host)
-	m.ProbeInterval, m.ProbeTimeout, m.Suspicion = cfg.ProbeInterval, cfg.ProbeTimeout, cfg.Suspicion
+	m.ProbeInterval, m.ProbeTimeout, m.SuspicionTimeout = cfg.ProbeInterval, cfg.ProbeTimeout, cfg.Suspicion
 	r := config.DefaultConfig()
 	r.RepairInterval = cfg.RepairInterval
 	return control.Config{
@@ -234,8 +234,8 @@
 
 // pulse tells this host's front and those that use its instances what has
 // changed there.
-func (d *Daemon) pulse(p *msg.Pulse, to pulse.Reach) {
-	d.front.HearPulse(p)
+func (d *Daemon) pulse(p *msg.LoadReport, to pulse.Reach) {
+	d.front.HandleLoadReport(p)
 	d.control.Tell(p, to)
 }
 
@@ -251,7 +251,7 @@
 	switch first.(type) {
 	case *msg.Run, *msg.Reserve:
 		d.guard.Serve(s, first)
-	case *msg.KeyClaim, *msg.KeyDone, *msg.Promise, *msg.Handover:
+	case *msg.KeyClaim, *msg.KeyResult, *msg.LeaseRequest, *msg.Handover:
 		d.keys.Serve(s, first)
 	default:
 		s.Close()
@@ -278,7 +278,7 @@
 // setDirectory brings a new directory into force in all roles.
 func (d *Daemon) setDirectory(dir *directory.Directory) {
 	d.teams.SetTeams(dir.Teams)
-	d.front.SetView(dir)
+	d.front.SetDirectory(dir)
 	d.guard.Apply(dir)
 	d.keys.SetDirectory(dir)
 	d.followStop(dir)
@@ -291,7 +291,7 @@
 // handed over before the fleet is told, so that nobody takes their shards
 // without their tables.
 func (d *Daemon) followStop(dir *directory.Directory) {
-	stop := dir.Stopping(d.cfg.Load().Host, "")
+	stop := dir.PlannedStop(d.cfg.Load().Host, "")
 	covered := stop != nil
 	if d.stopHost.Swap(covered) == covered || d.stopped.Load() {
 		return
--- a/internal/daemon/drain.go
+++ b/internal/daemon/drain.go
@@ -47,7 +47,7 @@
 	defer stopServing()
 	d.front.Drain()
 	ctx, cancel := untilQuiet(portion(timeout, endingShare), again, func(end time.Time) {
-		d.guard.EndBy(end)
+		d.guard.SetShutdownTime(end)
 		event.Log(d.log, event.Draining, slog.String("cause", "asked to stop"), slog.Int64("withinMS", time.Until(end).Milliseconds()))
 	})
 	defer cancel()
@@ -58,11 +58,11 @@
 	d.control.Leave(true)
 	d.guard.Drain()
 	<-taking.Done()
-	d.front.Refuse()
+	d.front.RefuseRequests()
 	whole := d.callers.Shutdown(ctx) == nil
 	whole = d.guard.Wait(ctx.Done()) && whole
 	if !whole {
-		d.front.Abandon()
+		d.front.CancelRequests()
 		d.lastAnswers(portion(timeout, lastShare))
 	}
 	e := event.Drained
--- a/internal/daemon/metrics.go
+++ b/internal/daemon/metrics.go
@@ -18,15 +18,15 @@
 	set.NewGauge("radishhoist_instance_sick_max", func() float64 {
 		worst := 0.0
 		for _, i := range d.guard.State() {
-			worst = max(worst, i.Sick)
+			worst = max(worst, i.FailureEstimate)
 		}
 		return worst
 	})
 	set.NewGauge("radishhoist_running", d.countInstances(func(i guard.InstanceState) int { return i.Running }))
 	set.NewGauge("radishhoist_queued", d.countInstances(func(i guard.InstanceState) int { return i.Queued }))
-	set.NewGauge("radishhoist_requests_stopped", func() float64 { return float64(d.guard.Stops()) })
-	set.NewGauge("radishhoist_teams_close", d.countTeams(func(s teams.State) bool { return s.Close }))
-	set.NewGauge("radishhoist_teams_alone", d.countTeams(func(s teams.State) bool { return s.Alone }))
+	set.NewGauge("radishhoist_requests_stopped", func() float64 { return float64(d.guard.BlockedCount()) })
+	set.NewGauge("radishhoist_teams_close", d.countTeams(func(s teams.State) bool { return s.NearLimit }))
+	set.NewGauge("radishhoist_teams_alone", d.countTeams(func(s teams.State) bool { return s.Standalone }))
 	set.NewGauge("radishhoist_records", d.fromControl(func(s control.State) float64 { return float64(s.Records) }))
 	set.NewGauge("radishhoist_records_newest", d.fromControl(func(s control.State) float64 { return float64(s.Newest) }))
 	set.NewGauge("radishhoist_records_confirmed_age_seconds", func() float64 { return d.control.ConfirmedAge().Seconds() })
--- a/internal/experiment/ours.go
+++ b/internal/experiment/ours.go
@@ -128,7 +128,7 @@
 				continue
 			}
 			c.aged = age
-			if g.detector.Stuck(o.time(), ref, age) {
+			if g.detector.AddPending(o.time(), ref, age) {
 				o.publish(g)
 			}
 		}
@@ -148,7 +148,7 @@
 // publish spreads a guard's judgement: each front hears it after its own time.
 func (o *ours) publish(g *guardSim) {
 	suspect := g.detector.Health() == detect.Suspect
-	evidence := uint32(g.detector.Conviction() * 100)
+	evidence := uint32(g.detector.SuspicionEvidence() * 100)
 	if suspect && (g.index != 0 || !o.grayNow()) {
 		o.m.falseOut++
 	}
@@ -177,13 +177,13 @@
 		}
 	}
 	r := eject.Apply(members, o.site.Floor)
-	if slices.Contains(r.Out, true) && r.Healthy < r.Required {
+	if slices.Contains(r.Ejected, true) && r.Healthy < r.Required {
 		o.m.floorBreaks++
 	}
-	f.out = r.Out
+	f.out = r.Ejected
 	f.usable, f.local = f.usable[:0], f.local[:0]
 	for i := range members {
-		if members[i].Usable && !r.Out[i] {
+		if members[i].Usable && !r.Ejected[i] {
 			if f.index%o.site.DCs == i%o.site.DCs {
 				f.local = append(f.local, len(f.usable))
 			}
@@ -213,7 +213,7 @@
 func (o *ours) send() {
 	f := o.fronts[o.rng.IntN(len(o.fronts))]
 	o.m.fresh++
-	f.budget.Fresh(o.time(), 0)
+	f.budget.AddRequest(o.time(), 0)
 	r := &requestSim{front: f, arrived: o.now, idempotent: o.rng.Float64() < idempotentShare}
 	o.attempt(r)
 	o.after(deadline, func() { o.finish(r, false) })
@@ -266,10 +266,10 @@
 		i := usable[k]
 		t := &f.targets[i]
 		return balance.Cost(balance.Candidate{
-			Typical: balance.Typical{Running: 0.3},
-			Slots:   t.slots, Running: t.running, Waiting: time.Duration(t.queued) * t.service, LoadAge: o.now - t.loadAt, Pending: t.pending,
-			Service: t.service, Path: t.path, Warmth: 1, Local: f.index%o.site.DCs == i%o.site.DCs,
-		}, balance.Stakes{})
+			Typical: balance.TypicalLoad{Running: 0.3},
+			Slots:   t.slots, Running: t.running, QueuedWork: time.Duration(t.queued) * t.service, LoadAge: o.now - t.loadAt, Pending: t.pending,
+			Service: t.service, RoundTrip: t.path, Warmth: 1, Local: f.index%o.site.DCs == i%o.site.DCs,
+		}, balance.CostWeights{})
 	})
 	if k < 0 {
 		return -1
@@ -410,9 +410,9 @@
 	changed := false
 	ref := g.reference.At(o.time())
 	if cut {
-		changed = g.detector.Stuck(o.time(), ref, took)
+		changed = g.detector.AddPending(o.time(), ref, took)
 	} else {
-		changed = g.detector.Answer(o.time(), ref, took, failed)
+		changed = g.detector.AddAnswer(o.time(), ref, took, failed)
 	}
 	o.deliver(g, g.queue.Done(o.time(), id, service))
 	if changed {
--- a/internal/fleetsim/fleet.go
+++ b/internal/fleetsim/fleet.go
@@ -48,7 +48,7 @@
 
 	mu sync.Mutex
 	// pulses says who is told of the instance.
-	pulses *pulse.Spread
+	pulses *pulse.Limiter
 }
 
 // fleet is one run.
@@ -120,7 +120,7 @@
 	}
 	for _, h := range f.hosts {
 		d := directory.Build(f.compiled, all)
-		h.front.SetView(d)
+		h.front.SetDirectory(d)
 		h.guard.Apply(d)
 	}
 }
@@ -159,8 +159,10 @@
 	}, guard.Limits{AnnounceExpiry: time.Hour, RetryReserve: f.site.RetryReserve, RetryWindow: f.site.RetryWindow},
 		log, anyRun{}, guard.Hooks{
 			Changed: func() {}, Pulse: h.tell,
-			Ended:   func(e crash.End) { h.tellOthers(func(other *host) { other.guard.HearEnd(e) }) },
-			Cleared: func(end string, p crash.Print) { h.tellOthers(func(other *host) { other.guard.HearCleared(end, p) }) },
+			Crashed: func(e crash.Crash) { h.tellOthers(func(other *host) { other.guard.ApplyCrash(e) }) },
+			Cleared: func(end string, p crash.Fingerprint) {
+				h.tellOthers(func(other *host) { other.guard.ApplyCleared(end, p) })
+			},
 		})
 	h.front = front.New(front.Config{
 		Host: h.name, DC: h.dc, BufferBodyBytes: 1 << 10, MaxConns: 1 << 10, Service: s.Name, Dialect: dialect,
@@ -207,28 +209,28 @@
 
 // tell passes a guard's pulse on as control does: to fronts nearby as far as the rate
 // allows, and to a host of each other data centre, which passes it on there.
-func (h *host) tell(p *msg.Pulse, to pulse.Reach) {
+func (h *host) tell(p *msg.LoadReport, to pulse.Reach) {
 	p = h.known(p)
-	h.front.HearPulse(p)
+	h.front.HandleLoadReport(p)
 	now := time.Now()
 	var relays []string
 	h.mu.Lock()
 	if to == pulse.ToAll {
-		relays = h.pulses.Far(now, h.far)
+		relays = h.pulses.SelectRemote(now, h.far)
 	}
-	told := h.pulses.Near(now, h.near, to)
+	told := h.pulses.SelectLocal(now, h.near, to)
 	h.mu.Unlock()
-	h.tellAll(told, func(other *host) { other.front.HearPulse(p) })
+	h.tellAll(told, func(other *host) { other.front.HandleLoadReport(p) })
 	h.tellAll(relays, func(other *host) { other.passOn(p) })
 }
 
 // passOn takes a pulse from another data centre and tells its own.
-func (h *host) passOn(p *msg.Pulse) {
-	h.front.HearPulse(p)
+func (h *host) passOn(p *msg.LoadReport) {
+	h.front.HandleLoadReport(p)
 	h.mu.Lock()
-	told := h.pulses.Near(time.Now(), h.near, pulse.ToAll)
+	told := h.pulses.SelectLocal(time.Now(), h.near, pulse.ToAll)
 	h.mu.Unlock()
-	h.tellAll(told, func(other *host) { other.front.HearPulse(p) })
+	h.tellAll(told, func(other *host) { other.front.HandleLoadReport(p) })
 }
 
 // tellOthers tells all other hosts, each over one other host, those behind a cut with the
--- a/internal/fleetsim/known.go
+++ b/internal/fleetsim/known.go
@@ -10,18 +10,18 @@
 	}
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	l.Sick = 0
+	l.FailureEstimate = 0
 	if i.sick {
-		l.Sick = msg.Thousandths
+		l.FailureEstimate = msg.Thousandths
 	}
 }
 
 // known corrects a pulse, and keeps what it tells for the moment of a turn.
-func (h *host) known(p *msg.Pulse) *msg.Pulse {
+func (h *host) known(p *msg.LoadReport) *msg.LoadReport {
 	if !h.fleet.site.Known {
 		return p
 	}
-	out := &msg.Pulse{Loads: append([]msg.InstanceLoad{}, p.Loads...)}
+	out := &msg.LoadReport{Loads: append([]msg.InstanceLoad{}, p.Loads...)}
 	for k := range out.Loads {
 		h.instance.correct(&out.Loads[k].Load)
 		h.instance.keep(out.Loads[k])
@@ -45,6 +45,6 @@
 	}
 	i.correct(&told.Load)
 	for _, h := range i.host.fleet.hosts {
-		h.front.HearPulse(&msg.Pulse{Loads: []msg.InstanceLoad{told}})
+		h.front.HandleLoadReport(&msg.LoadReport{Loads: []msg.InstanceLoad{told}})
 	}
 }
--- a/internal/front/answer.go
+++ b/internal/front/answer.go
@@ -113,7 +113,7 @@
 			if !a.whole(m) {
 				return verdict.New(verdict.Ran, verdict.ReasonTargetBroke, "the answer arrived damaged")
 			}
-			a.try.state.End(true)
+			a.try.state.HandleResponseEnd(true)
 			return nil
 		case *msg.Fail:
 			return verdict.New(verdict.Ran, m.Reason, m.Detail)
--- a/internal/front/attempt.go
+++ b/internal/front/attempt.go
@@ -61,7 +61,7 @@
 // is closed.
 type claimTask struct {
 	done   chan struct{}
-	answer KeyAnswer
+	answer ClaimResult
 }
 
 const (
@@ -98,7 +98,7 @@
 // attempt is over. Where the guard has closed its end meanwhile, what it said
 // before is still to be received: it refuses a request before the body has gone
 // out, and that the request has not run must not be lost.
-func (y *try) proceed(ctx context.Context, s once.Send) *outcome {
+func (y *try) proceed(ctx context.Context, s once.Action) *outcome {
 	err := y.act(ctx, s)
 	if err == nil || errors.Is(err, wire.ErrClosed) {
 		return nil
@@ -202,12 +202,12 @@
 func (y *try) step(ctx context.Context, m msg.Message) *outcome {
 	switch m := m.(type) {
 	case *msg.Grant:
-		return y.proceed(ctx, y.state.Granted())
+		return y.proceed(ctx, y.state.HandleGrant())
 	case *msg.Head:
 		if m.RequestID != y.req.id {
 			return y.broken(verdict.ReasonAnswerMismatch, "the answer is for another request")
 		}
-		y.state.Head()
+		y.state.HandleResponseStart()
 		y.answer = newAnswer(y, m)
 	case *msg.Data:
 		return y.data(m)
@@ -220,14 +220,14 @@
 }
 
 // claimed takes the key owner's word.
-func (y *try) claimed(ctx context.Context, k KeyAnswer) *outcome {
+func (y *try) claimed(ctx context.Context, k ClaimResult) *outcome {
 	if k.Outcome != once.ClaimRun {
 		o := y.giveUp(nil)
 		o.fail = keyFailure(k)
 		return o
 	}
 	y.epoch, y.shard = k.Epoch, k.Shard
-	return y.proceed(ctx, y.state.Claimed())
+	return y.proceed(ctx, y.state.HandleClaimAccepted())
 }
 
 func (y *try) data(m *msg.Data) *outcome {
@@ -250,7 +250,7 @@
 	if !y.answer.whole(m) {
 		return y.broken(verdict.ReasonTargetBroke, "the answer arrived damaged")
 	}
-	y.state.End(true)
+	y.state.HandleResponseEnd(true)
 	y.stream.Close()
 	o := &outcome{answer: y.answer, load: m.Load, judged: true}
 	o.serviceTime = time.Duration(m.ServiceUS) * time.Microsecond
@@ -261,7 +261,7 @@
 }
 
 func (y *try) failed(m *msg.Fail) *outcome {
-	y.state.Failed(m.Verdict)
+	y.state.HandleFailure(m.Verdict)
 	y.stream.Close()
 	y.front.paths.heard(y.target.Host.Name, 0)
 	fail := verdict.New(y.state.Verdict(), m.Reason, m.Detail)
@@ -284,7 +284,7 @@
 
 // giveUp ends the attempt from this side and tells the guard.
 func (y *try) giveUp(cause error) *outcome {
-	send := y.state.GiveUp()
+	send := y.state.Abort()
 	if send == once.SendCancel {
 		ctx, cancel := context.WithTimeout(context.Background(), cancelTimeout)
 		defer cancel()
--- a/internal/front/choose.go
+++ b/internal/front/choose.go
@@ -38,7 +38,7 @@
 	}
 	var t *target
 	var why string
-	if v := f.guard.Suspect(req.print); v.Ends > 0 {
+	if v := f.guard.CrashAssessment(req.print); v.Crashes > 0 {
 		t, why = st.pickForSuspect(now, req.print, &v, tried, repeat), whySuspect
 	} else if t, why = st.pickTrial(now, req, tried, rng, f.paths); t == nil {
 		t, why = st.pickUsable(now, req, tried, repeat, rng, f.paths, f.cfg), whyCost
@@ -69,7 +69,7 @@
 		}
 	}
 	if t := st.wanting(now, req.idempotent, paid, rng, p); t != nil {
-		t.seen.load.Wants = false
+		t.seen.load.WantsTrial = false
 		return t, whyTrial
 	}
 	share := trialShare * float64(len(c.out)) / float64(max(len(st.targets), 1))
@@ -105,7 +105,7 @@
 		if !t.seen.wishes(now) || !t.Usable() || !p.usable(t.Host.Name) || !t.seen.mayTry(now, idempotent, paid) {
 			continue
 		}
-		sick := t.seen.sick.Doubt(now, model) + trialSpread*rng.Float64()
+		sick := t.seen.sick.SickForSelection(now, model) + trialSpread*rng.Float64()
 		if best == nil || sick < least {
 			best, least = t, sick
 		}
@@ -116,7 +116,7 @@
 // wishes says that the guard asks for a request, as far as is known: one that got what it
 // asked for may have told others.
 func (o *observed) wishes(now time.Time) bool {
-	return o.load.Wants && now.Sub(o.loadAt) <= wishLife
+	return o.load.WantsTrial && now.Sub(o.loadAt) <= wishLife
 }
 
 // mayTry says that a request is fit for a trial: one that can be sent again at any
@@ -125,7 +125,7 @@
 	if paid {
 		return true
 	}
-	if o.sick.Doubt(now, model) > wellKnown {
+	if o.sick.SickForSelection(now, model) > wellKnown {
 		return false
 	}
 	return idempotent || now.Sub(o.wantsAt) >= wantsLong
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -57,7 +57,7 @@
 
 	limits   atomic.Pointer[Limits]
 	view     atomic.Pointer[directory.Directory]
-	rates    Rates
+	rates    RateLimiter
 	paths    *paths
 	services services
 	draining atomic.Bool
@@ -88,8 +88,8 @@
 	f.limits.Store(&l)
 }
 
-// SetView replaces the directory that requests are served from.
-func (f *Front) SetView(d *directory.Directory) {
+// SetDirectory replaces the directory that requests are served from.
+func (f *Front) SetDirectory(d *directory.Directory) {
 	f.services.update(d, f.paths, f.cfg)
 	f.view.Store(d)
 }
@@ -104,8 +104,8 @@
 // SetPeers sets the ways to the other hosts, before the first request.
 func (f *Front) SetPeers(p Peers) { f.peers = p }
 
-// View gives the directory in force.
-func (f *Front) View() *directory.Directory { return f.view.Load() }
+// Directory gives the directory in force.
+func (f *Front) Directory() *directory.Directory { return f.view.Load() }
 
 // Drain makes the front tell its callers' connections to close.
 func (f *Front) Drain() { f.draining.Store(true) }
@@ -118,7 +118,7 @@
 
 // fits says that an attempt at the request has room before the process ends.
 func (f *Front) fits(now time.Time, req *request) bool {
-	end, stopping := f.guard.End()
+	end, stopping := f.guard.ShutdownTime()
 	if !stopping {
 		return true
 	}
@@ -126,13 +126,13 @@
 	return !now.Add(need).After(end)
 }
 
-// Refuse makes the front take no more requests, once callers have had time to
+// RefuseRequests makes the front take no more requests, once callers have had time to
 // turn to other hosts.
-func (f *Front) Refuse() { f.refusing.Store(true) }
+func (f *Front) RefuseRequests() { f.refusing.Store(true) }
 
-// Abandon ends every request under way with what is known of it, for the end of
+// CancelRequests ends every request under way with what is known of it, for the end of
 // a graceful stop: an answer that says so is better than a broken connection.
-func (f *Front) Abandon() { f.abandon() }
+func (f *Front) CancelRequests() { f.abandon() }
 
 // Server makes the HTTP server for callers; the caller serves and shuts down.
 func (f *Front) Server() *http.Server {
@@ -179,5 +179,5 @@
 const localFirst = 10 * time.Second
 
 func sampleOf(hash uint64, pace float64) msg.Sample {
-	return msg.Sample{Instance: hash, Pace: uint32(min(pace*msg.Thousandths, 1<<32-1))}
+	return msg.Sample{Instance: hash, LatencyRatio: uint32(min(pace*msg.Thousandths, 1<<32-1))}
 }
--- a/internal/front/hedge_test.go
+++ b/internal/front/hedge_test.go
@@ -36,7 +36,7 @@
 func racing(t *testing.T) (*race, pick, lateStream) {
 	t.Helper()
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
-	g := guard.New(guard.Config{Host: "h"}, guard.Limits{}, log, nil, guard.Hooks{Changed: func() {}, Pulse: func(*msg.Pulse, pulse.Reach) {}})
+	g := guard.New(guard.Config{Host: "h"}, guard.Limits{}, log, nil, guard.Hooks{Changed: func() {}, Pulse: func(*msg.LoadReport, pulse.Reach) {}})
 	stream := lateStream{word: make(chan msg.Message)}
 	f := New(Config{Host: "h"}, Limits{}, log, stream, g, nil)
 	req := &request{
--- a/internal/front/identity.go
+++ b/internal/front/identity.go
@@ -16,8 +16,8 @@
 	"github.com/radishhoist/radishhoist/verdict"
 )
 
-// Rates holds teams to their rates over all hosts.
-type Rates interface {
+// RateLimiter holds teams to their rates over all hosts.
+type RateLimiter interface {
 	// Admit says whether a request of a team may pass; where not, when to come back.
 	// limited says that it counts, so that Return may take it back.
 	Admit(ctx context.Context, team string) (ok, limited bool, wait time.Duration)
@@ -27,7 +27,7 @@
 
 // SetRates sets what holds teams to their rates, before the first request; without
 // it they have none.
-func (f *Front) SetRates(r Rates) { f.rates = r }
+func (f *Front) SetRates(r RateLimiter) { f.rates = r }
 
 const authorization = "Authorization"
 
--- a/internal/front/keys.go
+++ b/internal/front/keys.go
@@ -16,9 +16,9 @@
 type Keys interface {
 	// Claim asks the owner of the key's shard; it never fails, a claim that
 	// could not be made is refused.
-	Claim(ctx context.Context, service *directory.Service, k KeyRequest) KeyAnswer
+	Claim(ctx context.Context, service *directory.Service, k KeyRequest) ClaimResult
 	// Done tells the owner how a claimed request ended. It may take long.
-	Done(service *directory.Service, k KeyRequest, end KeyEnd)
+	Done(service *directory.Service, k KeyRequest, end RequestResult)
 }
 
 // KeyRequest names one keyed request.
@@ -29,8 +29,8 @@
 	RequestID string
 }
 
-// KeyAnswer is the owner's word on a keyed request.
-type KeyAnswer struct {
+// ClaimResult is the owner's word on a keyed request.
+type ClaimResult struct {
 	Outcome once.ClaimOutcome
 	Shard   uint32
 	Epoch   uint64
@@ -42,8 +42,8 @@
 	RetryAfterMS int64
 }
 
-// KeyEnd is how a claimed request ended.
-type KeyEnd struct {
+// RequestResult is how a claimed request ended.
+type RequestResult struct {
 	Verdict verdict.Verdict
 	// Whole says that a whole answer came, Kept that it stands below.
 	Whole, Kept bool
@@ -93,11 +93,11 @@
 }
 
 // endOf describes the end of a claimed request to the key's owner.
-func endOf(a *answer, fail *verdict.Error) KeyEnd {
+func endOf(a *answer, fail *verdict.Error) RequestResult {
 	if fail != nil {
-		return KeyEnd{Verdict: fail.Verdict}
+		return RequestResult{Verdict: fail.Verdict}
 	}
-	end := KeyEnd{Verdict: verdict.Ran, Whole: true, Status: a.head.Status}
+	end := RequestResult{Verdict: verdict.Ran, Whole: true, Status: a.head.Status}
 	if !a.open {
 		end.Kept, end.Header, end.Body = true, a.head.Header, a.kept
 	}
@@ -105,7 +105,7 @@
 }
 
 // replay turns a finished answer into one to give again.
-func replay(k KeyAnswer) *answer {
+func replay(k ClaimResult) *answer {
 	fields := append([]msg.Field{{Name: header.Replayed, Value: "true"}}, k.Header...)
 	return &answer{
 		head: &msg.Head{Status: k.Status, Header: fields, Length: int64(len(k.Body))},
@@ -127,18 +127,18 @@
 
 // keyFailure says why a claim did not let the request run. The verdict speaks
 // of all requests with the key, not of this one alone, which never ran.
-func keyFailure(k KeyAnswer) *verdict.Error {
+func keyFailure(k ClaimResult) *verdict.Error {
 	e := verdict.New(verdict.NotRun, verdict.ReasonKeyNoOwner, "the key's shard has no owner with authority at present")
 	e.RetryAfterMS = max(k.RetryAfterMS, 1)
 	switch k.Outcome {
 	case once.ClaimBusy:
 		e = verdict.New(verdict.MayHaveRun, verdict.ReasonKeyBusy, "a request with this key is in progress")
 		e.RetryAfterMS = busyRetryAfter
-	case once.ClaimReused:
+	case once.ClaimKeyReused:
 		e = verdict.New(verdict.NotRun, verdict.ReasonKeyReused, "this key stands for another request; mint a new key")
 	case once.ClaimMayHaveRun:
 		e = verdict.New(verdict.MayHaveRun, verdict.ReasonKeyUnknown, "a request with this key may have run; it is not run again")
-	case once.ClaimRanUnkept:
+	case once.ClaimResponseNotStored:
 		e = verdict.New(verdict.Ran, verdict.ReasonKeyUnknown, "the request ran; its answer is not kept")
 	case once.ClaimUnknown:
 		e = verdict.New(verdict.MayHaveRun, verdict.ReasonKeyUnknown, "the key's owner is new and cannot tell whether the key has run")
--- a/internal/front/paths.go
+++ b/internal/front/paths.go
@@ -122,7 +122,7 @@
 	Host        string  `json:"host"`
 	RoundTripMS float64 `json:"roundTripMS"`
 	Misses      int     `json:"misses"`
-	Out         bool    `json:"out"`
+	Excluded    bool    `json:"out"`
 }
 
 func (p *paths) state() []PathState {
@@ -130,7 +130,7 @@
 	defer p.mu.Unlock()
 	out := []PathState{}
 	for host, e := range p.byHost {
-		out = append(out, PathState{Host: host, RoundTripMS: float64(e.roundTrip.Microseconds()) / 1000, Misses: e.misses, Out: e.out})
+		out = append(out, PathState{Host: host, RoundTripMS: float64(e.roundTrip.Microseconds()) / 1000, Misses: e.misses, Excluded: e.out})
 	}
 	return out
 }
--- a/internal/front/request.go
+++ b/internal/front/request.go
@@ -54,7 +54,7 @@
 	callPart uint16
 	idle     bool
 	// print is what the request is known by when it comes again.
-	print crash.Print
+	print crash.Fingerprint
 	// account is what came of the attempts, once the request is over.
 	account account
 }
@@ -85,7 +85,7 @@
 	}
 	w.Header().Set(header.Attempts, strconv.Itoa(req.account.attempts))
 	f.counts.failed(fail)
-	f.guard.CallFailed(time.Now())
+	f.guard.RecordFailedCall(time.Now())
 	f.logFailure(req, fail)
 	armWrite(w)
 	fail.Write(w, req.id)
@@ -113,7 +113,7 @@
 		return nil, retryLater(verdict.ReasonNotReady, "this host does not have the whole configuration yet", time.Second)
 	}
 	req := &request{id: requestID(r), arrived: time.Now(), http: r}
-	req.callPart, req.idle = f.guard.Origin()
+	req.callPart, req.idle = f.guard.CallOrigin()
 	host := r.Host
 	if h, _, err := net.SplitHostPort(host); err == nil {
 		host = h
@@ -145,7 +145,7 @@
 	// the front that they happen to use.
 	req.print = (&crash.Request{
 		Method: r.Method, Host: req.route.Host, URI: rawTarget(r), Team: req.team, Body: req.body, Length: req.length,
-	}).Print()
+	}).Fingerprint()
 	return req, nil
 }
 
@@ -277,7 +277,7 @@
 	f.logAnswer(req, int(answer.head.Status))
 	if retriableStatus(answer.head.Status) {
 		// Before the answer goes out: who gets it may pass it on at once.
-		f.guard.CallFailed(time.Now())
+		f.guard.RecordFailedCall(time.Now())
 	}
 	return answer.finish(w, req)
 }
--- a/internal/front/run.go
+++ b/internal/front/run.go
@@ -63,15 +63,15 @@
 		c.failed(retryLater(verdict.ReasonDraining, "this host is stopping and the request is expected to take too long; another takes it", defaultRetryAfter))
 		return pick{}, false
 	}
-	if hedge && c.suspected() || len(c.failures) > 0 && c.ends() >= crash.RepeatBelow {
+	if hedge && c.suspected() || len(c.failures) > 0 && c.ends() >= crash.RetryBelowIncidents {
 		// Neither sent again nor, where its one place has no room, to another.
 		return pick{}, false
 	}
 	if c.heldBack() {
 		return pick{}, false
 	}
-	if v := c.front.guard.Suspect(c.req.print); v.Everywhere(time.Now()) {
-		c.failed(guard.StopRefusal(time.Now(), c.req.print, &v))
+	if v := c.front.guard.CrashAssessment(c.req.print); v.BlockedEverywhere(time.Now()) {
+		c.failed(guard.BlockedRefusal(time.Now(), c.req.print, &v))
 		return pick{}, false
 	}
 	as := sending{repeat: c.sent || hedge, hedge: hedge, insist: len(c.failures) >= politeTries}
@@ -105,10 +105,10 @@
 	c.note(p.step, o)
 	c.req.state.observe(c.req, p.target, o)
 	if o.succeeded() {
-		c.front.guard.Completed(c.req.print, p.target.software())
+		c.front.guard.RecordCompletion(c.req.print, p.target.software())
 	}
-	if o.load.Overdrawn {
-		c.front.guard.Overdrawn(time.Now())
+	if o.load.RetryBudgetOverdrawn {
+		c.front.guard.PauseRetries(time.Now())
 	}
 	if !p.as.insist && o.fail != nil && o.fail.Reason == verdict.ReasonQueueFull {
 		c.reconsider(p.target)
--- a/internal/front/run_test.go
+++ b/internal/front/run_test.go
@@ -42,11 +42,11 @@
 	req := &request{state: st, route: &route.Route{Name: "r"}}
 	f := &Front{guard: guard.New(guard.Config{Host: "h"}, guard.Limits{}, slog.Default(), nil, guard.Hooks{})}
 	assert.Assert(t, f.fits(now, req), "it is not stopping")
-	f.guard.EndBy(now.Add(3100 * time.Millisecond))
+	f.guard.SetShutdownTime(now.Add(3100 * time.Millisecond))
 	assert.Assert(t, f.fits(now, req))
 	assert.Assert(t, !f.fits(now.Add(200*time.Millisecond), req))
 
-	f.guard.EndBy(now.Add(time.Second))
+	f.guard.SetShutdownTime(now.Add(time.Second))
 	c := &race{front: f, req: req}
 	_, ok := c.next(false)
 	assert.Assert(t, !ok)
--- a/internal/front/send.go
+++ b/internal/front/send.go
@@ -17,13 +17,13 @@
 )
 
 // act sends what the state machine asks for.
-func (y *try) act(ctx context.Context, s once.Send) error {
+func (y *try) act(ctx context.Context, s once.Action) error {
 	switch s {
 	case once.SendReserve:
 		return y.stream.Send(ctx, &msg.Reserve{
 			RequestID: y.req.id, Service: y.target.Service, Instance: y.target.Name,
-			TimeoutMS: y.left(), Class: y.req.class, Priority: uint8(y.req.priority()), Within: uint8(y.req.route.Priority),
-			Aim: y.aim(), Sample: y.sample,
+			TimeoutMS: y.left(), Class: y.req.class, Priority: uint8(y.req.priority()), SubPriority: uint8(y.req.route.Priority),
+			Hints: y.aim(), Sample: y.sample,
 		})
 	case once.SendRun:
 		return y.sendRun(ctx)
@@ -34,15 +34,15 @@
 
 // aim tells the guard what the request is worth in time, and what it counts for
 // in the retry budget.
-func (y *try) aim() msg.Aim {
-	return msg.Aim{
+func (y *try) aim() msg.AdmissionHints {
+	return msg.AdmissionHints{
 		ObjectiveMS: uint32(y.req.route.Objective().Milliseconds()),
 		UsedMS:      uint32(max(time.Since(y.req.arrived).Milliseconds(), 0)),
-		ExpectMS:    uint32(y.req.state.expectAt(y.req, y.target).Milliseconds()),
-		Insist:      y.as.insist,
+		ExpectedMS:  uint32(y.req.state.expectAt(y.req, y.target).Milliseconds()),
+		AllowLate:   y.as.insist,
 		Repeat:      y.as.repeat, Hedge: y.as.hedge,
-		CallPart: y.req.callPart, Idle: y.req.idle, Route: uint32(xxhash.Sum64String(y.req.route.Name)),
-		Print: uint64(y.req.print),
+		NestedRetryChance: y.req.callPart, OriginIdle: y.req.idle, Route: uint32(xxhash.Sum64String(y.req.route.Name)),
+		Fingerprint: uint64(y.req.print),
 	}
 }
 
@@ -53,7 +53,7 @@
 	r := y.req.http
 	run := &msg.Run{
 		RequestID: y.req.id, Service: y.target.Service, Instance: y.target.Name,
-		TimeoutMS: y.left(), Class: y.req.class, Priority: uint8(y.req.priority()), Within: uint8(y.req.route.Priority), Aim: y.aim(),
+		TimeoutMS: y.left(), Class: y.req.class, Priority: uint8(y.req.priority()), SubPriority: uint8(y.req.route.Priority), Hints: y.aim(),
 		Reserved: !y.req.idempotent, Idempotent: y.req.idempotent, Shard: y.shard, Epoch: y.epoch,
 		Method: r.Method, URI: rawTarget(r), Host: r.Host,
 		Header: y.front.fields(y.req), BodyLength: y.req.length, Sample: y.sample,
--- a/internal/front/service.go
+++ b/internal/front/service.go
@@ -141,7 +141,7 @@
 	c := choice{result: eject.Apply(members, svc.Record.Floor), at: now}
 	for i, t := range st.targets {
 		switch {
-		case c.result.Out[i]:
+		case c.result.Ejected[i]:
 			c.out = append(c.out, i)
 		case members[i].Usable:
 			c.usable = append(c.usable, i)
@@ -177,7 +177,7 @@
 			continue
 		}
 		fresh++
-		if o.load.Repeats > 0 {
+		if o.load.RetryBudgetLeft > 0 {
 			left++
 		}
 	}
@@ -190,7 +190,7 @@
 // mayRepeat says that the guard has a repeat left as far as is known: it told so,
 // or nothing of late.
 func (o *observed) mayRepeat(now time.Time) bool {
-	return o.load.Repeats > 0 || now.Sub(o.loadAt) > freshLoad
+	return o.load.RetryBudgetLeft > 0 || now.Sub(o.loadAt) > freshLoad
 }
 
 const (
@@ -234,12 +234,12 @@
 
 // hear takes a guard's count. The service's lock is held.
 func (o *observed) hear(now time.Time, load msg.Load) {
-	if load.Wants && !o.wishes(now) {
+	if load.WantsTrial && !o.wishes(now) {
 		o.wantsAt = now
 	}
 	o.load, o.loadAt = load, now
-	o.sick = chance.At(now, load.SickChance())
-	o.sheds = chance.ShareAt(now, float64(load.Sheds)/msg.Thousandths)
+	o.sick = chance.EstimateAt(now, load.FailureProbability())
+	o.sheds = chance.ShareAt(now, float64(load.ShedShare)/msg.Thousandths)
 }
 
 // expectAt is how long a request is expected to run at a target.
@@ -271,8 +271,8 @@
 	return l
 }
 
-// HearPulse takes what a guard tells of its instances.
-func (f *Front) HearPulse(p *msg.Pulse) {
+// HandleLoadReport takes what a guard tells of its instances.
+func (f *Front) HandleLoadReport(p *msg.LoadReport) {
 	now := time.Now()
 	for _, l := range p.Loads {
 		if st := f.services.get(l.Service); st != nil {
--- a/internal/front/status.go
+++ b/internal/front/status.go
@@ -19,9 +19,9 @@
 	Known    int `json:"knownSlots"`
 	Healthy  int `json:"healthySlots"`
 	Required int `json:"requiredSlots"`
-	// Kept counts suspects that are used only because of the floor.
-	Kept    int            `json:"suspectsKept"`
-	Targets []TargetStatus `json:"targets"`
+	// SuspectsKept counts suspects that are used only because of the floor.
+	SuspectsKept int            `json:"suspectsKept"`
+	Targets      []TargetStatus `json:"targets"`
 }
 
 // TargetStatus is one target as this front sees it.
@@ -33,16 +33,16 @@
 	// Use is "used", "left out" or "unusable"; Why says on what evidence.
 	Use string `json:"use"`
 	Why string `json:"why,omitempty"`
-	// Pace is its service time relative to its peers', 0 where unknown.
-	Pace float64 `json:"pace"`
-	// Sick is the chance that it is failing most requests at present.
-	Sick float64 `json:"sick"`
-	// Refuses is the share of requests that it refuses though it has free slots,
+	// LatencyRatio is its service time relative to its peers', 0 where unknown.
+	LatencyRatio float64 `json:"pace"`
+	// FailureEstimate is the chance that it is failing most requests at present.
+	FailureEstimate float64 `json:"sick"`
+	// ShedShare is the share of requests that it refuses though it has free slots,
 	// and RepeatsLeft what its host has left of the retry budget, as last heard.
-	Refuses     float64 `json:"refuses"`
-	RepeatsLeft int     `json:"repeatsLeft"`
-	Running     int     `json:"running"`
-	Queued      int     `json:"queued"`
+	ShedShare       float64 `json:"refuses"`
+	RetryBudgetLeft int     `json:"repeatsLeft"`
+	Running         int     `json:"running"`
+	Queued          int     `json:"queued"`
 }
 
 // Status lists every service with the outcome of the floor rule.
@@ -66,14 +66,14 @@
 	r := st.choice.result
 	out := ServiceStatus{
 		Name: svc.Name, Version: svc.Version, Preset: svc.Record.Preset,
-		Known: r.Known, Healthy: r.Healthy, Required: r.Required, Kept: r.Kept, Targets: []TargetStatus{},
+		Known: r.Known, Healthy: r.Healthy, Required: r.Required, SuspectsKept: r.KeptSuspects, Targets: []TargetStatus{},
 	}
 	for i, t := range st.targets {
-		use, why := f.explainUse(now, t, r.Out[i])
+		use, why := f.explainUse(now, t, r.Ejected[i])
 		out.Targets = append(out.Targets, TargetStatus{
 			Name: t.Name, Host: t.Host.Name, DC: t.Host.DC, Slots: t.Slots, Use: use, Why: why,
-			Pace: t.seen.pace, Sick: t.seen.sick.Doubt(now, model),
-			Refuses: t.seen.sheds.Now(now), RepeatsLeft: int(t.seen.load.Repeats),
+			LatencyRatio: t.seen.pace, FailureEstimate: t.seen.sick.SickForSelection(now, model),
+			ShedShare: t.seen.sheds.At(now), RetryBudgetLeft: int(t.seen.load.RetryBudgetLeft),
 			Running: int(t.seen.load.Running), Queued: int(t.seen.load.Queued),
 		})
 	}
@@ -96,7 +96,7 @@
 		return "left out", evidence
 	case t.Health == detect.Suspect:
 		return "used", evidence + ", kept by the floor"
-	case now.Before(t.WarmAt):
+	case now.Before(t.WarmUpEnd):
 		return "used", "warming up"
 	default:
 		return "used", ""
--- a/internal/front/suspect.go
+++ b/internal/front/suspect.go
@@ -33,7 +33,7 @@
 			own++
 		}
 	}
-	return max(own, c.front.guard.Suspect(c.req.print).Moments)
+	return max(own, c.front.guard.CrashAssessment(c.req.print).Incidents)
 }
 
 // heldBack says that a guard has refused the request as one that crashes its targets: it
@@ -46,8 +46,8 @@
 // with several instances at once is repeated just when all hosts hear of their ends.
 func (c *race) awaitNews(ctx context.Context) {
 	for {
-		v := c.front.guard.Suspect(c.req.print)
-		wait := v.WaitForNews(time.Now())
+		v := c.front.guard.CrashAssessment(c.req.print)
+		wait := v.ClearanceTimeLeft(time.Now())
 		if wait <= 0 || !sleep.For(ctx, wait) {
 			return
 		}
@@ -57,12 +57,12 @@
 // pickForSuspect chooses where a suspected request goes: of the instances that it may reach
 // the one that follows from its print and their names, on every host the same. The
 // service's lock is held.
-func (st *serviceState) pickForSuspect(now time.Time, p crash.Print, v *crash.Verdict, tried []*target, repeat bool) *target {
+func (st *serviceState) pickForSuspect(now time.Time, p crash.Fingerprint, v *crash.Assessment, tried []*target, repeat bool) *target {
 	var one *target
 	least := uint64(0)
 	for _, i := range st.without(st.choice.usable, tried) {
 		t := st.targets[i]
-		if v.Stopped(now, t.software()) || repeat && !t.seen.mayRepeat(now) {
+		if v.Blocked(now, t.software()) || repeat && !t.seen.mayRepeat(now) {
 			continue
 		}
 		if rank := rankFor(p, t); one == nil || rank < least {
@@ -73,7 +73,7 @@
 }
 
 // rankFor orders the instances of a service for one request.
-func rankFor(p crash.Print, t *target) uint64 {
+func rankFor(p crash.Fingerprint, t *target) uint64 {
 	var both [16]byte
 	binary.LittleEndian.PutUint64(both[:8], uint64(p))
 	binary.LittleEndian.PutUint64(both[8:], t.hash)
--- a/internal/front/suspect_test.go
+++ b/internal/front/suspect_test.go
@@ -22,7 +22,7 @@
 	for place, n := range rng.Perm(instances) {
 		i := &directory.Instance{Name: fmt.Sprint("i", n), Service: "s", Version: fmt.Sprint(n % 2)}
 		seen := &observed{}
-		seen.hear(time.Unix(1000, 0), msg.Load{Slots: 4, Running: uint32(rng.IntN(5)), Repeats: uint16(rng.IntN(2))})
+		seen.hear(time.Unix(1000, 0), msg.Load{Slots: 4, Running: uint32(rng.IntN(5)), RetryBudgetLeft: uint16(rng.IntN(2))})
 		st.targets = append(st.targets, &target{Target: &directory.Target{Instance: i, Host: &directory.Host{}}, hash: guard.InstanceHash(i.Name), seen: seen})
 		st.choice.usable = append(st.choice.usable, place)
 	}
@@ -37,8 +37,8 @@
 		now := time.Unix(1000, 0)
 		instances := rapid.IntRange(1, 12).Draw(t, "instances")
 		rng := rand.New(rand.NewPCG(1, rapid.Uint64().Draw(t, "seed")))
-		print := crash.Print(rapid.Uint64().Draw(t, "print"))
-		v := &crash.Verdict{Ends: 3, Until: now.Add(time.Minute), Ended: []crash.Software{{Service: "s", Version: "0"}}}
+		print := crash.Fingerprint(rapid.Uint64().Draw(t, "print"))
+		v := &crash.Assessment{Crashes: 3, BlockedUntil: now.Add(time.Minute), CrashedSoftware: []crash.Software{{Service: "s", Version: "0"}}}
 		one, other := hostView(instances, rng), hostView(instances, rng)
 
 		var tried []*target
@@ -72,7 +72,7 @@
 // A repeat of a suspect goes only where a repeat is left.
 func TestASuspectIsRepeatedWhereARepeatIsLeft(t *testing.T) {
 	now := time.Unix(1000, 0)
-	v := &crash.Verdict{Ends: 1}
+	v := &crash.Assessment{Crashes: 1}
 	for seed := range uint64(50) {
 		st := hostView(8, rand.New(rand.NewPCG(1, seed)))
 		if picked := st.pickForSuspect(now, 7, v, nil, true); picked != nil {
--- a/internal/front/trail.go
+++ b/internal/front/trail.go
@@ -44,7 +44,7 @@
 func (st *serviceState) belief(now time.Time, t *target, why string) step {
 	return step{
 		Target: t.Name, Host: t.Host.Name, Why: why,
-		Sick: t.seen.sick.Doubt(now, model), Running: int(t.seen.load.Running), Queued: int(t.seen.load.Queued),
+		Sick: t.seen.sick.SickForSelection(now, model), Running: int(t.seen.load.Running), Queued: int(t.seen.load.Queued),
 		AgeMS: age(now, t.seen.loadAt), Of: len(st.choice.usable), Out: len(st.choice.out), begun: now,
 	}
 }
--- a/internal/front/weigh.go
+++ b/internal/front/weigh.go
@@ -11,16 +11,16 @@
 
 // candidate describes a target to the chooser. expected is the route's mean
 // service time. The caller holds the lock.
-func (t *target) candidate(now time.Time, req *request, expected time.Duration, typical balance.Typical, p *paths, cfg Config) balance.Candidate {
+func (t *target) candidate(now time.Time, req *request, expected time.Duration, typical balance.TypicalLoad, p *paths, cfg Config) balance.Candidate {
 	warm := 1.0
-	if left := t.WarmAt.Sub(now); left > 0 {
-		warm = max(1-left.Seconds()/directory.RampUp.Seconds(), 0)
+	if left := t.WarmUpEnd.Sub(now); left > 0 {
+		warm = max(1-left.Seconds()/directory.DefaultWarmUp.Seconds(), 0)
 	}
 	return balance.Candidate{
-		Slots: t.Slots, Running: int(t.seen.load.Running), Waiting: req.behind(now, t.seen.load),
+		Slots: t.Slots, Running: int(t.seen.load.Running), QueuedWork: req.behind(now, t.seen.load),
 		LoadAge: now.Sub(t.seen.loadAt), Typical: typical, Pending: t.seen.pending, Service: t.service(expected),
-		Path: p.roundTrip(t.Host.Name), Warmth: warm, Local: t.Host.DC == cfg.DC,
-		Fails: t.seen.fails(now),
+		RoundTrip: p.roundTrip(t.Host.Name), Warmth: warm, Local: t.Host.DC == cfg.DC,
+		FailureProbability: t.seen.fails(now),
 	}
 }
 
@@ -33,7 +33,7 @@
 // fails is the chance that a request is lost at the instance. The service's lock
 // is held.
 func (o *observed) fails(now time.Time) float64 {
-	return 1 - (1-o.sick.Fails(now, model))*(1-refusalWeight*o.sheds.Now(now))
+	return 1 - (1-o.sick.FailureProbability(now, model))*(1-refusalWeight*o.sheds.At(now))
 }
 
 const (
@@ -47,7 +47,7 @@
 
 // typical is the load a slot of the usable targets by the counts that are fresh:
 // hosts far away tell theirs with answers only. The caller holds the lock.
-func (st *serviceState) typical(now time.Time, req *request) balance.Typical {
+func (st *serviceState) typical(now time.Time, req *request) balance.TypicalLoad {
 	slots, running, waiting := 0, 0, time.Duration(0)
 	for _, i := range st.choice.usable {
 		t := st.targets[i]
@@ -59,9 +59,9 @@
 		waiting += req.behind(now, t.seen.load)
 	}
 	if slots == 0 {
-		return balance.Typical{Running: typicalLoad}
+		return balance.TypicalLoad{Running: typicalLoad}
 	}
-	return balance.Typical{Running: float64(running) / float64(slots), Waiting: waiting / time.Duration(slots)}
+	return balance.TypicalLoad{Running: float64(running) / float64(slots), QueuedWork: waiting / time.Duration(slots)}
 }
 
 // behind is the work that would go before the request at an instance, in the time
@@ -100,12 +100,12 @@
 // that it can be repeated where it fails: the weight of a failure grows from
 // againWeight to a whole one as repeats run out: a request that is sent to an instance
 // known to be sick must find one.
-func (req *request) stakes(now time.Time, again float64) balance.Stakes {
+func (req *request) stakes(now time.Time, again float64) balance.CostWeights {
 	weight := 1 - again*(1-againWeight)
 	objective := req.route.Objective()
-	return balance.Stakes{
+	return balance.CostWeights{
 		Objective: objective, Left: objective - now.Sub(req.arrived),
-		FailureWeight: weight, Distance: distanceStake,
+		FailureWeight: weight, RemoteWeight: distanceStake,
 	}
 }
 
--- a/internal/front/weigh_test.go
+++ b/internal/front/weigh_test.go
@@ -32,8 +32,8 @@
 	urgent := weighed(3, 800*time.Millisecond, now)
 	cost := func(l msg.Load, fails float64) float64 {
 		return balance.Cost(balance.Candidate{
-			Slots: 4, Running: int(l.Running), Waiting: urgent.behind(now, l), Service: 240 * time.Millisecond,
-			Path: time.Millisecond, Warmth: 1, Local: true, Fails: fails,
+			Slots: 4, Running: int(l.Running), QueuedWork: urgent.behind(now, l), Service: 240 * time.Millisecond,
+			RoundTrip: time.Millisecond, Warmth: 1, Local: true, FailureProbability: fails,
 		}, urgent.stakes(now, 0))
 	}
 	assert.Assert(t, cost(load, 0.03) < cost(msg.Load{Slots: 4}, 0.7))
@@ -44,7 +44,7 @@
 	st := &serviceState{}
 	for i, left := range repeats {
 		seen := &observed{}
-		seen.hear(now.Add(-age), msg.Load{Slots: 4, Repeats: left})
+		seen.hear(now.Add(-age), msg.Load{Slots: 4, RetryBudgetLeft: left})
 		st.targets = append(st.targets, &target{seen: seen})
 		st.choice.usable = append(st.choice.usable, i)
 	}
@@ -77,7 +77,7 @@
 	now := time.Unix(1000, 0)
 	ask := func(sick uint16, since time.Duration) *observed {
 		o := &observed{}
-		o.hear(now.Add(-since), msg.Load{Slots: 4, Wants: true, Sick: sick})
+		o.hear(now.Add(-since), msg.Load{Slots: 4, WantsTrial: true, FailureEstimate: sick})
 		return o
 	}
 	doubtful, well, asksLong := ask(700, 0), ask(10, 0), ask(10, wantsLong)
@@ -102,11 +102,11 @@
 func TestAWishIsForgotten(t *testing.T) {
 	now := time.Unix(1000, 0)
 	o := &observed{}
-	o.hear(now, msg.Load{Slots: 4, Wants: true})
+	o.hear(now, msg.Load{Slots: 4, WantsTrial: true})
 	assert.Assert(t, o.wishes(now.Add(wishLife)))
 	assert.Assert(t, !o.wishes(now.Add(wishLife+1)))
 	later := now.Add(2 * wishLife)
-	o.hear(later, msg.Load{Slots: 4, Wants: true})
+	o.hear(later, msg.Load{Slots: 4, WantsTrial: true})
 	assert.Assert(t, !o.mayTry(later, false, false), "it has just asked anew")
 	o.hear(later, msg.Load{Slots: 4})
 	assert.Assert(t, !o.wishes(later))
