--- a/internal/guard/announce.go
+++ b/internal/guard/announce.go
@@ -78,7 +78,7 @@
 	if err := a.check(name); err != nil {
 		return err
 	}
-	inst, fresh, err := g.hear(now, name, a)
+	inst, fresh, err := g.register(now, name, a)
 	if err != nil || inst == nil {
 		return err
 	}
@@ -92,9 +92,9 @@
 	return nil
 }
 
-// hear finds or makes the instance of an announcement; nil where the
+// register finds or makes the instance of an announcement; nil where the
 // announcement does not count.
-func (g *Guard) hear(now time.Time, name string, a Announcement) (inst *instance, fresh bool, err error) {
+func (g *Guard) register(now time.Time, name string, a Announcement) (inst *instance, fresh bool, err error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	inst, known := g.instances[name]
@@ -108,8 +108,8 @@
 		}
 		return nil, false, errors.Errorf("service: no record names %q; write one of a Service record in force", a.Service)
 	}
-	outcome := g.book.Hear(now, name, a.Address, announce.Word{Born: a.Born, Sequence: a.Sequence})
-	if !outcome.Counts {
+	outcome := g.book.Apply(now, name, a.Address, announce.Stamp{StartedMS: a.Born, Sequence: a.Sequence})
+	if !outcome.Accepted {
 		return nil, false, nil
 	}
 	if outcome.Replaces != "" {
@@ -170,7 +170,7 @@
 // misled takes an instance out of service whose address answers for another.
 func (g *Guard) misled(name string) {
 	g.mu.Lock()
-	g.book.Misled(name)
+	g.book.MarkMisdirected(name)
 	g.remove(name, "another instance has its address")
 	g.mu.Unlock()
 	g.changed()
--- a/internal/guard/blame.go
+++ b/internal/guard/blame.go
@@ -21,8 +21,8 @@
 	failed []time.Time
 }
 
-// CallFailed notes that a request that began on this host has failed.
-func (g *Guard) CallFailed(now time.Time) {
+// RecordFailedCall notes that a request that began on this host has failed.
+func (g *Guard) RecordFailedCall(now time.Time) {
 	c := &g.calls
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/guard/ends.go
+++ b/internal/guard/ends.go
@@ -71,9 +71,9 @@
 // tellEnd tells the fleet that the instance has ended and what it ran.
 func (i *instance) tellEnd(now time.Time) {
 	software := i.software()
-	e := crash.End{ID: endID(i.name, i.started), Software: software, Host: i.guard.cfg.Host, At: now}
+	e := crash.Crash{ID: endID(i.name, i.started), Software: software, Host: i.guard.cfg.Host, DetectedAt: now}
 	var requests []string
-	looks := make(map[crash.Print]string)
+	looks := make(map[crash.Fingerprint]string)
 	for _, u := range i.underWay() {
 		if i.guard.suspects.completedLately(now, u.print, software) {
 			continue
@@ -82,22 +82,22 @@
 		if _, again := looks[u.print]; again {
 			continue
 		}
-		e.Prints = append(e.Prints, u.print)
+		e.Fingerprints = append(e.Fingerprints, u.print)
 		looks[u.print] = u.look()
 	}
 	event.Log(i.guard.log, event.InstanceEnded, slog.String("instance", i.name), slog.String("service", software.Service),
-		slog.String("version", software.Version), slog.Int("suspects", len(e.Prints)), slog.Any("requests", requests[:min(len(requests), maxNamed)]))
-	if len(e.Prints) == 0 {
+		slog.String("version", software.Version), slog.Int("suspects", len(e.Fingerprints)), slog.Any("requests", requests[:min(len(requests), maxNamed)]))
+	if len(e.Fingerprints) == 0 {
 		return
 	}
-	e.Prints = e.Prints[:min(len(e.Prints), crash.MaxPrints)]
+	e.Fingerprints = e.Fingerprints[:min(len(e.Fingerprints), crash.MaxFingerprints)]
 	i.guard.suspects.remember(e.ID, looks)
-	i.guard.HearEnd(e)
+	i.guard.ApplyCrash(e)
 	i.guard.ended(e)
-	for _, p := range e.Prints {
+	for _, p := range e.Fingerprints {
 		// One that was stopped while it ran here: the hosts of the earlier ends may
 		// each have left it to this one to keep.
-		if v := i.guard.Suspect(p); !v.Until.IsZero() {
+		if v := i.guard.CrashAssessment(p); !v.BlockedUntil.IsZero() {
 			i.guard.keepSettled(p)
 		}
 	}
@@ -113,7 +113,7 @@
 // underWay is a request that was sent to the instance and has no answer.
 type underWay struct {
 	run     *msg.Run
-	print   crash.Print
+	print   crash.Fingerprint
 	started time.Time
 }
 
--- a/internal/guard/estimate.go
+++ b/internal/guard/estimate.go
@@ -15,14 +15,14 @@
 	i.mu.Lock()
 	switch {
 	case r.shed:
-		i.sheds.Saw(now, i.hadRoom(now))
+		i.sheds.Observe(now, i.hadRoom(now))
 	case r.cut:
 		i.cutAt = now
 	default:
-		i.sheds.Saw(now, false)
+		i.sheds.Observe(now, false)
 	}
 	if !r.shed && !r.cut && !r.excused {
-		i.sick.Saw(now, r.failed, i.guard.model)
+		i.sick.Observe(now, r.failed, i.guard.model)
 	}
 	if r.failed {
 		i.failedAt = now
@@ -61,13 +61,13 @@
 func (i *instance) tell(now time.Time) {
 	i.mu.Lock()
 	load := i.loadAt(now)
-	believed := i.toldSick.Doubt(now, i.guard.model) * msg.Thousandths
-	turned := differ(int(load.Sick), int(believed)) >= sickNews || differ(int(load.Sheds), int(i.told.Sheds)) >= sickNews
+	believed := i.toldSick.SickForSelection(now, i.guard.model) * msg.Thousandths
+	turned := differ(int(load.FailureEstimate), int(believed)) >= sickNews || differ(int(load.ShedShare), int(i.told.ShedShare)) >= sickNews
 	stale := now.Sub(i.toldAt) >= tellAgain
 	news := turned || stale || float64(differ(busy(load), busy(i.told))) >= busyNews*float64(i.slots)
 	if news {
 		i.toldAt = now
-		i.told, i.toldSick = load, chance.At(now, load.SickChance())
+		i.told, i.toldSick = load, chance.EstimateAt(now, load.FailureProbability())
 	}
 	i.mu.Unlock()
 	if turned {
@@ -76,7 +76,7 @@
 	if !news {
 		return
 	}
-	to := pulse.ToNear
+	to := pulse.ToLocal
 	if turned {
 		to = pulse.ToAll
 	}
@@ -84,7 +84,7 @@
 }
 
 func (i *instance) pulse(load msg.Load, to pulse.Reach) {
-	i.guard.pulse(&msg.Pulse{Loads: []msg.InstanceLoad{{Service: i.service, Instance: i.name, Load: load}}}, to)
+	i.guard.pulse(&msg.LoadReport{Loads: []msg.InstanceLoad{{Service: i.service, Instance: i.name, Load: load}}}, to)
 }
 
 // ask asks a few fronts for a request where the instance has had none for a while, and
@@ -98,7 +98,7 @@
 	}
 	i.askedAt = now
 	load := i.loadAt(now)
-	load.Wants = true
+	load.WantsTrial = true
 	i.mu.Unlock()
 	i.pulse(load, pulse.ToFew)
 }
@@ -116,7 +116,7 @@
 
 // loadAt is load for a caller that holds the lock.
 func (i *instance) loadAt(now time.Time) msg.Load {
-	sick := i.sick.Doubt(now, i.guard.model)
+	sick := i.sick.SickForSelection(now, i.guard.model)
 	var waiting [admit.Priorities]uint32
 	for p, work := range i.queue.Waiting() {
 		waiting[p] = uint32(work.Milliseconds())
@@ -125,8 +125,8 @@
 		WaitingMS: waiting,
 		Slots:     uint32(i.slots), Running: uint32(i.queue.Running()), Queued: uint32(i.queue.Queued()),
 		Health: uint8(i.detector.Health()), Evidence: uint32(i.detector.Evidence() * evidenceScale),
-		Sick: uint16(sick * msg.Thousandths), Sheds: uint16(i.sheds.Now(now) * msg.Thousandths),
-		Repeats: i.guard.repeats.left(now, i.service),
+		FailureEstimate: uint16(sick * msg.Thousandths), ShedShare: uint16(i.sheds.At(now) * msg.Thousandths),
+		RetryBudgetLeft: i.guard.repeats.left(now, i.service),
 	}
 }
 
@@ -148,7 +148,7 @@
 	if i.out() || i.queue.Running()+i.queue.Queued() > 0 {
 		return false
 	}
-	if i.sick.Doubt(now, i.guard.model) < doubt {
+	if i.sick.SickForSelection(now, i.guard.model) < doubt {
 		return now.Sub(i.idleAt) >= idlePause
 	}
 	return now.Sub(i.failedAt) >= trialPause
--- a/internal/guard/estimate_test.go
+++ b/internal/guard/estimate_test.go
@@ -39,7 +39,7 @@
 			start(i, now, c.running)
 			i.saw(now.Add(-c.cutFor), result{cut: true})
 			i.saw(now, result{shed: true})
-			assert.Equal(t, i.sheds.Now(now) > 0, c.seen)
+			assert.Equal(t, i.sheds.At(now) > 0, c.seen)
 			assert.Equal(t, (&chance.Estimate{}).Sick(now, g.model), i.sick.Sick(now, g.model), "it is another fault than failing")
 		})
 	}
@@ -50,8 +50,8 @@
 	t.Helper()
 	g := newTestGuard(t, "127.0.0.1:1")
 	asked := &[]pulse.Reach{}
-	g.pulse = func(p *msg.Pulse, to pulse.Reach) {
-		if p.Loads[0].Load.Wants {
+	g.pulse = func(p *msg.LoadReport, to pulse.Reach) {
+		if p.Loads[0].Load.WantsTrial {
 			*asked = append(*asked, to)
 		}
 	}
@@ -73,7 +73,7 @@
 func TestAnIdleInstanceAsksFewForWork(t *testing.T) {
 	i, told := heardAsking(t)
 	now := time.Now()
-	i.sick, i.idleAt = chance.At(now, 0.01), now
+	i.sick, i.idleAt = chance.EstimateAt(now, 0.01), now
 	i.ask(now.Add(idlePause - 1))
 	assert.Equal(t, len(*told), 0, "it has just had work")
 	i.ask(now.Add(idlePause))
@@ -99,10 +99,10 @@
 // Evidence: on a day of the large deployment 75 to 108 of 162 instances of a service were
 // held for doubtful at a time; some 5 failed trials in 2 s stand in the logs, and instances
 // that had been left alone for 10 s.
-func TestADoubtfulInstanceAsksForATrial(t *testing.T) {
+func TestDoubtfulInstanceRequestsTrial(t *testing.T) {
 	i, told := heardAsking(t)
 	now := time.Now()
-	i.sick, i.failedAt, i.toldAt = chance.At(now, 0.5), now, now
+	i.sick, i.failedAt, i.toldAt = chance.EstimateAt(now, 0.5), now, now
 	i.ask(now.Add(trialPause - 1))
 	i.tell(now.Add(trialPause))
 	assert.Equal(t, len(*told), 0)
--- a/internal/guard/explore_test.go
+++ b/internal/guard/explore_test.go
@@ -158,7 +158,7 @@
 		a := Announcement{Service: "s", Address: e.address, Slots: 2, Connections: 4, State: stateDraining}
 		assert.NilError(e.t, e.guard.Announce(time.Now(), "i", a))
 	case cancels:
-		if e.attempt.GiveUp() == once.SendCancel {
+		if e.attempt.Abort() == once.SendCancel {
 			// The stream may have ended in the same moment.
 			_ = e.near.Send(context.Background(), &msg.Cancel{})
 		}
@@ -200,7 +200,7 @@
 	for e.attempt.Phase() != once.Done {
 		m, err := near.Recv(context.Background())
 		if err != nil {
-			e.attempt.GiveUp()
+			e.attempt.Abort()
 			break
 		}
 		e.step(m)
@@ -213,19 +213,19 @@
 	switch m := m.(type) {
 	case *msg.Grant:
 		e.at(whenGrant)
-		if e.attempt.Granted() == once.SendRun {
+		if e.attempt.HandleGrant() == once.SendRun {
 			_ = e.near.Send(context.Background(), e.run())
 			e.sendBody()
 		}
 	case *msg.Head:
-		e.attempt.Head()
+		e.attempt.HandleResponseStart()
 	case *msg.Data:
 		e.body = append(e.body, m.Bytes...)
 	case *msg.End:
-		e.attempt.End(m.Length == uint64(len(e.body)) && m.Hash == xxhash.Sum64(e.body))
+		e.attempt.HandleResponseEnd(m.Length == uint64(len(e.body)) && m.Hash == xxhash.Sum64(e.body))
 	case *msg.Fail:
 		e.last = m
-		e.attempt.Failed(m.Verdict)
+		e.attempt.HandleFailure(m.Verdict)
 	}
 }
 
@@ -234,7 +234,7 @@
 // not run and never does, work that is not idempotent runs once at most, an
 // answer that is not whole does not look so, and nothing reaches an instance
 // whose leaving was acknowledged.
-func TestWhateverATargetDoesTheVerdictIsTrue(t *testing.T) {
+func TestVerdictIsTrueForEveryTargetBehaviour(t *testing.T) {
 	for _, m := range manners {
 		for _, idempotent := range []bool{false, true} {
 			for _, ev := range []incident{nothing, cancels, drains, leaves} {
@@ -269,7 +269,7 @@
 	if e.attempt.Verdict() == verdict.NotRun {
 		assert.Equal(t, runs, 0, "told not-run")
 	}
-	if e.attempt.Whole() {
+	if e.attempt.ResponseComplete() {
 		assert.Equal(t, string(e.body), wholeBody)
 		assert.Assert(t, m.whole || slices.Contains([]string{"failed", "refused without a word"}, m.name), "an answer that was cut looks whole")
 	}
@@ -283,6 +283,6 @@
 		assert.Equal(t, e.attempt.Verdict(), verdict.NotRun)
 	}
 	if ev == nothing {
-		assert.Equal(t, e.attempt.Whole(), m.whole || m.name == "failed" || m.name == "refused without a word" && idempotent)
+		assert.Equal(t, e.attempt.ResponseComplete(), m.whole || m.name == "failed" || m.name == "refused without a word" && idempotent)
 	}
 }
--- a/internal/guard/guard.go
+++ b/internal/guard/guard.go
@@ -62,15 +62,15 @@
 	// Changed is called when what the host says of its instances has changed.
 	Changed func()
 	// Pulse is called with what some fronts should know at once.
-	Pulse func(p *msg.Pulse, to pulse.Reach)
-	// Ended is called with the end of an instance of this host, and Cleared where a
+	Pulse func(p *msg.LoadReport, to pulse.Reach)
+	// Crashed is called with the end of an instance of this host, and Cleared where a
 	// request that was suspected of one has completed: all hosts are to know. Nil
 	// tells nobody.
-	Ended   func(e crash.End)
-	Cleared func(end string, p crash.Print)
-	// Stopped is called on one host of the fleet with a request that is kept from
+	Crashed func(e crash.Crash)
+	Cleared func(end string, p crash.Fingerprint)
+	// Blocked is called on one host of the fleet with a request that is kept from
 	// instances, which must outlive all processes. It must not block. Nil tells nobody.
-	Stopped func(Stopped)
+	Blocked func(BlockedRequest)
 }
 
 // Guard holds the instances of one host. It is safe for concurrent use.
@@ -91,16 +91,16 @@
 	refusals event.Limiter
 	counts   counters
 	// pulse is called, without locks, with what the fronts should know at once.
-	pulse   func(p *msg.Pulse, to pulse.Reach)
+	pulse   func(p *msg.LoadReport, to pulse.Reach)
 	changed func()
-	ended   func(crash.End)
-	cleared func(string, crash.Print)
-	stopped func(Stopped)
+	ended   func(crash.Crash)
+	cleared func(string, crash.Fingerprint)
+	stopped func(BlockedRequest)
 	// suspects are the requests that may end the instances that run them.
 	suspects *suspects
 
 	mu        sync.Mutex
-	book      *announce.Book
+	book      *announce.Tracker
 	instances map[string]*instance
 	// presets are the detection parameters of the services in force; whole says
 	// that these are all there are.
@@ -117,20 +117,20 @@
 func New(cfg Config, limits Limits, log *slog.Logger, fence Fence, hooks Hooks) *Guard {
 	g := &Guard{
 		cfg: cfg, log: log, fence: fence, changed: hooks.Changed, pulse: hooks.Pulse, model: chance.Default(), counts: newCounters(),
-		ended: hooks.Ended, cleared: hooks.Cleared, stopped: hooks.Stopped, suspects: newSuspects(),
+		ended: hooks.Crashed, cleared: hooks.Cleared, stopped: hooks.Blocked, suspects: newSuspects(),
 		repeats:   newRepeats(),
-		book:      announce.NewBook(),
+		book:      announce.NewTracker(),
 		instances: make(map[string]*instance),
 		presets:   make(map[string]detect.Params),
 	}
 	if g.ended == nil {
-		g.ended = func(crash.End) {}
+		g.ended = func(crash.Crash) {}
 	}
 	if g.cleared == nil {
-		g.cleared = func(string, crash.Print) {}
+		g.cleared = func(string, crash.Fingerprint) {}
 	}
 	if g.stopped == nil {
-		g.stopped = func(Stopped) {}
+		g.stopped = func(BlockedRequest) {}
 	}
 	g.limits.Store(&limits)
 	return g
@@ -168,7 +168,7 @@
 	g.mu.Unlock()
 	changed := false
 	for _, inst := range all {
-		stop := d.Stopping(g.cfg.Host, inst.name)
+		stop := d.PlannedStop(g.cfg.Host, inst.name)
 		if inst.apply(g.params(inst.service), stop != nil) {
 			changed = true
 		}
@@ -243,12 +243,12 @@
 	}
 }
 
-// EndBy says when this process is going to end: work that is not expected to be
+// SetShutdownTime says when this process is going to end: work that is not expected to be
 // done well before is refused.
-func (g *Guard) EndBy(end time.Time) { g.endBy.Store(&end) }
+func (g *Guard) SetShutdownTime(end time.Time) { g.endBy.Store(&end) }
 
-// End is when this process is going to end; false while it is not stopping.
-func (g *Guard) End() (time.Time, bool) {
+// ShutdownTime is when this process is going to end; false while it is not stopping.
+func (g *Guard) ShutdownTime() (time.Time, bool) {
 	end := g.endBy.Load()
 	if end == nil {
 		return time.Time{}, false
@@ -263,7 +263,7 @@
 // fits says that a request that is expected to run for a time has room for it
 // before the process ends.
 func (g *Guard) fits(now time.Time, expect time.Duration) bool {
-	end, stopping := g.End()
+	end, stopping := g.ShutdownTime()
 	return !stopping || !now.Add(endMargin*expect).After(end)
 }
 
--- a/internal/guard/instance.go
+++ b/internal/guard/instance.go
@@ -76,7 +76,7 @@
 	// run is what was sent to the target, nil before, and print what the request is
 	// known by when it comes again.
 	run   *msg.Run
-	print crash.Print
+	print crash.Fingerprint
 	// started is when the target was called, zero before.
 	started time.Time
 	// reported is the age last reported to the detector.
@@ -119,7 +119,7 @@
 		detector: detect.NewDetector(params),
 		waiters:  make(map[admit.ID]*waiter),
 		slots:    a.Slots, conns: a.connections(), version: a.Version, heard: now,
-		warmAt: now.Add(directory.RampUp),
+		warmAt: now.Add(directory.DefaultWarmUp),
 	}
 }
 
@@ -241,7 +241,7 @@
 	defer i.mu.Unlock()
 	i.nextID++
 	r.ID = i.nextID
-	w.decisions, w.expect = make(chan admit.Decision, waiterDepth), r.Expect
+	w.decisions, w.expect = make(chan admit.Decision, waiterDepth), r.ExpectedService
 	i.waiters[r.ID] = w
 	i.deliver(i.queue.Offer(now, r))
 	return r.ID
@@ -294,12 +294,12 @@
 	out := directory.Instance{
 		Name: i.name, Service: i.service, Slots: i.slots, Conns: i.conns, Version: i.version,
 		Health: i.detector.Health(), StartedMS: i.started.UnixMilli(),
-		WarmLeft: max(time.Until(i.warmAt), 0),
+		WarmUpLeft: max(time.Until(i.warmAt), 0),
 	}
 	if out.Health == detect.Suspect {
 		// What made it a suspect, not what has come since: it must not change
 		// with every answer.
-		out.Evidence = uint32(i.detector.Conviction() * evidenceScale)
+		out.Evidence = uint32(i.detector.SuspicionEvidence() * evidenceScale)
 	}
 	if i.out() {
 		out.State = directory.Leaving
--- a/internal/guard/judge.go
+++ b/internal/guard/judge.go
@@ -22,7 +22,7 @@
 	case promisesNotRun(a.Status) && !m.Idempotent:
 		// The status would tell the caller that it may send the request again.
 		return result{failed: true}, verdict.New(verdict.MayHaveRun, verdict.ReasonTargetBroke, "the target refused without saying that it did not run the request")
-	case a.Status/100 == 2 && d.Proof != "" && a.Header.Get(d.Proof) == "":
+	case a.Status/100 == 2 && d.TargetMarker != "" && a.Header.Get(d.TargetMarker) == "":
 		return result{failed: true}, verdict.New(verdict.Ran, verdict.ReasonTargetBroke, "the answer lacks the target's mark")
 	case unaskedEncoding(a.Header, m.Header):
 		return result{failed: true}, verdict.New(verdict.Ran, verdict.ReasonTargetBroke, "the answer has an encoding that the caller did not ask for")
--- a/internal/guard/judge_test.go
+++ b/internal/guard/judge_test.go
@@ -13,9 +13,9 @@
 	"github.com/radishhoist/radishhoist/verdict"
 )
 
-func TestWhichAnswersACallerGets(t *testing.T) {
+func TestResponsesPassedToCaller(t *testing.T) {
 	d := header.Default()
-	d.Proof = "Proof"
+	d.TargetMarker = "Proof"
 	proof := http.Header{"Proof": {"x"}}
 	for _, c := range []struct {
 		name       string
@@ -53,7 +53,7 @@
 	}
 }
 
-func TestOnlyWhatDidNotGoOutHasNotRun(t *testing.T) {
+func TestOnlyUnsentRequestsHaveNotRun(t *testing.T) {
 	cause := errors.New("x")
 	assert.Equal(t, callFailure(&targetconn.Error{Cause: cause}).Verdict, verdict.NotRun)
 	assert.Equal(t, callFailure(&targetconn.Error{Sent: true, Cause: cause}).Verdict, verdict.MayHaveRun)
--- a/internal/guard/pace.go
+++ b/internal/guard/pace.go
@@ -45,9 +45,9 @@
 	switch ref := i.reference.At(now); {
 	case pace == 0:
 	case whole:
-		changed = i.detector.Answer(now, ref, pace, false)
+		changed = i.detector.AddAnswer(now, ref, pace, false)
 	case r.cut && !r.failed:
-		changed = i.detector.Stuck(now, ref, pace)
+		changed = i.detector.AddPending(now, ref, pace)
 	}
 	i.mu.Unlock()
 	if whole && pace > 0 {
@@ -78,7 +78,7 @@
 	if s.Instance == 0 || s.Instance == i.hash {
 		return
 	}
-	i.observePeer(now, time.Duration(s.Pace)*paceUnit/msg.Thousandths)
+	i.observePeer(now, time.Duration(s.LatencyRatio)*paceUnit/msg.Thousandths)
 }
 
 func (i *instance) observePeer(now time.Time, pace time.Duration) {
@@ -97,13 +97,13 @@
 		age := now.Sub(w.started)
 		if !w.started.IsZero() && !w.overdue && w.patience > 0 && age > w.patience {
 			w.overdue = true
-			i.sick.Saw(now, true, i.guard.model)
+			i.sick.Observe(now, true, i.guard.model)
 		}
 		if w.started.IsZero() || age < 2*w.reported || age < stuckAge {
 			continue
 		}
 		w.reported = age
-		if pace := w.pace(age); pace > 0 && i.detector.Stuck(now, ref, pace) {
+		if pace := w.pace(age); pace > 0 && i.detector.AddPending(now, ref, pace) {
 			changed = true
 		}
 	}
--- a/internal/guard/repeats.go
+++ b/internal/guard/repeats.go
@@ -109,7 +109,7 @@
 }
 
 // hold sets a repeat aside for a request that is about to be admitted.
-func (r *repeats) hold(now time.Time, service string, aim msg.Aim) bool {
+func (r *repeats) hold(now time.Time, service string, aim msg.AdmissionHints) bool {
 	keep := 0.0
 	if aim.Hedge || aim.ObjectiveMS > 0 && aim.UsedMS >= aim.ObjectiveMS {
 		keep = keepForFirst
@@ -120,10 +120,10 @@
 	return ok && now.Sub(r.overdrawnAt) > overdrawnFor && k.budget.Hold(now, keep)
 }
 
-// Overdrawn notes that a call that may be one of a repeated run of this host has
+// PauseRetries notes that a call that may be one of a repeated run of this host has
 // found no repeat left. Such calls cannot be refused, so that the host makes no
 // repeats for a while.
-func (g *Guard) Overdrawn(now time.Time) {
+func (g *Guard) PauseRetries(now time.Time) {
 	g.repeats.mu.Lock()
 	defer g.repeats.mu.Unlock()
 	g.repeats.overdrawnAt = now
@@ -149,7 +149,7 @@
 // begin records that a request is sent to an instance. What was held is used.
 // Any other send counts as fresh, and where its route is one of calls as much for
 // a repeat as its front says.
-func (r *repeats) begin(now time.Time, service string, held, idempotent bool, aim msg.Aim) sent {
+func (r *repeats) begin(now time.Time, service string, held, idempotent bool, aim msg.AdmissionHints) sent {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var run sent
@@ -158,7 +158,7 @@
 	case !ok:
 	case held:
 		run.part = msg.Thousandths
-		k.budget.Use(now)
+		k.budget.UseHeld(now)
 	default:
 		run.part = k.fresh(now, aim)
 	}
@@ -168,17 +168,17 @@
 }
 
 // fresh records a first send, and gives what it counts for as a repeat, in thousandths.
-func (k *keeper) fresh(now time.Time, aim msg.Aim) uint16 {
-	k.origins.Saw(now, aim.Route, aim.Idle)
-	if k.origins.Callers(aim.Route) {
-		k.budget.Fresh(now, 0)
+func (k *keeper) fresh(now time.Time, aim msg.AdmissionHints) uint16 {
+	k.origins.Observe(now, aim.Route, aim.OriginIdle)
+	if k.origins.IsCallerRoute(aim.Route) {
+		k.budget.AddRequest(now, 0)
 		return 0
 	}
-	part := min(aim.CallPart, msg.Thousandths)
-	if k.origins.Calls(aim.Route) {
-		k.budget.Call(now, float64(part)/msg.Thousandths)
+	part := min(aim.NestedRetryChance, msg.Thousandths)
+	if k.origins.IsCallRoute(aim.Route) {
+		k.budget.AddCall(now, float64(part)/msg.Thousandths)
 	} else {
-		k.budget.Fresh(now, float64(part)/msg.Thousandths)
+		k.budget.AddRequest(now, float64(part)/msg.Thousandths)
 	}
 	return part
 }
@@ -208,16 +208,16 @@
 	if !ok {
 		return 0
 	}
-	return uint16(min(k.budget.Left(now), 1<<16-1))
+	return uint16(min(k.budget.Available(now), 1<<16-1))
 }
 
-// Origin tells of a request that begins on this host now. callPart is the chance
+// CallOrigin tells of a request that begins on this host now. callPart is the chance
 // that it is a call of a repeated run, in thousandths, if it is a call at all:
 // such calls are repeats at the services that they go to, and nothing tells which
 // run has made one. idle says that nothing runs here. The chance is
 // the share of repeats among the runs of work that may be repeated: other work that
 // runs on the same host would make it look smaller.
-func (g *Guard) Origin() (callPart uint16, idle bool) {
+func (g *Guard) CallOrigin() (callPart uint16, idle bool) {
 	r := g.repeats
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/guard/repeats_test.go
+++ b/internal/guard/repeats_test.go
@@ -43,7 +43,7 @@
 // Over all guards of a service together, with hosts that stop, start again and
 // leave the view, the repeats of every window stay within the allowance: a fifth
 // of the requests and the reserve.
-func TestTheGuardsTogetherKeepToTheBudget(t *testing.T) {
+func TestGuardsTogetherStayWithinRetryBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
 		guards := rapid.IntRange(2, 9).Draw(t, "guards")
@@ -74,10 +74,10 @@
 			if i = firstAlive(alive, i); i < 0 {
 				continue
 			}
-			all[i].end(all[i].begin(now, "s", false, true, msg.Aim{}))
+			all[i].end(all[i].begin(now, "s", false, true, msg.AdmissionHints{}))
 			fresh = append(fresh, now)
-			for all[i].hold(now, "s", msg.Aim{}) {
-				all[i].end(all[i].begin(now, "s", true, true, msg.Aim{}))
+			for all[i].hold(now, "s", msg.AdmissionHints{}) {
+				all[i].end(all[i].begin(now, "s", true, true, msg.AdmissionHints{}))
 				sent = append(sent, now)
 			}
 		}
@@ -139,9 +139,9 @@
 	for k := range perSecond * 30 {
 		now = now.Add(time.Second / perSecond)
 		r := all[k%guards]
-		r.begin(now, "s", false, true, msg.Aim{Idle: true})
-		if k >= perSecond*20 && r.hold(now, "s", msg.Aim{}) {
-			r.begin(now, "s", true, true, msg.Aim{})
+		r.begin(now, "s", false, true, msg.AdmissionHints{OriginIdle: true})
+		if k >= perSecond*20 && r.hold(now, "s", msg.AdmissionHints{}) {
+			r.begin(now, "s", true, true, msg.AdmissionHints{})
 			spent++
 		}
 	}
@@ -155,37 +155,37 @@
 	r.apply(now, seenBy([]bool{true}), repeatLimits())
 	now = now.Add(testWindow)
 	hedges := 0
-	for r.hold(now, "s", msg.Aim{Hedge: true}) {
+	for r.hold(now, "s", msg.AdmissionHints{Hedge: true}) {
 		hedges++
 	}
 	half := int(keepForFirst * budgetPart * testReserve)
 	assert.Assert(t, hedges == half || hedges == half-1, "%d", hedges)
-	assert.Assert(t, !r.hold(now, "s", msg.Aim{ObjectiveMS: 500, UsedMS: 600}))
-	assert.Assert(t, r.hold(now, "s", msg.Aim{ObjectiveMS: 500, UsedMS: 100}))
+	assert.Assert(t, !r.hold(now, "s", msg.AdmissionHints{ObjectiveMS: 500, UsedMS: 600}))
+	assert.Assert(t, r.hold(now, "s", msg.AdmissionHints{ObjectiveMS: 500, UsedMS: 100}))
 }
 
 // What begins on a host that runs repeats may be their calls, unless callers use
 // the route.
-func TestCallsOfRepeatedRunsAreToldByChance(t *testing.T) {
+func TestCallsOfRetriedRunsAreEstimated(t *testing.T) {
 	now := time.Now()
 	g := newTestGuard(t, "127.0.0.1:1")
 	g.repeats.apply(now.Add(-time.Minute), seenBy([]bool{true}), repeatLimits())
-	callPart, idle := g.Origin()
+	callPart, idle := g.CallOrigin()
 	assert.Assert(t, idle)
 	assert.Equal(t, callPart, uint16(0))
-	assert.Equal(t, g.repeats.begin(now, "s", false, true, msg.Aim{Route: 1, Idle: true}).part, uint16(0))
-	g.repeats.begin(now, "s", false, false, msg.Aim{Route: 1, Idle: true})
-	assert.Assert(t, g.repeats.hold(now, "s", msg.Aim{}))
-	repeat := g.repeats.begin(now, "s", true, true, msg.Aim{Repeat: true, Route: 1})
-	callPart, idle = g.Origin()
+	assert.Equal(t, g.repeats.begin(now, "s", false, true, msg.AdmissionHints{Route: 1, OriginIdle: true}).part, uint16(0))
+	g.repeats.begin(now, "s", false, false, msg.AdmissionHints{Route: 1, OriginIdle: true})
+	assert.Assert(t, g.repeats.hold(now, "s", msg.AdmissionHints{}))
+	repeat := g.repeats.begin(now, "s", true, true, msg.AdmissionHints{Repeat: true, Route: 1})
+	callPart, idle = g.CallOrigin()
 	assert.Equal(t, callPart, uint16(msg.Thousandths/2), "work that cannot be repeated says nothing of the calls of repeats")
 	assert.Assert(t, !idle)
 
 	before := g.repeats.left(now, "s")
-	assert.Equal(t, g.repeats.begin(now, "s", false, true, msg.Aim{Route: 2, CallPart: msg.Thousandths}).part, uint16(msg.Thousandths))
+	assert.Equal(t, g.repeats.begin(now, "s", false, true, msg.AdmissionHints{Route: 2, NestedRetryChance: msg.Thousandths}).part, uint16(msg.Thousandths))
 	assert.Equal(t, g.repeats.left(now, "s"), before-1)
-	g.repeats.begin(now, "s", false, true, msg.Aim{Route: 1, Idle: true})
-	assert.Equal(t, g.repeats.begin(now, "s", false, true, msg.Aim{Route: 1, CallPart: msg.Thousandths}).part, uint16(0), "callers use route 1")
+	g.repeats.begin(now, "s", false, true, msg.AdmissionHints{Route: 1, OriginIdle: true})
+	assert.Equal(t, g.repeats.begin(now, "s", false, true, msg.AdmissionHints{Route: 1, NestedRetryChance: msg.Thousandths}).part, uint16(0), "callers use route 1")
 	g.repeats.end(repeat)
 }
 
@@ -199,31 +199,31 @@
 	g.repeats.apply(time.Now().Add(-time.Minute), seenBy(up), *g.limits.Load())
 	// Two tenths short of two: room for one.
 	assert.Equal(t, g.repeats.left(time.Now(), "s"), uint16(1))
-	repeat := msg.Aim{Repeat: true}
+	repeat := msg.AdmissionHints{Repeat: true}
 	assert.Equal(t, serveOne(t, g, repeat).Reason, verdict.ReasonTargetBroke, "it was sent on")
 	refused := serveOne(t, g, repeat)
 	assert.Equal(t, refused.Reason, verdict.ReasonRetryBudget)
 	assert.Equal(t, refused.Verdict, verdict.NotRun)
-	assert.Equal(t, serveOne(t, g, msg.Aim{CallPart: msg.Thousandths}).Reason, verdict.ReasonTargetBroke)
+	assert.Equal(t, serveOne(t, g, msg.AdmissionHints{NestedRetryChance: msg.Thousandths}).Reason, verdict.ReasonTargetBroke)
 }
 
 // Calls of repeated runs cannot be refused. Where one finds no repeat left, the
 // host that it came from is told, and makes none itself for a while.
-func TestAHostWhoseCallsOverdrawMakesNoRepeats(t *testing.T) {
+func TestHostWithOverdrawnCallsPausesRetries(t *testing.T) {
 	called := newTestGuard(t, breaking(t))
 	called.limits.Store(&Limits{AnnounceExpiry: time.Hour, RetryReserve: 2, RetryWindow: testWindow})
 	called.repeats.apply(time.Now().Add(-time.Minute), seenBy([]bool{true}), *called.limits.Load())
-	call := msg.Aim{CallPart: msg.Thousandths, Route: 7}
-	assert.Assert(t, !serveOne(t, called, msg.Aim{Route: 7}).Load.Overdrawn, "no call of a repeat")
-	assert.Assert(t, serveOne(t, called, call).Load.Overdrawn)
+	call := msg.AdmissionHints{NestedRetryChance: msg.Thousandths, Route: 7}
+	assert.Assert(t, !serveOne(t, called, msg.AdmissionHints{Route: 7}).Load.RetryBudgetOverdrawn, "no call of a repeat")
+	assert.Assert(t, serveOne(t, called, call).Load.RetryBudgetOverdrawn)
 
 	now := time.Now()
 	caller := newTestGuard(t, "127.0.0.1:1")
 	caller.repeats.apply(now.Add(-time.Minute), seenBy([]bool{true}), repeatLimits())
-	assert.Assert(t, caller.repeats.hold(now, "s", msg.Aim{}))
-	caller.Overdrawn(now)
-	assert.Assert(t, !caller.repeats.hold(now, "s", msg.Aim{}))
-	assert.Assert(t, caller.repeats.hold(now.Add(2*overdrawnFor), "s", msg.Aim{}))
+	assert.Assert(t, caller.repeats.hold(now, "s", msg.AdmissionHints{}))
+	caller.PauseRetries(now)
+	assert.Assert(t, !caller.repeats.hold(now, "s", msg.AdmissionHints{}))
+	assert.Assert(t, caller.repeats.hold(now.Add(2*overdrawnFor), "s", msg.AdmissionHints{}))
 }
 
 // A repeat that is given up in the queue gives back what it held.
@@ -235,7 +235,7 @@
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		g.Serve(far, &msg.Reserve{RequestID: "r", Service: "s", Instance: "i", TimeoutMS: 20000, Aim: msg.Aim{Repeat: true}})
+		g.Serve(far, &msg.Reserve{RequestID: "r", Service: "s", Instance: "i", TimeoutMS: 20000, Hints: msg.AdmissionHints{Repeat: true}})
 	}()
 	_, err := near.Recv(context.Background())
 	assert.NilError(t, err)
@@ -266,11 +266,11 @@
 }
 
 // serveOne sends a repeatable request and gives its failure.
-func serveOne(t *testing.T, g *Guard, aim msg.Aim) *msg.Fail {
+func serveOne(t *testing.T, g *Guard, aim msg.AdmissionHints) *msg.Fail {
 	t.Helper()
 	near, far := wire.Pipe()
 	defer near.Close()
-	go g.Serve(far, &msg.Run{RequestID: "r", Service: "s", Instance: "i", TimeoutMS: 20000, Idempotent: true, Method: "GET", URI: "/", Host: "a", Aim: aim})
+	go g.Serve(far, &msg.Run{RequestID: "r", Service: "s", Instance: "i", TimeoutMS: 20000, Idempotent: true, Method: "GET", URI: "/", Host: "a", Hints: aim})
 	m, err := near.Recv(context.Background())
 	assert.NilError(t, err)
 	fail, ok := m.(*msg.Fail)
--- a/internal/guard/restart_test.go
+++ b/internal/guard/restart_test.go
@@ -84,7 +84,7 @@
 	assert.Assert(t, ok && now != old)
 	load := now.load()
 	assert.Equal(t, load.Running, uint32(0))
-	assert.Assert(t, load.SickChance() < 0.5)
+	assert.Assert(t, load.FailureProbability() < 0.5)
 	assert.Equal(t, now.announced().State, directory.Serving)
 	// Late words of the last start change nothing.
 	assert.Equal(t, say(g, http.MethodPut, "n", strings.Replace(ready(address, 1000, 9), "ready", "draining", 1)), http.StatusOK)
@@ -146,7 +146,7 @@
 
 // What another writer announces names no instance to use, also under the name and
 // at the address of one that is in use; that one holds, and the log says why.
-func TestWhatAnotherWriterAnnouncesChangesNothing(t *testing.T) {
+func TestInvalidAnnouncementChangesNothing(t *testing.T) {
 	out := &logtest.Buffer{}
 	for _, name := range []string{"i", "other"} {
 		for _, body := range foreign {
--- a/internal/guard/serve.go
+++ b/internal/guard/serve.go
@@ -42,10 +42,10 @@
 	deadline time.Time
 	// aim is what the front tells of the request; held says that a repeat was set
 	// aside for it and is not sent yet.
-	aim  msg.Aim
+	aim  msg.AdmissionHints
 	held bool
 	// print is what the request is known by when it comes again, 0 for nothing.
-	print crash.Print
+	print crash.Fingerprint
 	// callPart is the chance that the run is a call of a repeated run.
 	callPart uint16
 }
@@ -57,13 +57,13 @@
 	switch m := first.(type) {
 	case *msg.Run:
 		x.request = m.RequestID
-		if x.admit(m.Service, m.Instance, m.TimeoutMS, admit.Request{Class: m.Class, Priority: m.Priority, Within: m.Within}, m.Aim, m.Sample) {
+		if x.admit(m.Service, m.Instance, m.TimeoutMS, admit.Request{Class: m.Class, Priority: m.Priority, SubPriority: m.SubPriority}, m.Hints, m.Sample) {
 			x.runOneStep(m)
 		}
 	case *msg.Reserve:
 		x.request = m.RequestID
-		r := admit.Request{Class: m.Class, Priority: m.Priority, Within: m.Within, Reserve: true}
-		if x.admit(m.Service, m.Instance, m.TimeoutMS, r, m.Aim, m.Sample) {
+		r := admit.Request{Class: m.Class, Priority: m.Priority, SubPriority: m.SubPriority, Reserve: true}
+		if x.admit(m.Service, m.Instance, m.TimeoutMS, r, m.Hints, m.Sample) {
 			x.reserve()
 		}
 	default:
@@ -72,7 +72,7 @@
 }
 
 // admit offers the request to its instance and starts reading the stream.
-func (x *exchange) admit(service, name string, timeoutMS uint32, r admit.Request, aim msg.Aim, sample msg.Sample) bool {
+func (x *exchange) admit(service, name string, timeoutMS uint32, r admit.Request, aim msg.AdmissionHints, sample msg.Sample) bool {
 	x.service, x.instance = service, name
 	x.deadline = x.arrived.Add(time.Duration(timeoutMS) * time.Millisecond)
 	inst, ok := x.guard.find(service, name)
@@ -86,11 +86,11 @@
 	if objective > 0 {
 		r.Objective = x.arrived.Add(objective - time.Duration(aim.UsedMS)*time.Millisecond)
 	}
-	if !x.guard.fits(x.arrived, time.Duration(aim.ExpectMS)*time.Millisecond) {
+	if !x.guard.fits(x.arrived, time.Duration(aim.ExpectedMS)*time.Millisecond) {
 		x.refuse(refusal(verdict.ReasonDraining, "this host is stopping and the request is expected to take too long"))
 		return false
 	}
-	x.print = crash.Print(aim.Print)
+	x.print = crash.Fingerprint(aim.Fingerprint)
 	if e := x.stopRefusal(); e != nil {
 		x.refuse(e)
 		return false
@@ -99,7 +99,7 @@
 		x.refuse(refusal(verdict.ReasonRetryBudget, "this host's part of the retry budget is spent"))
 		return false
 	}
-	r.Expect, r.Insist = time.Duration(aim.ExpectMS)*time.Millisecond, aim.Insist
+	r.ExpectedService, r.AllowLate = time.Duration(aim.ExpectedMS)*time.Millisecond, aim.AllowLate
 	inst.observe(x.arrived, sample)
 	x.waiter = &waiter{print: x.print, patience: patience(aim)}
 	x.id = inst.offer(x.arrived, r, x.waiter)
@@ -120,8 +120,8 @@
 
 // patience is how long a request may run before that speaks against its
 // instance.
-func patience(aim msg.Aim) time.Duration {
-	ms := max(patienceObjectives*aim.ObjectiveMS, patienceExpected*aim.ExpectMS)
+func patience(aim msg.AdmissionHints) time.Duration {
+	ms := max(patienceObjectives*aim.ObjectiveMS, patienceExpected*aim.ExpectedMS)
 	return time.Duration(ms) * time.Millisecond
 }
 
@@ -236,7 +236,7 @@
 
 // holdRepeat sets aside what the request takes of the retry budget; false where
 // that is spent. A first send is never refused.
-func (x *exchange) holdRepeat(aim msg.Aim) bool {
+func (x *exchange) holdRepeat(aim msg.AdmissionHints) bool {
 	x.aim = aim
 	if !aim.Repeat {
 		return true
@@ -255,7 +255,7 @@
 // load is the count that goes with the end of the request.
 func (x *exchange) load() msg.Load {
 	l := x.inst.load()
-	l.Overdrawn = x.callPart > 0 && l.Repeats == 0
+	l.RetryBudgetOverdrawn = x.callPart > 0 && l.RetryBudgetLeft == 0
 	return l
 }
 
--- a/internal/guard/suspects_test.go
+++ b/internal/guard/suspects_test.go
@@ -82,19 +82,19 @@
 
 // news is what a guard told the fleet.
 type news struct {
-	ends    chan crash.End
+	ends    chan crash.Crash
 	cleared chan string
-	stopped chan Stopped
+	stopped chan BlockedRequest
 }
 
 func suspectGuard(t *testing.T, address, service string) (*Guard, news) {
 	t.Helper()
-	n := news{ends: make(chan crash.End, 4), cleared: make(chan string, 4), stopped: make(chan Stopped, 4)}
+	n := news{ends: make(chan crash.Crash, 4), cleared: make(chan string, 4), stopped: make(chan BlockedRequest, 4)}
 	g := New(Config{Host: "h", QueuePerSlot: 2, GrantLife: time.Minute, TargetIdle: time.Minute}, Limits{AnnounceExpiry: time.Hour},
 		slog.New(slog.NewTextHandler(io.Discard, nil)), openFence{}, Hooks{
-			Changed: func() {}, Pulse: func(*msg.Pulse, pulse.Reach) {},
-			Ended: func(e crash.End) { n.ends <- e }, Cleared: func(end string, _ crash.Print) { n.cleared <- end },
-			Stopped: func(s Stopped) { n.stopped <- s },
+			Changed: func() {}, Pulse: func(*msg.LoadReport, pulse.Reach) {},
+			Crashed: func(e crash.Crash) { n.ends <- e }, Cleared: func(end string, _ crash.Fingerprint) { n.cleared <- end },
+			Blocked: func(s BlockedRequest) { n.stopped <- s },
 		})
 	a := Announcement{Service: service, Address: address, Slots: 4, Connections: 8, Version: "1"}
 	assert.NilError(t, g.Announce(time.Now(), "i", a))
@@ -102,7 +102,7 @@
 }
 
 // send runs one request to its end and gives the guard's last message.
-func send(t *testing.T, g *Guard, path string, print crash.Print) msg.Message {
+func send(t *testing.T, g *Guard, path string, print crash.Fingerprint) msg.Message {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
 	defer cancel()
@@ -110,7 +110,7 @@
 	defer near.Close()
 	go g.Serve(far, &msg.Run{
 		RequestID: path, Service: "s", Instance: "i", TimeoutMS: 20000, Idempotent: true, Method: "GET", URI: path, Host: "s.example",
-		Aim: msg.Aim{Print: uint64(print)},
+		Hints: msg.AdmissionHints{Fingerprint: uint64(print)},
 	})
 	for {
 		m, err := near.Recv(ctx)
@@ -145,7 +145,7 @@
 	assert.Equal(t, fail.Reason, verdict.ReasonTargetEnded)
 	assert.Equal(t, fail.Verdict, verdict.MayHaveRun)
 	e := <-n.ends
-	assert.DeepEqual(t, e.Prints, []crash.Print{7, 5})
+	assert.DeepEqual(t, e.Fingerprints, []crash.Fingerprint{7, 5})
 	assert.Equal(t, e.Software, crash.Software{Service: "s", Version: "1"})
 	assert.Equal(t, (<-waits).(*msg.Fail).Reason, verdict.ReasonTargetEnded)
 	assert.Equal(t, len(n.ends), 0, "one end is told once")
@@ -169,7 +169,7 @@
 	assert.Assert(t, whole)
 	startWaiting(t, g)
 	send(t, g, "/end", 7)
-	assert.DeepEqual(t, (<-n.ends).Prints, []crash.Print{7})
+	assert.DeepEqual(t, (<-n.ends).Fingerprints, []crash.Fingerprint{7})
 }
 
 // An instance that had said that it would end has not been ended by what it ran.
@@ -186,17 +186,17 @@
 }
 
 // endAt makes an end elsewhere of a second of its own, which names one request.
-func endAt(second int, p crash.Print) crash.End {
-	return crash.End{
+func endAt(second int, p crash.Fingerprint) crash.Crash {
+	return crash.Crash{
 		ID: string(rune('a' + second)), Software: crash.Software{Service: "s", Version: "1"},
-		At: time.Unix(int64(second), 0), Prints: []crash.Print{p},
+		DetectedAt: time.Unix(int64(second), 0), Fingerprints: []crash.Fingerprint{p},
 	}
 }
 
 // threeEnds tells a guard of three ends of instances elsewhere that name the request 5.
 func threeEnds(g *Guard) {
 	for second := range 3 {
-		g.HearEnd(endAt(second, 5))
+		g.ApplyCrash(endAt(second, 5))
 	}
 }
 
@@ -217,12 +217,12 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				g, n := suspectGuard(t, "10.0.0.1:80", c.service)
-				g.Completed(5, crash.Software{Service: "s", Version: "1"})
+				g.RecordCompletion(5, crash.Software{Service: "s", Version: "1"})
 				time.Sleep(c.ago)
 				threeEnds(g)
-				time.Sleep(crash.SettleFor)
-				v := g.Suspect(5)
-				assert.Equal(t, v.Everywhere(time.Now()), c.stopped)
+				time.Sleep(crash.ClearanceWait)
+				v := g.CrashAssessment(5)
+				assert.Equal(t, v.BlockedEverywhere(time.Now()), c.stopped)
 				assert.Equal(t, len(n.cleared), c.told)
 			})
 		})
@@ -234,13 +234,13 @@
 func TestWhatOthersHaveToldIsNotToldAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g, n := suspectGuard(t, "10.0.0.1:80", "s")
-		g.Completed(5, crash.Software{Service: "s", Version: "1"})
+		g.RecordCompletion(5, crash.Software{Service: "s", Version: "1"})
 		threeEnds(g)
-		g.HearCleared("a", 5)
-		g.HearCleared("b", 5)
-		time.Sleep(crash.SettleFor)
+		g.ApplyCleared("a", 5)
+		g.ApplyCleared("b", 5)
+		time.Sleep(crash.ClearanceWait)
 		assert.Equal(t, len(n.cleared), 1)
-		assert.Equal(t, g.Suspect(5).Ends, 0)
+		assert.Equal(t, g.CrashAssessment(5).Crashes, 0)
 	})
 }
 
@@ -249,9 +249,9 @@
 	f := newFragile(t)
 	g, _ := suspectGuard(t, f.listener.Addr().String(), "s")
 	threeEnds(g)
-	time.AfterFunc(crash.SettleFor/3, func() {
+	time.AfterFunc(crash.ClearanceWait/3, func() {
 		for _, id := range []string{"a", "b", "c"} {
-			g.HearCleared(id, 5)
+			g.ApplyCleared(id, 5)
 		}
 	})
 	_, whole := send(t, g, "/", 5).(*msg.End)
@@ -266,16 +266,16 @@
 		t.Run(name, func(t *testing.T) {
 			f := newFragile(t)
 			g, n := suspectGuard(t, f.listener.Addr().String(), "s")
-			g.HearEnd(endAt(0, 5))
-			g.HearEnd(endAt(1, 5))
+			g.ApplyCrash(endAt(0, 5))
+			g.ApplyCrash(endAt(1, 5))
 			waits := startWaiting(t, g)
 			send(t, g, "/end", 7)
 			<-waits
-			assert.Equal(t, g.Suspect(5).Ends, 3)
+			assert.Equal(t, g.CrashAssessment(5).Crashes, 3)
 			if cleared {
-				g.HearCleared("a", 5)
+				g.ApplyCleared("a", 5)
 			}
-			time.Sleep(2 * crash.SettleFor)
+			time.Sleep(2 * crash.ClearanceWait)
 			assert.Equal(t, len(n.stopped) == 0, cleared)
 		})
 	}
@@ -287,9 +287,9 @@
 	f := newFragile(t)
 	g, n := suspectGuard(t, f.listener.Addr().String(), "s")
 	for second := range 3 {
-		g.HearEnd(endAt(second, 7))
+		g.ApplyCrash(endAt(second, 7))
 	}
-	g.HearEnd(endAt(3, 5))
+	g.ApplyCrash(endAt(3, 5))
 	fail, ok := send(t, g, "/end", 7).(*msg.Fail)
 	assert.Assert(t, ok)
 	assert.Equal(t, fail.Reason, verdict.ReasonCrashesTargets)
@@ -298,14 +298,14 @@
 	_, whole := send(t, g, "/", 5).(*msg.End)
 	assert.Assert(t, whole, "one end stops nothing")
 	assert.Equal(t, <-n.cleared, "d")
-	assert.Equal(t, g.Suspect(5).Ends, 0)
+	assert.Equal(t, g.CrashAssessment(5).Crashes, 0)
 }
 
 func BenchmarkNobodySuspected(b *testing.B) {
 	g := New(Config{}, Limits{}, slog.New(slog.NewTextHandler(io.Discard, nil)), openFence{}, Hooks{})
 	b.ReportAllocs()
 	for b.Loop() {
-		if v := g.Suspect(7); v.Everywhere(time.Time{}) {
+		if v := g.CrashAssessment(7); v.BlockedEverywhere(time.Time{}) {
 			b.Fatal("stopped")
 		}
 	}
@@ -316,8 +316,8 @@
 	g := New(Config{}, Limits{}, slog.New(slog.NewTextHandler(io.Discard, nil)), openFence{}, Hooks{})
 	software := crash.Software{Service: "desk", Version: "1.4.2"}
 	b.ReportAllocs()
-	for n := crash.Print(1); b.Loop(); n++ {
-		g.Completed(n, software)
+	for n := crash.Fingerprint(1); b.Loop(); n++ {
+		g.RecordCompletion(n, software)
 	}
 }
 
@@ -332,7 +332,7 @@
 //
 // Evidence: in ten seconds of the incident 217 requests were sent to a port that took no
 // connections, up to 3.4 s after the end.
-func TestAnEndedInstanceIsNotOffered(t *testing.T) {
+func TestTerminatedInstanceIsNotOffered(t *testing.T) {
 	f := newFragile(t)
 	g, _ := suspectGuard(t, f.listener.Addr().String(), "s")
 	assert.Equal(t, g.Instances()[0].State, directory.Serving)
--- a/internal/guard/trail.go
+++ b/internal/guard/trail.go
@@ -32,7 +32,7 @@
 		slog.String("service", x.inst.service), slog.String("outcome", outcome), slog.Int("status", res.status),
 		slog.Int64("queuedMS", started.Sub(x.arrived).Milliseconds()), slog.Int64("ms", time.Since(started).Milliseconds()),
 		slog.Bool("heldAgainstIt", res.failed && !res.excused), slog.Bool("excusedByCall", res.excused),
-		slog.Float64("sick", load.SickChance()), slog.Int("running", int(load.Running)), slog.Int("queued", int(load.Queued)),
+		slog.Float64("sick", load.FailureProbability()), slog.Int("running", int(load.Running)), slog.Int("queued", int(load.Queued)),
 		slog.Uint64("linesLeftOut", leftOut))
 }
 
@@ -56,11 +56,11 @@
 // logTurn tells that the fronts are told another estimate of an instance.
 func (i *instance) logTurn(was float64, now msg.Load) {
 	event.Log(i.guard.log, event.InstanceTurned, slog.String("instance", i.name), slog.String("service", i.service),
-		slog.Float64("was", was/msg.Thousandths), slog.Float64("sick", now.SickChance()))
+		slog.Float64("was", was/msg.Thousandths), slog.Float64("sick", now.FailureProbability()))
 }
 
 // logStopped tells of a request that is kept from instances from now on.
-func (g *Guard) logStopped(p crash.Print) {
-	v := g.Suspect(p)
-	event.Log(g.log, event.RequestStopped, slog.String("print", p.String()), slog.Int("ends", v.Ends), slog.Time("until", v.Until))
+func (g *Guard) logStopped(p crash.Fingerprint) {
+	v := g.CrashAssessment(p)
+	event.Log(g.log, event.RequestStopped, slog.String("print", p.String()), slog.Int("ends", v.Crashes), slog.Time("until", v.BlockedUntil))
 }
--- a/internal/guard/trail_test.go
+++ b/internal/guard/trail_test.go
@@ -26,7 +26,7 @@
 
 // Whatever keeps a request from a success leaves a line at the guard, so that the
 // way from its id to the cause has no gap.
-func TestEveryFailureLeavesALineAtTheGuard(t *testing.T) {
+func TestEveryFailureIsLoggedByTheGuard(t *testing.T) {
 	status := http.StatusOK
 	target := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("X-Request-Id", r.Header.Get("X-Request-Id"))
@@ -43,10 +43,10 @@
 		{name: "the instance failed", act: func(*Guard, *msg.Run) { status = http.StatusInternalServerError }, lines: 1},
 		{name: "unknown instance", act: func(_ *Guard, run *msg.Run) { run.Instance = "other" }, lines: 1},
 		{name: "stopping", act: func(g *Guard, run *msg.Run) {
-			g.EndBy(time.Now().Add(time.Second))
-			run.Aim.ExpectMS = 1000
+			g.SetShutdownTime(time.Now().Add(time.Second))
+			run.Hints.ExpectedMS = 1000
 		}, lines: 1},
-		{name: "no repeat left", act: func(_ *Guard, run *msg.Run) { run.Aim.Repeat = true }, lines: 1},
+		{name: "no repeat left", act: func(_ *Guard, run *msg.Run) { run.Hints.Repeat = true }, lines: 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			status = http.StatusOK
--- a/internal/keys/claim.go
+++ b/internal/keys/claim.go
@@ -41,7 +41,7 @@
 
 // Claim implements front.Keys: it asks the owner of the key's shard, and again
 // for a short while where there is none with authority.
-func (m *Manager) Claim(ctx context.Context, service *directory.Service, k front.KeyRequest) front.KeyAnswer {
+func (m *Manager) Claim(ctx context.Context, service *directory.Service, k front.KeyRequest) front.ClaimResult {
 	end := claimUntil(ctx, time.Now())
 	ctx, cancel := context.WithDeadline(ctx, end)
 	defer cancel()
@@ -67,20 +67,20 @@
 	return now.Add(patience)
 }
 
-func (m *Manager) claimOnce(ctx context.Context, service string, k front.KeyRequest) front.KeyAnswer {
-	refused := front.KeyAnswer{Outcome: once.ClaimRefused, RetryAfterMS: m.cfg.PromiseLife.Milliseconds()}
+func (m *Manager) claimOnce(ctx context.Context, service string, k front.KeyRequest) front.ClaimResult {
+	refused := front.ClaimResult{Outcome: once.ClaimRefused, RetryAfterMS: m.cfg.LeaseDuration.Milliseconds()}
 	shard, owner, ok := m.shardOf(service, k.Key)
 	if !ok {
 		return refused
 	}
 	reply, err := m.call(ctx, owner, &msg.KeyClaim{
-		Service: service, Shard: shard, Key: k.Key, BodyHash: k.BodyHash, RequestID: k.RequestID, MintedMS: minted(k.Key),
+		Service: service, Shard: shard, Key: k.Key, BodyHash: k.BodyHash, RequestID: k.RequestID, CreatedMS: minted(k.Key),
 	})
 	c, isClaimed := reply.(*msg.KeyClaimed)
 	if err != nil || !isClaimed {
 		return refused
 	}
-	return front.KeyAnswer{
+	return front.ClaimResult{
 		Outcome: once.ClaimOutcome(c.Outcome), Shard: shard, Epoch: c.Epoch,
 		Status: c.Status, Header: c.Header, Body: c.Body, RetryAfterMS: int64(c.RetryAfterMS),
 	}
@@ -103,7 +103,7 @@
 // Done implements front.Keys: it tells the key's owner how the request ended,
 // again for a while where the shard is just moving. Where nobody can be told,
 // the owner's claim turns into may-have-run by itself.
-func (m *Manager) Done(service *directory.Service, k front.KeyRequest, end front.KeyEnd) {
+func (m *Manager) Done(service *directory.Service, k front.KeyRequest, end front.RequestResult) {
 	until := time.Now().Add(donePatience)
 	for time.Now().Before(until) {
 		shard, owner, ok := m.shardOf(service.Name, k.Key)
@@ -111,9 +111,9 @@
 			return
 		}
 		ctx, cancel := context.WithTimeout(context.Background(), doneTimeout)
-		reply, err := m.call(ctx, owner, &msg.KeyDone{
+		reply, err := m.call(ctx, owner, &msg.KeyResult{
 			Service: service.Name, Shard: shard, Key: k.Key, RequestID: k.RequestID, Verdict: end.Verdict,
-			Whole: end.Whole, Kept: end.Kept, Status: end.Status, Header: end.Header, Body: end.Body,
+			Complete: end.Whole, Stored: end.Kept, Status: end.Status, Header: end.Header, Body: end.Body,
 		})
 		cancel()
 		if d, ok := reply.(*msg.HandoverDone); err == nil && ok && d.Accepted {
--- a/internal/keys/claim_test.go
+++ b/internal/keys/claim_test.go
@@ -8,7 +8,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestClaimIsGivenUpInTimeToSayWhy(t *testing.T) {
+func TestClaimRetryEndsBeforeCallerDeadline(t *testing.T) {
 	now := time.Now()
 	assert.Equal(t, claimUntil(context.Background(), now), now.Add(claimPatience))
 	ctx, cancel := context.WithDeadline(context.Background(), now.Add(400*time.Millisecond))
@@ -16,7 +16,7 @@
 	assert.Equal(t, claimUntil(ctx, now), now.Add(300*time.Millisecond))
 }
 
-func TestOnlyTimeOrderedKeysCarryATime(t *testing.T) {
+func TestOnlyVersion7KeysHaveTimestamps(t *testing.T) {
 	assert.Equal(t, minted("01890a5d-ac96-774b-bcce-b302099a8057"), int64(0x01890a5dac96))
 	assert.Equal(t, minted("550e8400-e29b-41d4-a716-446655440000"), int64(0))
 	assert.Equal(t, minted("order-17"), int64(0))
--- a/internal/keys/keys.go
+++ b/internal/keys/keys.go
@@ -23,16 +23,16 @@
 // Config has the parameters of a Manager.
 type Config struct {
 	Host string
-	// Life is the process's start, in Unix milliseconds.
-	Life uint64
-	// PromiseLife is how long a promise lasts.
-	PromiseLife time.Duration
+	// Incarnation is the process's start, in Unix milliseconds.
+	Incarnation uint64
+	// LeaseDuration is how long a promise lasts.
+	LeaseDuration time.Duration
 }
 
 // Hooks are what a Manager needs of the other roles.
 type Hooks struct {
-	// Wrote takes a shard map that this host has written, to spread it at once.
-	Wrote func(obj objects.Object)
+	// DistributeMap takes a shard map that this host has written, to spread it at once.
+	DistributeMap func(obj objects.Object)
 }
 
 // Manager is one host's share in the ownership of keys. It is safe for
@@ -73,21 +73,21 @@
 func New(cfg Config, hooks Hooks, store objects.Store, log *slog.Logger) *Manager {
 	m := &Manager{
 		cfg: cfg, hooks: hooks, log: log, store: store, view: &directory.Directory{},
-		promiser: once.NewPromiser(time.Now(), cfg.PromiseLife),
+		promiser: once.NewPromiser(time.Now(), cfg.LeaseDuration),
 		windows:  make(map[string]time.Duration),
 		lostAt:   make(map[string]time.Time),
 		settling: make(map[string]settling),
 		wanted:   make(map[string]bool),
 	}
-	m.owner = once.NewOwner(cfg.Host, cfg.Life, cfg.PromiseLife, m.tableConfig)
+	m.owner = once.NewOwner(cfg.Host, cfg.Incarnation, cfg.LeaseDuration, m.tableConfig)
 	return m
 }
 
 // SetPool sets the connections to the other hosts, before Run.
 func (m *Manager) SetPool(p *peer.Pool) { m.pool = p }
 
-// Synced says that the shard maps were read from the platform in this life.
-func (m *Manager) Synced() {
+// MarkSynced says that the shard maps were read from the platform in this life.
+func (m *Manager) MarkSynced() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.promiser.Synced()
@@ -172,19 +172,19 @@
 // sent: the promise counts from there.
 func (m *Manager) ask(ctx context.Context, a once.Ask) {
 	asked := time.Now()
-	p := &msg.Promise{Service: a.Shard.Service, Shard: a.Shard.Shard, Epoch: a.Epoch, Owner: m.cfg.Host}
+	p := &msg.LeaseRequest{Service: a.Shard.Service, Shard: a.Shard.Shard, Epoch: a.Epoch, Owner: m.cfg.Host}
 	reply, err := m.call(ctx, a.Guard, p)
 	if err != nil {
 		return
 	}
-	r, ok := reply.(*msg.Promised)
+	r, ok := reply.(*msg.LeaseReply)
 	if !ok {
 		return
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.owner.Promised(a, asked, once.PromiseReply{
-		Granted: r.Granted, Epoch: r.Epoch, Life: time.Duration(r.LifeMS) * time.Millisecond,
+		Granted: r.Granted, Epoch: r.Epoch, Life: time.Duration(r.TTLMS) * time.Millisecond,
 	})
 }
 
@@ -240,11 +240,11 @@
 	defer m.mu.Unlock()
 	now := time.Now()
 	switch r := request.(type) {
-	case *msg.Promise:
+	case *msg.LeaseRequest:
 		return m.promise(now, r)
 	case *msg.KeyClaim:
 		return m.owner.Claim(now, now.UnixMilli(), r)
-	case *msg.KeyDone:
+	case *msg.KeyResult:
 		return &msg.HandoverDone{Accepted: m.owner.Done(now, r)}
 	case *msg.Handover:
 		return &msg.HandoverDone{Accepted: m.owner.Accept(now, r)}
@@ -253,16 +253,16 @@
 	}
 }
 
-func (m *Manager) promise(now time.Time, r *msg.Promise) msg.Message {
+func (m *Manager) promise(now time.Time, r *msg.LeaseRequest) msg.Message {
 	id := once.ShardID{Service: r.Service, Shard: r.Shard}
 	if r.Release {
 		m.promiser.Release(now, id, r.Epoch, r.Owner)
-		return &msg.Promised{Epoch: r.Epoch}
+		return &msg.LeaseReply{Epoch: r.Epoch}
 	}
 	reply := m.promiser.Ask(now, id, r.Epoch, r.Owner)
-	return &msg.Promised{
+	return &msg.LeaseReply{
 		Granted: reply.Granted, Epoch: reply.Epoch,
-		LifeMS: uint32(reply.Life.Milliseconds()), WaitMS: uint32(reply.Wait.Milliseconds()),
+		TTLMS: uint32(reply.Life.Milliseconds()), RetryAfterMS: uint32(reply.Wait.Milliseconds()),
 	}
 }
 
--- a/internal/keys/place.go
+++ b/internal/keys/place.go
@@ -217,10 +217,10 @@
 	var conflict *objects.ConflictError
 	switch {
 	case err == nil:
-		m.hooks.Wrote(obj)
+		m.hooks.DistributeMap(obj)
 	case errors.As(err, &conflict) && conflict.Current.Version > 0:
 		// Somebody else's change: bring it into force here too.
-		m.hooks.Wrote(conflict.Current)
+		m.hooks.DistributeMap(conflict.Current)
 	}
 	return err
 }
@@ -275,7 +275,7 @@
 		}
 	}
 	for _, g := range guards {
-		release := &msg.Promise{Service: id.Service, Shard: id.Shard, Epoch: epoch, Owner: m.cfg.Host, Release: true}
+		release := &msg.LeaseRequest{Service: id.Service, Shard: id.Shard, Epoch: epoch, Owner: m.cfg.Host, Release: true}
 		_, _ = m.call(ctx, g, release)
 	}
 }
--- a/internal/lab/capacity_test.go
+++ b/internal/lab/capacity_test.go
@@ -91,7 +91,7 @@
 	full := config.NewNode(config.DefaultConfig(), rng)
 	full.LoadList(config.Peers{}, entries, int64(len(entries)), nil)
 	full.Take()
-	peers := config.Peers{Near: []string{"full"}}
+	peers := config.Peers{Local: []string{"full"}}
 	sent := 0
 	for b.Loop() {
 		fresh := config.NewNode(config.DefaultConfig(), rng)
@@ -111,7 +111,7 @@
 			}
 			fresh.Step(peers, "full", m)
 		}
-		if !fresh.Whole() {
+		if !fresh.Complete() {
 			b.Fatal("the set is not whole")
 		}
 	}
--- a/internal/mesh/ends_test.go
+++ b/internal/mesh/ends_test.go
@@ -22,7 +22,7 @@
 
 // tellEnd makes a host tell of an end.
 func (m *Mesh) tellEnd(h *Host, name string, value []byte) {
-	h.Replica.Local(h.peers(), msg.SetEnds, []msg.Entry{{Kind: "End", Name: name, Version: 1, Value: value}})
+	h.Replica.Publish(h.peers(), msg.SetEnds, []msg.Entry{{Kind: "End", Name: name, Version: 1, Value: value}})
 	m.flush(h)
 }
 
--- a/internal/mesh/mesh.go
+++ b/internal/mesh/mesh.go
@@ -66,7 +66,7 @@
 	Members *member.Node
 	Replica *config.Node
 	// Contacts are the hosts that it knows by address only.
-	Contacts *contact.Book
+	Contacts *contact.Contacts
 	// Skew is how far its wall clock is off at its next start.
 	Skew time.Duration
 	// Sent and Received count messages and bytes, Far those of Sent that went to
@@ -185,7 +185,7 @@
 	m.boot(h)
 	for _, other := range m.Hosts {
 		if other != h {
-			h.Contacts.Listed(other.Name, other.DC, other.Name, false)
+			h.Contacts.AddListed(other.Name, other.DC, other.Name, false)
 		}
 	}
 }
@@ -203,7 +203,7 @@
 	}
 	m.wire = make(map[int64][]delivery)
 	for _, h := range m.Hosts {
-		h.Replica.Local(config.Peers{}, msg.SetHosts, all)
+		h.Replica.Publish(config.Peers{}, msg.SetHosts, all)
 		m.flush(h)
 	}
 	m.wire = make(map[int64][]delivery)
@@ -248,7 +248,7 @@
 	if err != nil {
 		panic(err)
 	}
-	h.Replica.Local(h.peers(), msg.SetHosts, []msg.Entry{{Kind: "Host", Name: h.Name, Version: h.version, Value: value}})
+	h.Replica.Publish(h.peers(), msg.SetHosts, []msg.Entry{{Kind: "Host", Name: h.Name, Version: h.version, Value: value}})
 	m.flush(h)
 }
 
@@ -258,7 +258,7 @@
 
 func (h *Host) peers() config.Peers {
 	near, far := h.Members.Live()
-	return config.Peers{Near: near, Far: far}
+	return config.Peers{Local: near, Remote: far}
 }
 
 // Run lets virtual time pass.
@@ -281,7 +281,7 @@
 
 func (m *Mesh) tick(h *Host) {
 	h.Members.Tick(m.Now)
-	if h.Members.Accused() {
+	if h.Members.Suspected() {
 		m.publish(h)
 	}
 	h.Replica.Tick(m.Now, h.peers())
@@ -300,14 +300,14 @@
 		_, ok := hosts.Get(config.Key{Kind: "Host", Name: name})
 		return ok
 	}
-	if h.Contacts.Met(known, h.Members.Alone()) {
-		h.Replica.Retell(h.peers(), msg.SetHosts, config.Key{Kind: "Host", Name: h.Name})
+	if h.Contacts.AllReached(known, h.Members.NoPeers()) {
+		h.Replica.Resend(h.peers(), msg.SetHosts, config.Key{Kind: "Host", Name: h.Name})
 	}
-	for _, call := range h.Contacts.Due(m.Now, known, h.Members.Alone()) {
+	for _, call := range h.Contacts.NextCalls(m.Now, known, h.Members.NoPeers()) {
 		self, _ := hosts.Get(config.Key{Kind: "Host", Name: h.Name})
 		to := m.byName[call.Addr]
 		m.sendMessage(h, to, &msg.Rumor{Set: msg.SetHosts, Entries: []msg.Entry{self}})
-		m.sendMessage(h, to, call.Ask("Host"))
+		m.sendMessage(h, to, call.PullRequest("Host"))
 	}
 }
 
@@ -324,7 +324,7 @@
 		h.Replica.LoadList(h.peers(), m.Platform.list(), m.Platform.Revision, nil)
 	case h.watched < m.Platform.Revision:
 		m.Platform.Reads++
-		h.Replica.Local(h.peers(), msg.SetRecords, m.Platform.Events[h.watched:])
+		h.Replica.Publish(h.peers(), msg.SetRecords, m.Platform.Events[h.watched:])
 	}
 	h.watched = m.Platform.Revision
 }
@@ -384,7 +384,7 @@
 		return
 	}
 	// The fake addresses hosts by name.
-	h.Members.Learn(m.Now, a.Entry.Name, state.DC, a.Entry.Name, a.Entry.Version)
+	h.Members.Update(m.Now, a.Entry.Name, state.DC, a.Entry.Name, a.Entry.Version)
 }
 
 func (m *Mesh) sendMessage(from, to *Host, message msg.Message) {
--- a/internal/mesh/mesh_test.go
+++ b/internal/mesh/mesh_test.go
@@ -44,7 +44,7 @@
 			continue
 		}
 		s := h.Replica.Set(msg.SetRecords)
-		if !h.Replica.Whole() || (!first && s.Root() != root) {
+		if !h.Replica.Complete() || (!first && s.Root() != root) {
 			return nil, false
 		}
 		if first {
@@ -130,11 +130,11 @@
 	m.Start(h)
 	for range 400 {
 		m.Run(Step)
-		if h.Replica.Whole() {
+		if h.Replica.Complete() {
 			break
 		}
 	}
-	assert.Assert(t, h.Replica.Whole(), "the host did not start from its peers")
+	assert.Assert(t, h.Replica.Complete(), "the host did not start from its peers")
 	for name, version := range before {
 		e, held := h.Replica.Set(msg.SetRecords).Get(config.Key{Kind: "Route", Name: name})
 		assert.Assert(t, held && e.Version >= version, "%s is older than before the restart", name)
--- a/internal/msg/control.go
+++ b/internal/msg/control.go
@@ -41,8 +41,8 @@
 type Digest struct {
 	Set  SetID
 	Root uint64
-	// Whole says the sender holds a complete set.
-	Whole bool
+	// Complete says the sender holds a complete set.
+	Complete bool
 	// AgesMS says, for each feed of the platform, how long ago, in milliseconds, the
 	// sender's set was known to be current; empty where it never was.
 	AgesMS []uint32 `msg:"ages,limit=8"`
@@ -84,8 +84,8 @@
 	// Part counts from 0; Last marks the last part.
 	Part uint32
 	Last bool
-	// Whole is false where the sender does not hold a complete set itself.
-	Whole bool
+	// Complete is false where the sender does not hold a complete set itself.
+	Complete bool
 }
 
 // PacketKind is the kind of a membership packet.
@@ -99,8 +99,8 @@
 	PacketPingRequest
 )
 
-// Note is a claim about one host's life.
-type Note struct {
+// MemberClaim is a claim about one host's life.
+type MemberClaim struct {
 	Host string
 	// Version is the host's own version that the claim is about.
 	Version int64
@@ -115,12 +115,12 @@
 	From string
 	// FromVersion is the sender's own version.
 	FromVersion int64
-	// FromPeer is the sender's address, to answer a host not yet known.
-	FromPeer string
-	// Target is the host that a ping is meant for.
-	Target     string
-	TargetPeer string
-	Notes      []Note `msg:"notes,limit=64"`
+	// FromAddr is the sender's address, to answer a host not yet known.
+	FromAddr string
+	// ProbedHost is the host that a ping is meant for.
+	ProbedHost string
+	ProbedAddr string
+	Claims     []MemberClaim `msg:"notes,limit=64"`
 }
 
 // HostInstance is one instance in a HostState.
--- a/internal/msg/control_gen.go
+++ b/internal/msg/control_gen.go
@@ -85,7 +85,7 @@
 	o = append(o, 0x94)
 	o = msgp.AppendUint8(o, uint8(z.Set))
 	o = msgp.AppendUint64(o, z.Root)
-	o = msgp.AppendBool(o, z.Whole)
+	o = msgp.AppendBool(o, z.Complete)
 	o = msgp.AppendArrayHeader(o, uint32(len(z.AgesMS)))
 	for za0001 := range z.AgesMS {
 		o = msgp.AppendUint32(o, z.AgesMS[za0001])
@@ -119,7 +119,7 @@
 		err = msgp.WrapError(err, "Root")
 		return
 	}
-	z.Whole, bts, err = msgp.ReadBoolBytes(bts)
+	z.Complete, bts, err = msgp.ReadBoolBytes(bts)
 	if err != nil {
 		err = msgp.WrapError(err, "Whole")
 		return
@@ -496,7 +496,7 @@
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z Note) MarshalMsg(b []byte) (o []byte, err error) {
+func (z MemberClaim) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
 	// array header, size 3
 	o = append(o, 0x93)
@@ -507,7 +507,7 @@
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *Note) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *MemberClaim) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var zb0001 uint32
 	zb0001, bts, err = msgp.ReadArrayHeaderBytes(bts)
 	if err != nil {
@@ -538,7 +538,7 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z Note) Msgsize() (s int) {
+func (z MemberClaim) Msgsize() (s int) {
 	s = 1 + msgp.StringPrefixSize + len(z.Host) + msgp.Int64Size + msgp.Uint8Size
 	return
 }
@@ -552,16 +552,16 @@
 	o = msgp.AppendUint64(o, z.Seq)
 	o = msgp.AppendString(o, z.From)
 	o = msgp.AppendInt64(o, z.FromVersion)
-	o = msgp.AppendString(o, z.FromPeer)
-	o = msgp.AppendString(o, z.Target)
-	o = msgp.AppendString(o, z.TargetPeer)
-	o = msgp.AppendArrayHeader(o, uint32(len(z.Notes)))
-	for za0001 := range z.Notes {
+	o = msgp.AppendString(o, z.FromAddr)
+	o = msgp.AppendString(o, z.ProbedHost)
+	o = msgp.AppendString(o, z.ProbedAddr)
+	o = msgp.AppendArrayHeader(o, uint32(len(z.Claims)))
+	for za0001 := range z.Claims {
 		// array header, size 3
 		o = append(o, 0x93)
-		o = msgp.AppendString(o, z.Notes[za0001].Host)
-		o = msgp.AppendInt64(o, z.Notes[za0001].Version)
-		o = msgp.AppendUint8(o, z.Notes[za0001].Status)
+		o = msgp.AppendString(o, z.Claims[za0001].Host)
+		o = msgp.AppendInt64(o, z.Claims[za0001].Version)
+		o = msgp.AppendUint8(o, z.Claims[za0001].Status)
 	}
 	return
 }
@@ -602,17 +602,17 @@
 		err = msgp.WrapError(err, "FromVersion")
 		return
 	}
-	z.FromPeer, bts, err = msgp.ReadStringBytes(bts)
+	z.FromAddr, bts, err = msgp.ReadStringBytes(bts)
 	if err != nil {
 		err = msgp.WrapError(err, "FromPeer")
 		return
 	}
-	z.Target, bts, err = msgp.ReadStringBytes(bts)
+	z.ProbedHost, bts, err = msgp.ReadStringBytes(bts)
 	if err != nil {
 		err = msgp.WrapError(err, "Target")
 		return
 	}
-	z.TargetPeer, bts, err = msgp.ReadStringBytes(bts)
+	z.ProbedAddr, bts, err = msgp.ReadStringBytes(bts)
 	if err != nil {
 		err = msgp.WrapError(err, "TargetPeer")
 		return
@@ -627,12 +627,12 @@
 		err = msgp.ErrLimitExceeded
 		return
 	}
-	if cap(z.Notes) >= int(zb0003) {
-		z.Notes = (z.Notes)[:zb0003]
+	if cap(z.Claims) >= int(zb0003) {
+		z.Claims = (z.Claims)[:zb0003]
 	} else {
-		z.Notes = make([]Note, zb0003)
+		z.Claims = make([]MemberClaim, zb0003)
 	}
-	for za0001 := range z.Notes {
+	for za0001 := range z.Claims {
 		var zb0004 uint32
 		zb0004, bts, err = msgp.ReadArrayHeaderBytes(bts)
 		if err != nil {
@@ -643,17 +643,17 @@
 			err = msgp.ArrayError{Wanted: 3, Got: zb0004}
 			return
 		}
-		z.Notes[za0001].Host, bts, err = msgp.ReadStringBytes(bts)
+		z.Claims[za0001].Host, bts, err = msgp.ReadStringBytes(bts)
 		if err != nil {
 			err = msgp.WrapError(err, "Notes", za0001, "Host")
 			return
 		}
-		z.Notes[za0001].Version, bts, err = msgp.ReadInt64Bytes(bts)
+		z.Claims[za0001].Version, bts, err = msgp.ReadInt64Bytes(bts)
 		if err != nil {
 			err = msgp.WrapError(err, "Notes", za0001, "Version")
 			return
 		}
-		z.Notes[za0001].Status, bts, err = msgp.ReadUint8Bytes(bts)
+		z.Claims[za0001].Status, bts, err = msgp.ReadUint8Bytes(bts)
 		if err != nil {
 			err = msgp.WrapError(err, "Notes", za0001, "Status")
 			return
@@ -665,9 +665,9 @@
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
 func (z *Packet) Msgsize() (s int) {
-	s = 1 + msgp.Uint8Size + msgp.Uint64Size + msgp.StringPrefixSize + len(z.From) + msgp.Int64Size + msgp.StringPrefixSize + len(z.FromPeer) + msgp.StringPrefixSize + len(z.Target) + msgp.StringPrefixSize + len(z.TargetPeer) + msgp.ArrayHeaderSize
-	for za0001 := range z.Notes {
-		s += 1 + msgp.StringPrefixSize + len(z.Notes[za0001].Host) + msgp.Int64Size + msgp.Uint8Size
+	s = 1 + msgp.Uint8Size + msgp.Uint64Size + msgp.StringPrefixSize + len(z.From) + msgp.Int64Size + msgp.StringPrefixSize + len(z.FromAddr) + msgp.StringPrefixSize + len(z.ProbedHost) + msgp.StringPrefixSize + len(z.ProbedAddr) + msgp.ArrayHeaderSize
+	for za0001 := range z.Claims {
+		s += 1 + msgp.StringPrefixSize + len(z.Claims[za0001].Host) + msgp.Int64Size + msgp.Uint8Size
 	}
 	return
 }
@@ -1051,7 +1051,7 @@
 	}
 	o = msgp.AppendUint32(o, z.Part)
 	o = msgp.AppendBool(o, z.Last)
-	o = msgp.AppendBool(o, z.Whole)
+	o = msgp.AppendBool(o, z.Complete)
 	return
 }
 
@@ -1108,7 +1108,7 @@
 		err = msgp.WrapError(err, "Last")
 		return
 	}
-	z.Whole, bts, err = msgp.ReadBoolBytes(bts)
+	z.Complete, bts, err = msgp.ReadBoolBytes(bts)
 	if err != nil {
 		err = msgp.WrapError(err, "Whole")
 		return
--- a/internal/msg/keys.go
+++ b/internal/msg/keys.go
@@ -16,8 +16,8 @@
 	// BodyHash binds the key to one request.
 	BodyHash  uint64
 	RequestID string
-	// MintedMS is the key's own time stamp in Unix milliseconds, 0 if opaque.
-	MintedMS int64
+	// CreatedMS is the key's own time stamp in Unix milliseconds, 0 if opaque.
+	CreatedMS int64
 }
 
 // KeyClaimed answers KeyClaim.
@@ -33,24 +33,24 @@
 	RetryAfterMS uint32
 }
 
-// KeyDone tells the owner how a claimed request ended.
-type KeyDone struct {
+// KeyResult tells the owner how a claimed request ended.
+type KeyResult struct {
 	Service   string
 	Shard     uint32
 	Epoch     uint64
 	Key       string
 	RequestID string
 	Verdict   verdict.Verdict
-	Whole     bool
-	// Kept says that the answer below is to be given again.
-	Kept   bool
+	Complete  bool
+	// Stored says that the answer below is to be given again.
+	Stored bool
 	Status uint16
 	Header []Field `msg:"header,limit=256"`
 	Body   []byte
 }
 
-// Promise asks a guard of a service to promise a shard's epoch to an owner.
-type Promise struct {
+// LeaseRequest asks a guard of a service to promise a shard's epoch to an owner.
+type LeaseRequest struct {
 	Service string
 	Shard   uint32
 	Epoch   uint64
@@ -59,15 +59,15 @@
 	Release bool
 }
 
-// Promised answers Promise.
-type Promised struct {
+// LeaseReply answers Promise.
+type LeaseReply struct {
 	Granted bool
 	// Epoch is the epoch the guard holds to now.
 	Epoch uint64
-	// LifeMS is how long the promise lasts, counted by the owner from asking.
-	LifeMS uint32
-	// WaitMS is when asking again can help.
-	WaitMS uint32
+	// TTLMS is how long the promise lasts, counted by the owner from asking.
+	TTLMS uint32
+	// RetryAfterMS is when asking again can help.
+	RetryAfterMS uint32
 }
 
 // KeyEntry is one row of a key table in a handover.
@@ -78,7 +78,7 @@
 	// State is a once key state; AgeMS is how long it has lasted.
 	State  uint8
 	AgeMS  int64
-	Kept   bool
+	Stored bool
 	Status uint16
 	Header []Field `msg:"header,limit=256"`
 	Body   []byte
--- a/internal/msg/keys_gen.go
+++ b/internal/msg/keys_gen.go
@@ -165,7 +165,7 @@
 	o = msgp.AppendString(o, z.Key)
 	o = msgp.AppendUint64(o, z.BodyHash)
 	o = msgp.AppendString(o, z.RequestID)
-	o = msgp.AppendInt64(o, z.MintedMS)
+	o = msgp.AppendInt64(o, z.CreatedMS)
 	return
 }
 
@@ -206,7 +206,7 @@
 		err = msgp.WrapError(err, "RequestID")
 		return
 	}
-	z.MintedMS, bts, err = msgp.ReadInt64Bytes(bts)
+	z.CreatedMS, bts, err = msgp.ReadInt64Bytes(bts)
 	if err != nil {
 		err = msgp.WrapError(err, "MintedMS")
 		return
@@ -332,7 +332,7 @@
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z *KeyDone) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *KeyResult) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
 	// array header, size 11
 	o = append(o, 0x9b)
@@ -342,8 +342,8 @@
 	o = msgp.AppendString(o, z.Key)
 	o = msgp.AppendString(o, z.RequestID)
 	o = msgp.AppendUint8(o, uint8(z.Verdict))
-	o = msgp.AppendBool(o, z.Whole)
-	o = msgp.AppendBool(o, z.Kept)
+	o = msgp.AppendBool(o, z.Complete)
+	o = msgp.AppendBool(o, z.Stored)
 	o = msgp.AppendUint16(o, z.Status)
 	o = msgp.AppendArrayHeader(o, uint32(len(z.Header)))
 	for za0001 := range z.Header {
@@ -358,7 +358,7 @@
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *KeyDone) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *KeyResult) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var zb0001 uint32
 	zb0001, bts, err = msgp.ReadArrayHeaderBytes(bts)
 	if err != nil {
@@ -403,12 +403,12 @@
 		}
 		z.Verdict = verdict.Verdict(zb0002)
 	}
-	z.Whole, bts, err = msgp.ReadBoolBytes(bts)
+	z.Complete, bts, err = msgp.ReadBoolBytes(bts)
 	if err != nil {
 		err = msgp.WrapError(err, "Whole")
 		return
 	}
-	z.Kept, bts, err = msgp.ReadBoolBytes(bts)
+	z.Stored, bts, err = msgp.ReadBoolBytes(bts)
 	if err != nil {
 		err = msgp.WrapError(err, "Kept")
 		return
@@ -466,7 +466,7 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *KeyDone) Msgsize() (s int) {
+func (z *KeyResult) Msgsize() (s int) {
 	s = 1 + msgp.StringPrefixSize + len(z.Service) + msgp.Uint32Size + msgp.Uint64Size + msgp.StringPrefixSize + len(z.Key) + msgp.StringPrefixSize + len(z.RequestID) + msgp.Uint8Size + msgp.BoolSize + msgp.BoolSize + msgp.Uint16Size + msgp.ArrayHeaderSize
 	for za0001 := range z.Header {
 		s += z.Header[za0001].Msgsize()
@@ -485,7 +485,7 @@
 	o = msgp.AppendString(o, z.RequestID)
 	o = msgp.AppendUint8(o, z.State)
 	o = msgp.AppendInt64(o, z.AgeMS)
-	o = msgp.AppendBool(o, z.Kept)
+	o = msgp.AppendBool(o, z.Stored)
 	o = msgp.AppendUint16(o, z.Status)
 	o = msgp.AppendArrayHeader(o, uint32(len(z.Header)))
 	for za0001 := range z.Header {
@@ -536,7 +536,7 @@
 		err = msgp.WrapError(err, "AgeMS")
 		return
 	}
-	z.Kept, bts, err = msgp.ReadBoolBytes(bts)
+	z.Stored, bts, err = msgp.ReadBoolBytes(bts)
 	if err != nil {
 		err = msgp.WrapError(err, "Kept")
 		return
@@ -604,7 +604,7 @@
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z *Promise) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *LeaseRequest) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
 	// array header, size 5
 	o = append(o, 0x95)
@@ -617,7 +617,7 @@
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *Promise) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *LeaseRequest) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var zb0001 uint32
 	zb0001, bts, err = msgp.ReadArrayHeaderBytes(bts)
 	if err != nil {
@@ -658,25 +658,25 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *Promise) Msgsize() (s int) {
+func (z *LeaseRequest) Msgsize() (s int) {
 	s = 1 + msgp.StringPrefixSize + len(z.Service) + msgp.Uint32Size + msgp.Uint64Size + msgp.StringPrefixSize + len(z.Owner) + msgp.BoolSize
 	return
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z *Promised) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *LeaseReply) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
 	// array header, size 4
 	o = append(o, 0x94)
 	o = msgp.AppendBool(o, z.Granted)
 	o = msgp.AppendUint64(o, z.Epoch)
-	o = msgp.AppendUint32(o, z.LifeMS)
-	o = msgp.AppendUint32(o, z.WaitMS)
+	o = msgp.AppendUint32(o, z.TTLMS)
+	o = msgp.AppendUint32(o, z.RetryAfterMS)
 	return
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *Promised) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *LeaseReply) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var zb0001 uint32
 	zb0001, bts, err = msgp.ReadArrayHeaderBytes(bts)
 	if err != nil {
@@ -697,12 +697,12 @@
 		err = msgp.WrapError(err, "Epoch")
 		return
 	}
-	z.LifeMS, bts, err = msgp.ReadUint32Bytes(bts)
+	z.TTLMS, bts, err = msgp.ReadUint32Bytes(bts)
 	if err != nil {
 		err = msgp.WrapError(err, "LifeMS")
 		return
 	}
-	z.WaitMS, bts, err = msgp.ReadUint32Bytes(bts)
+	z.RetryAfterMS, bts, err = msgp.ReadUint32Bytes(bts)
 	if err != nil {
 		err = msgp.WrapError(err, "WaitMS")
 		return
@@ -712,7 +712,7 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *Promised) Msgsize() (s int) {
+func (z *LeaseReply) Msgsize() (s int) {
 	s = 1 + msgp.BoolSize + msgp.Uint64Size + msgp.Uint32Size + msgp.Uint32Size
 	return
 }
--- a/internal/msg/kinds.go
+++ b/internal/msg/kinds.go
@@ -15,9 +15,9 @@
 func (*Head) Kind() Kind         { return KindHead }         // Kind implements Message.
 func (*KeyClaim) Kind() Kind     { return KindKeyClaim }     // Kind implements Message.
 func (*KeyClaimed) Kind() Kind   { return KindKeyClaimed }   // Kind implements Message.
-func (*KeyDone) Kind() Kind      { return KindKeyDone }      // Kind implements Message.
-func (*Promise) Kind() Kind      { return KindPromise }      // Kind implements Message.
-func (*Promised) Kind() Kind     { return KindPromised }     // Kind implements Message.
+func (*KeyResult) Kind() Kind    { return KindKeyDone }      // Kind implements Message.
+func (*LeaseRequest) Kind() Kind { return KindPromise }      // Kind implements Message.
+func (*LeaseReply) Kind() Kind   { return KindPromised }     // Kind implements Message.
 func (*Handover) Kind() Kind     { return KindHandover }     // Kind implements Message.
 func (*HandoverDone) Kind() Kind { return KindHandoverDone } // Kind implements Message.
 func (*Rumor) Kind() Kind        { return KindRumor }        // Kind implements Message.
@@ -27,10 +27,10 @@
 func (*Pull) Kind() Kind         { return KindPull }         // Kind implements Message.
 func (*Snapshot) Kind() Kind     { return KindSnapshot }     // Kind implements Message.
 
-func (*Ping) Kind() Kind   { return KindPing }   // Kind implements Message.
-func (*Report) Kind() Kind { return KindReport } // Kind implements Message.
-func (*Pong) Kind() Kind   { return KindPong }   // Kind implements Message.
-func (*Pulse) Kind() Kind  { return KindPulse }  // Kind implements Message.
+func (*Ping) Kind() Kind       { return KindPing }   // Kind implements Message.
+func (*Report) Kind() Kind     { return KindReport } // Kind implements Message.
+func (*Pong) Kind() Kind       { return KindPong }   // Kind implements Message.
+func (*LoadReport) Kind() Kind { return KindPulse }  // Kind implements Message.
 
 // New makes an empty message of a kind; an unknown kind is an error.
 func New(k Kind) (Message, error) {
@@ -60,11 +60,11 @@
 	case KindKeyClaimed:
 		return &KeyClaimed{}, nil
 	case KindKeyDone:
-		return &KeyDone{}, nil
+		return &KeyResult{}, nil
 	case KindPromise:
-		return &Promise{}, nil
+		return &LeaseRequest{}, nil
 	case KindPromised:
-		return &Promised{}, nil
+		return &LeaseReply{}, nil
 	case KindHandover:
 		return &Handover{}, nil
 	case KindHandoverDone:
@@ -86,7 +86,7 @@
 	case KindPong:
 		return &Pong{}, nil
 	case KindPulse:
-		return &Pulse{}, nil
+		return &LoadReport{}, nil
 	case KindReport:
 		return &Report{}, nil
 	default:
--- a/internal/msg/requests.go
+++ b/internal/msg/requests.go
@@ -27,25 +27,25 @@
 	Health uint8
 	// Evidence is the detector's score, in hundredths of a nat.
 	Evidence uint32
-	// Sick is the guard's estimate of the chance that the instance is failing
+	// FailureEstimate is the guard's estimate of the chance that the instance is failing
 	// most of its requests at present, in thousandths.
-	Sick uint16
-	// Sheds is the share of recent requests that the instance refused though it
+	FailureEstimate uint16
+	// ShedShare is the share of recent requests that the instance refused though it
 	// had a free slot, in thousandths.
-	Sheds uint16
-	// Repeats is how many repeats the guard's part of the service's retry
+	ShedShare uint16
+	// RetryBudgetLeft is how many repeats the guard's part of the service's retry
 	// budget has left.
-	Repeats uint16
-	// Overdrawn says that the request may have been a call of a repeated run, and
+	RetryBudgetLeft uint16
+	// RetryBudgetOverdrawn says that the request may have been a call of a repeated run, and
 	// that no repeat is left here: the host where it began makes too many.
-	Overdrawn bool
-	// Wants says that the guard would like a request: the instance has nothing to
+	RetryBudgetOverdrawn bool
+	// WantsTrial says that the guard would like a request: the instance has nothing to
 	// do, or is in doubt and one that can be repeated would tell how it is.
-	Wants bool
+	WantsTrial bool
 }
 
-// SickChance is Sick as a probability.
-func (l Load) SickChance() float64 { return float64(l.Sick) / Thousandths }
+// FailureProbability is Sick as a probability.
+func (l Load) FailureProbability() float64 { return float64(l.FailureEstimate) / Thousandths }
 
 // Thousandths is the scale of Load.Sick and Sample.Pace: what is sent for 1.
 const Thousandths = 1000
@@ -57,11 +57,11 @@
 	Load     Load
 }
 
-// Pulse tells fronts what has changed at a guard's instances.
-type Pulse struct {
-	// Relay asks the receiver to pass the pulse on in its data centre.
-	Relay bool
-	Loads []InstanceLoad `msg:"loads,limit=256"`
+// LoadReport tells fronts what has changed at a guard's instances.
+type LoadReport struct {
+	// Forward asks the receiver to pass the pulse on in its data centre.
+	Forward bool
+	Loads   []InstanceLoad `msg:"loads,limit=256"`
 }
 
 // Sample is the last pace a front saw at some other instance of the same
@@ -70,9 +70,9 @@
 type Sample struct {
 	// Instance is a hash of the instance's name, 0 for no sample.
 	Instance uint64
-	// Pace is the service time in thousandths of what the route's requests
+	// LatencyRatio is the service time in thousandths of what the route's requests
 	// usually take: routes ask for work of different length.
-	Pace uint32
+	LatencyRatio uint32
 }
 
 // Hello opens a connection.
@@ -83,30 +83,30 @@
 	Incarnation uint64
 }
 
-// Aim is what a front tells of a request's worth in time and of its part in the
+// AdmissionHints is what a front tells of a request's worth in time and of its part in the
 // retry budget, for the guard's admission.
-type Aim struct {
+type AdmissionHints struct {
 	// ObjectiveMS is the time from the caller's send in which the answer is
 	// worth its whole value, and UsedMS how much of it has gone.
 	ObjectiveMS uint32
 	UsedMS      uint32
-	// ExpectMS is how long the request is expected to run, 0 where unknown.
-	ExpectMS uint32
-	// Insist takes a place in the queue also where it would miss the objective.
-	Insist bool
+	// ExpectedMS is how long the request is expected to run, 0 where unknown.
+	ExpectedMS uint32
+	// AllowLate takes a place in the queue also where it would miss the objective.
+	AllowLate bool
 	// Repeat says that the request may have arrived at an instance before, and
 	// Hedge that it is under way at one.
 	Repeat, Hedge bool
-	// CallPart is the chance that the request is a call of a repeated run, in
+	// NestedRetryChance is the chance that the request is a call of a repeated run, in
 	// thousandths, if it is a call: it counts for so much in the retry budget.
-	CallPart uint16
-	// Idle says that nothing ran on the host where the request began, and Route
+	NestedRetryChance uint16
+	// OriginIdle says that nothing ran on the host where the request began, and Route
 	// is a hash of its route's name: together they tell which routes are calls.
-	Idle  bool
-	Route uint32
-	// Print is what the request is known by when it comes again, see crash.Print; 0 is
+	OriginIdle bool
+	Route      uint32
+	// Fingerprint is what the request is known by when it comes again, see crash.Fingerprint; 0 is
 	// nothing.
-	Print uint64
+	Fingerprint uint64
 }
 
 // Reserve asks a guard for a slot before a request that is not idempotent.
@@ -119,10 +119,10 @@
 	// Class is the hashed fairness class of the caller's team.
 	Class    uint32
 	Priority uint8
-	// Within orders requests of one priority, see admit.Request.
-	Within uint8
-	Aim    Aim
-	Sample Sample
+	// SubPriority orders requests of one priority, see admit.Request.
+	SubPriority uint8
+	Hints       AdmissionHints
+	Sample      Sample
 }
 
 // Grant gives the slot that Reserve asked for.
@@ -135,16 +135,16 @@
 // Run tells a guard to run a request. With Reserved it uses up a Grant on the
 // same stream; without, the guard admits and runs in one step.
 type Run struct {
-	RequestID  string
-	Service    string
-	Instance   string
-	TimeoutMS  uint32
-	Class      uint32
-	Priority   uint8
-	Within     uint8
-	Aim        Aim
-	Reserved   bool
-	Idempotent bool
+	RequestID   string
+	Service     string
+	Instance    string
+	TimeoutMS   uint32
+	Class       uint32
+	Priority    uint8
+	SubPriority uint8
+	Hints       AdmissionHints
+	Reserved    bool
+	Idempotent  bool
 	// Shard and Epoch fence a run that was claimed by key; Epoch 0 is none.
 	Shard  uint32
 	Epoch  uint64
--- a/internal/msg/requests_gen.go
+++ b/internal/msg/requests_gen.go
@@ -14,25 +14,25 @@
 )
 
 // MarshalMsg implements msgp.Marshaler
-func (z *Aim) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *AdmissionHints) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
 	// array header, size 10
 	o = append(o, 0x9a)
 	o = msgp.AppendUint32(o, z.ObjectiveMS)
 	o = msgp.AppendUint32(o, z.UsedMS)
-	o = msgp.AppendUint32(o, z.ExpectMS)
-	o = msgp.AppendBool(o, z.Insist)
+	o = msgp.AppendUint32(o, z.ExpectedMS)
+	o = msgp.AppendBool(o, z.AllowLate)
 	o = msgp.AppendBool(o, z.Repeat)
 	o = msgp.AppendBool(o, z.Hedge)
-	o = msgp.AppendUint16(o, z.CallPart)
-	o = msgp.AppendBool(o, z.Idle)
+	o = msgp.AppendUint16(o, z.NestedRetryChance)
+	o = msgp.AppendBool(o, z.OriginIdle)
 	o = msgp.AppendUint32(o, z.Route)
-	o = msgp.AppendUint64(o, z.Print)
+	o = msgp.AppendUint64(o, z.Fingerprint)
 	return
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *Aim) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *AdmissionHints) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var zb0001 uint32
 	zb0001, bts, err = msgp.ReadArrayHeaderBytes(bts)
 	if err != nil {
@@ -53,12 +53,12 @@
 		err = msgp.WrapError(err, "UsedMS")
 		return
 	}
-	z.ExpectMS, bts, err = msgp.ReadUint32Bytes(bts)
+	z.ExpectedMS, bts, err = msgp.ReadUint32Bytes(bts)
 	if err != nil {
 		err = msgp.WrapError(err, "ExpectMS")
 		return
 	}
-	z.Insist, bts, err = msgp.ReadBoolBytes(bts)
+	z.AllowLate, bts, err = msgp.ReadBoolBytes(bts)
 	if err != nil {
 		err = msgp.WrapError(err, "Insist")
 		return
@@ -73,12 +73,12 @@
 		err = msgp.WrapError(err, "Hedge")
 		return
 	}
-	z.CallPart, bts, err = msgp.ReadUint16Bytes(bts)
+	z.NestedRetryChance, bts, err = msgp.ReadUint16Bytes(bts)
 	if err != nil {
 		err = msgp.WrapError(err, "CallPart")
 		return
 	}
-	z.Idle, bts, err = msgp.ReadBoolBytes(bts)
+	z.OriginIdle, bts, err = msgp.ReadBoolBytes(bts)
 	if err != nil {
 		err = msgp.WrapError(err, "Idle")
 		return
@@ -88,7 +88,7 @@
 		err = msgp.WrapError(err, "Route")
 		return
 	}
-	z.Print, bts, err = msgp.ReadUint64Bytes(bts)
+	z.Fingerprint, bts, err = msgp.ReadUint64Bytes(bts)
 	if err != nil {
 		err = msgp.WrapError(err, "Print")
 		return
@@ -98,7 +98,7 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *Aim) Msgsize() (s int) {
+func (z *AdmissionHints) Msgsize() (s int) {
 	s = 1 + msgp.Uint32Size + msgp.Uint32Size + msgp.Uint32Size + msgp.BoolSize + msgp.BoolSize + msgp.BoolSize + msgp.Uint16Size + msgp.BoolSize + msgp.Uint32Size + msgp.Uint64Size
 	return
 }
@@ -625,11 +625,11 @@
 	}
 	o = msgp.AppendUint8(o, z.Health)
 	o = msgp.AppendUint32(o, z.Evidence)
-	o = msgp.AppendUint16(o, z.Sick)
-	o = msgp.AppendUint16(o, z.Sheds)
-	o = msgp.AppendUint16(o, z.Repeats)
-	o = msgp.AppendBool(o, z.Overdrawn)
-	o = msgp.AppendBool(o, z.Wants)
+	o = msgp.AppendUint16(o, z.FailureEstimate)
+	o = msgp.AppendUint16(o, z.ShedShare)
+	o = msgp.AppendUint16(o, z.RetryBudgetLeft)
+	o = msgp.AppendBool(o, z.RetryBudgetOverdrawn)
+	o = msgp.AppendBool(o, z.WantsTrial)
 	return
 }
 
@@ -687,27 +687,27 @@
 		err = msgp.WrapError(err, "Evidence")
 		return
 	}
-	z.Sick, bts, err = msgp.ReadUint16Bytes(bts)
+	z.FailureEstimate, bts, err = msgp.ReadUint16Bytes(bts)
 	if err != nil {
 		err = msgp.WrapError(err, "Sick")
 		return
 	}
-	z.Sheds, bts, err = msgp.ReadUint16Bytes(bts)
+	z.ShedShare, bts, err = msgp.ReadUint16Bytes(bts)
 	if err != nil {
 		err = msgp.WrapError(err, "Sheds")
 		return
 	}
-	z.Repeats, bts, err = msgp.ReadUint16Bytes(bts)
+	z.RetryBudgetLeft, bts, err = msgp.ReadUint16Bytes(bts)
 	if err != nil {
 		err = msgp.WrapError(err, "Repeats")
 		return
 	}
-	z.Overdrawn, bts, err = msgp.ReadBoolBytes(bts)
+	z.RetryBudgetOverdrawn, bts, err = msgp.ReadBoolBytes(bts)
 	if err != nil {
 		err = msgp.WrapError(err, "Overdrawn")
 		return
 	}
-	z.Wants, bts, err = msgp.ReadBoolBytes(bts)
+	z.WantsTrial, bts, err = msgp.ReadBoolBytes(bts)
 	if err != nil {
 		err = msgp.WrapError(err, "Wants")
 		return
@@ -783,11 +783,11 @@
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z *Pulse) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *LoadReport) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
 	// array header, size 2
 	o = append(o, 0x92)
-	o = msgp.AppendBool(o, z.Relay)
+	o = msgp.AppendBool(o, z.Forward)
 	o = msgp.AppendArrayHeader(o, uint32(len(z.Loads)))
 	for za0001 := range z.Loads {
 		// array header, size 3
@@ -804,7 +804,7 @@
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *Pulse) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *LoadReport) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var zb0001 uint32
 	zb0001, bts, err = msgp.ReadArrayHeaderBytes(bts)
 	if err != nil {
@@ -815,7 +815,7 @@
 		err = msgp.ArrayError{Wanted: 2, Got: zb0001}
 		return
 	}
-	z.Relay, bts, err = msgp.ReadBoolBytes(bts)
+	z.Forward, bts, err = msgp.ReadBoolBytes(bts)
 	if err != nil {
 		err = msgp.WrapError(err, "Relay")
 		return
@@ -867,7 +867,7 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *Pulse) Msgsize() (s int) {
+func (z *LoadReport) Msgsize() (s int) {
 	s = 1 + msgp.BoolSize + msgp.ArrayHeaderSize
 	for za0001 := range z.Loads {
 		s += 1 + msgp.StringPrefixSize + len(z.Loads[za0001].Service) + msgp.StringPrefixSize + len(z.Loads[za0001].Instance) + z.Loads[za0001].Load.Msgsize()
@@ -886,8 +886,8 @@
 	o = msgp.AppendUint32(o, z.TimeoutMS)
 	o = msgp.AppendUint32(o, z.Class)
 	o = msgp.AppendUint8(o, z.Priority)
-	o = msgp.AppendUint8(o, z.Within)
-	o, err = z.Aim.MarshalMsg(o)
+	o = msgp.AppendUint8(o, z.SubPriority)
+	o, err = z.Hints.MarshalMsg(o)
 	if err != nil {
 		err = msgp.WrapError(err, "Aim")
 		return
@@ -895,7 +895,7 @@
 	// array header, size 2
 	o = append(o, 0x92)
 	o = msgp.AppendUint64(o, z.Sample.Instance)
-	o = msgp.AppendUint32(o, z.Sample.Pace)
+	o = msgp.AppendUint32(o, z.Sample.LatencyRatio)
 	return
 }
 
@@ -941,12 +941,12 @@
 		err = msgp.WrapError(err, "Priority")
 		return
 	}
-	z.Within, bts, err = msgp.ReadUint8Bytes(bts)
+	z.SubPriority, bts, err = msgp.ReadUint8Bytes(bts)
 	if err != nil {
 		err = msgp.WrapError(err, "Within")
 		return
 	}
-	bts, err = z.Aim.UnmarshalMsg(bts)
+	bts, err = z.Hints.UnmarshalMsg(bts)
 	if err != nil {
 		err = msgp.WrapError(err, "Aim")
 		return
@@ -966,7 +966,7 @@
 		err = msgp.WrapError(err, "Sample", "Instance")
 		return
 	}
-	z.Sample.Pace, bts, err = msgp.ReadUint32Bytes(bts)
+	z.Sample.LatencyRatio, bts, err = msgp.ReadUint32Bytes(bts)
 	if err != nil {
 		err = msgp.WrapError(err, "Sample", "Pace")
 		return
@@ -977,7 +977,7 @@
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
 func (z *Reserve) Msgsize() (s int) {
-	s = 1 + msgp.StringPrefixSize + len(z.RequestID) + msgp.StringPrefixSize + len(z.Service) + msgp.StringPrefixSize + len(z.Instance) + msgp.Uint32Size + msgp.Uint32Size + msgp.Uint8Size + msgp.Uint8Size + z.Aim.Msgsize() + 1 + msgp.Uint64Size + msgp.Uint32Size
+	s = 1 + msgp.StringPrefixSize + len(z.RequestID) + msgp.StringPrefixSize + len(z.Service) + msgp.StringPrefixSize + len(z.Instance) + msgp.Uint32Size + msgp.Uint32Size + msgp.Uint8Size + msgp.Uint8Size + z.Hints.Msgsize() + 1 + msgp.Uint64Size + msgp.Uint32Size
 	return
 }
 
@@ -992,8 +992,8 @@
 	o = msgp.AppendUint32(o, z.TimeoutMS)
 	o = msgp.AppendUint32(o, z.Class)
 	o = msgp.AppendUint8(o, z.Priority)
-	o = msgp.AppendUint8(o, z.Within)
-	o, err = z.Aim.MarshalMsg(o)
+	o = msgp.AppendUint8(o, z.SubPriority)
+	o, err = z.Hints.MarshalMsg(o)
 	if err != nil {
 		err = msgp.WrapError(err, "Aim")
 		return
@@ -1016,7 +1016,7 @@
 	// array header, size 2
 	o = append(o, 0x92)
 	o = msgp.AppendUint64(o, z.Sample.Instance)
-	o = msgp.AppendUint32(o, z.Sample.Pace)
+	o = msgp.AppendUint32(o, z.Sample.LatencyRatio)
 	return
 }
 
@@ -1062,12 +1062,12 @@
 		err = msgp.WrapError(err, "Priority")
 		return
 	}
-	z.Within, bts, err = msgp.ReadUint8Bytes(bts)
+	z.SubPriority, bts, err = msgp.ReadUint8Bytes(bts)
 	if err != nil {
 		err = msgp.WrapError(err, "Within")
 		return
 	}
-	bts, err = z.Aim.UnmarshalMsg(bts)
+	bts, err = z.Hints.UnmarshalMsg(bts)
 	if err != nil {
 		err = msgp.WrapError(err, "Aim")
 		return
@@ -1164,7 +1164,7 @@
 		err = msgp.WrapError(err, "Sample", "Instance")
 		return
 	}
-	z.Sample.Pace, bts, err = msgp.ReadUint32Bytes(bts)
+	z.Sample.LatencyRatio, bts, err = msgp.ReadUint32Bytes(bts)
 	if err != nil {
 		err = msgp.WrapError(err, "Sample", "Pace")
 		return
@@ -1175,7 +1175,7 @@
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
 func (z *Run) Msgsize() (s int) {
-	s = 3 + msgp.StringPrefixSize + len(z.RequestID) + msgp.StringPrefixSize + len(z.Service) + msgp.StringPrefixSize + len(z.Instance) + msgp.Uint32Size + msgp.Uint32Size + msgp.Uint8Size + msgp.Uint8Size + z.Aim.Msgsize() + msgp.BoolSize + msgp.BoolSize + msgp.Uint32Size + msgp.Uint64Size + msgp.StringPrefixSize + len(z.Method) + msgp.StringPrefixSize + len(z.URI) + msgp.StringPrefixSize + len(z.Host) + msgp.ArrayHeaderSize
+	s = 3 + msgp.StringPrefixSize + len(z.RequestID) + msgp.StringPrefixSize + len(z.Service) + msgp.StringPrefixSize + len(z.Instance) + msgp.Uint32Size + msgp.Uint32Size + msgp.Uint8Size + msgp.Uint8Size + z.Hints.Msgsize() + msgp.BoolSize + msgp.BoolSize + msgp.Uint32Size + msgp.Uint64Size + msgp.StringPrefixSize + len(z.Method) + msgp.StringPrefixSize + len(z.URI) + msgp.StringPrefixSize + len(z.Host) + msgp.ArrayHeaderSize
 	for za0001 := range z.Header {
 		s += 1 + msgp.StringPrefixSize + len(z.Header[za0001].Name) + msgp.StringPrefixSize + len(z.Header[za0001].Value)
 	}
@@ -1189,7 +1189,7 @@
 	// array header, size 2
 	o = append(o, 0x92)
 	o = msgp.AppendUint64(o, z.Instance)
-	o = msgp.AppendUint32(o, z.Pace)
+	o = msgp.AppendUint32(o, z.LatencyRatio)
 	return
 }
 
@@ -1210,7 +1210,7 @@
 		err = msgp.WrapError(err, "Instance")
 		return
 	}
-	z.Pace, bts, err = msgp.ReadUint32Bytes(bts)
+	z.LatencyRatio, bts, err = msgp.ReadUint32Bytes(bts)
 	if err != nil {
 		err = msgp.WrapError(err, "Pace")
 		return
--- a/internal/msg/teams.go
+++ b/internal/msg/teams.go
@@ -10,30 +10,30 @@
 	// From is the sending host and Incarnation its start, in Unix milliseconds.
 	From        string
 	Incarnation uint64
-	Uses        []TeamUse    `msg:"uses,limit=1024"`
+	Usages      []TeamUsage  `msg:"uses,limit=1024"`
 	Levels      []TeamLevel  `msg:"levels,limit=1024"`
 	Notices     []TeamNotice `msg:"notices,limit=1024"`
 }
 
-// TeamUse tells the host that keeps a team's account what another host has let
+// TeamUsage tells the host that keeps a team's account what another host has let
 // pass, and may ask it for one request more.
-type TeamUse struct {
+type TeamUsage struct {
 	Team string
 	// Seq counts the uses that this host has told of the team.
 	Seq uint32
 	// Count is all that the host has let pass since its start, less what did not
-	// run; Base is the part of it that Level holds.
-	Count, Base int64
+	// run; Confirmed is the part of it that Level holds.
+	Count, Confirmed int64
 	// Level is the team's use as the sender knows it, in requests, and Known says that
 	// the sender has run for long enough to know.
 	Level float32
 	Known bool
-	// Same says that the receiver confirmed Base.
-	Same bool
+	// ConfirmedByReceiver says that the receiver confirmed Base.
+	ConfirmedByReceiver bool
 	// Relayed says that a host that the account was asked of passes this on.
 	Relayed bool
-	// Ask is the sender's number of the request asked for, 0 for none.
-	Ask uint32
+	// QueryID is the sender's number of the request asked for, 0 for none.
+	QueryID uint32
 }
 
 // TeamLevel answers a TeamUse.
@@ -44,12 +44,12 @@
 	Count int64
 	Level float32
 	Known bool
-	// CloseMS is for how long requests are to be asked for, because the team is close
+	// NearLimitMS is for how long requests are to be asked for, because the team is close
 	// to its limit, in milliseconds; 0 where it is not.
-	CloseMS uint32
-	// Ask is the request that was asked for; where it is not Granted, WaitMS is when
+	NearLimitMS uint32
+	// QueryID is the request that was asked for; where it is not Granted, WaitMS is when
 	// another would be, in milliseconds.
-	Ask     uint32
+	QueryID uint32
 	Granted bool
 	WaitMS  uint32
 }
@@ -58,8 +58,8 @@
 type TeamNotice struct {
 	Team  string
 	Level float32
-	// CloseMS is as in TeamLevel.
-	CloseMS uint32
-	// Relay asks the receiver to pass the notice on in its data centre.
-	Relay bool
+	// NearLimitMS is as in TeamLevel.
+	NearLimitMS uint32
+	// Forward asks the receiver to pass the notice on in its data centre.
+	Forward bool
 }
--- a/internal/msg/teams_gen.go
+++ b/internal/msg/teams_gen.go
@@ -22,8 +22,8 @@
 	o = msgp.AppendInt64(o, z.Count)
 	o = msgp.AppendFloat32(o, z.Level)
 	o = msgp.AppendBool(o, z.Known)
-	o = msgp.AppendUint32(o, z.CloseMS)
-	o = msgp.AppendUint32(o, z.Ask)
+	o = msgp.AppendUint32(o, z.NearLimitMS)
+	o = msgp.AppendUint32(o, z.QueryID)
 	o = msgp.AppendBool(o, z.Granted)
 	o = msgp.AppendUint32(o, z.WaitMS)
 	return
@@ -66,12 +66,12 @@
 		err = msgp.WrapError(err, "Known")
 		return
 	}
-	z.CloseMS, bts, err = msgp.ReadUint32Bytes(bts)
+	z.NearLimitMS, bts, err = msgp.ReadUint32Bytes(bts)
 	if err != nil {
 		err = msgp.WrapError(err, "CloseMS")
 		return
 	}
-	z.Ask, bts, err = msgp.ReadUint32Bytes(bts)
+	z.QueryID, bts, err = msgp.ReadUint32Bytes(bts)
 	if err != nil {
 		err = msgp.WrapError(err, "Ask")
 		return
@@ -103,8 +103,8 @@
 	o = append(o, 0x94)
 	o = msgp.AppendString(o, z.Team)
 	o = msgp.AppendFloat32(o, z.Level)
-	o = msgp.AppendUint32(o, z.CloseMS)
-	o = msgp.AppendBool(o, z.Relay)
+	o = msgp.AppendUint32(o, z.NearLimitMS)
+	o = msgp.AppendBool(o, z.Forward)
 	return
 }
 
@@ -130,12 +130,12 @@
 		err = msgp.WrapError(err, "Level")
 		return
 	}
-	z.CloseMS, bts, err = msgp.ReadUint32Bytes(bts)
+	z.NearLimitMS, bts, err = msgp.ReadUint32Bytes(bts)
 	if err != nil {
 		err = msgp.WrapError(err, "CloseMS")
 		return
 	}
-	z.Relay, bts, err = msgp.ReadBoolBytes(bts)
+	z.Forward, bts, err = msgp.ReadBoolBytes(bts)
 	if err != nil {
 		err = msgp.WrapError(err, "Relay")
 		return
@@ -157,9 +157,9 @@
 	o = append(o, 0x95)
 	o = msgp.AppendString(o, z.From)
 	o = msgp.AppendUint64(o, z.Incarnation)
-	o = msgp.AppendArrayHeader(o, uint32(len(z.Uses)))
-	for za0001 := range z.Uses {
-		o, err = z.Uses[za0001].MarshalMsg(o)
+	o = msgp.AppendArrayHeader(o, uint32(len(z.Usages)))
+	for za0001 := range z.Usages {
+		o, err = z.Usages[za0001].MarshalMsg(o)
 		if err != nil {
 			err = msgp.WrapError(err, "Uses", za0001)
 			return
@@ -216,13 +216,13 @@
 		err = msgp.ErrLimitExceeded
 		return
 	}
-	if cap(z.Uses) >= int(zb0002) {
-		z.Uses = (z.Uses)[:zb0002]
+	if cap(z.Usages) >= int(zb0002) {
+		z.Usages = (z.Usages)[:zb0002]
 	} else {
-		z.Uses = make([]TeamUse, zb0002)
+		z.Usages = make([]TeamUsage, zb0002)
 	}
-	for za0001 := range z.Uses {
-		bts, err = z.Uses[za0001].UnmarshalMsg(bts)
+	for za0001 := range z.Usages {
+		bts, err = z.Usages[za0001].UnmarshalMsg(bts)
 		if err != nil {
 			err = msgp.WrapError(err, "Uses", za0001)
 			return
@@ -279,8 +279,8 @@
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
 func (z *TeamPacket) Msgsize() (s int) {
 	s = 1 + msgp.StringPrefixSize + len(z.From) + msgp.Uint64Size + msgp.ArrayHeaderSize
-	for za0001 := range z.Uses {
-		s += z.Uses[za0001].Msgsize()
+	for za0001 := range z.Usages {
+		s += z.Usages[za0001].Msgsize()
 	}
 	s += msgp.ArrayHeaderSize
 	for za0002 := range z.Levels {
@@ -294,24 +294,24 @@
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z *TeamUse) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *TeamUsage) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
 	// array header, size 9
 	o = append(o, 0x99)
 	o = msgp.AppendString(o, z.Team)
 	o = msgp.AppendUint32(o, z.Seq)
 	o = msgp.AppendInt64(o, z.Count)
-	o = msgp.AppendInt64(o, z.Base)
+	o = msgp.AppendInt64(o, z.Confirmed)
 	o = msgp.AppendFloat32(o, z.Level)
 	o = msgp.AppendBool(o, z.Known)
-	o = msgp.AppendBool(o, z.Same)
+	o = msgp.AppendBool(o, z.ConfirmedByReceiver)
 	o = msgp.AppendBool(o, z.Relayed)
-	o = msgp.AppendUint32(o, z.Ask)
+	o = msgp.AppendUint32(o, z.QueryID)
 	return
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *TeamUse) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *TeamUsage) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var zb0001 uint32
 	zb0001, bts, err = msgp.ReadArrayHeaderBytes(bts)
 	if err != nil {
@@ -337,7 +337,7 @@
 		err = msgp.WrapError(err, "Count")
 		return
 	}
-	z.Base, bts, err = msgp.ReadInt64Bytes(bts)
+	z.Confirmed, bts, err = msgp.ReadInt64Bytes(bts)
 	if err != nil {
 		err = msgp.WrapError(err, "Base")
 		return
@@ -352,7 +352,7 @@
 		err = msgp.WrapError(err, "Known")
 		return
 	}
-	z.Same, bts, err = msgp.ReadBoolBytes(bts)
+	z.ConfirmedByReceiver, bts, err = msgp.ReadBoolBytes(bts)
 	if err != nil {
 		err = msgp.WrapError(err, "Same")
 		return
@@ -362,7 +362,7 @@
 		err = msgp.WrapError(err, "Relayed")
 		return
 	}
-	z.Ask, bts, err = msgp.ReadUint32Bytes(bts)
+	z.QueryID, bts, err = msgp.ReadUint32Bytes(bts)
 	if err != nil {
 		err = msgp.WrapError(err, "Ask")
 		return
@@ -372,7 +372,7 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *TeamUse) Msgsize() (s int) {
+func (z *TeamUsage) Msgsize() (s int) {
 	s = 1 + msgp.StringPrefixSize + len(z.Team) + msgp.Uint32Size + msgp.Int64Size + msgp.Int64Size + msgp.Float32Size + msgp.BoolSize + msgp.BoolSize + msgp.BoolSize + msgp.Uint32Size
 	return
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -88,8 +88,8 @@
 	RepairInterval time.Duration
 	// WatchersPerDC is how many hosts of a data centre watch the platform.
 	WatchersPerDC int
-	// PromiseLife is how long a promise to a key owner lasts.
-	PromiseLife time.Duration
+	// LeaseDuration is how long a promise to a key owner lasts.
+	LeaseDuration time.Duration
 	// ApplyWithin is the time in which an acknowledged record is to be in force on
 	// every host.
 	ApplyWithin time.Duration
--- a/internal/teams/teams.go
+++ b/internal/teams/teams.go
@@ -20,11 +20,11 @@
 	// Host is this host's name and Incarnation its start, in Unix milliseconds.
 	Host        string
 	Incarnation uint64
-	// Allowance and Over are what a team may have beyond its limit in any Window over
+	// Allowance and AllowanceFraction are what a team may have beyond its limit in any Window over
 	// all hosts: requests, and a part of what the limit allows. Most of it is lent; the
 	// rest is for what hosts do not know of each other yet.
-	Allowance, Over float64
-	Window          time.Duration
+	Allowance, AllowanceFraction float64
+	Window                       time.Duration
 	// Send sends a datagram to a host; it may vanish.
 	Send func(to string, p *msg.TeamPacket)
 }
@@ -61,7 +61,7 @@
 	r.teams.Store(&map[string]*record.Team{})
 	r.node = quota.New(quota.Config{
 		Host: cfg.Host, Incarnation: cfg.Incarnation, Limit: r.limit,
-		Lend: lendAtOnce * cfg.Allowance, LendRate: lendEvenly * cfg.Allowance / max(cfg.Window.Seconds(), 1), LendPart: lendOver * cfg.Over,
+		Lend: lendAtOnce * cfg.Allowance, LendRate: lendEvenly * cfg.Allowance / max(cfg.Window.Seconds(), 1), LendPart: lendOver * cfg.AllowanceFraction,
 	}, time.Now(), rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
 	return r
 }
--- a/record/system.go
+++ b/record/system.go
@@ -39,8 +39,8 @@
 type Shard struct {
 	// Owner is the host that may claim keys, and Life its process's start, in
 	// Unix milliseconds: a process that starts anew has lost the table.
-	Owner string `json:"owner"`
-	Life  uint64 `json:"life"`
+	Owner       string `json:"owner"`
+	Incarnation uint64 `json:"life"`
 	// Epoch rises by one with every change of owner or guards.
 	Epoch uint64 `json:"epoch"`
 	// Held is the last epoch at which the owner is known to have had
