--- a/internal/msg/control.go
+++ b/internal/msg/control.go
@@ -5,7 +5,7 @@
 //msgp:limit arrays:1200000 maps:64
 //msgp:tuple Rumor Digest Buckets Versions VersionItem Pull Snapshot Entry
 //msgp:tuple InstanceEnd
-//msgp:tuple Report ReportRejected Note Packet HostInstance HostState
+//msgp:tuple Report ReportRejected MemberClaim Packet HostInstance HostState
 
 // Entry is one versioned entry of a replicated set.
 type Entry struct {
@@ -16,75 +16,75 @@
 	Value   []byte
 }
 
-// SetID names one of the replicated sets.
+// SetID identifies a replicated set.
 type SetID uint8
 
 const (
 	// SetRecords holds the operators' records and the shard maps.
 	SetRecords SetID = iota
-	// SetHosts holds what each host says of itself.
+	// SetHosts holds the state that each host publishes about itself.
 	SetHosts
-	// SetEnds holds the ends of instances with what they ran, and what requests were
-	// cleared of.
+	// SetEnds holds the crashes of instances, with the requests that were running, and
+	// the crashes that requests have been cleared of.
 	SetEnds
 	// Sets is the number of replicated sets.
 	Sets
 )
 
-// Rumor pushes fresh entries to a peer.
+// Rumor pushes new entries to a peer.
 type Rumor struct {
 	Set     SetID
 	Entries []Entry `msg:"entries,limit=20000"`
 }
 
-// Digest opens a repair: the hash of the sender's whole set.
+// Digest starts an anti-entropy exchange with the root hash of the sender's set.
 type Digest struct {
 	Set  SetID
 	Root uint64
-	// Complete says the sender holds a complete set.
+	// Complete reports whether the sender holds a complete set.
 	Complete bool
-	// AgesMS says, for each feed of the platform, how long ago, in milliseconds, the
-	// sender's set was known to be current; empty where it never was.
+	// AgesMS holds, for each feed of the platform, the time since the sender's set was
+	// last known to be current, in milliseconds. It is empty if it never was.
 	AgesMS []uint32 `msg:"ages,limit=8"`
 }
 
-// Buckets answers a Digest that differs: the hash of every bucket.
+// Buckets answers a Digest that differs, with the hash of every bucket.
 type Buckets struct {
 	Set    SetID
 	Hashes []uint64 `msg:"hashes,limit=4096"`
 }
 
-// VersionItem is one key and its version.
+// VersionItem is a key and its version.
 type VersionItem struct {
 	Kind    string
 	Name    string
 	Version int64
 }
 
-// Versions lists what the sender holds in the buckets that differ.
+// Versions lists the entries that the sender holds in the buckets that differ.
 type Versions struct {
 	Set SetID
-	// All says that Items is everything the sender holds, whatever Buckets says.
+	// All reports that Items lists the sender's whole set, regardless of Buckets.
 	All     bool
 	Buckets []uint32      `msg:"buckets,limit=4096"`
 	Items   []VersionItem `msg:"items,limit=20000"`
 }
 
-// Pull asks for whole entries; All asks for the whole set.
+// Pull requests full entries, or the whole set if All is set.
 type Pull struct {
 	Set   SetID
 	All   bool
 	Items []VersionItem `msg:"items,limit=20000"`
 }
 
-// Snapshot is a part of a whole set, in answer to Pull with All.
+// Snapshot is one part of a whole set, sent in answer to Pull with All.
 type Snapshot struct {
 	Set     SetID
 	Entries []Entry `msg:"entries,limit=20000"`
-	// Part counts from 0; Last marks the last part.
+	// Part is the index of the part, from 0. Last marks the last part.
 	Part uint32
 	Last bool
-	// Complete is false where the sender does not hold a complete set itself.
+	// Complete is false if the sender's own set is incomplete.
 	Complete bool
 }
 
@@ -95,14 +95,14 @@
 const (
 	PacketPing PacketKind = iota + 1
 	PacketAck
-	// PacketPingRequest asks the receiver to probe Target for the sender.
+	// PacketPingRequest asks the receiver to probe ProbedHost on behalf of the sender.
 	PacketPingRequest
 )
 
-// MemberClaim is a claim about one host's life.
+// MemberClaim is a claim about the status of one host.
 type MemberClaim struct {
 	Host string
-	// Version is the host's own version that the claim is about.
+	// Version is the version of the host's state that the claim refers to.
 	Version int64
 	// Status is a member.Status.
 	Status uint8
@@ -113,11 +113,11 @@
 	Kind PacketKind
 	Seq  uint64
 	From string
-	// FromVersion is the sender's own version.
+	// FromVersion is the version of the sender's own state.
 	FromVersion int64
-	// FromAddr is the sender's address, to answer a host not yet known.
+	// FromAddr is the sender's address, needed to answer a host that is not yet known.
 	FromAddr string
-	// ProbedHost is the host that a ping is meant for.
+	// ProbedHost is the host that a ping is intended for.
 	ProbedHost string
 	ProbedAddr string
 	Claims     []MemberClaim `msg:"notes,limit=64"`
@@ -134,12 +134,12 @@
 	Health    uint8
 	Evidence  uint32
 	StartedMS int64
-	// WarmLeftMS is how much longer the instance is slow after its start, in
-	// milliseconds: a duration, because hosts' clocks differ.
+	// WarmLeftMS is the rest of the instance's warm-up in milliseconds. It is a duration
+	// because the clocks of hosts differ.
 	WarmLeftMS uint32
 }
 
-// HostState is what a host says of itself; the host is its only writer.
+// HostState is the state that a host publishes about itself, as its only writer.
 type HostState struct {
 	DC          string
 	Peer        string
@@ -149,30 +149,31 @@
 	Instances   []HostInstance `msg:"instances,limit=256"`
 }
 
-// InstanceEnd is the end of one start of an instance.
+// InstanceEnd is a crash of an instance.
 type InstanceEnd struct {
 	Service string
-	// SoftwareVersion is that of the instance's software.
+	// SoftwareVersion is the version of the instance's software.
 	SoftwareVersion string
-	// Host is the host that noticed it.
+	// Host is the host that detected the crash.
 	Host string
-	// AtMS is when it was noticed, in Unix milliseconds of that host.
+	// AtMS is the time of detection, in Unix milliseconds of that host's clock.
 	AtMS int64
-	// Prints are the requests that it ran, see crash.Print.
+	// Prints are the fingerprints of the requests that were running, see
+	// crash.Fingerprint.
 	Prints []uint64 `msg:"prints,limit=256"`
 }
 
-// Report tells the host that sums up a data centre what the sender has in
-// force.
+// Report tells the host that aggregates the status of a data centre which records the
+// sender has in force.
 type Report struct {
 	Root   uint64
 	Newest int64
 	Whole  bool
-	// Rejected are the records that the sender holds the last good of.
+	// Rejected lists the records whose last valid version stays in force at the sender.
 	Rejected []ReportRejected `msg:"rejected,limit=64"`
 }
 
-// ReportRejected is one record that is not in force as written.
+// ReportRejected is a record whose current version is not in force.
 type ReportRejected struct {
 	Key     string
 	Version int64
--- a/internal/msg/control_gen.go
+++ b/internal/msg/control_gen.go
@@ -498,66 +498,40 @@
 // MarshalMsg implements msgp.Marshaler
 func (z MemberClaim) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
-	// map header, size 3
-	// string "Host"
-	o = append(o, 0x83, 0xa4, 0x48, 0x6f, 0x73, 0x74)
+	// array header, size 3
+	o = append(o, 0x93)
 	o = msgp.AppendString(o, z.Host)
-	// string "Version"
-	o = append(o, 0xa7, 0x56, 0x65, 0x72, 0x73, 0x69, 0x6f, 0x6e)
 	o = msgp.AppendInt64(o, z.Version)
-	// string "Status"
-	o = append(o, 0xa6, 0x53, 0x74, 0x61, 0x74, 0x75, 0x73)
 	o = msgp.AppendUint8(o, z.Status)
 	return
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
 func (z *MemberClaim) UnmarshalMsg(bts []byte) (o []byte, err error) {
-	var field []byte
-	_ = field
 	var zb0001 uint32
-	zb0001, bts, err = msgp.ReadMapHeaderBytes(bts)
+	zb0001, bts, err = msgp.ReadArrayHeaderBytes(bts)
 	if err != nil {
 		err = msgp.WrapError(err)
 		return
 	}
-	if zb0001 > zfe1bd8eflimitMaps {
-		err = msgp.ErrLimitExceeded
+	if zb0001 != 3 {
+		err = msgp.ArrayError{Wanted: 3, Got: zb0001}
 		return
 	}
-	for zb0001 > 0 {
-		zb0001--
-		field, bts, err = msgp.ReadMapKeyZC(bts)
-		if err != nil {
-			err = msgp.WrapError(err)
-			return
-		}
-		switch msgp.UnsafeString(field) {
-		case "Host":
-			z.Host, bts, err = msgp.ReadStringBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Host")
-				return
-			}
-		case "Version":
-			z.Version, bts, err = msgp.ReadInt64Bytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Version")
-				return
-			}
-		case "Status":
-			z.Status, bts, err = msgp.ReadUint8Bytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Status")
-				return
-			}
-		default:
-			bts, err = msgp.Skip(bts)
-			if err != nil {
-				err = msgp.WrapError(err)
-				return
-			}
-		}
+	z.Host, bts, err = msgp.ReadStringBytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err, "Host")
+		return
+	}
+	z.Version, bts, err = msgp.ReadInt64Bytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err, "Version")
+		return
+	}
+	z.Status, bts, err = msgp.ReadUint8Bytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err, "Status")
+		return
 	}
 	o = bts
 	return
@@ -565,7 +539,7 @@
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
 func (z MemberClaim) Msgsize() (s int) {
-	s = 1 + 5 + msgp.StringPrefixSize + len(z.Host) + 8 + msgp.Int64Size + 7 + msgp.Uint8Size
+	s = 1 + msgp.StringPrefixSize + len(z.Host) + msgp.Int64Size + msgp.Uint8Size
 	return
 }
 
@@ -583,15 +557,10 @@
 	o = msgp.AppendString(o, z.ProbedAddr)
 	o = msgp.AppendArrayHeader(o, uint32(len(z.Claims)))
 	for za0001 := range z.Claims {
-		// map header, size 3
-		// string "Host"
-		o = append(o, 0x83, 0xa4, 0x48, 0x6f, 0x73, 0x74)
+		// array header, size 3
+		o = append(o, 0x93)
 		o = msgp.AppendString(o, z.Claims[za0001].Host)
-		// string "Version"
-		o = append(o, 0xa7, 0x56, 0x65, 0x72, 0x73, 0x69, 0x6f, 0x6e)
 		o = msgp.AppendInt64(o, z.Claims[za0001].Version)
-		// string "Status"
-		o = append(o, 0xa6, 0x53, 0x74, 0x61, 0x74, 0x75, 0x73)
 		o = msgp.AppendUint8(o, z.Claims[za0001].Status)
 	}
 	return
@@ -664,51 +633,30 @@
 		z.Claims = make([]MemberClaim, zb0003)
 	}
 	for za0001 := range z.Claims {
-		var field []byte
-		_ = field
 		var zb0004 uint32
-		zb0004, bts, err = msgp.ReadMapHeaderBytes(bts)
+		zb0004, bts, err = msgp.ReadArrayHeaderBytes(bts)
 		if err != nil {
 			err = msgp.WrapError(err, "Claims", za0001)
 			return
 		}
-		if zb0004 > 64 {
-			err = msgp.ErrLimitExceeded
+		if zb0004 != 3 {
+			err = msgp.ArrayError{Wanted: 3, Got: zb0004}
+			return
+		}
+		z.Claims[za0001].Host, bts, err = msgp.ReadStringBytes(bts)
+		if err != nil {
+			err = msgp.WrapError(err, "Claims", za0001, "Host")
 			return
 		}
-		for zb0004 > 0 {
-			zb0004--
-			field, bts, err = msgp.ReadMapKeyZC(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Claims", za0001)
-				return
-			}
-			switch msgp.UnsafeString(field) {
-			case "Host":
-				z.Claims[za0001].Host, bts, err = msgp.ReadStringBytes(bts)
-				if err != nil {
-					err = msgp.WrapError(err, "Claims", za0001, "Host")
-					return
-				}
-			case "Version":
-				z.Claims[za0001].Version, bts, err = msgp.ReadInt64Bytes(bts)
-				if err != nil {
-					err = msgp.WrapError(err, "Claims", za0001, "Version")
-					return
-				}
-			case "Status":
-				z.Claims[za0001].Status, bts, err = msgp.ReadUint8Bytes(bts)
-				if err != nil {
-					err = msgp.WrapError(err, "Claims", za0001, "Status")
-					return
-				}
-			default:
-				bts, err = msgp.Skip(bts)
-				if err != nil {
-					err = msgp.WrapError(err, "Claims", za0001)
-					return
-				}
-			}
+		z.Claims[za0001].Version, bts, err = msgp.ReadInt64Bytes(bts)
+		if err != nil {
+			err = msgp.WrapError(err, "Claims", za0001, "Version")
+			return
+		}
+		z.Claims[za0001].Status, bts, err = msgp.ReadUint8Bytes(bts)
+		if err != nil {
+			err = msgp.WrapError(err, "Claims", za0001, "Status")
+			return
 		}
 	}
 	o = bts
@@ -719,7 +667,7 @@
 func (z *Packet) Msgsize() (s int) {
 	s = 1 + msgp.Uint8Size + msgp.Uint64Size + msgp.StringPrefixSize + len(z.From) + msgp.Int64Size + msgp.StringPrefixSize + len(z.FromAddr) + msgp.StringPrefixSize + len(z.ProbedHost) + msgp.StringPrefixSize + len(z.ProbedAddr) + msgp.ArrayHeaderSize
 	for za0001 := range z.Claims {
-		s += 1 + 5 + msgp.StringPrefixSize + len(z.Claims[za0001].Host) + 8 + msgp.Int64Size + 7 + msgp.Uint8Size
+		s += 1 + msgp.StringPrefixSize + len(z.Claims[za0001].Host) + msgp.Int64Size + msgp.Uint8Size
 	}
 	return
 }
--- a/internal/msg/keys.go
+++ b/internal/msg/keys.go
@@ -5,10 +5,11 @@
 //go:generate go tool msgp -o keys_gen.go -tests=false -io=false
 
 //msgp:limit arrays:1200000 maps:64
-//msgp:tuple KeyClaim KeyClaimed KeyDone Promise Promised KeyEntry Handover HandoverDone
+//msgp:tuple KeyClaim KeyClaimed KeyResult LeaseRequest LeaseReply KeyEntry Handover HandoverDone
 //msgp:shim verdict.Verdict as:uint8 using:uint8/verdict.Verdict
 
-// KeyClaim asks a shard's owner whether a keyed request may run now.
+// KeyClaim asks the owner of a shard whether a request with an idempotency key may run
+// now.
 type KeyClaim struct {
 	Service string
 	Shard   uint32
@@ -16,7 +17,8 @@
 	// BodyHash binds the key to one request.
 	BodyHash  uint64
 	RequestID string
-	// CreatedMS is the key's own time stamp in Unix milliseconds, 0 if opaque.
+	// CreatedMS is the time stamp contained in the key, in Unix milliseconds, or 0 if the
+	// key is opaque.
 	CreatedMS int64
 }
 
@@ -25,15 +27,15 @@
 	// Outcome is a once.ClaimOutcome.
 	Outcome uint8
 	Epoch   uint64
-	// Status, Header and Body replay a finished answer.
+	// Status, Header and Body are the stored response to replay.
 	Status uint16
 	Header []Field `msg:"header,limit=256"`
 	Body   []byte
-	// RetryAfterMS helps a caller that was refused.
+	// RetryAfterMS is when a refused caller may try again.
 	RetryAfterMS uint32
 }
 
-// KeyResult tells the owner how a claimed request ended.
+// KeyResult tells the owner the result of a claimed request.
 type KeyResult struct {
 	Service   string
 	Shard     uint32
@@ -42,40 +44,40 @@
 	RequestID string
 	Verdict   verdict.Verdict
 	Complete  bool
-	// Stored says that the answer below is to be given again.
+	// Stored reports whether the response below is to be stored for replay.
 	Stored bool
 	Status uint16
 	Header []Field `msg:"header,limit=256"`
 	Body   []byte
 }
 
-// LeaseRequest asks a guard of a service to promise a shard's epoch to an owner.
+// LeaseRequest asks a guard of a service to lease a shard to an owner for an epoch.
 type LeaseRequest struct {
 	Service string
 	Shard   uint32
 	Epoch   uint64
 	Owner   string
-	// Release gives an epoch back before its promise has run out.
+	// Release ends the lease of the epoch before it expires.
 	Release bool
 }
 
-// LeaseReply answers Promise.
+// LeaseReply answers LeaseRequest.
 type LeaseReply struct {
 	Granted bool
-	// Epoch is the epoch the guard holds to now.
+	// Epoch is the epoch that the guard has currently leased.
 	Epoch uint64
-	// TTLMS is how long the promise lasts, counted by the owner from asking.
+	// TTLMS is the duration of the lease, which the owner counts from its request.
 	TTLMS uint32
-	// RetryAfterMS is when asking again can help.
+	// RetryAfterMS is the time after which another request may succeed.
 	RetryAfterMS uint32
 }
 
-// KeyEntry is one row of a key table in a handover.
+// KeyEntry is one entry of a key table in a handover.
 type KeyEntry struct {
 	Key       string
 	BodyHash  uint64
 	RequestID string
-	// State is a once key state; AgeMS is how long it has lasted.
+	// State is the key state of package once, and AgeMS the time since it was entered.
 	State  uint8
 	AgeMS  int64
 	Stored bool
@@ -84,14 +86,14 @@
 	Body   []byte
 }
 
-// Handover moves a shard's key table to its next owner, in parts.
+// Handover transfers the key table of a shard to its next owner, in parts.
 type Handover struct {
 	Service string
 	Shard   uint32
-	// Epoch is the epoch that the next owner will have.
+	// Epoch is the epoch of the next owner.
 	Epoch uint64
-	// Since and OpaqueMS say what the table does not know: keys minted up to
-	// a wall time, and for how long keys without a time stamp are refused.
+	// Since and OpaqueMS state what the table may lack: keys created up to the wall time
+	// Since. Opaque keys are refused for another OpaqueMS milliseconds for that reason.
 	Since    int64
 	OpaqueMS int64
 	Part     uint32
@@ -100,7 +102,7 @@
 	Last bool
 }
 
-// HandoverDone answers each part of a Handover, and KeyDone.
+// HandoverDone answers each part of a Handover, and KeyResult.
 type HandoverDone struct {
 	Accepted bool
 }
--- a/internal/msg/keys_gen.go
+++ b/internal/msg/keys_gen.go
@@ -462,36 +462,17 @@
 // MarshalMsg implements msgp.Marshaler
 func (z *KeyResult) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
-	// map header, size 11
-	// string "Service"
-	o = append(o, 0x8b, 0xa7, 0x53, 0x65, 0x72, 0x76, 0x69, 0x63, 0x65)
+	// array header, size 11
+	o = append(o, 0x9b)
 	o = msgp.AppendString(o, z.Service)
-	// string "Shard"
-	o = append(o, 0xa5, 0x53, 0x68, 0x61, 0x72, 0x64)
 	o = msgp.AppendUint32(o, z.Shard)
-	// string "Epoch"
-	o = append(o, 0xa5, 0x45, 0x70, 0x6f, 0x63, 0x68)
 	o = msgp.AppendUint64(o, z.Epoch)
-	// string "Key"
-	o = append(o, 0xa3, 0x4b, 0x65, 0x79)
 	o = msgp.AppendString(o, z.Key)
-	// string "RequestID"
-	o = append(o, 0xa9, 0x52, 0x65, 0x71, 0x75, 0x65, 0x73, 0x74, 0x49, 0x44)
 	o = msgp.AppendString(o, z.RequestID)
-	// string "Verdict"
-	o = append(o, 0xa7, 0x56, 0x65, 0x72, 0x64, 0x69, 0x63, 0x74)
 	o = msgp.AppendUint8(o, uint8(z.Verdict))
-	// string "Complete"
-	o = append(o, 0xa8, 0x43, 0x6f, 0x6d, 0x70, 0x6c, 0x65, 0x74, 0x65)
 	o = msgp.AppendBool(o, z.Complete)
-	// string "Stored"
-	o = append(o, 0xa6, 0x53, 0x74, 0x6f, 0x72, 0x65, 0x64)
 	o = msgp.AppendBool(o, z.Stored)
-	// string "Status"
-	o = append(o, 0xa6, 0x53, 0x74, 0x61, 0x74, 0x75, 0x73)
 	o = msgp.AppendUint16(o, z.Status)
-	// string "header"
-	o = append(o, 0xa6, 0x68, 0x65, 0x61, 0x64, 0x65, 0x72)
 	o = msgp.AppendArrayHeader(o, uint32(len(z.Header)))
 	for za0001 := range z.Header {
 		o, err = z.Header[za0001].MarshalMsg(o)
@@ -500,231 +481,171 @@
 			return
 		}
 	}
-	// string "Body"
-	o = append(o, 0xa4, 0x42, 0x6f, 0x64, 0x79)
 	o = msgp.AppendBytes(o, z.Body)
 	return
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
 func (z *KeyResult) UnmarshalMsg(bts []byte) (o []byte, err error) {
-	var field []byte
-	_ = field
 	var zb0001 uint32
-	zb0001, bts, err = msgp.ReadMapHeaderBytes(bts)
+	zb0001, bts, err = msgp.ReadArrayHeaderBytes(bts)
 	if err != nil {
 		err = msgp.WrapError(err)
 		return
 	}
-	if zb0001 > zde46b8ablimitMaps {
-		err = msgp.ErrLimitExceeded
+	if zb0001 != 11 {
+		err = msgp.ArrayError{Wanted: 11, Got: zb0001}
+		return
+	}
+	z.Service, bts, err = msgp.ReadStringBytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err, "Service")
 		return
 	}
-	for zb0001 > 0 {
-		zb0001--
-		field, bts, err = msgp.ReadMapKeyZC(bts)
+	z.Shard, bts, err = msgp.ReadUint32Bytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err, "Shard")
+		return
+	}
+	z.Epoch, bts, err = msgp.ReadUint64Bytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err, "Epoch")
+		return
+	}
+	z.Key, bts, err = msgp.ReadStringBytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err, "Key")
+		return
+	}
+	z.RequestID, bts, err = msgp.ReadStringBytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err, "RequestID")
+		return
+	}
+	{
+		var zb0002 uint8
+		zb0002, bts, err = msgp.ReadUint8Bytes(bts)
 		if err != nil {
-			err = msgp.WrapError(err)
+			err = msgp.WrapError(err, "Verdict")
 			return
 		}
-		switch msgp.UnsafeString(field) {
-		case "Service":
-			z.Service, bts, err = msgp.ReadStringBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Service")
-				return
-			}
-		case "Shard":
-			z.Shard, bts, err = msgp.ReadUint32Bytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Shard")
-				return
-			}
-		case "Epoch":
-			z.Epoch, bts, err = msgp.ReadUint64Bytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Epoch")
-				return
-			}
-		case "Key":
-			z.Key, bts, err = msgp.ReadStringBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Key")
-				return
-			}
-		case "RequestID":
-			z.RequestID, bts, err = msgp.ReadStringBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "RequestID")
-				return
-			}
-		case "Verdict":
-			{
-				var zb0002 uint8
-				zb0002, bts, err = msgp.ReadUint8Bytes(bts)
-				if err != nil {
-					err = msgp.WrapError(err, "Verdict")
-					return
-				}
-				z.Verdict = verdict.Verdict(zb0002)
-			}
-		case "Complete":
-			z.Complete, bts, err = msgp.ReadBoolBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Complete")
-				return
-			}
-		case "Stored":
-			z.Stored, bts, err = msgp.ReadBoolBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Stored")
-				return
-			}
-		case "Status":
-			z.Status, bts, err = msgp.ReadUint16Bytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Status")
-				return
-			}
-		case "header":
-			var zb0003 uint32
-			zb0003, bts, err = msgp.ReadArrayHeaderBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Header")
-				return
-			}
-			if zb0003 > 256 {
-				err = msgp.ErrLimitExceeded
-				return
-			}
-			if cap(z.Header) >= int(zb0003) {
-				z.Header = (z.Header)[:zb0003]
-			} else {
-				z.Header = make([]Field, zb0003)
-			}
-			for za0001 := range z.Header {
-				bts, err = z.Header[za0001].UnmarshalMsg(bts)
-				if err != nil {
-					err = msgp.WrapError(err, "Header", za0001)
-					return
-				}
-			}
-		case "Body":
-			var zb0004 uint32
-			zb0004, bts, err = msgp.ReadBytesHeader(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Body")
-				return
-			}
-			if zb0004 > zde46b8ablimitArrays {
-				err = msgp.ErrLimitExceeded
-				return
-			}
-			if z.Body == nil || uint32(cap(z.Body)) < zb0004 {
-				z.Body = make([]byte, zb0004)
-			} else {
-				z.Body = z.Body[:zb0004]
-			}
-			if uint32(len(bts)) < zb0004 {
-				err = msgp.ErrShortBytes
-				return
-			}
-			copy(z.Body, bts[:zb0004])
-			bts = bts[zb0004:]
-		default:
-			bts, err = msgp.Skip(bts)
-			if err != nil {
-				err = msgp.WrapError(err)
-				return
-			}
+		z.Verdict = verdict.Verdict(zb0002)
+	}
+	z.Complete, bts, err = msgp.ReadBoolBytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err, "Complete")
+		return
+	}
+	z.Stored, bts, err = msgp.ReadBoolBytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err, "Stored")
+		return
+	}
+	z.Status, bts, err = msgp.ReadUint16Bytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err, "Status")
+		return
+	}
+	var zb0003 uint32
+	zb0003, bts, err = msgp.ReadArrayHeaderBytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err, "Header")
+		return
+	}
+	if zb0003 > 256 {
+		err = msgp.ErrLimitExceeded
+		return
+	}
+	if cap(z.Header) >= int(zb0003) {
+		z.Header = (z.Header)[:zb0003]
+	} else {
+		z.Header = make([]Field, zb0003)
+	}
+	for za0001 := range z.Header {
+		bts, err = z.Header[za0001].UnmarshalMsg(bts)
+		if err != nil {
+			err = msgp.WrapError(err, "Header", za0001)
+			return
 		}
 	}
+	var zb0004 uint32
+	zb0004, bts, err = msgp.ReadBytesHeader(bts)
+	if err != nil {
+		err = msgp.WrapError(err, "Body")
+		return
+	}
+	if zb0004 > zde46b8ablimitArrays {
+		err = msgp.ErrLimitExceeded
+		return
+	}
+	if z.Body == nil || uint32(cap(z.Body)) < zb0004 {
+		z.Body = make([]byte, zb0004)
+	} else {
+		z.Body = z.Body[:zb0004]
+	}
+	if uint32(len(bts)) < zb0004 {
+		err = msgp.ErrShortBytes
+		return
+	}
+	copy(z.Body, bts[:zb0004])
+	bts = bts[zb0004:]
 	o = bts
 	return
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
 func (z *KeyResult) Msgsize() (s int) {
-	s = 1 + 8 + msgp.StringPrefixSize + len(z.Service) + 6 + msgp.Uint32Size + 6 + msgp.Uint64Size + 4 + msgp.StringPrefixSize + len(z.Key) + 10 + msgp.StringPrefixSize + len(z.RequestID) + 8 + msgp.Uint8Size + 9 + msgp.BoolSize + 7 + msgp.BoolSize + 7 + msgp.Uint16Size + 7 + msgp.ArrayHeaderSize
+	s = 1 + msgp.StringPrefixSize + len(z.Service) + msgp.Uint32Size + msgp.Uint64Size + msgp.StringPrefixSize + len(z.Key) + msgp.StringPrefixSize + len(z.RequestID) + msgp.Uint8Size + msgp.BoolSize + msgp.BoolSize + msgp.Uint16Size + msgp.ArrayHeaderSize
 	for za0001 := range z.Header {
 		s += z.Header[za0001].Msgsize()
 	}
-	s += 5 + msgp.BytesPrefixSize + len(z.Body)
+	s += msgp.BytesPrefixSize + len(z.Body)
 	return
 }
 
 // MarshalMsg implements msgp.Marshaler
 func (z *LeaseReply) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
-	// map header, size 4
-	// string "Granted"
-	o = append(o, 0x84, 0xa7, 0x47, 0x72, 0x61, 0x6e, 0x74, 0x65, 0x64)
+	// array header, size 4
+	o = append(o, 0x94)
 	o = msgp.AppendBool(o, z.Granted)
-	// string "Epoch"
-	o = append(o, 0xa5, 0x45, 0x70, 0x6f, 0x63, 0x68)
 	o = msgp.AppendUint64(o, z.Epoch)
-	// string "TTLMS"
-	o = append(o, 0xa5, 0x54, 0x54, 0x4c, 0x4d, 0x53)
 	o = msgp.AppendUint32(o, z.TTLMS)
-	// string "RetryAfterMS"
-	o = append(o, 0xac, 0x52, 0x65, 0x74, 0x72, 0x79, 0x41, 0x66, 0x74, 0x65, 0x72, 0x4d, 0x53)
 	o = msgp.AppendUint32(o, z.RetryAfterMS)
 	return
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
 func (z *LeaseReply) UnmarshalMsg(bts []byte) (o []byte, err error) {
-	var field []byte
-	_ = field
 	var zb0001 uint32
-	zb0001, bts, err = msgp.ReadMapHeaderBytes(bts)
+	zb0001, bts, err = msgp.ReadArrayHeaderBytes(bts)
 	if err != nil {
 		err = msgp.WrapError(err)
 		return
 	}
-	if zb0001 > zde46b8ablimitMaps {
-		err = msgp.ErrLimitExceeded
+	if zb0001 != 4 {
+		err = msgp.ArrayError{Wanted: 4, Got: zb0001}
 		return
 	}
-	for zb0001 > 0 {
-		zb0001--
-		field, bts, err = msgp.ReadMapKeyZC(bts)
-		if err != nil {
-			err = msgp.WrapError(err)
-			return
-		}
-		switch msgp.UnsafeString(field) {
-		case "Granted":
-			z.Granted, bts, err = msgp.ReadBoolBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Granted")
-				return
-			}
-		case "Epoch":
-			z.Epoch, bts, err = msgp.ReadUint64Bytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Epoch")
-				return
-			}
-		case "TTLMS":
-			z.TTLMS, bts, err = msgp.ReadUint32Bytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "TTLMS")
-				return
-			}
-		case "RetryAfterMS":
-			z.RetryAfterMS, bts, err = msgp.ReadUint32Bytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "RetryAfterMS")
-				return
-			}
-		default:
-			bts, err = msgp.Skip(bts)
-			if err != nil {
-				err = msgp.WrapError(err)
-				return
-			}
-		}
+	z.Granted, bts, err = msgp.ReadBoolBytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err, "Granted")
+		return
+	}
+	z.Epoch, bts, err = msgp.ReadUint64Bytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err, "Epoch")
+		return
+	}
+	z.TTLMS, bts, err = msgp.ReadUint32Bytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err, "TTLMS")
+		return
+	}
+	z.RetryAfterMS, bts, err = msgp.ReadUint32Bytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err, "RetryAfterMS")
+		return
 	}
 	o = bts
 	return
@@ -732,91 +653,59 @@
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
 func (z *LeaseReply) Msgsize() (s int) {
-	s = 1 + 8 + msgp.BoolSize + 6 + msgp.Uint64Size + 6 + msgp.Uint32Size + 13 + msgp.Uint32Size
+	s = 1 + msgp.BoolSize + msgp.Uint64Size + msgp.Uint32Size + msgp.Uint32Size
 	return
 }
 
 // MarshalMsg implements msgp.Marshaler
 func (z *LeaseRequest) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
-	// map header, size 5
-	// string "Service"
-	o = append(o, 0x85, 0xa7, 0x53, 0x65, 0x72, 0x76, 0x69, 0x63, 0x65)
+	// array header, size 5
+	o = append(o, 0x95)
 	o = msgp.AppendString(o, z.Service)
-	// string "Shard"
-	o = append(o, 0xa5, 0x53, 0x68, 0x61, 0x72, 0x64)
 	o = msgp.AppendUint32(o, z.Shard)
-	// string "Epoch"
-	o = append(o, 0xa5, 0x45, 0x70, 0x6f, 0x63, 0x68)
 	o = msgp.AppendUint64(o, z.Epoch)
-	// string "Owner"
-	o = append(o, 0xa5, 0x4f, 0x77, 0x6e, 0x65, 0x72)
 	o = msgp.AppendString(o, z.Owner)
-	// string "Release"
-	o = append(o, 0xa7, 0x52, 0x65, 0x6c, 0x65, 0x61, 0x73, 0x65)
 	o = msgp.AppendBool(o, z.Release)
 	return
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
 func (z *LeaseRequest) UnmarshalMsg(bts []byte) (o []byte, err error) {
-	var field []byte
-	_ = field
 	var zb0001 uint32
-	zb0001, bts, err = msgp.ReadMapHeaderBytes(bts)
+	zb0001, bts, err = msgp.ReadArrayHeaderBytes(bts)
 	if err != nil {
 		err = msgp.WrapError(err)
 		return
 	}
-	if zb0001 > zde46b8ablimitMaps {
-		err = msgp.ErrLimitExceeded
+	if zb0001 != 5 {
+		err = msgp.ArrayError{Wanted: 5, Got: zb0001}
 		return
 	}
-	for zb0001 > 0 {
-		zb0001--
-		field, bts, err = msgp.ReadMapKeyZC(bts)
-		if err != nil {
-			err = msgp.WrapError(err)
-			return
-		}
-		switch msgp.UnsafeString(field) {
-		case "Service":
-			z.Service, bts, err = msgp.ReadStringBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Service")
-				return
-			}
-		case "Shard":
-			z.Shard, bts, err = msgp.ReadUint32Bytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Shard")
-				return
-			}
-		case "Epoch":
-			z.Epoch, bts, err = msgp.ReadUint64Bytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Epoch")
-				return
-			}
-		case "Owner":
-			z.Owner, bts, err = msgp.ReadStringBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Owner")
-				return
-			}
-		case "Release":
-			z.Release, bts, err = msgp.ReadBoolBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Release")
-				return
-			}
-		default:
-			bts, err = msgp.Skip(bts)
-			if err != nil {
-				err = msgp.WrapError(err)
-				return
-			}
-		}
+	z.Service, bts, err = msgp.ReadStringBytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err, "Service")
+		return
+	}
+	z.Shard, bts, err = msgp.ReadUint32Bytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err, "Shard")
+		return
+	}
+	z.Epoch, bts, err = msgp.ReadUint64Bytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err, "Epoch")
+		return
+	}
+	z.Owner, bts, err = msgp.ReadStringBytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err, "Owner")
+		return
+	}
+	z.Release, bts, err = msgp.ReadBoolBytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err, "Release")
+		return
 	}
 	o = bts
 	return
@@ -824,6 +713,6 @@
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
 func (z *LeaseRequest) Msgsize() (s int) {
-	s = 1 + 8 + msgp.StringPrefixSize + len(z.Service) + 6 + msgp.Uint32Size + 6 + msgp.Uint64Size + 6 + msgp.StringPrefixSize + len(z.Owner) + 8 + msgp.BoolSize
+	s = 1 + msgp.StringPrefixSize + len(z.Service) + msgp.Uint32Size + msgp.Uint64Size + msgp.StringPrefixSize + len(z.Owner) + msgp.BoolSize
 	return
 }
--- a/internal/msg/kinds.go
+++ b/internal/msg/kinds.go
@@ -17,7 +17,7 @@
 func (*KeyClaimed) Kind() Kind   { return KindKeyClaimed }   // Kind implements Message.
 func (*KeyResult) Kind() Kind    { return KindKeyDone }      // Kind implements Message.
 func (*LeaseRequest) Kind() Kind { return KindPromise }      // Kind implements Message.
-func (*LeaseReply) Kind() Kind   { return KindPromised }     // Kind implements Message.
+func (*LeaseReply) Kind() Kind   { return KindLeaseReply }   // Kind implements Message.
 func (*Handover) Kind() Kind     { return KindHandover }     // Kind implements Message.
 func (*HandoverDone) Kind() Kind { return KindHandoverDone } // Kind implements Message.
 func (*Rumor) Kind() Kind        { return KindRumor }        // Kind implements Message.
@@ -27,12 +27,12 @@
 func (*Pull) Kind() Kind         { return KindPull }         // Kind implements Message.
 func (*Snapshot) Kind() Kind     { return KindSnapshot }     // Kind implements Message.
 
-func (*Ping) Kind() Kind       { return KindPing }   // Kind implements Message.
-func (*Report) Kind() Kind     { return KindReport } // Kind implements Message.
-func (*Pong) Kind() Kind       { return KindPong }   // Kind implements Message.
-func (*LoadReport) Kind() Kind { return KindPulse }  // Kind implements Message.
+func (*Ping) Kind() Kind       { return KindPing }       // Kind implements Message.
+func (*Report) Kind() Kind     { return KindReport }     // Kind implements Message.
+func (*Pong) Kind() Kind       { return KindPong }       // Kind implements Message.
+func (*LoadReport) Kind() Kind { return KindLoadReport } // Kind implements Message.
 
-// New makes an empty message of a kind; an unknown kind is an error.
+// New returns an empty message of the given kind, or an error if the kind is unknown.
 func New(k Kind) (Message, error) {
 	switch k {
 	case KindHello:
@@ -63,7 +63,7 @@
 		return &KeyResult{}, nil
 	case KindPromise:
 		return &LeaseRequest{}, nil
-	case KindPromised:
+	case KindLeaseReply:
 		return &LeaseReply{}, nil
 	case KindHandover:
 		return &Handover{}, nil
@@ -85,7 +85,7 @@
 		return &Ping{}, nil
 	case KindPong:
 		return &Pong{}, nil
-	case KindPulse:
+	case KindLoadReport:
 		return &LoadReport{}, nil
 	case KindReport:
 		return &Report{}, nil
--- a/internal/msg/msg.go
+++ b/internal/msg/msg.go
@@ -1,4 +1,4 @@
-// Package msg holds the typed messages between the system's processes, with
+// Package msg defines the typed messages between the system's processes, with
 // generated msgpack codecs. It does no I/O; package wire frames them.
 package msg
 
@@ -25,7 +25,7 @@
 	KindKeyClaimed
 	KindKeyDone
 	KindPromise
-	KindPromised
+	KindLeaseReply
 	KindHandover
 	KindHandoverDone
 	KindRumor
@@ -37,7 +37,7 @@
 	KindPing
 	KindPong
 	KindReport
-	KindPulse
+	KindLoadReport
 )
 
 // Message is one typed message between two processes of the system.
--- a/internal/msg/requests.go
+++ b/internal/msg/requests.go
@@ -5,7 +5,7 @@
 //go:generate go tool msgp -o requests_gen.go -tests=false -io=false
 
 //msgp:limit arrays:1200000 maps:64
-//msgp:tuple Field Aim Load InstanceLoad Pulse Sample Hello Reserve Grant Run Data End Cancel Window Fail Head Ping Pong
+//msgp:tuple Field AdmissionHints Load InstanceLoad LoadReport Sample Hello Reserve Grant Run Data End Cancel Window Fail Head Ping Pong
 //msgp:shim verdict.Verdict as:uint8 using:uint8/verdict.Verdict
 //msgp:shim verdict.Reason as:string using:string/verdict.Reason
 
@@ -15,39 +15,41 @@
 	Value string
 }
 
-// Load is a guard's exact count for one instance at the moment it was sent.
+// Load is the load and condition of one instance, as its guard knew them on sending.
 type Load struct {
 	Slots   uint32
 	Running uint32
 	Queued  uint32
-	// WaitingMS is the work that waits at each priority, in milliseconds of one
-	// slot: a newcomer waits behind its own and the higher ones only.
+	// WaitingMS is the queued work per priority, in milliseconds of one slot. A new
+	// request waits only for the work of its own and of higher priorities.
 	WaitingMS [4]uint32
-	// Health is the guard's judgement of the instance, see detect.Health.
+	// Health is the guard's assessment of the instance, see detect.Health.
 	Health uint8
 	// Evidence is the detector's score, in hundredths of a nat.
 	Evidence uint32
-	// FailureEstimate is the guard's estimate of the chance that the instance is failing
-	// most of its requests at present, in thousandths.
+	// FailureEstimate is the guard's estimate of the probability that the instance
+	// currently fails most of its requests, in thousandths.
 	FailureEstimate uint16
-	// ShedShare is the share of recent requests that the instance refused though it
+	// ShedShare is the share of recent requests that the instance refused although it
 	// had a free slot, in thousandths.
 	ShedShare uint16
-	// RetryBudgetLeft is how many repeats the guard's part of the service's retry
-	// budget has left.
+	// RetryBudgetLeft is the number of repeats left in the guard's part of the service's
+	// retry budget.
 	RetryBudgetLeft uint16
-	// RetryBudgetOverdrawn says that the request may have been a call of a repeated run, and
-	// that no repeat is left here: the host where it began makes too many.
+	// RetryBudgetOverdrawn reports that the request may have been a call made by a
+	// repeated run while the budget here was used up: the host where the request
+	// originates repeats too many.
 	RetryBudgetOverdrawn bool
-	// WantsTrial says that the guard would like a request: the instance has nothing to
-	// do, or is in doubt and one that can be repeated would tell how it is.
+	// WantsTrial reports that the guard would like to receive a request: the instance is
+	// idle, or its condition is uncertain and a repeatable request would show it.
 	WantsTrial bool
 }
 
-// FailureProbability is Sick as a probability.
+// FailureProbability returns FailureEstimate as a probability.
 func (l Load) FailureProbability() float64 { return float64(l.FailureEstimate) / Thousandths }
 
-// Thousandths is the scale of Load.Sick and Sample.Pace: what is sent for 1.
+// Thousandths is the value that stands for 1 in Load.FailureEstimate and
+// Sample.LatencyRatio.
 const Thousandths = 1000
 
 // InstanceLoad is the Load of one named instance.
@@ -57,21 +59,21 @@
 	Load     Load
 }
 
-// LoadReport tells fronts what has changed at a guard's instances.
+// LoadReport tells fronts about changes of load or condition at a guard's instances.
 type LoadReport struct {
-	// Forward asks the receiver to pass the pulse on in its data centre.
+	// Forward asks the receiver to relay the report within its data centre.
 	Forward bool
 	Loads   []InstanceLoad `msg:"loads,limit=256"`
 }
 
-// Sample is the last pace a front saw at some other instance of the same
-// service. It rides on requests so that a guard can compare its own instances
-// with their peers without any message of its own.
+// Sample is the latest latency that a front observed at another instance of the same
+// service. It is sent along with requests, so that a guard can compare its own
+// instances with their peers without separate messages.
 type Sample struct {
-	// Instance is a hash of the instance's name, 0 for no sample.
+	// Instance is a hash of the instance's name, or 0 if there is no sample.
 	Instance uint64
-	// LatencyRatio is the service time in thousandths of what the route's requests
-	// usually take: routes ask for work of different length.
+	// LatencyRatio is the service time relative to the usual one of the route, in
+	// thousandths, because service times differ between routes.
 	LatencyRatio uint32
 }
 
@@ -83,29 +85,30 @@
 	Incarnation uint64
 }
 
-// AdmissionHints is what a front tells of a request's worth in time and of its part in the
-// retry budget, for the guard's admission.
+// AdmissionHints is what a front tells the guard about a request for its admission: the
+// latency objective and the request's share in the retry budget.
 type AdmissionHints struct {
-	// ObjectiveMS is the time from the caller's send in which the answer is
-	// worth its whole value, and UsedMS how much of it has gone.
+	// ObjectiveMS is the latency objective, counted from the caller's send, and UsedMS
+	// the part of it that has passed.
 	ObjectiveMS uint32
 	UsedMS      uint32
-	// ExpectedMS is how long the request is expected to run, 0 where unknown.
+	// ExpectedMS is the expected service time, or 0 if unknown.
 	ExpectedMS uint32
-	// AllowLate takes a place in the queue also where it would miss the objective.
+	// AllowLate asks to queue the request even if it would miss the objective.
 	AllowLate bool
-	// Repeat says that the request may have arrived at an instance before, and
-	// Hedge that it is under way at one.
+	// Repeat reports that the request may have reached an instance before, and Hedge
+	// that it is in progress at another one.
 	Repeat, Hedge bool
-	// NestedRetryChance is the chance that the request is a call of a repeated run, in
-	// thousandths, if it is a call: it counts for so much in the retry budget.
+	// NestedRetryChance is the probability that the request, if it is a call, was made by
+	// a repeated run, in thousandths. The retry budget counts that fraction of it.
 	NestedRetryChance uint16
-	// OriginIdle says that nothing ran on the host where the request began, and Route
-	// is a hash of its route's name: together they tell which routes are calls.
+	// OriginIdle reports that nothing was running on the host where the request
+	// originates, and Route is a hash of the route's name. Together they show which
+	// routes serve calls made by other requests.
 	OriginIdle bool
 	Route      uint32
-	// Fingerprint is what the request is known by when it comes again, see crash.Fingerprint; 0 is
-	// nothing.
+	// Fingerprint identifies the request when it is sent again, see crash.Fingerprint.
+	// It is 0 if there is none.
 	Fingerprint uint64
 }
 
@@ -114,9 +117,9 @@
 	RequestID string
 	Service   string
 	Instance  string
-	// TimeoutMS is the time left to the caller's deadline, in milliseconds.
+	// TimeoutMS is the time until the caller's deadline, in milliseconds.
 	TimeoutMS uint32
-	// Class is the hashed fairness class of the caller's team.
+	// Class is the hash of the fairness class of the caller's team.
 	Class    uint32
 	Priority uint8
 	// SubPriority orders requests of one priority, see admit.Request.
@@ -125,15 +128,15 @@
 	Sample      Sample
 }
 
-// Grant gives the slot that Reserve asked for.
+// Grant confirms the slot that Reserve asked for.
 type Grant struct {
-	// LifeMS is how long the guard holds the slot, on the guard's clock.
+	// LifeMS is how long the guard reserves the slot, by its own clock.
 	LifeMS uint32
 	Load   Load
 }
 
-// Run tells a guard to run a request. With Reserved it uses up a Grant on the
-// same stream; without, the guard admits and runs in one step.
+// Run tells a guard to run a request. With Reserved, it consumes the Grant on the same
+// stream. Without, the guard admits and runs the request in one step.
 type Run struct {
 	RequestID   string
 	Service     string
@@ -145,44 +148,46 @@
 	Hints       AdmissionHints
 	Reserved    bool
 	Idempotent  bool
-	// Shard and Epoch fence a run that was claimed by key; Epoch 0 is none.
+	// Shard and Epoch fence a run that was claimed by key. Epoch is 0 for a run without
+	// a claim.
 	Shard  uint32
 	Epoch  uint64
 	Method string
 	URI    string
 	Host   string
 	Header []Field `msg:"header,limit=256"`
-	// BodyLength is the body's length in bytes, -1 where it is not known.
+	// BodyLength is the length of the body in bytes, or -1 if unknown.
 	BodyLength int64
 	Sample     Sample
 }
 
-// Data is a piece of a request or answer body, at most ChunkSize bytes.
+// Data is a chunk of a request or response body, of at most ChunkSize bytes.
 type Data struct {
 	Bytes []byte
 }
 
-// End closes a body in either direction and proves it whole.
+// End ends a body in either direction. Its length and hash show whether the body
+// arrived complete and unchanged.
 type End struct {
 	Length uint64
 	// Hash is the xxhash64 of the whole body.
 	Hash uint64
-	// ServiceUS is the target's own time in microseconds, answers only.
+	// ServiceUS is the service time of the target in microseconds, for responses only.
 	ServiceUS uint32
-	// QueueUS is the time spent waiting at the guard, answers only.
+	// QueueUS is the time in the guard's queue in microseconds, for responses only.
 	QueueUS uint32
 	Load    Load
 }
 
-// Cancel asks the guard to give the request up.
+// Cancel asks the guard to abort the request.
 type Cancel struct{}
 
-// Window returns credit for body bytes that have been consumed.
+// Window grants flow control credit for consumed body bytes.
 type Window struct {
 	Bytes uint32
 }
 
-// Fail ends a stream without a whole answer.
+// Fail ends a stream without a complete response.
 type Fail struct {
 	Verdict      verdict.Verdict
 	Reason       verdict.Reason
@@ -191,17 +196,17 @@
 	Load         Load
 }
 
-// Head is the start of an answer.
+// Head is the status and header of a response.
 type Head struct {
 	RequestID string
 	Status    uint16
 	Header    []Field `msg:"header,limit=256"`
-	// Length is the body's declared length in bytes, -1 where not known.
+	// Length is the declared length of the body in bytes, or -1 if unknown.
 	Length int64
 }
 
-// Ping asks the other end of a connection for a Pong, to tell a slow answer
-// from a path that is cut.
+// Ping asks the other end of a connection for a Pong, to distinguish a slow response from
+// a broken path.
 type Ping struct{}
 
 // Pong answers Ping.
--- a/internal/msg/requests_gen.go
+++ b/internal/msg/requests_gen.go
@@ -16,129 +16,82 @@
 // MarshalMsg implements msgp.Marshaler
 func (z *AdmissionHints) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
-	// map header, size 10
-	// string "ObjectiveMS"
-	o = append(o, 0x8a, 0xab, 0x4f, 0x62, 0x6a, 0x65, 0x63, 0x74, 0x69, 0x76, 0x65, 0x4d, 0x53)
+	// array header, size 10
+	o = append(o, 0x9a)
 	o = msgp.AppendUint32(o, z.ObjectiveMS)
-	// string "UsedMS"
-	o = append(o, 0xa6, 0x55, 0x73, 0x65, 0x64, 0x4d, 0x53)
 	o = msgp.AppendUint32(o, z.UsedMS)
-	// string "ExpectedMS"
-	o = append(o, 0xaa, 0x45, 0x78, 0x70, 0x65, 0x63, 0x74, 0x65, 0x64, 0x4d, 0x53)
 	o = msgp.AppendUint32(o, z.ExpectedMS)
-	// string "AllowLate"
-	o = append(o, 0xa9, 0x41, 0x6c, 0x6c, 0x6f, 0x77, 0x4c, 0x61, 0x74, 0x65)
 	o = msgp.AppendBool(o, z.AllowLate)
-	// string "Repeat"
-	o = append(o, 0xa6, 0x52, 0x65, 0x70, 0x65, 0x61, 0x74)
 	o = msgp.AppendBool(o, z.Repeat)
-	// string "Hedge"
-	o = append(o, 0xa5, 0x48, 0x65, 0x64, 0x67, 0x65)
 	o = msgp.AppendBool(o, z.Hedge)
-	// string "NestedRetryChance"
-	o = append(o, 0xb1, 0x4e, 0x65, 0x73, 0x74, 0x65, 0x64, 0x52, 0x65, 0x74, 0x72, 0x79, 0x43, 0x68, 0x61, 0x6e, 0x63, 0x65)
 	o = msgp.AppendUint16(o, z.NestedRetryChance)
-	// string "OriginIdle"
-	o = append(o, 0xaa, 0x4f, 0x72, 0x69, 0x67, 0x69, 0x6e, 0x49, 0x64, 0x6c, 0x65)
 	o = msgp.AppendBool(o, z.OriginIdle)
-	// string "Route"
-	o = append(o, 0xa5, 0x52, 0x6f, 0x75, 0x74, 0x65)
 	o = msgp.AppendUint32(o, z.Route)
-	// string "Fingerprint"
-	o = append(o, 0xab, 0x46, 0x69, 0x6e, 0x67, 0x65, 0x72, 0x70, 0x72, 0x69, 0x6e, 0x74)
 	o = msgp.AppendUint64(o, z.Fingerprint)
 	return
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
 func (z *AdmissionHints) UnmarshalMsg(bts []byte) (o []byte, err error) {
-	var field []byte
-	_ = field
 	var zb0001 uint32
-	zb0001, bts, err = msgp.ReadMapHeaderBytes(bts)
+	zb0001, bts, err = msgp.ReadArrayHeaderBytes(bts)
 	if err != nil {
 		err = msgp.WrapError(err)
 		return
 	}
-	if zb0001 > z96b4eec2limitMaps {
-		err = msgp.ErrLimitExceeded
+	if zb0001 != 10 {
+		err = msgp.ArrayError{Wanted: 10, Got: zb0001}
 		return
 	}
-	for zb0001 > 0 {
-		zb0001--
-		field, bts, err = msgp.ReadMapKeyZC(bts)
-		if err != nil {
-			err = msgp.WrapError(err)
-			return
-		}
-		switch msgp.UnsafeString(field) {
-		case "ObjectiveMS":
-			z.ObjectiveMS, bts, err = msgp.ReadUint32Bytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "ObjectiveMS")
-				return
-			}
-		case "UsedMS":
-			z.UsedMS, bts, err = msgp.ReadUint32Bytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "UsedMS")
-				return
-			}
-		case "ExpectedMS":
-			z.ExpectedMS, bts, err = msgp.ReadUint32Bytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "ExpectedMS")
-				return
-			}
-		case "AllowLate":
-			z.AllowLate, bts, err = msgp.ReadBoolBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "AllowLate")
-				return
-			}
-		case "Repeat":
-			z.Repeat, bts, err = msgp.ReadBoolBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Repeat")
-				return
-			}
-		case "Hedge":
-			z.Hedge, bts, err = msgp.ReadBoolBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Hedge")
-				return
-			}
-		case "NestedRetryChance":
-			z.NestedRetryChance, bts, err = msgp.ReadUint16Bytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "NestedRetryChance")
-				return
-			}
-		case "OriginIdle":
-			z.OriginIdle, bts, err = msgp.ReadBoolBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "OriginIdle")
-				return
-			}
-		case "Route":
-			z.Route, bts, err = msgp.ReadUint32Bytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Route")
-				return
-			}
-		case "Fingerprint":
-			z.Fingerprint, bts, err = msgp.ReadUint64Bytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Fingerprint")
-				return
-			}
-		default:
-			bts, err = msgp.Skip(bts)
-			if err != nil {
-				err = msgp.WrapError(err)
-				return
-			}
-		}
+	z.ObjectiveMS, bts, err = msgp.ReadUint32Bytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err, "ObjectiveMS")
+		return
+	}
+	z.UsedMS, bts, err = msgp.ReadUint32Bytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err, "UsedMS")
+		return
+	}
+	z.ExpectedMS, bts, err = msgp.ReadUint32Bytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err, "ExpectedMS")
+		return
+	}
+	z.AllowLate, bts, err = msgp.ReadBoolBytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err, "AllowLate")
+		return
+	}
+	z.Repeat, bts, err = msgp.ReadBoolBytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err, "Repeat")
+		return
+	}
+	z.Hedge, bts, err = msgp.ReadBoolBytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err, "Hedge")
+		return
+	}
+	z.NestedRetryChance, bts, err = msgp.ReadUint16Bytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err, "NestedRetryChance")
+		return
+	}
+	z.OriginIdle, bts, err = msgp.ReadBoolBytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err, "OriginIdle")
+		return
+	}
+	z.Route, bts, err = msgp.ReadUint32Bytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err, "Route")
+		return
+	}
+	z.Fingerprint, bts, err = msgp.ReadUint64Bytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err, "Fingerprint")
+		return
 	}
 	o = bts
 	return
@@ -146,7 +99,7 @@
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
 func (z *AdmissionHints) Msgsize() (s int) {
-	s = 1 + 12 + msgp.Uint32Size + 7 + msgp.Uint32Size + 11 + msgp.Uint32Size + 10 + msgp.BoolSize + 7 + msgp.BoolSize + 6 + msgp.BoolSize + 18 + msgp.Uint16Size + 11 + msgp.BoolSize + 6 + msgp.Uint32Size + 12 + msgp.Uint64Size
+	s = 1 + msgp.Uint32Size + msgp.Uint32Size + msgp.Uint32Size + msgp.BoolSize + msgp.BoolSize + msgp.BoolSize + msgp.Uint16Size + msgp.BoolSize + msgp.Uint32Size + msgp.Uint64Size
 	return
 }
 
@@ -772,12 +725,9 @@
 // MarshalMsg implements msgp.Marshaler
 func (z *LoadReport) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
-	// map header, size 2
-	// string "Forward"
-	o = append(o, 0x82, 0xa7, 0x46, 0x6f, 0x72, 0x77, 0x61, 0x72, 0x64)
+	// array header, size 2
+	o = append(o, 0x92)
 	o = msgp.AppendBool(o, z.Forward)
-	// string "loads"
-	o = append(o, 0xa5, 0x6c, 0x6f, 0x61, 0x64, 0x73)
 	o = msgp.AppendArrayHeader(o, uint32(len(z.Loads)))
 	for za0001 := range z.Loads {
 		// array header, size 3
@@ -795,81 +745,61 @@
 
 // UnmarshalMsg implements msgp.Unmarshaler
 func (z *LoadReport) UnmarshalMsg(bts []byte) (o []byte, err error) {
-	var field []byte
-	_ = field
 	var zb0001 uint32
-	zb0001, bts, err = msgp.ReadMapHeaderBytes(bts)
+	zb0001, bts, err = msgp.ReadArrayHeaderBytes(bts)
 	if err != nil {
 		err = msgp.WrapError(err)
 		return
 	}
-	if zb0001 > z96b4eec2limitMaps {
+	if zb0001 != 2 {
+		err = msgp.ArrayError{Wanted: 2, Got: zb0001}
+		return
+	}
+	z.Forward, bts, err = msgp.ReadBoolBytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err, "Forward")
+		return
+	}
+	var zb0002 uint32
+	zb0002, bts, err = msgp.ReadArrayHeaderBytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err, "Loads")
+		return
+	}
+	if zb0002 > 256 {
 		err = msgp.ErrLimitExceeded
 		return
 	}
-	for zb0001 > 0 {
-		zb0001--
-		field, bts, err = msgp.ReadMapKeyZC(bts)
+	if cap(z.Loads) >= int(zb0002) {
+		z.Loads = (z.Loads)[:zb0002]
+	} else {
+		z.Loads = make([]InstanceLoad, zb0002)
+	}
+	for za0001 := range z.Loads {
+		var zb0003 uint32
+		zb0003, bts, err = msgp.ReadArrayHeaderBytes(bts)
+		if err != nil {
+			err = msgp.WrapError(err, "Loads", za0001)
+			return
+		}
+		if zb0003 != 3 {
+			err = msgp.ArrayError{Wanted: 3, Got: zb0003}
+			return
+		}
+		z.Loads[za0001].Service, bts, err = msgp.ReadStringBytes(bts)
+		if err != nil {
+			err = msgp.WrapError(err, "Loads", za0001, "Service")
+			return
+		}
+		z.Loads[za0001].Instance, bts, err = msgp.ReadStringBytes(bts)
 		if err != nil {
-			err = msgp.WrapError(err)
+			err = msgp.WrapError(err, "Loads", za0001, "Instance")
 			return
 		}
-		switch msgp.UnsafeString(field) {
-		case "Forward":
-			z.Forward, bts, err = msgp.ReadBoolBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Forward")
-				return
-			}
-		case "loads":
-			var zb0002 uint32
-			zb0002, bts, err = msgp.ReadArrayHeaderBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Loads")
-				return
-			}
-			if zb0002 > 256 {
-				err = msgp.ErrLimitExceeded
-				return
-			}
-			if cap(z.Loads) >= int(zb0002) {
-				z.Loads = (z.Loads)[:zb0002]
-			} else {
-				z.Loads = make([]InstanceLoad, zb0002)
-			}
-			for za0001 := range z.Loads {
-				var zb0003 uint32
-				zb0003, bts, err = msgp.ReadArrayHeaderBytes(bts)
-				if err != nil {
-					err = msgp.WrapError(err, "Loads", za0001)
-					return
-				}
-				if zb0003 != 3 {
-					err = msgp.ArrayError{Wanted: 3, Got: zb0003}
-					return
-				}
-				z.Loads[za0001].Service, bts, err = msgp.ReadStringBytes(bts)
-				if err != nil {
-					err = msgp.WrapError(err, "Loads", za0001, "Service")
-					return
-				}
-				z.Loads[za0001].Instance, bts, err = msgp.ReadStringBytes(bts)
-				if err != nil {
-					err = msgp.WrapError(err, "Loads", za0001, "Instance")
-					return
-				}
-				bts, err = z.Loads[za0001].Load.UnmarshalMsg(bts)
-				if err != nil {
-					err = msgp.WrapError(err, "Loads", za0001, "Load")
-					return
-				}
-			}
-		default:
-			bts, err = msgp.Skip(bts)
-			if err != nil {
-				err = msgp.WrapError(err)
-				return
-			}
+		bts, err = z.Loads[za0001].Load.UnmarshalMsg(bts)
+		if err != nil {
+			err = msgp.WrapError(err, "Loads", za0001, "Load")
+			return
 		}
 	}
 	o = bts
@@ -878,7 +808,7 @@
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
 func (z *LoadReport) Msgsize() (s int) {
-	s = 1 + 8 + msgp.BoolSize + 6 + msgp.ArrayHeaderSize
+	s = 1 + msgp.BoolSize + msgp.ArrayHeaderSize
 	for za0001 := range z.Loads {
 		s += 1 + msgp.StringPrefixSize + len(z.Loads[za0001].Service) + msgp.StringPrefixSize + len(z.Loads[za0001].Instance) + z.Loads[za0001].Load.Msgsize()
 	}
--- a/internal/msg/teams.go
+++ b/internal/msg/teams.go
@@ -3,11 +3,11 @@
 //go:generate go tool msgp -o teams_gen.go -tests=false -io=false
 
 //msgp:limit arrays:4096 maps:64
-//msgp:tuple TeamPacket TeamUse TeamLevel TeamNotice
+//msgp:tuple TeamPacket TeamUsage TeamLevel TeamNotice
 
-// TeamPacket is one datagram about the rates of teams.
+// TeamPacket is a datagram about the rates of teams.
 type TeamPacket struct {
-	// From is the sending host and Incarnation its start, in Unix milliseconds.
+	// From is the sending host, and Incarnation its start time in Unix milliseconds.
 	From        string
 	Incarnation uint64
 	Usages      []TeamUsage  `msg:"uses,limit=1024"`
@@ -15,40 +15,41 @@
 	Notices     []TeamNotice `msg:"notices,limit=1024"`
 }
 
-// TeamUsage tells the host that keeps a team's account what another host has let
-// pass, and may ask it for one request more.
+// TeamUsage tells the home of a team, the host that keeps its account, how many requests
+// another host has admitted. It may query whether one more request may pass.
 type TeamUsage struct {
 	Team string
-	// Seq counts the uses that this host has told of the team.
+	// Seq numbers the messages of this host about the team.
 	Seq uint32
-	// Count is all that the host has let pass since its start, less what did not
-	// run; Confirmed is the part of it that Level holds.
+	// Count is the number of requests admitted by the host since its start, less those
+	// that did not run. Confirmed is the part of it included in Level.
 	Count, Confirmed int64
-	// Level is the team's use as the sender knows it, in requests, and Known says that
-	// the sender has run for long enough to know.
+	// Level is the usage of the team as known to the sender, in requests. Known reports
+	// whether the sender has run for long enough to know it.
 	Level float32
 	Known bool
-	// ConfirmedByReceiver says that the receiver confirmed Base.
+	// ConfirmedByReceiver reports whether the receiver was the one to confirm Confirmed.
 	ConfirmedByReceiver bool
-	// Relayed says that a host that the account was asked of passes this on.
+	// Relayed reports that the message was relayed by a host that received it but does
+	// not keep the account.
 	Relayed bool
-	// QueryID is the sender's number of the request asked for, 0 for none.
+	// QueryID identifies the query of the sender, or is 0 if there is none.
 	QueryID uint32
 }
 
-// TeamLevel answers a TeamUse.
+// TeamLevel answers a TeamUsage.
 type TeamLevel struct {
 	Team string
-	// Seq and Count are those of the use that is confirmed.
+	// Seq and Count are those of the confirmed TeamUsage.
 	Seq   uint32
 	Count int64
 	Level float32
 	Known bool
-	// NearLimitMS is for how long requests are to be asked for, because the team is close
-	// to its limit, in milliseconds; 0 where it is not.
+	// NearLimitMS is how long to query the home before each request, because the team is
+	// close to its limit, in milliseconds. It is 0 if the team is not.
 	NearLimitMS uint32
-	// QueryID is the request that was asked for; where it is not Granted, WaitMS is when
-	// another would be, in milliseconds.
+	// QueryID identifies the query that is answered. If it is not Granted, WaitMS is the
+	// time until a request would be, in milliseconds.
 	QueryID uint32
 	Granted bool
 	WaitMS  uint32
@@ -58,8 +59,8 @@
 type TeamNotice struct {
 	Team  string
 	Level float32
-	// NearLimitMS is as in TeamLevel.
+	// NearLimitMS has the same meaning as in TeamLevel.
 	NearLimitMS uint32
-	// Forward asks the receiver to pass the notice on in its data centre.
+	// Forward asks the receiver to relay the notice within its data centre.
 	Forward bool
 }
--- a/internal/msg/teams_gen.go
+++ b/internal/msg/teams_gen.go
@@ -296,120 +296,76 @@
 // MarshalMsg implements msgp.Marshaler
 func (z *TeamUsage) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
-	// map header, size 9
-	// string "Team"
-	o = append(o, 0x89, 0xa4, 0x54, 0x65, 0x61, 0x6d)
+	// array header, size 9
+	o = append(o, 0x99)
 	o = msgp.AppendString(o, z.Team)
-	// string "Seq"
-	o = append(o, 0xa3, 0x53, 0x65, 0x71)
 	o = msgp.AppendUint32(o, z.Seq)
-	// string "Count"
-	o = append(o, 0xa5, 0x43, 0x6f, 0x75, 0x6e, 0x74)
 	o = msgp.AppendInt64(o, z.Count)
-	// string "Confirmed"
-	o = append(o, 0xa9, 0x43, 0x6f, 0x6e, 0x66, 0x69, 0x72, 0x6d, 0x65, 0x64)
 	o = msgp.AppendInt64(o, z.Confirmed)
-	// string "Level"
-	o = append(o, 0xa5, 0x4c, 0x65, 0x76, 0x65, 0x6c)
 	o = msgp.AppendFloat32(o, z.Level)
-	// string "Known"
-	o = append(o, 0xa5, 0x4b, 0x6e, 0x6f, 0x77, 0x6e)
 	o = msgp.AppendBool(o, z.Known)
-	// string "ConfirmedByReceiver"
-	o = append(o, 0xb3, 0x43, 0x6f, 0x6e, 0x66, 0x69, 0x72, 0x6d, 0x65, 0x64, 0x42, 0x79, 0x52, 0x65, 0x63, 0x65, 0x69, 0x76, 0x65, 0x72)
 	o = msgp.AppendBool(o, z.ConfirmedByReceiver)
-	// string "Relayed"
-	o = append(o, 0xa7, 0x52, 0x65, 0x6c, 0x61, 0x79, 0x65, 0x64)
 	o = msgp.AppendBool(o, z.Relayed)
-	// string "QueryID"
-	o = append(o, 0xa7, 0x51, 0x75, 0x65, 0x72, 0x79, 0x49, 0x44)
 	o = msgp.AppendUint32(o, z.QueryID)
 	return
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
 func (z *TeamUsage) UnmarshalMsg(bts []byte) (o []byte, err error) {
-	var field []byte
-	_ = field
 	var zb0001 uint32
-	zb0001, bts, err = msgp.ReadMapHeaderBytes(bts)
+	zb0001, bts, err = msgp.ReadArrayHeaderBytes(bts)
 	if err != nil {
 		err = msgp.WrapError(err)
 		return
 	}
-	if zb0001 > z43e9eda2limitMaps {
-		err = msgp.ErrLimitExceeded
+	if zb0001 != 9 {
+		err = msgp.ArrayError{Wanted: 9, Got: zb0001}
 		return
 	}
-	for zb0001 > 0 {
-		zb0001--
-		field, bts, err = msgp.ReadMapKeyZC(bts)
-		if err != nil {
-			err = msgp.WrapError(err)
-			return
-		}
-		switch msgp.UnsafeString(field) {
-		case "Team":
-			z.Team, bts, err = msgp.ReadStringBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Team")
-				return
-			}
-		case "Seq":
-			z.Seq, bts, err = msgp.ReadUint32Bytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Seq")
-				return
-			}
-		case "Count":
-			z.Count, bts, err = msgp.ReadInt64Bytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Count")
-				return
-			}
-		case "Confirmed":
-			z.Confirmed, bts, err = msgp.ReadInt64Bytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Confirmed")
-				return
-			}
-		case "Level":
-			z.Level, bts, err = msgp.ReadFloat32Bytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Level")
-				return
-			}
-		case "Known":
-			z.Known, bts, err = msgp.ReadBoolBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Known")
-				return
-			}
-		case "ConfirmedByReceiver":
-			z.ConfirmedByReceiver, bts, err = msgp.ReadBoolBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "ConfirmedByReceiver")
-				return
-			}
-		case "Relayed":
-			z.Relayed, bts, err = msgp.ReadBoolBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Relayed")
-				return
-			}
-		case "QueryID":
-			z.QueryID, bts, err = msgp.ReadUint32Bytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "QueryID")
-				return
-			}
-		default:
-			bts, err = msgp.Skip(bts)
-			if err != nil {
-				err = msgp.WrapError(err)
-				return
-			}
-		}
+	z.Team, bts, err = msgp.ReadStringBytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err, "Team")
+		return
+	}
+	z.Seq, bts, err = msgp.ReadUint32Bytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err, "Seq")
+		return
+	}
+	z.Count, bts, err = msgp.ReadInt64Bytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err, "Count")
+		return
+	}
+	z.Confirmed, bts, err = msgp.ReadInt64Bytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err, "Confirmed")
+		return
+	}
+	z.Level, bts, err = msgp.ReadFloat32Bytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err, "Level")
+		return
+	}
+	z.Known, bts, err = msgp.ReadBoolBytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err, "Known")
+		return
+	}
+	z.ConfirmedByReceiver, bts, err = msgp.ReadBoolBytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err, "ConfirmedByReceiver")
+		return
+	}
+	z.Relayed, bts, err = msgp.ReadBoolBytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err, "Relayed")
+		return
+	}
+	z.QueryID, bts, err = msgp.ReadUint32Bytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err, "QueryID")
+		return
 	}
 	o = bts
 	return
@@ -417,6 +373,6 @@
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
 func (z *TeamUsage) Msgsize() (s int) {
-	s = 1 + 5 + msgp.StringPrefixSize + len(z.Team) + 4 + msgp.Uint32Size + 6 + msgp.Int64Size + 10 + msgp.Int64Size + 6 + msgp.Float32Size + 6 + msgp.BoolSize + 20 + msgp.BoolSize + 8 + msgp.BoolSize + 8 + msgp.Uint32Size
+	s = 1 + msgp.StringPrefixSize + len(z.Team) + msgp.Uint32Size + msgp.Int64Size + msgp.Int64Size + msgp.Float32Size + msgp.BoolSize + msgp.BoolSize + msgp.BoolSize + msgp.Uint32Size
 	return
 }
