--- a/internal/core/crash/crash.go
+++ b/internal/core/crash/crash.go
@@ -1,12 +1,11 @@
-// Package crash detects requests that terminate the instances that run them.
+// Package crash detects requests that crash the instances that run them.
 //
-// When an instance terminates, every request it was running becomes a suspect.
-// A request that crashes every instance is involved in one termination after
-// another, while the requests that ran concurrently with it complete elsewhere.
-// A Book records the terminations in the whole fleet and decides which requests
-// must not reach another instance, and for how long. Hosts that know the same
-// terminations reach the same decisions, whatever the order in which they
-// received them. The package does no I/O.
+// When an instance crashes, every request it was running becomes a suspect.
+// A request that crashes every instance is involved in one crash after another, while
+// the requests that ran concurrently with it complete elsewhere. A Tracker records the
+// crashes in the whole fleet and decides which requests must not reach another instance,
+// and for how long. Hosts that know the same crashes reach the same decisions, whatever
+// the order in which they received them. The package does no I/O.
 package crash
 
 import (
@@ -21,12 +20,12 @@
 	Service, Version string
 }
 
-// Crash is the termination of an instance.
+// Crash is an unannounced termination of an instance.
 type Crash struct {
 	// ID identifies the start of the instance within the fleet.
 	ID       string
 	Software Software
-	// Host is the host that detected the termination.
+	// Host is the host that detected the crash.
 	Host string
 	// DetectedAt is the time of detection by the clock of Host, in whole milliseconds.
 	DetectedAt time.Time
@@ -36,56 +35,55 @@
 }
 
 const (
-	// MaxFingerprints limits the suspects of one termination. A request that crashes
+	// MaxFingerprints limits the suspects of one crash. A request that crashes
 	// its instance does so soon after it starts.
 	MaxFingerprints = 32
-	// maxEnds limits the recorded terminations; the oldest are evicted first.
-	maxEnds = 256
-	// RetentionPeriod is how long a termination is recorded. It exceeds the longest time
-	// for which a request is stopped.
+	// maxCrashes limits the recorded crashes; the oldest are evicted first.
+	maxCrashes = 256
+	// RetentionPeriod is how long a crash is recorded. It exceeds the longest time
+	// for which a request is blocked.
 	RetentionPeriod = 2 * time.Hour
 )
 
-// Tracker records the terminations in the fleet. It is not safe for concurrent use.
+// Tracker records the crashes in the fleet. It is not safe for concurrent use.
 type Tracker struct {
-	ends map[string]*entry
-	// cleared holds the requests cleared of a termination, with the time they
-	// were cleared. The termination itself may not be known yet.
+	crashes map[string]*entry
+	// cleared holds the requests cleared of a crash, with the time they
+	// were cleared. The crash itself may not be known yet.
 	cleared map[clearance]time.Time
 }
 
-// entry is a termination with the time at which this host learned of it.
+// entry is a crash with the time at which this host learned of it.
 type entry struct {
 	Crash
 	receivedAt time.Time
 }
 
-// clearance identifies a request that did not cause a termination.
+// clearance identifies a request that did not cause a crash.
 type clearance struct {
-	end   string
-	print Fingerprint
+	crash       string
+	fingerprint Fingerprint
 }
 
-// NewTracker creates an empty Book.
+// NewTracker creates an empty Tracker.
 func NewTracker() *Tracker {
-	return &Tracker{ends: make(map[string]*entry), cleared: make(map[clearance]time.Time)}
+	return &Tracker{crashes: make(map[string]*entry), cleared: make(map[clearance]time.Time)}
 }
 
-// Add records a termination, or further requests that the instance was running,
-// and reports whether that added any request. A stored record of a stopped
-// request lists terminations with that request alone, so a termination may
-// arrive in parts.
-func (b *Tracker) Add(now time.Time, e Crash) bool {
+// Add records a crash, or further requests that the instance was running, and reports
+// whether that added any request. The stored record of a blocked request lists its
+// crashes with that request alone, so a crash may arrive in parts.
+func (t *Tracker) Add(now time.Time, e Crash) bool {
 	if len(e.Fingerprints) == 0 {
 		return false
 	}
 	e.DetectedAt = e.DetectedAt.Truncate(time.Millisecond)
-	known, ok := b.ends[e.ID]
+	known, ok := t.crashes[e.ID]
 	if !ok {
 		known = &entry{Crash: e, receivedAt: now}
 		known.Fingerprints = nil
-		b.ends[e.ID] = known
-		b.prune(now)
+		t.crashes[e.ID] = known
+		t.prune(now)
 	}
 	before := len(known.Fingerprints)
 	known.Fingerprints = distinct(slices.Concat(known.Fingerprints, e.Fingerprints))
@@ -93,34 +91,34 @@
 	return len(known.Fingerprints) > before
 }
 
-// distinct removes duplicate fingerprints, keeping the first. A termination counts
+// distinct removes duplicate fingerprints, keeping the first. A crash counts
 // once against a request that the instance was running several times.
-func distinct(prints []Fingerprint) []Fingerprint {
-	seen := make(map[Fingerprint]bool, len(prints))
-	return slices.DeleteFunc(prints, func(p Fingerprint) bool {
+func distinct(fingerprints []Fingerprint) []Fingerprint {
+	seen := make(map[Fingerprint]bool, len(fingerprints))
+	return slices.DeleteFunc(fingerprints, func(p Fingerprint) bool {
 		duplicate := seen[p]
 		seen[p] = true
 		return duplicate
 	})
 }
 
-// Clear records that a request did not cause a termination, because it has
+// Clear records that a request did not cause a crash, because it has
 // completed on the same software. It reports whether this was new.
-func (b *Tracker) Clear(now time.Time, end string, p Fingerprint) bool {
-	c := clearance{end, p}
-	if _, known := b.cleared[c]; known {
+func (t *Tracker) Clear(now time.Time, crash string, p Fingerprint) bool {
+	c := clearance{crash, p}
+	if _, known := t.cleared[c]; known {
 		return false
 	}
-	b.cleared[c] = now
-	b.prune(now)
+	t.cleared[c] = now
+	t.prune(now)
 	return true
 }
 
-// CrashesOf returns the terminations that a request is suspected of, sorted by ID.
-func (b *Tracker) CrashesOf(p Fingerprint) []Crash {
+// CrashesOf returns the crashes that a request is suspected of, sorted by ID.
+func (t *Tracker) CrashesOf(p Fingerprint) []Crash {
 	var out []Crash
-	for _, e := range b.ends {
-		if b.suspects(e, p) {
+	for _, e := range t.crashes {
+		if t.suspects(e, p) {
 			out = append(out, e.Crash)
 		}
 	}
@@ -128,39 +126,39 @@
 	return out
 }
 
-// suspects reports whether request p is suspected of termination e.
-func (b *Tracker) suspects(e *entry, p Fingerprint) bool {
+// suspects reports whether request p is suspected of crash e.
+func (t *Tracker) suspects(e *entry, p Fingerprint) bool {
 	if !slices.Contains(e.Fingerprints, p) {
 		return false
 	}
-	_, cleared := b.cleared[clearance{e.ID, p}]
+	_, cleared := t.cleared[clearance{e.ID, p}]
 	return !cleared
 }
 
-// prune removes terminations and clearances older than Keep, and the oldest
-// terminations in excess of maxEnds.
-func (b *Tracker) prune(now time.Time) {
-	for id, e := range b.ends {
+// prune removes crashes and clearances older than RetentionPeriod, and the oldest
+// crashes in excess of maxCrashes.
+func (t *Tracker) prune(now time.Time) {
+	for id, e := range t.crashes {
 		if now.Sub(e.receivedAt) > RetentionPeriod {
-			delete(b.ends, id)
+			delete(t.crashes, id)
 		}
 	}
-	for c, at := range b.cleared {
+	for c, at := range t.cleared {
 		if now.Sub(at) > RetentionPeriod {
-			delete(b.cleared, c)
+			delete(t.cleared, c)
 		}
 	}
-	for len(b.ends) > maxEnds {
-		delete(b.ends, b.oldest())
+	for len(t.crashes) > maxCrashes {
+		delete(t.crashes, t.oldest())
 	}
-	for len(b.cleared) > maxEnds*MaxFingerprints {
-		clear(b.cleared)
+	for len(t.cleared) > maxCrashes*MaxFingerprints {
+		clear(t.cleared)
 	}
 }
 
-func (b *Tracker) oldest() string {
+func (t *Tracker) oldest() string {
 	var first *entry
-	for _, e := range b.ends {
+	for _, e := range t.crashes {
 		if first == nil || e.receivedAt.Before(first.receivedAt) || e.receivedAt.Equal(first.receivedAt) && e.ID < first.ID {
 			first = e
 		}
