--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -17,8 +17,8 @@
 	"github.com/radishhoist/radishhoist/internal/core/contact"
 	"github.com/radishhoist/radishhoist/internal/core/crash"
 	"github.com/radishhoist/radishhoist/internal/core/directory"
+	"github.com/radishhoist/radishhoist/internal/core/loadreport"
 	"github.com/radishhoist/radishhoist/internal/core/member"
-	"github.com/radishhoist/radishhoist/internal/core/pulse"
 	"github.com/radishhoist/radishhoist/internal/event"
 	"github.com/radishhoist/radishhoist/internal/msg"
 	"github.com/radishhoist/radishhoist/internal/objects"
@@ -116,7 +116,7 @@
 	away    map[objects.Feed]bool
 	traffic Traffic
 	// pulses says who is told of instances.
-	pulses *pulse.Limiter
+	pulses *loadreport.Limiter
 	// unkept are the requests that are stopped and do not stand in the platform yet.
 	unkept unkept
 	// endsSwept is when old ends were dropped last.
@@ -157,7 +157,7 @@
 		contacts:    contact.New(cfg.DC, without(cfg.Seeds, cfg.Peer), rng),
 		away:        make(map[objects.Feed]bool),
 		selfDue:     true,
-		pulses:      pulse.New(rng),
+		pulses:      loadreport.New(rng),
 	}
 	c.outboxes = newOutboxes(c.sendMessage)
 	return c
--- a/internal/control/pulse.go
+++ b/internal/control/pulse.go
@@ -3,18 +3,18 @@
 import (
 	"time"
 
-	"github.com/radishhoist/radishhoist/internal/core/pulse"
+	"github.com/radishhoist/radishhoist/internal/core/loadreport"
 	"github.com/radishhoist/radishhoist/internal/msg"
 )
 
 // Tell passes a pulse of this host's guard to fronts. Each other data centre gets one
 // copy, which is passed on there. Where the rate does not suffice for all, some are told.
-func (c *Control) Tell(p *msg.LoadReport, to pulse.Reach) {
+func (c *Control) Tell(p *msg.LoadReport, to loadreport.Reach) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
 	near, dcs := c.members.Live()
-	if to == pulse.ToAll {
+	if to == loadreport.ToAll {
 		relayed := &msg.LoadReport{Forward: true, Loads: p.Loads}
 		c.tellAll(c.pulses.SelectRemote(now, dcs), relayed)
 	}
@@ -35,6 +35,6 @@
 	c.hooks.Pulse(p)
 	if p.Forward {
 		near, _ := c.members.Live()
-		c.tellAll(c.pulses.SelectLocal(time.Now(), near, pulse.ToAll), &msg.LoadReport{Loads: p.Loads})
+		c.tellAll(c.pulses.SelectLocal(time.Now(), near, loadreport.ToAll), &msg.LoadReport{Loads: p.Loads})
 	}
 }
--- a/internal/control/pulse_test.go
+++ b/internal/control/pulse_test.go
@@ -7,7 +7,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"github.com/radishhoist/radishhoist/internal/core/pulse"
+	"github.com/radishhoist/radishhoist/internal/core/loadreport"
 	"github.com/radishhoist/radishhoist/internal/msg"
 )
 
@@ -54,11 +54,11 @@
 
 func TestASmallFleetIsToldEverythingWithOneCopyADataCentre(t *testing.T) {
 	c := withHosts(t, 7, 8, 8)
-	c.Tell(aPulse(), pulse.ToLocal)
+	c.Tell(aPulse(), loadreport.ToLocal)
 	all, relayed := told(c)
 	assert.Equal(t, all, 7)
 	assert.Equal(t, relayed, 0)
-	c.Tell(aPulse(), pulse.ToAll)
+	c.Tell(aPulse(), loadreport.ToAll)
 	all, relayed = told(c)
 	assert.Equal(t, all, 9)
 	assert.Equal(t, relayed, 2)
@@ -84,9 +84,9 @@
 func TestALargeFleetIsToldOfLoads(t *testing.T) {
 	for _, hosts := range []int{22, 60, 90} {
 		c := withHosts(t, hosts, 30)
-		c.Tell(aPulse(), pulse.ToLocal)
+		c.Tell(aPulse(), loadreport.ToLocal)
 		all, _ := told(c)
-		assert.Assert(t, all >= min(hosts, pulse.Burst-pulse.ChangeReserve-1), "%d of %d", all, hosts)
+		assert.Assert(t, all >= min(hosts, loadreport.Burst-loadreport.ChangeReserve-1), "%d of %d", all, hosts)
 	}
 }
 
@@ -97,19 +97,19 @@
 		c := withHosts(t, hosts, 20, 20)
 		begun := time.Now()
 		for range 200 {
-			c.Tell(aPulse(), pulse.ToLocal)
+			c.Tell(aPulse(), loadreport.ToLocal)
 		}
 		loads, _ := told(c)
-		assert.Assert(t, float64(loads) <= pulse.ChangeReserve+pulse.MaxRate*time.Since(begun).Seconds()+1)
-		c.Tell(aPulse(), pulse.ToAll)
+		assert.Assert(t, float64(loads) <= loadreport.ChangeReserve+loadreport.MaxRate*time.Since(begun).Seconds()+1)
+		c.Tell(aPulse(), loadreport.ToAll)
 		turned, relayed := told(c)
-		assert.Assert(t, turned >= min(hosts+2, pulse.ChangeReserve-1))
+		assert.Assert(t, turned >= min(hosts+2, loadreport.ChangeReserve-1))
 		assert.Equal(t, relayed, 2)
 		for range 200 {
-			c.Tell(aPulse(), pulse.ToAll)
+			c.Tell(aPulse(), loadreport.ToAll)
 		}
 		more, _ := told(c)
-		assert.Assert(t, float64(loads+turned+more) <= pulse.Burst+pulse.MaxRate*time.Since(begun).Seconds()+1)
+		assert.Assert(t, float64(loads+turned+more) <= loadreport.Burst+loadreport.MaxRate*time.Since(begun).Seconds()+1)
 	}
 }
 
@@ -118,7 +118,7 @@
 func TestFewHostsHearOfAnIdleInstance(t *testing.T) {
 	for _, hosts := range []int{2, 7, 90} {
 		c := withHosts(t, hosts, 30)
-		c.Tell(aPulse(), pulse.ToFew)
+		c.Tell(aPulse(), loadreport.ToFew)
 		all, relayed := told(c)
 		assert.Equal(t, all, min(hosts, 4))
 		assert.Equal(t, relayed, 0)
@@ -131,15 +131,15 @@
 	c := withHosts(t, 500, 20, 20)
 	begun := time.Now()
 	for range 200 {
-		c.Tell(aPulse(), pulse.ToAll)
+		c.Tell(aPulse(), loadreport.ToAll)
 	}
 	told(c)
-	c.Tell(aPulse(), pulse.ToFew)
+	c.Tell(aPulse(), loadreport.ToFew)
 	asked, _ := told(c)
 	assert.Equal(t, asked, 4)
 	for range 200 {
-		c.Tell(aPulse(), pulse.ToFew)
+		c.Tell(aPulse(), loadreport.ToFew)
 	}
 	more, _ := told(c)
-	assert.Assert(t, float64(asked+more) <= pulse.FewHostsMaxRate*(1+time.Since(begun).Seconds())+1)
+	assert.Assert(t, float64(asked+more) <= loadreport.FewHostsMaxRate*(1+time.Since(begun).Seconds())+1)
 }
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -18,8 +18,8 @@
 	"github.com/radishhoist/radishhoist/internal/core/crash"
 	"github.com/radishhoist/radishhoist/internal/core/directory"
 	"github.com/radishhoist/radishhoist/internal/core/header"
+	"github.com/radishhoist/radishhoist/internal/core/loadreport"
 	"github.com/radishhoist/radishhoist/internal/core/member"
-	"github.com/radishhoist/radishhoist/internal/core/pulse"
 	"github.com/radishhoist/radishhoist/internal/event"
 	"github.com/radishhoist/radishhoist/internal/front"
 	"github.com/radishhoist/radishhoist/internal/guard"
@@ -234,7 +234,7 @@
 
 // pulse tells this host's front and those that use its instances what has
 // changed there.
-func (d *Daemon) pulse(p *msg.LoadReport, to pulse.Reach) {
+func (d *Daemon) pulse(p *msg.LoadReport, to loadreport.Reach) {
 	d.front.HandleLoadReport(p)
 	d.control.Tell(p, to)
 }
--- a/internal/daemon/reload_test.go
+++ b/internal/daemon/reload_test.go
@@ -12,7 +12,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"github.com/radishhoist/radishhoist/internal/core/pulse"
+	"github.com/radishhoist/radishhoist/internal/core/loadreport"
 	"github.com/radishhoist/radishhoist/internal/event"
 	"github.com/radishhoist/radishhoist/internal/front"
 	"github.com/radishhoist/radishhoist/internal/guard"
@@ -36,7 +36,7 @@
 	log := slog.New(slog.NewJSONHandler(out, nil))
 	d := &Daemon{log: log}
 	d.cfg.Store(cfg)
-	d.guard = guard.New(guard.Config{Host: "h1"}, guardLimits(cfg), log, nil, guard.Hooks{Changed: func() {}, Pulse: func(*msg.LoadReport, pulse.Reach) {}})
+	d.guard = guard.New(guard.Config{Host: "h1"}, guardLimits(cfg), log, nil, guard.Hooks{Changed: func() {}, Pulse: func(*msg.LoadReport, loadreport.Reach) {}})
 	d.front = front.New(front.Config{Host: "h1"}, frontLimits(cfg), log, nil, d.guard, nil)
 
 	ctx, cancel := context.WithCancel(context.Background())
--- a/internal/fleetsim/fleet.go
+++ b/internal/fleetsim/fleet.go
@@ -14,7 +14,7 @@
 	"github.com/radishhoist/radishhoist/internal/core/crash"
 	"github.com/radishhoist/radishhoist/internal/core/directory"
 	"github.com/radishhoist/radishhoist/internal/core/header"
-	"github.com/radishhoist/radishhoist/internal/core/pulse"
+	"github.com/radishhoist/radishhoist/internal/core/loadreport"
 	"github.com/radishhoist/radishhoist/internal/front"
 	"github.com/radishhoist/radishhoist/internal/guard"
 	"github.com/radishhoist/radishhoist/internal/msg"
@@ -48,7 +48,7 @@
 
 	mu sync.Mutex
 	// pulses says who is told of the instance.
-	pulses *pulse.Limiter
+	pulses *loadreport.Limiter
 }
 
 // fleet is one run.
@@ -146,7 +146,7 @@
 }
 
 func (f *fleet) newHost(n int, s Service, name, version string) *host {
-	h := &host{fleet: f, name: "h" + name, dc: dcName(n % f.site.DCs), pulses: pulse.New(f.newRand())}
+	h := &host{fleet: f, name: "h" + name, dc: dcName(n % f.site.DCs), pulses: loadreport.New(f.newRand())}
 	f.byName[h.name] = h
 	seen := &Seen{Service: s.Name}
 	f.result.Instances[name] = seen
@@ -209,13 +209,13 @@
 
 // tell passes a guard's pulse on as control does: to fronts nearby as far as the rate
 // allows, and to a host of each other data centre, which passes it on there.
-func (h *host) tell(p *msg.LoadReport, to pulse.Reach) {
+func (h *host) tell(p *msg.LoadReport, to loadreport.Reach) {
 	p = h.known(p)
 	h.front.HandleLoadReport(p)
 	now := time.Now()
 	var relays []string
 	h.mu.Lock()
-	if to == pulse.ToAll {
+	if to == loadreport.ToAll {
 		relays = h.pulses.SelectRemote(now, h.far)
 	}
 	told := h.pulses.SelectLocal(now, h.near, to)
@@ -228,7 +228,7 @@
 func (h *host) passOn(p *msg.LoadReport) {
 	h.front.HandleLoadReport(p)
 	h.mu.Lock()
-	told := h.pulses.SelectLocal(time.Now(), h.near, pulse.ToAll)
+	told := h.pulses.SelectLocal(time.Now(), h.near, loadreport.ToAll)
 	h.mu.Unlock()
 	h.tellAll(told, func(other *host) { other.front.HandleLoadReport(p) })
 }
--- a/internal/front/attempt_test.go
+++ b/internal/front/attempt_test.go
@@ -12,7 +12,7 @@
 	"gotest.tools/v3/assert"
 
 	"github.com/radishhoist/radishhoist/internal/core/directory"
-	"github.com/radishhoist/radishhoist/internal/core/pulse"
+	"github.com/radishhoist/radishhoist/internal/core/loadreport"
 	"github.com/radishhoist/radishhoist/internal/core/route"
 	"github.com/radishhoist/radishhoist/internal/guard"
 	"github.com/radishhoist/radishhoist/internal/msg"
@@ -25,7 +25,7 @@
 // not may-have-run.
 func TestGuardRefusalBeforeBodySentIsReported(t *testing.T) {
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
-	g := guard.New(guard.Config{Host: "h"}, guard.Limits{}, log, nil, guard.Hooks{Changed: func() {}, Pulse: func(*msg.LoadReport, pulse.Reach) {}})
+	g := guard.New(guard.Config{Host: "h"}, guard.Limits{}, log, nil, guard.Hooks{Changed: func() {}, Pulse: func(*msg.LoadReport, loadreport.Reach) {}})
 	f := New(Config{Host: "h"}, Limits{}, log, nil, g, nil)
 	req := &request{
 		id: "r", arrived: time.Now(), deadline: time.Now().Add(time.Minute), idempotent: true,
--- a/internal/front/conns_test.go
+++ b/internal/front/conns_test.go
@@ -13,7 +13,7 @@
 
 	"github.com/radishhoist/radishhoist/internal/core/directory"
 	"github.com/radishhoist/radishhoist/internal/core/header"
-	"github.com/radishhoist/radishhoist/internal/core/pulse"
+	"github.com/radishhoist/radishhoist/internal/core/loadreport"
 	"github.com/radishhoist/radishhoist/internal/guard"
 	"github.com/radishhoist/radishhoist/internal/msg"
 	"github.com/radishhoist/radishhoist/record"
@@ -24,7 +24,7 @@
 func serveFront(t *testing.T, limits record.Limits) (*Front, string) {
 	t.Helper()
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
-	g := guard.New(guard.Config{Host: "h"}, guard.Limits{}, log, nil, guard.Hooks{Changed: func() {}, Pulse: func(*msg.LoadReport, pulse.Reach) {}})
+	g := guard.New(guard.Config{Host: "h"}, guard.Limits{}, log, nil, guard.Hooks{Changed: func() {}, Pulse: func(*msg.LoadReport, loadreport.Reach) {}})
 	f := New(Config{Host: "h", MaxConns: 8, HeaderTimeout: time.Minute, IdleTimeout: time.Minute, MaxHeaderBytes: 64 << 10, BufferBodyBytes: 1 << 10, Dialect: header.Default()},
 		Limits{MaxBodyBytes: 1 << 20}, log, nil, g, nil)
 	records := directory.Compile([]*record.Record{{
--- a/internal/front/hedge_test.go
+++ b/internal/front/hedge_test.go
@@ -13,7 +13,7 @@
 	"gotest.tools/v3/assert"
 
 	"github.com/radishhoist/radishhoist/internal/core/directory"
-	"github.com/radishhoist/radishhoist/internal/core/pulse"
+	"github.com/radishhoist/radishhoist/internal/core/loadreport"
 	"github.com/radishhoist/radishhoist/internal/core/route"
 	"github.com/radishhoist/radishhoist/internal/guard"
 	"github.com/radishhoist/radishhoist/internal/msg"
@@ -36,7 +36,7 @@
 func newDelayedExecution(t *testing.T) (*execution, pick, delayedStream) {
 	t.Helper()
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
-	g := guard.New(guard.Config{Host: "h"}, guard.Limits{}, log, nil, guard.Hooks{Changed: func() {}, Pulse: func(*msg.LoadReport, pulse.Reach) {}})
+	g := guard.New(guard.Config{Host: "h"}, guard.Limits{}, log, nil, guard.Hooks{Changed: func() {}, Pulse: func(*msg.LoadReport, loadreport.Reach) {}})
 	stream := delayedStream{message: make(chan msg.Message)}
 	f := New(Config{Host: "h"}, Limits{}, log, stream, g, nil)
 	req := &request{
--- a/internal/guard/estimate.go
+++ b/internal/guard/estimate.go
@@ -5,7 +5,7 @@
 
 	"github.com/radishhoist/radishhoist/internal/core/admit"
 	"github.com/radishhoist/radishhoist/internal/core/chance"
-	"github.com/radishhoist/radishhoist/internal/core/pulse"
+	"github.com/radishhoist/radishhoist/internal/core/loadreport"
 	"github.com/radishhoist/radishhoist/internal/msg"
 )
 
@@ -78,14 +78,14 @@
 	if !publish {
 		return
 	}
-	to := pulse.ToLocal
+	to := loadreport.ToLocal
 	if healthChanged {
-		to = pulse.ToAll
+		to = loadreport.ToAll
 	}
 	i.sendPulse(load, to)
 }
 
-func (i *instance) sendPulse(load msg.Load, to pulse.Reach) {
+func (i *instance) sendPulse(load msg.Load, to loadreport.Reach) {
 	i.guard.sendPulse(&msg.LoadReport{Loads: []msg.InstanceLoad{{Service: i.service, Instance: i.name, Load: load}}}, to)
 }
 
@@ -103,7 +103,7 @@
 	load := i.loadAt(now)
 	load.WantsTrial = true
 	i.mu.Unlock()
-	i.sendPulse(load, pulse.ToFew)
+	i.sendPulse(load, loadreport.ToFew)
 }
 
 func occupancy(l msg.Load) int { return int(l.Running + l.Queued) }
--- a/internal/guard/estimate_test.go
+++ b/internal/guard/estimate_test.go
@@ -8,7 +8,7 @@
 
 	"github.com/radishhoist/radishhoist/internal/core/admit"
 	"github.com/radishhoist/radishhoist/internal/core/chance"
-	"github.com/radishhoist/radishhoist/internal/core/pulse"
+	"github.com/radishhoist/radishhoist/internal/core/loadreport"
 	"github.com/radishhoist/radishhoist/internal/msg"
 )
 
@@ -47,11 +47,11 @@
 
 // recordWorkRequests returns the test guard's instance and a list of its requests for
 // work.
-func recordWorkRequests(t *testing.T) (*instance, *[]pulse.Reach) {
+func recordWorkRequests(t *testing.T) (*instance, *[]loadreport.Reach) {
 	t.Helper()
 	g := newTestGuard(t, "127.0.0.1:1")
-	asked := &[]pulse.Reach{}
-	g.sendPulse = func(p *msg.LoadReport, to pulse.Reach) {
+	asked := &[]loadreport.Reach{}
+	g.sendPulse = func(p *msg.LoadReport, to loadreport.Reach) {
 		if p.Loads[0].Load.WantsTrial {
 			*asked = append(*asked, to)
 		}
@@ -73,9 +73,9 @@
 	assert.Equal(t, len(*asked), 0, "it has just had work")
 	i.requestWork(now.Add(idleDelay))
 	i.requestWork(now.Add(idleDelay + workRequestInterval - 1))
-	assert.DeepEqual(t, *asked, []pulse.Reach{pulse.ToFew})
+	assert.DeepEqual(t, *asked, []loadreport.Reach{loadreport.ToFew})
 	i.requestWork(now.Add(idleDelay + workRequestInterval))
-	assert.DeepEqual(t, *asked, []pulse.Reach{pulse.ToFew, pulse.ToFew})
+	assert.DeepEqual(t, *asked, []loadreport.Reach{loadreport.ToFew, loadreport.ToFew})
 
 	fillSlots(i, now, 1)
 	i.requestWork(now.Add(idleDelay + 2*workRequestInterval))
@@ -98,5 +98,5 @@
 	i.publishLoad(now.Add(trialDelay))
 	assert.Equal(t, len(*asked), 0)
 	i.requestWork(now.Add(trialDelay))
-	assert.DeepEqual(t, *asked, []pulse.Reach{pulse.ToFew})
+	assert.DeepEqual(t, *asked, []loadreport.Reach{loadreport.ToFew})
 }
--- a/internal/guard/guard.go
+++ b/internal/guard/guard.go
@@ -18,7 +18,7 @@
 	"github.com/radishhoist/radishhoist/internal/core/detect"
 	"github.com/radishhoist/radishhoist/internal/core/directory"
 	"github.com/radishhoist/radishhoist/internal/core/header"
-	"github.com/radishhoist/radishhoist/internal/core/pulse"
+	"github.com/radishhoist/radishhoist/internal/core/loadreport"
 	"github.com/radishhoist/radishhoist/internal/event"
 	"github.com/radishhoist/radishhoist/internal/msg"
 	"github.com/radishhoist/radishhoist/verdict"
@@ -64,7 +64,7 @@
 	// Changed is called when the instance data announced by this host has changed.
 	Changed func()
 	// Pulse is called with load updates that fronts need without delay.
-	Pulse func(p *msg.LoadReport, to pulse.Reach)
+	Pulse func(p *msg.LoadReport, to loadreport.Reach)
 	// Crashed is called when an instance on this host has crashed, and Cleared when a
 	// request suspected of causing a crash has completed. Both must reach all hosts.
 	// Nil disables the callback.
@@ -96,7 +96,7 @@
 	counts             counters
 	// sendPulse is called, without locks held, with updates that fronts need without
 	// delay.
-	sendPulse func(p *msg.LoadReport, to pulse.Reach)
+	sendPulse func(p *msg.LoadReport, to loadreport.Reach)
 	onChanged func()
 	onCrash   func(crash.Crash)
 	onCleared func(string, crash.Fingerprint)
--- a/internal/guard/suspects_test.go
+++ b/internal/guard/suspects_test.go
@@ -16,7 +16,7 @@
 
 	"github.com/radishhoist/radishhoist/internal/core/crash"
 	"github.com/radishhoist/radishhoist/internal/core/directory"
-	"github.com/radishhoist/radishhoist/internal/core/pulse"
+	"github.com/radishhoist/radishhoist/internal/core/loadreport"
 	"github.com/radishhoist/radishhoist/internal/msg"
 	"github.com/radishhoist/radishhoist/internal/wire"
 	"github.com/radishhoist/radishhoist/verdict"
@@ -93,7 +93,7 @@
 	n := fleetReports{crashes: make(chan crash.Crash, 4), cleared: make(chan string, 4), stopped: make(chan BlockedRequest, 4)}
 	g := New(Config{Host: "h", QueuePerSlot: 2, GrantLife: time.Minute, TargetIdle: time.Minute}, Limits{AnnounceExpiry: time.Hour},
 		slog.New(slog.NewTextHandler(io.Discard, nil)), allowAllFence{}, Hooks{
-			Changed: func() {}, Pulse: func(*msg.LoadReport, pulse.Reach) {},
+			Changed: func() {}, Pulse: func(*msg.LoadReport, loadreport.Reach) {},
 			Crashed: func(e crash.Crash) { n.crashes <- e }, Cleared: func(end string, _ crash.Fingerprint) { n.cleared <- end },
 			Blocked: func(s BlockedRequest) { n.stopped <- s },
 		})
