--- a/internal/core/admit/admit.go
+++ b/internal/core/admit/admit.go
@@ -94,13 +94,13 @@
 	expires time.Time
 }
 
-// Priorities is the number of values of Request.Priority and of Request.Within.
+// Priorities is the number of values of Request.Priority and of Request.SubPriority.
 const Priorities = 4
 
-// rankCount is the number of combinations of Priority and Within.
+// rankCount is the number of combinations of Priority and SubPriority.
 const rankCount = Priorities * Priorities
 
-// rank orders requests by Priority, then by Within.
+// rank orders requests by Priority, then by SubPriority.
 func (r *Request) rank() int { return int(r.Priority)*Priorities + int(r.SubPriority) }
 
 const (
@@ -223,8 +223,8 @@
 	wait := q.expectedWait(now, t)
 	end := now.Add(wait + r.ExpectedService)
 	missesDeadline := end.After(r.Deadline)
-	// Without Insist the front can still try another instance, so a late request is
-	// refused at once. With Insist, late requests are limited to one per slot: any
+	// Without AllowLate the front can still try another instance, so a late request is
+	// refused at once. With AllowLate, late requests are limited to one per slot: any
 	// more would only wait to be refused.
 	if missesDeadline || t.late && (!r.AllowLate || q.countLate(now) >= q.cfg.Slots) {
 		return []Decision{{ID: r.ID, Action: Refuse, Reason: verdict.ReasonQueueFull, RetryAfter: max(wait, minRetryAfter)}}
--- a/internal/core/announce/announce.go
+++ b/internal/core/announce/announce.go
@@ -42,8 +42,8 @@
 
 // Stamp is the part of an announcement that orders the announcements of an instance.
 type Stamp struct {
-	// StartedMS is the start time of the instance, in Unix milliseconds by its own clock, or
-	// 0 if unknown. It distinguishes successive starts under the same name.
+	// StartedMS is the start time of the instance, in Unix milliseconds by its own
+	// clock, or 0 if unknown. It distinguishes successive starts under the same name.
 	StartedMS int64
 	// Sequence increases with each announcement of one start. It is 0 if the instance
 	// does not count its announcements.
@@ -53,7 +53,8 @@
 // entry is the state of one instance.
 type entry struct {
 	address string
-	// latest is the newest accepted Word; pastStarts holds the Born of earlier starts.
+	// latest is the newest accepted Stamp; pastStarts holds the StartedMS of earlier
+	// starts.
 	latest     Stamp
 	pastStarts []int64
 	lastSeen   time.Time
@@ -67,7 +68,7 @@
 	holders map[string]string
 }
 
-// NewTracker returns an empty Book.
+// NewTracker returns an empty Tracker.
 func NewTracker() *Tracker {
 	return &Tracker{byName: make(map[string]*entry), holders: make(map[string]string)}
 }
@@ -85,43 +86,43 @@
 }
 
 // Apply processes one announcement.
-func (b *Tracker) Apply(now time.Time, name, address string, w Stamp) Outcome {
-	b.evict(now)
-	e, known := b.byName[name]
+func (t *Tracker) Apply(now time.Time, name, address string, w Stamp) Outcome {
+	t.evict(now)
+	e, known := t.byName[name]
 	restarted := known && e.isNewStart(now, w)
 	if known && !restarted && (e.state == gone || e.outdated(w)) {
 		return Outcome{}
 	}
-	holder := b.holders[address]
+	holder := t.holders[address]
 	if holder == name {
 		holder = ""
 	}
-	if known && !restarted && e.state == replaced && holder != "" && now.Sub(b.byName[holder].lastSeen) < holderTimeout {
+	if known && !restarted && e.state == replaced && holder != "" && now.Sub(t.byName[holder].lastSeen) < holderTimeout {
 		e.latest.Sequence = max(e.latest.Sequence, w.Sequence)
 		return Outcome{}
 	}
 	if !known {
 		e = &entry{}
-		b.byName[name] = e
+		t.byName[name] = e
 	}
 	if holder != "" {
-		b.byName[holder].state = replaced
+		t.byName[holder].state = replaced
 	}
-	if known && e.address != address && b.holders[e.address] == name {
-		delete(b.holders, e.address)
+	if known && e.address != address && t.holders[e.address] == name {
+		delete(t.holders, e.address)
 	}
 	if restarted {
 		e.beginStart(w.StartedMS)
 	}
 	e.latest = Stamp{StartedMS: w.StartedMS, Sequence: max(e.latest.Sequence, w.Sequence)}
 	e.address, e.lastSeen, e.state = address, now, present
-	b.holders[address] = name
+	t.holders[address] = name
 	return Outcome{Accepted: true, Restarted: restarted, Replaces: holder}
 }
 
-// isNewStart reports whether w is the first announcement received from another, newer start.
-// The clock may have been set back between two starts, so an earlier start time alone does
-// not mean an older start.
+// isNewStart reports whether w is the first announcement received from another, newer
+// start. The clock may have been set back between two starts, so an earlier start time
+// alone does not mean an older start.
 func (e *entry) isNewStart(now time.Time, w Stamp) bool {
 	switch {
 	case w.StartedMS == 0 || w.StartedMS == e.latest.StartedMS || slices.Contains(e.pastStarts, w.StartedMS):
@@ -140,73 +141,73 @@
 }
 
 // beginStart adds the current start to the past ones and begins a new one.
-func (e *entry) beginStart(born int64) {
+func (e *entry) beginStart(startedMS int64) {
 	if e.latest.StartedMS != 0 {
 		e.pastStarts = append(e.pastStarts, e.latest.StartedMS)
 	}
 	if len(e.pastStarts) > maxPastStarts {
 		e.pastStarts = e.pastStarts[1:]
 	}
-	e.latest = Stamp{StartedMS: born}
+	e.latest = Stamp{StartedMS: startedMS}
 }
 
 // Leave records that an instance has left. Announcements of that start are no longer
-// accepted. born identifies the start, or is 0 if unknown. Leave reports whether the
+// accepted. startedMS identifies the start, or is 0 if unknown. Leave reports whether the
 // instance is gone: if an earlier start leaves, the running one is not affected.
-func (b *Tracker) Leave(now time.Time, name string, born int64) bool {
-	e, known := b.byName[name]
+func (t *Tracker) Leave(now time.Time, name string, startedMS int64) bool {
+	e, known := t.byName[name]
 	if !known {
 		e = &entry{}
-		b.byName[name] = e
+		t.byName[name] = e
 	}
 	switch {
-	case !known && born == 0:
+	case !known && startedMS == 0:
 		// All starts before this time are considered gone.
 		e.latest.StartedMS = now.UnixMilli()
 	case !known:
-		e.latest.StartedMS = born
-	case born == 0 || born == e.latest.StartedMS:
-	case e.isNewStart(now, Stamp{StartedMS: born}):
-		e.beginStart(born)
+		e.latest.StartedMS = startedMS
+	case startedMS == 0 || startedMS == e.latest.StartedMS:
+	case e.isNewStart(now, Stamp{StartedMS: startedMS}):
+		e.beginStart(startedMS)
 	default:
 		return false
 	}
-	if b.holders[e.address] == name {
-		delete(b.holders, e.address)
+	if t.holders[e.address] == name {
+		delete(t.holders, e.address)
 	}
 	e.state, e.lastSeen = gone, now
 	return true
 }
 
-// MarkMisdirected records that another instance answers at the address of the named one. The next
-// instance to announce the address gets it.
-func (b *Tracker) MarkMisdirected(name string) {
-	if e, known := b.byName[name]; known && b.holders[e.address] == name {
-		delete(b.holders, e.address)
+// MarkMisdirected records that another instance answers at the address of the named
+// one. The next instance to announce the address gets it.
+func (t *Tracker) MarkMisdirected(name string) {
+	if e, known := t.byName[name]; known && t.holders[e.address] == name {
+		delete(t.holders, e.address)
 		e.state = replaced
 	}
 }
 
 // evict removes the entries older than retention, and the oldest one above maxEntries.
-func (b *Tracker) evict(now time.Time) {
+func (t *Tracker) evict(now time.Time) {
 	oldest := ""
-	for name, e := range b.byName {
+	for name, e := range t.byName {
 		if now.Sub(e.lastSeen) > retention {
-			b.remove(name, e)
+			t.remove(name, e)
 			continue
 		}
-		if oldest == "" || e.lastSeen.Before(b.byName[oldest].lastSeen) {
+		if oldest == "" || e.lastSeen.Before(t.byName[oldest].lastSeen) {
 			oldest = name
 		}
 	}
-	if len(b.byName) > maxEntries {
-		b.remove(oldest, b.byName[oldest])
+	if len(t.byName) > maxEntries {
+		t.remove(oldest, t.byName[oldest])
 	}
 }
 
-func (b *Tracker) remove(name string, e *entry) {
-	if b.holders[e.address] == name {
-		delete(b.holders, e.address)
+func (t *Tracker) remove(name string, e *entry) {
+	if t.holders[e.address] == name {
+		delete(t.holders, e.address)
 	}
-	delete(b.byName, name)
+	delete(t.byName, name)
 }
--- a/internal/core/announce/announce_test.go
+++ b/internal/core/announce/announce_test.go
@@ -17,73 +17,73 @@
 // An announcement delayed by a network partition arrives after its sender has crashed and
 // another instance has the address.
 func TestDelayedAnnouncementDoesNotTakeAddressBack(t *testing.T) {
-	b := NewTracker()
-	assert.Assert(t, b.Apply(at(0), "old", address, Stamp{Sequence: 7}).Accepted)
-	assert.DeepEqual(t, b.Apply(at(2), "new", address, Stamp{Sequence: 1}), Outcome{Accepted: true, Replaces: "old"})
-	assert.Assert(t, !b.Apply(at(2.5), "old", address, Stamp{Sequence: 8}).Accepted)
-	assert.DeepEqual(t, b.Apply(at(3.5), "new", address, Stamp{Sequence: 2}), Outcome{Accepted: true})
+	tracker := NewTracker()
+	assert.Assert(t, tracker.Apply(at(0), "old", address, Stamp{Sequence: 7}).Accepted)
+	assert.DeepEqual(t, tracker.Apply(at(2), "new", address, Stamp{Sequence: 1}), Outcome{Accepted: true, Replaces: "old"})
+	assert.Assert(t, !tracker.Apply(at(2.5), "old", address, Stamp{Sequence: 8}).Accepted)
+	assert.DeepEqual(t, tracker.Apply(at(3.5), "new", address, Stamp{Sequence: 2}), Outcome{Accepted: true})
 }
 
 func TestInstanceThatHasLeftIsNotRevived(t *testing.T) {
-	b := NewTracker()
-	assert.Assert(t, b.Apply(at(0), "i", address, Stamp{Sequence: 3}).Accepted)
-	b.Leave(at(1), "i", 0)
-	assert.Assert(t, !b.Apply(at(2), "i", address, Stamp{Sequence: 4}).Accepted)
-	assert.Assert(t, b.Apply(at(3), "j", address, Stamp{Sequence: 1}).Accepted)
+	tracker := NewTracker()
+	assert.Assert(t, tracker.Apply(at(0), "i", address, Stamp{Sequence: 3}).Accepted)
+	tracker.Leave(at(1), "i", 0)
+	assert.Assert(t, !tracker.Apply(at(2), "i", address, Stamp{Sequence: 4}).Accepted)
+	assert.Assert(t, tracker.Apply(at(3), "j", address, Stamp{Sequence: 1}).Accepted)
 }
 
 func TestOlderAnnouncementDoesNotOverrideNewerOne(t *testing.T) {
-	b := NewTracker()
-	assert.Assert(t, b.Apply(at(0), "i", address, Stamp{Sequence: 5}).Accepted)
-	assert.Assert(t, !b.Apply(at(1), "i", address, Stamp{Sequence: 4}).Accepted)
-	assert.Assert(t, b.Apply(at(2), "i", address, Stamp{Sequence: 6}).Accepted)
-	assert.Assert(t, b.Apply(at(3), "uncounted", "10.0.0.1:81", Stamp{Sequence: 0}).Accepted)
-	assert.Assert(t, b.Apply(at(4), "uncounted", "10.0.0.1:81", Stamp{Sequence: 0}).Accepted)
+	tracker := NewTracker()
+	assert.Assert(t, tracker.Apply(at(0), "i", address, Stamp{Sequence: 5}).Accepted)
+	assert.Assert(t, !tracker.Apply(at(1), "i", address, Stamp{Sequence: 4}).Accepted)
+	assert.Assert(t, tracker.Apply(at(2), "i", address, Stamp{Sequence: 6}).Accepted)
+	assert.Assert(t, tracker.Apply(at(3), "uncounted", "10.0.0.1:81", Stamp{Sequence: 0}).Accepted)
+	assert.Assert(t, tracker.Apply(at(4), "uncounted", "10.0.0.1:81", Stamp{Sequence: 0}).Accepted)
 }
 
 // A process that has just started may receive a delayed announcement of a crashed instance
 // after that of the running one. The running instance must regain the address soon.
 func TestRunningInstanceRegainsAddress(t *testing.T) {
-	b := NewTracker()
-	assert.Assert(t, b.Apply(at(0), "running", address, Stamp{Sequence: 1}).Accepted)
-	assert.Assert(t, b.Apply(at(1), "crashed", address, Stamp{Sequence: 9}).Accepted)
-	assert.Assert(t, !b.Apply(at(1.5), "running", address, Stamp{Sequence: 2}).Accepted)
-	b.MarkMisdirected("crashed")
-	assert.DeepEqual(t, b.Apply(at(3), "running", address, Stamp{Sequence: 3}), Outcome{Accepted: true})
-	assert.Assert(t, !b.Apply(at(4), "crashed", address, Stamp{Sequence: 10}).Accepted)
+	tracker := NewTracker()
+	assert.Assert(t, tracker.Apply(at(0), "running", address, Stamp{Sequence: 1}).Accepted)
+	assert.Assert(t, tracker.Apply(at(1), "crashed", address, Stamp{Sequence: 9}).Accepted)
+	assert.Assert(t, !tracker.Apply(at(1.5), "running", address, Stamp{Sequence: 2}).Accepted)
+	tracker.MarkMisdirected("crashed")
+	assert.DeepEqual(t, tracker.Apply(at(3), "running", address, Stamp{Sequence: 3}), Outcome{Accepted: true})
+	assert.Assert(t, !tracker.Apply(at(4), "crashed", address, Stamp{Sequence: 10}).Accepted)
 }
 
-// For any sequence of operations, each holder of an address is present there, and the number
-// of entries is bounded.
+// For any sequence of operations, each holder of an address is present there, and the
+// number of entries is bounded.
 func TestEachAddressHasOneHolder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b := NewTracker()
+		tracker := NewTracker()
 		now := start
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 20000).Draw(t, "gapMS")) * time.Millisecond)
 			name := rapid.SampledFrom([]string{"a", "b", "c", "d"}).Draw(t, "name")
 			switch rapid.IntRange(0, 5).Draw(t, "step") {
 			case 0:
-				b.Leave(now, name, int64(rapid.IntRange(0, 5).Draw(t, "born")))
+				tracker.Leave(now, name, int64(rapid.IntRange(0, 5).Draw(t, "started")))
 			case 1:
-				b.MarkMisdirected(name)
+				tracker.MarkMisdirected(name)
 			default:
 				where := rapid.SampledFrom([]string{"x", "y"}).Draw(t, "address")
-				b.Apply(now, name, where, Stamp{
-					StartedMS: int64(rapid.IntRange(0, 5).Draw(t, "born")), Sequence: uint64(rapid.IntRange(0, 20).Draw(t, "sequence")),
+				tracker.Apply(now, name, where, Stamp{
+					StartedMS: int64(rapid.IntRange(0, 5).Draw(t, "started")), Sequence: uint64(rapid.IntRange(0, 20).Draw(t, "sequence")),
 				})
 			}
-			for where, holder := range b.holders {
-				e := b.byName[holder]
+			for where, holder := range tracker.holders {
+				e := tracker.byName[holder]
 				assert.Assert(t, e != nil && e.state == present && e.address == where)
 			}
-			assert.Assert(t, len(b.byName) <= maxEntries)
+			assert.Assert(t, len(tracker.byName) <= maxEntries)
 		}
 	})
 }
 
-// bornAt returns a start time in Unix milliseconds.
-func bornAt(seconds float64) int64 { return at(seconds).UnixMilli() }
+// startMS returns a start time in Unix milliseconds.
+func startMS(seconds float64) int64 { return at(seconds).UnixMilli() }
 
 // An instance that restarts under the same name begins a new sequence. Its announcements
 // are accepted at once, whatever the previous start has announced, and delayed
@@ -92,27 +92,29 @@
 	for _, c := range []struct {
 		name string
 		// before is what happens between the two starts.
-		before func(b *Tracker)
-		born   float64
+		before  func(tracker *Tracker)
+		started float64
 	}{
 		{"while it was present", func(*Tracker) {}, 2},
-		{"after its leave", func(b *Tracker) { b.Leave(at(1.5), "i", bornAt(0)) }, 2},
-		{"after a leave that names no start", func(b *Tracker) { b.Leave(at(1.5), "i", 0) }, 2},
+		{"after its leave", func(tracker *Tracker) { tracker.Leave(at(1.5), "i", startMS(0)) }, 2},
+		{"after a leave that names no start", func(tracker *Tracker) { tracker.Leave(at(1.5), "i", 0) }, 2},
 		{"with a clock that is behind", func(*Tracker) {}, -7},
-		{"after its leave, with a clock that is behind", func(b *Tracker) { b.Leave(at(1.5), "i", bornAt(0)) }, -7},
-		{"at the address of another instance", func(b *Tracker) { b.Apply(at(1.5), "other", address, Stamp{StartedMS: bornAt(1.4), Sequence: 1}) }, 2},
+		{"after its leave, with a clock that is behind", func(tracker *Tracker) { tracker.Leave(at(1.5), "i", startMS(0)) }, -7},
+		{"at the address of another instance", func(tracker *Tracker) {
+			tracker.Apply(at(1.5), "other", address, Stamp{StartedMS: startMS(1.4), Sequence: 1})
+		}, 2},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			b := NewTracker()
-			assert.Assert(t, b.Apply(at(1), "i", address, Stamp{StartedMS: bornAt(0), Sequence: 40}).Accepted)
-			c.before(b)
-			out := b.Apply(at(2.1), "i", address, Stamp{StartedMS: bornAt(c.born), Sequence: 1})
+			tracker := NewTracker()
+			assert.Assert(t, tracker.Apply(at(1), "i", address, Stamp{StartedMS: startMS(0), Sequence: 40}).Accepted)
+			c.before(tracker)
+			out := tracker.Apply(at(2.1), "i", address, Stamp{StartedMS: startMS(c.started), Sequence: 1})
 			assert.Assert(t, out.Accepted && out.Restarted)
 			for _, late := range []uint64{41, 60} {
-				assert.Assert(t, !b.Apply(at(2.2), "i", address, Stamp{StartedMS: bornAt(0), Sequence: late}).Accepted)
+				assert.Assert(t, !tracker.Apply(at(2.2), "i", address, Stamp{StartedMS: startMS(0), Sequence: late}).Accepted)
 			}
-			b.Leave(at(2.3), "i", bornAt(0))
-			out = b.Apply(at(3.1), "i", address, Stamp{StartedMS: bornAt(c.born), Sequence: 2})
+			tracker.Leave(at(2.3), "i", startMS(0))
+			out = tracker.Apply(at(3.1), "i", address, Stamp{StartedMS: startMS(c.started), Sequence: 2})
 			assert.DeepEqual(t, out, Outcome{Accepted: true})
 		})
 	}
@@ -120,33 +122,33 @@
 
 // Of several starts in quick succession, only the last is accepted.
 func TestLastOfSeveralStartsIsAccepted(t *testing.T) {
-	b := NewTracker()
-	for i, born := range []float64{0, 1, 1.4, 1.8} {
-		out := b.Apply(at(2), "i", address, Stamp{StartedMS: bornAt(born), Sequence: 1})
+	tracker := NewTracker()
+	for i, started := range []float64{0, 1, 1.4, 1.8} {
+		out := tracker.Apply(at(2), "i", address, Stamp{StartedMS: startMS(started), Sequence: 1})
 		assert.Assert(t, out.Accepted && out.Restarted == (i > 0))
 	}
-	for _, born := range []float64{0, 1, 1.4} {
-		assert.Assert(t, !b.Apply(at(2.5), "i", address, Stamp{StartedMS: bornAt(born), Sequence: 9}).Accepted)
+	for _, started := range []float64{0, 1, 1.4} {
+		assert.Assert(t, !tracker.Apply(at(2.5), "i", address, Stamp{StartedMS: startMS(started), Sequence: 9}).Accepted)
 	}
-	assert.Assert(t, b.Apply(at(3), "i", address, Stamp{StartedMS: bornAt(1.8), Sequence: 2}).Accepted)
+	assert.Assert(t, tracker.Apply(at(3), "i", address, Stamp{StartedMS: startMS(1.8), Sequence: 2}).Accepted)
 }
 
 // An announcement from an unknown start, earlier than the running one and with a sequence
 // number above maxFirstSequence, is a delayed one and must be rejected.
 func TestDelayedAnnouncementOfUnknownOlderStartIsRejected(t *testing.T) {
-	b := NewTracker()
-	assert.Assert(t, b.Apply(at(5), "i", address, Stamp{StartedMS: bornAt(4), Sequence: 1}).Accepted)
-	assert.Assert(t, !b.Apply(at(5.5), "i", address, Stamp{StartedMS: bornAt(1), Sequence: 7}).Accepted)
-	b.Leave(at(6), "i", bornAt(4))
-	assert.Assert(t, !b.Apply(at(6.5), "i", address, Stamp{StartedMS: bornAt(1), Sequence: 8}).Accepted)
+	tracker := NewTracker()
+	assert.Assert(t, tracker.Apply(at(5), "i", address, Stamp{StartedMS: startMS(4), Sequence: 1}).Accepted)
+	assert.Assert(t, !tracker.Apply(at(5.5), "i", address, Stamp{StartedMS: startMS(1), Sequence: 7}).Accepted)
+	tracker.Leave(at(6), "i", startMS(4))
+	assert.Assert(t, !tracker.Apply(at(6.5), "i", address, Stamp{StartedMS: startMS(1), Sequence: 8}).Accepted)
 	// Without recent announcements of the known start, the other one is accepted.
-	assert.Assert(t, b.Apply(at(11), "i", address, Stamp{StartedMS: bornAt(1), Sequence: 12}).Accepted)
+	assert.Assert(t, tracker.Apply(at(11), "i", address, Stamp{StartedMS: startMS(1), Sequence: 12}).Accepted)
 }
 
 // An instance either always or never announces its start time, so announcements without it
 // are not from the known start.
 func TestAnnouncementWithoutStartTimeIsRejectedAfterOneWith(t *testing.T) {
-	b := NewTracker()
-	assert.Assert(t, b.Apply(at(1), "i", address, Stamp{StartedMS: bornAt(0), Sequence: 1}).Accepted)
-	assert.Assert(t, !b.Apply(at(2), "i", address, Stamp{Sequence: 99}).Accepted)
+	tracker := NewTracker()
+	assert.Assert(t, tracker.Apply(at(1), "i", address, Stamp{StartedMS: startMS(0), Sequence: 1}).Accepted)
+	assert.Assert(t, !tracker.Apply(at(2), "i", address, Stamp{Sequence: 99}).Accepted)
 }
--- a/internal/core/balance/balance.go
+++ b/internal/core/balance/balance.go
@@ -16,7 +16,7 @@
 type Candidate struct {
 	Slots int
 	// Running is the number of running requests in the guard's last load report, and
-	// Waiting the work queued ahead of this request at that time, as the sum of the
+	// QueuedWork the work queued ahead of this request at that time, as the sum of the
 	// expected service times.
 	Running    int
 	QueuedWork time.Duration
@@ -43,7 +43,7 @@
 // TypicalLoad is the current mean load per slot of a service's instances, from recent
 // load reports.
 type TypicalLoad struct {
-	// Running is the share of the slots in use, and Waiting the work queued ahead of
+	// Running is the share of the slots in use, and QueuedWork the work queued ahead of
 	// the request.
 	Running    float64
 	QueuedWork time.Duration
@@ -63,9 +63,9 @@
 const (
 	// defaultService is assumed if the service time is unknown.
 	defaultService = 20 * time.Millisecond
-	// unknownRemotePath is assumed if the round-trip time to another data centre is
+	// unknownRemoteRoundTrip is assumed if the round-trip time to another data centre is
 	// unknown.
-	unknownRemotePath = 3 * time.Millisecond
+	unknownRemoteRoundTrip = 3 * time.Millisecond
 	// loadHalfLife is the age at which a load report has lost half of its weight
 	// against the typical load.
 	loadHalfLife = 2 * time.Second
@@ -95,18 +95,18 @@
 	if service <= 0 {
 		service = defaultService
 	}
-	path := c.RoundTrip
-	if path <= 0 && !c.Local {
-		path = unknownRemotePath
+	roundTrip := c.RoundTrip
+	if roundTrip <= 0 && !c.Local {
+		roundTrip = unknownRemoteRoundTrip
 	}
 	slots := float64(max(c.Slots, 1))
-	fresh := math.Exp2(-float64(c.LoadAge) / float64(loadHalfLife))
-	running := fresh*float64(c.Running) + (1-fresh)*c.Typical.Running*slots + float64(c.Pending)
-	waiting := fresh*c.QueuedWork.Seconds()/slots + (1-fresh)*c.Typical.QueuedWork.Seconds()
+	freshness := math.Exp2(-float64(c.LoadAge) / float64(loadHalfLife))
+	running := freshness*float64(c.Running) + (1-freshness)*c.Typical.Running*slots + float64(c.Pending)
+	queued := freshness*c.QueuedWork.Seconds()/slots + (1-freshness)*c.Typical.QueuedWork.Seconds()
 	busy := min(running/slots, 1)
-	wait := waiting + service.Seconds()*max(running+1-slots, 0)/slots
+	wait := queued + service.Seconds()*max(running+1-slots, 0)/slots
 	run := (service.Seconds()*(1+fullLoadSlowdown*busy*busy) + wait) / max(c.Warmth, minWarmth)
-	total := path.Seconds() + run
+	total := roundTrip.Seconds() + run
 	value := (1 - c.FailureProbability*s.FailureWeight) * s.valueAfter(total)
 	if !c.Local {
 		value -= s.RemoteWeight
--- a/internal/core/chance/chance.go
+++ b/internal/core/chance/chance.go
@@ -60,18 +60,21 @@
 	return m.steadyStateSick() + (e.sick-m.steadyStateSick())*decay
 }
 
-// maxSilentDoubt is the level up to which Doubt rises without new outcomes.
-const maxSilentDoubt = 0.05
+// maxSickWithoutOutcomes is the level up to which SickForSelection rises without new
+// outcomes.
+const maxSickWithoutOutcomes = 0.05
 
-// SickForSelection returns the probability of the sick state for use in selecting an instance. An
-// instance without recent outcomes may have become sick, but if it were avoided for that
-// reason, there would never be new outcomes. Time alone therefore raises SickForSelection to
-// maxSilentDoubt at most. After an observed failure, SickForSelection decays like Sick.
+// SickForSelection returns the probability of the sick state for use in selecting an
+// instance. An instance without recent outcomes may have become sick, but if it were
+// avoided for that reason, there would never be new outcomes. Time alone therefore
+// raises SickForSelection to maxSickWithoutOutcomes at most. After an observed failure,
+// SickForSelection decays like Sick.
 func (e *Estimate) SickForSelection(now time.Time, m Model) float64 {
-	return min(e.Sick(now, m), max(e.sick, maxSilentDoubt))
+	return min(e.Sick(now, m), max(e.sick, maxSickWithoutOutcomes))
 }
 
-// FailureProbability returns the probability that the next request fails, based on Doubt.
+// FailureProbability returns the probability that the next request fails, based on
+// SickForSelection.
 func (e *Estimate) FailureProbability(now time.Time, m Model) float64 {
 	sick := e.SickForSelection(now, m)
 	return sick*m.SickFailureRate + (1-sick)*m.WellFailureRate
--- a/internal/core/chance/chance_test.go
+++ b/internal/core/chance/chance_test.go
@@ -46,11 +46,11 @@
 // one that had failed some time ago, and so never got new outcomes. In a fleet of 354
 // equal instances at a tenth of their slots, an instance got less than half of its share
 // in 58 of 2,478 intervals of 5 s.
-func TestSilenceRaisesDoubtOnlySlightly(t *testing.T) {
+func TestSilenceRaisesSickForSelectionOnlySlightly(t *testing.T) {
 	m := Default()
 	const rounding = 1e-9
 	var unknown Estimate
-	assert.Equal(t, unknown.SickForSelection(start, m), maxSilentDoubt, "an instance that has just started")
+	assert.Equal(t, unknown.SickForSelection(start, m), maxSickWithoutOutcomes, "an instance that has just started")
 	rapid.Check(t, func(t *rapid.T) {
 		e := EstimateAt(start, rapid.Float64Range(0, 1).Draw(t, "sick"))
 		now := start
@@ -60,11 +60,11 @@
 		}
 		observed := e.SickForSelection(now, m)
 		later := now.Add(time.Duration(rapid.IntRange(0, 100000).Draw(t, "silentMS")) * time.Millisecond)
-		doubt := e.SickForSelection(later, m)
-		assert.Assert(t, doubt <= max(observed, maxSilentDoubt)+rounding, "silence alone raised the doubt above its limit")
-		assert.Assert(t, doubt <= e.Sick(later, m)+rounding)
+		forSelection := e.SickForSelection(later, m)
+		assert.Assert(t, forSelection <= max(observed, maxSickWithoutOutcomes)+rounding, "silence alone raised SickForSelection above its limit")
+		assert.Assert(t, forSelection <= e.Sick(later, m)+rounding)
 		if observed > m.steadyStateSick() {
-			assert.Equal(t, doubt, e.Sick(later, m), "an observed failure must decay like Sick")
+			assert.Equal(t, forSelection, e.Sick(later, m), "an observed failure must decay like Sick")
 		}
 	})
 }
--- a/internal/core/config/ends_test.go
+++ b/internal/core/config/crashes_test.go
@@ -10,9 +10,9 @@
 	"github.com/radishhoist/radishhoist/internal/msg"
 )
 
-// Hosts send no digests of instance ends while there are none. A host that starts
-// receives the existing ends together with the host entries it asks for.
-func TestEndsCostNothingWhereThereAreNone(t *testing.T) {
+// Hosts send no digests of the set of crashes while it is empty. A host that starts
+// receives the known crashes together with the host entries it asks for.
+func TestNoDigestsOfEmptyCrashSet(t *testing.T) {
 	peers := Peers{Local: []string{"other"}}
 	n := NewNode(DefaultConfig(), rand.New(rand.NewPCG(1, 2)))
 	now := time.Unix(1000, 0)
--- a/internal/core/config/node.go
+++ b/internal/core/config/node.go
@@ -106,8 +106,8 @@
 	for i := range n.sets {
 		n.sets[i] = NewSet()
 	}
-	// The sets of hosts and ends need no complete snapshot at the start: repair fills
-	// them.
+	// The sets of hosts and crashes need no complete snapshot at the start: repair
+	// fills them.
 	n.complete[msg.SetHosts], n.complete[msg.SetEnds] = true, true
 	return n
 }
@@ -189,14 +189,14 @@
 	}
 }
 
-// pushPeers picks FanOut near peers and, for updates that originate here, RemoteFanOut
+// pushPeers picks FanOut local peers and, for updates that originate here, RemoteFanOut
 // peers in each other data centre.
 func (n *Node) pushPeers(peers Peers, from string) []string {
 	var out []string
-	near := peers.Local
-	for _, i := range n.sample(len(near), n.cfg.FanOut+1) {
-		if near[i] != from && len(out) < n.cfg.FanOut {
-			out = append(out, near[i])
+	local := peers.Local
+	for _, i := range n.sample(len(local), n.cfg.FanOut+1) {
+		if local[i] != from && len(out) < n.cfg.FanOut {
+			out = append(out, local[i])
 		}
 	}
 	if from != "" {
--- a/internal/core/config/resend.go
+++ b/internal/core/config/resend.go
@@ -6,7 +6,7 @@
 	"github.com/radishhoist/radishhoist/internal/msg"
 )
 
-// resendDelay is the time after which updates of instance ends are pushed a second time,
+// resendDelay is the time after which updates about crashes are pushed a second time,
 // to another random choice of peers. With a single push, one host in twenty learns of
 // them only by a repair, but a request that crashes its targets must be known everywhere
 // within seconds. By then most of the first round is over.
@@ -20,7 +20,7 @@
 	entries []msg.Entry
 }
 
-// scheduleResend schedules a second push of updates of instance ends.
+// scheduleResend schedules a second push of updates about crashes.
 func (n *Node) scheduleResend(from string, updates []msg.Entry) {
 	n.resends = append(n.resends, resend{at: n.now.Add(resendDelay), from: from, entries: updates})
 }
--- a/internal/core/config/set.go
+++ b/internal/core/config/set.go
@@ -1,5 +1,5 @@
 // Package config replicates versioned entries among the hosts: the operators' records,
-// what each host publishes about itself, and instance ends.
+// what each host publishes about itself, and the crashes of instances.
 //
 // New entries are pushed as rumors to a few random peers; periodic digests to a random
 // peer repair losses (anti-entropy). A process applies an entry only if its version is
--- a/internal/core/config/step.go
+++ b/internal/core/config/step.go
@@ -116,7 +116,7 @@
 	if m.All {
 		n.sendSnapshot(from, m.Set)
 		if m.Set == msg.SetHosts {
-			n.pushEnds(from)
+			n.pushCrashes(from)
 		}
 		return
 	}
@@ -132,13 +132,13 @@
 	}
 }
 
-// pushEnds sends all instance ends to a host that asks for the host entries: it has just
-// started and must not run again the requests that have ended instances before.
-func (n *Node) pushEnds(to string) {
-	var ends []msg.Entry
-	n.sets[msg.SetEnds].Each(func(e msg.Entry) { ends = append(ends, e) })
-	if len(ends) > 0 {
-		n.pushValues(to, msg.SetEnds, ends)
+// pushCrashes sends all crashes to a host that asks for the host entries: it has just
+// started and must not run requests that have crashed instances before.
+func (n *Node) pushCrashes(to string) {
+	var crashes []msg.Entry
+	n.sets[msg.SetEnds].Each(func(e msg.Entry) { crashes = append(crashes, e) })
+	if len(crashes) > 0 {
+		n.pushValues(to, msg.SetEnds, crashes)
 	}
 }
 
--- a/internal/core/contact/contact.go
+++ b/internal/core/contact/contact.go
@@ -5,7 +5,7 @@
 //
 // The cost of a start must not grow with the square of the fleet size when all hosts
 // start at once. Therefore few hosts are called at a time, since updates about each
-// spread from host to host, and only one near host at a time is asked for its complete
+// spread from host to host, and only one local host at a time is asked for its complete
 // set. The package performs no I/O.
 package contact
 
@@ -61,7 +61,7 @@
 // candidate is a host that is known by its address only.
 type candidate struct {
 	name, addr string
-	near       bool
+	local      bool
 	calls      int
 	nextCall   time.Time
 }
@@ -81,123 +81,124 @@
 	nextSeedCall     time.Time
 	nextFullPull     time.Time
 	fullPullInterval time.Duration
-	// callsPending reports whether candidates were called since Met last returned true.
+	// callsPending reports whether candidates were called since AllReached last returned
+	// true.
 	callsPending bool
 }
 
-// New returns a Book for a host in a data centre.
+// New returns the Contacts of a host in a data centre.
 func New(dc string, seeds []string, rng *rand.Rand) *Contacts {
-	b := &Contacts{dc: dc, rng: rng, candidates: make(map[string]*candidate), isSeed: make(map[string]bool), fullPullInterval: minFullPullInterval}
+	cs := &Contacts{dc: dc, rng: rng, candidates: make(map[string]*candidate), isSeed: make(map[string]bool), fullPullInterval: minFullPullInterval}
 	for _, addr := range seeds {
-		b.addSeed(addr)
+		cs.addSeed(addr)
 	}
-	return b
+	return cs
 }
 
-func (b *Contacts) addSeed(addr string) {
-	if !b.isSeed[addr] {
-		b.isSeed[addr] = true
-		b.seeds = append(b.seeds, addr)
+func (cs *Contacts) addSeed(addr string) {
+	if !cs.isSeed[addr] {
+		cs.isSeed[addr] = true
+		cs.seeds = append(cs.seeds, addr)
 	}
 }
 
-// AddListed adds a host listed by the platform. known reports whether an update about it has
-// been received already.
-func (b *Contacts) AddListed(name, dc, addr string, known bool) {
-	b.addSeed(addr)
+// AddListed adds a host listed by the platform. known reports whether an update about
+// it has been received already.
+func (cs *Contacts) AddListed(name, dc, addr string, known bool) {
+	cs.addSeed(addr)
 	if !known {
-		b.add(name, addr, dc == b.dc)
+		cs.add(name, addr, dc == cs.dc)
 	}
 }
 
 // AddProber adds an unknown host that has sent a packet.
-func (b *Contacts) AddProber(name, addr string) {
-	if _, pending := b.candidates[name]; !pending && len(b.candidates) < maxCandidates {
-		b.add(name, addr, false)
+func (cs *Contacts) AddProber(name, addr string) {
+	if _, pending := cs.candidates[name]; !pending && len(cs.candidates) < maxCandidates {
+		cs.add(name, addr, false)
 	}
 }
 
 // Candidates returns the number of candidates.
-func (b *Contacts) Candidates() int { return len(b.candidates) }
+func (cs *Contacts) Candidates() int { return len(cs.candidates) }
 
 // add inserts a candidate at a random position, so that hosts that start at once and read
 // the same list do not all call the same hosts.
-func (b *Contacts) add(name, addr string, near bool) {
-	if old, pending := b.candidates[name]; pending {
-		old.addr, old.near, old.calls = addr, near, 0
+func (cs *Contacts) add(name, addr string, local bool) {
+	if old, pending := cs.candidates[name]; pending {
+		old.addr, old.local, old.calls = addr, local, 0
 		return
 	}
-	c := &candidate{name: name, addr: addr, near: near}
-	b.candidates[name] = c
-	b.order = append(b.order, c)
-	i := b.rng.IntN(len(b.order))
-	last := len(b.order) - 1
-	b.order[i], b.order[last] = b.order[last], b.order[i]
+	c := &candidate{name: name, addr: addr, local: local}
+	cs.candidates[name] = c
+	cs.order = append(cs.order, c)
+	i := cs.rng.IntN(len(cs.order))
+	last := len(cs.order) - 1
+	cs.order[i], cs.order[last] = cs.order[last], cs.order[i]
 }
 
-// NextCalls returns the calls to make now. known reports whether an update about a host has
-// been received, and alone whether no other host is known.
-func (b *Contacts) NextCalls(now time.Time, known func(name string) bool, alone bool) []Call {
-	if now.Before(b.nextRound) {
+// NextCalls returns the calls to make now. known reports whether an update about a host
+// has been received, and noPeers whether no other host is known.
+func (cs *Contacts) NextCalls(now time.Time, known func(name string) bool, noPeers bool) []Call {
+	if now.Before(cs.nextRound) {
 		return nil
 	}
-	b.prune(known)
-	calls := b.callCandidates(now, alone)
-	if alone && len(calls) == 0 {
-		calls = b.callSeeds(now)
+	cs.prune(known)
+	calls := cs.callCandidates(now, noPeers)
+	if noPeers && len(calls) == 0 {
+		calls = cs.callSeeds(now)
 	}
 	if len(calls) > 0 {
-		b.nextRound = now.Add(roundInterval)
-		b.callsPending = true
+		cs.nextRound = now.Add(roundInterval)
+		cs.callsPending = true
 	}
 	return calls
 }
 
-// AllReached returns true once, when all called hosts have become known or were given up. The
-// caller then publishes this host's entry again: the earlier one reached only the hosts
-// known at that time.
-func (b *Contacts) AllReached(known func(name string) bool, alone bool) bool {
-	if !b.callsPending || alone {
+// AllReached returns true once, when all called hosts have become known or were given
+// up. The caller then publishes this host's entry again: the earlier one reached only
+// the hosts known at that time.
+func (cs *Contacts) AllReached(known func(name string) bool, noPeers bool) bool {
+	if !cs.callsPending || noPeers {
 		return false
 	}
-	b.prune(known)
-	if len(b.candidates) > 0 {
+	cs.prune(known)
+	if len(cs.candidates) > 0 {
 		return false
 	}
-	b.callsPending = false
+	cs.callsPending = false
 	return true
 }
 
 // prune removes the candidates that have become known and those that do not answer.
-func (b *Contacts) prune(known func(name string) bool) {
-	kept := b.order[:0]
-	for _, c := range b.order {
+func (cs *Contacts) prune(known func(name string) bool) {
+	kept := cs.order[:0]
+	for _, c := range cs.order {
 		if c.calls >= maxCallsPerHost || known(c.name) {
-			delete(b.candidates, c.name)
+			delete(cs.candidates, c.name)
 			continue
 		}
 		kept = append(kept, c)
 	}
-	clear(b.order[len(kept):])
-	b.order = kept
+	clear(cs.order[len(kept):])
+	cs.order = kept
 }
 
-// callCandidates picks the calls of one round: first a near host, then others, preferably
+// callCandidates picks the calls of one round: first a local host, then others, preferably
 // remote ones.
-func (b *Contacts) callCandidates(now time.Time, alone bool) []Call {
+func (cs *Contacts) callCandidates(now time.Time, noPeers bool) []Call {
 	var calls []Call
 	call := func(c *candidate) {
 		c.calls++
 		c.nextCall = now.Add(callInterval)
-		calls = append(calls, Call{Addr: c.addr, Host: c.name, Full: len(calls) == 0 && b.fullPullDue(now, alone)})
+		calls = append(calls, Call{Addr: c.addr, Host: c.name, Full: len(calls) == 0 && cs.fullPullDue(now, noPeers)})
 	}
-	if c := b.firstDue(now, func(c *candidate) bool { return c.near }); c != nil {
+	if c := cs.firstDue(now, func(c *candidate) bool { return c.local }); c != nil {
 		call(c)
 	}
 	for len(calls) < maxCallsPerRound {
-		c := b.firstDue(now, func(c *candidate) bool { return !c.near })
+		c := cs.firstDue(now, func(c *candidate) bool { return !c.local })
 		if c == nil {
-			c = b.firstDue(now, func(*candidate) bool { return true })
+			c = cs.firstDue(now, func(*candidate) bool { return true })
 		}
 		if c == nil {
 			break
@@ -207,8 +208,8 @@
 	return calls
 }
 
-func (b *Contacts) firstDue(now time.Time, match func(*candidate) bool) *candidate {
-	for _, c := range b.order {
+func (cs *Contacts) firstDue(now time.Time, match func(*candidate) bool) *candidate {
+	for _, c := range cs.order {
 		if !now.Before(c.nextCall) && c.calls < maxCallsPerHost && match(c) {
 			return c
 		}
@@ -218,26 +219,26 @@
 
 // fullPullDue reports whether the next call requests a complete set, and schedules the
 // one after.
-func (b *Contacts) fullPullDue(now time.Time, alone bool) bool {
-	needed := alone || len(b.candidates) > maxSinglePulls
-	if !needed || now.Before(b.nextFullPull) {
+func (cs *Contacts) fullPullDue(now time.Time, noPeers bool) bool {
+	needed := noPeers || len(cs.candidates) > maxSinglePulls
+	if !needed || now.Before(cs.nextFullPull) {
 		return false
 	}
-	b.nextFullPull = now.Add(b.fullPullInterval)
-	b.fullPullInterval = min(2*b.fullPullInterval, maxFullPullInterval)
+	cs.nextFullPull = now.Add(cs.fullPullInterval)
+	cs.fullPullInterval = min(2*cs.fullPullInterval, maxFullPullInterval)
 	return true
 }
 
 // callSeeds picks seeds in turn, for a host that knows no other host.
-func (b *Contacts) callSeeds(now time.Time) []Call {
-	if now.Before(b.nextSeedCall) {
+func (cs *Contacts) callSeeds(now time.Time) []Call {
+	if now.Before(cs.nextSeedCall) {
 		return nil
 	}
-	b.nextSeedCall = now.Add(callInterval)
+	cs.nextSeedCall = now.Add(callInterval)
 	var calls []Call
-	for range min(maxCallsPerRound, len(b.seeds)) {
-		addr := b.seeds[0]
-		b.seeds = append(b.seeds[1:], addr)
+	for range min(maxCallsPerRound, len(cs.seeds)) {
+		addr := cs.seeds[0]
+		cs.seeds = append(cs.seeds[1:], addr)
 		calls = append(calls, Call{Addr: addr, Full: true})
 	}
 	return calls
--- a/internal/core/contact/contact_test.go
+++ b/internal/core/contact/contact_test.go
@@ -12,27 +12,27 @@
 
 var start = time.Unix(1000, 0)
 
-func newBook(seeds ...string) *Contacts {
+func newContacts(seeds ...string) *Contacts {
 	return New("dc0", seeds, rand.New(rand.NewPCG(1, 2)))
 }
 
 func knowsNone(string) bool { return false }
 
 // listAll lists hosts in five data centres.
-func listAll(b *Contacts, hosts int) {
+func listAll(contacts *Contacts, hosts int) {
 	for i := range hosts {
-		b.AddListed(fmt.Sprint("h", i), fmt.Sprint("dc", i%5), fmt.Sprint("addr", i), false)
+		contacts.AddListed(fmt.Sprint("h", i), fmt.Sprint("dc", i%5), fmt.Sprint("addr", i), false)
 	}
 }
 
 // Regardless of how many hosts are listed at a start, few are called at a time, the first
 // in the own data centre, and a complete set is requested only at intervals.
-func TestAFewAreCalledAtATime(t *testing.T) {
-	b := newBook()
-	listAll(b, 354)
+func TestFewHostsAreCalledAtATime(t *testing.T) {
+	contacts := newContacts()
+	listAll(contacts, 354)
 	calls, fullPulls := 0, 0
 	for at := time.Duration(0); at < time.Second; at += 50 * time.Millisecond {
-		due := b.NextCalls(start.Add(at), knowsNone, false)
+		due := contacts.NextCalls(start.Add(at), knowsNone, false)
 		assert.Assert(t, len(due) <= maxCallsPerRound)
 		for i, c := range due {
 			calls++
@@ -49,15 +49,15 @@
 
 // Every listed host that stays unknown is called eventually, so that no two parts of a
 // fleet stay separated, and at most maxCallsPerHost times.
-func TestEveryStrangerIsCalledUntilItIsKnown(t *testing.T) {
+func TestEveryCandidateIsCalledUntilItIsKnown(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b := newBook()
+		contacts := newContacts()
 		hosts := rapid.IntRange(1, 60).Draw(t, "hosts")
-		listAll(b, hosts)
+		listAll(contacts, hosts)
 		known := make(map[string]bool)
 		called := make(map[string]int)
 		for at := time.Duration(0); at < time.Minute; at += 50 * time.Millisecond {
-			for _, c := range b.NextCalls(start.Add(at), func(h string) bool { return known[h] }, false) {
+			for _, c := range contacts.NextCalls(start.Add(at), func(h string) bool { return known[h] }, false) {
 				assert.Assert(t, !known[c.Host], "%s was known", c.Host)
 				called[c.Host]++
 				known[c.Host] = rapid.IntRange(0, 2).Draw(t, "answers") == 0
@@ -67,33 +67,33 @@
 			n := called[fmt.Sprint("h", i)]
 			assert.Assert(t, n >= 1 && n <= maxCallsPerHost, "h%d was called %d times", i, n)
 		}
-		assert.Equal(t, b.Candidates(), 0)
+		assert.Equal(t, contacts.Candidates(), 0)
 	})
 }
 
 // A host that knows no other host requests complete sets from the hosts it hears of;
 // seeds are called only if there are no candidates.
-func TestAHostAloneAsksForEverybody(t *testing.T) {
-	b := newBook("seed1", "seed2", "seed1")
-	due := b.NextCalls(start, knowsNone, true)
+func TestHostWithoutPeersPullsCompleteSets(t *testing.T) {
+	contacts := newContacts("seed1", "seed2", "seed1")
+	due := contacts.NextCalls(start, knowsNone, true)
 	assert.DeepEqual(t, due, []Call{{Addr: "seed1", Full: true}, {Addr: "seed2", Full: true}})
-	assert.Equal(t, len(b.NextCalls(start.Add(roundInterval), knowsNone, true)), 0)
+	assert.Equal(t, len(contacts.NextCalls(start.Add(roundInterval), knowsNone, true)), 0)
 
-	b.AddProber("h1", "addr1")
-	due = b.NextCalls(start.Add(2*roundInterval), knowsNone, true)
+	contacts.AddProber("h1", "addr1")
+	due = contacts.NextCalls(start.Add(2*roundInterval), knowsNone, true)
 	assert.DeepEqual(t, due, []Call{{Addr: "addr1", Host: "h1", Full: true}})
-	assert.Equal(t, len(b.NextCalls(start.Add(callInterval+2*roundInterval), func(string) bool { return true }, false)), 0)
+	assert.Equal(t, len(contacts.NextCalls(start.Add(callInterval+2*roundInterval), func(string) bool { return true }, false)), 0)
 }
 
-// Met returns true once, and never while no other host is known.
-func TestAMeetingIsToldOnce(t *testing.T) {
-	b := newBook()
-	b.AddListed("h1", "dc0", "addr1", false)
+// AllReached returns true once, and never while no other host is known.
+func TestAllReachedIsReportedOnce(t *testing.T) {
+	contacts := newContacts()
+	contacts.AddListed("h1", "dc0", "addr1", false)
 	everybody := func(string) bool { return true }
-	assert.Assert(t, !b.AllReached(everybody, false), "nobody was called")
-	b.NextCalls(start, knowsNone, true)
-	assert.Assert(t, !b.AllReached(knowsNone, false))
-	assert.Assert(t, !b.AllReached(everybody, true))
-	assert.Assert(t, b.AllReached(everybody, false))
-	assert.Assert(t, !b.AllReached(everybody, false))
+	assert.Assert(t, !contacts.AllReached(everybody, false), "nobody was called")
+	contacts.NextCalls(start, knowsNone, true)
+	assert.Assert(t, !contacts.AllReached(knowsNone, false))
+	assert.Assert(t, !contacts.AllReached(everybody, true))
+	assert.Assert(t, contacts.AllReached(everybody, false))
+	assert.Assert(t, !contacts.AllReached(everybody, false))
 }
--- a/internal/core/member/live.go
+++ b/internal/core/member/live.go
@@ -9,12 +9,12 @@
 type liveLists struct {
 	// ownDC is this host's data centre.
 	ownDC string
-	// near holds the hosts of this data centre.
-	near []string
-	// far holds one list for each other data centre with a live host, in the order of
+	// local holds the hosts of this data centre.
+	local []string
+	// remote holds one list for each other data centre with a live host, in the order of
 	// dcs.
-	far [][]string
-	dcs []string
+	remote [][]string
+	dcs    []string
 }
 
 // update adds a member to its list, moves it or removes it, depending on its status and
@@ -40,30 +40,30 @@
 
 func (l *liveLists) add(host, dc string) {
 	if dc == l.ownDC {
-		l.near = insert(l.near, host)
+		l.local = insert(l.local, host)
 		return
 	}
 	i, found := slices.BinarySearch(l.dcs, dc)
 	if !found {
 		l.dcs = slices.Insert(l.dcs, i, dc)
-		l.far = slices.Insert(l.far, i, nil)
+		l.remote = slices.Insert(l.remote, i, nil)
 	}
-	l.far[i] = insert(l.far[i], host)
+	l.remote[i] = insert(l.remote[i], host)
 }
 
 func (l *liveLists) remove(host, dc string) {
 	if dc == l.ownDC {
-		l.near = without(l.near, host)
+		l.local = without(l.local, host)
 		return
 	}
 	i, found := slices.BinarySearch(l.dcs, dc)
 	if !found {
 		return
 	}
-	l.far[i] = without(l.far[i], host)
-	if len(l.far[i]) == 0 {
+	l.remote[i] = without(l.remote[i], host)
+	if len(l.remote[i]) == 0 {
 		l.dcs = slices.Delete(l.dcs, i, i+1)
-		l.far = slices.Delete(l.far, i, i+1)
+		l.remote = slices.Delete(l.remote, i, i+1)
 	}
 }
 
--- a/internal/core/member/live_test.go
+++ b/internal/core/member/live_test.go
@@ -20,18 +20,18 @@
 func hostName(i int) string { return fmt.Sprintf("h%04d", i) }
 
 // expectedLive computes the expected result of Live from all members.
-func expectedLive(n *Node) (near []string, far [][]string) {
+func expectedLive(n *Node) (local []string, remote [][]string) {
 	byDC := make(map[string][]string)
 	for _, m := range n.members {
 		switch {
 		case m.Status == Dead:
 		case m.DC == n.dc:
-			near = append(near, m.Host)
+			local = append(local, m.Host)
 		default:
 			byDC[m.DC] = append(byDC[m.DC], m.Host)
 		}
 	}
-	slices.Sort(near)
+	slices.Sort(local)
 	var dcs []string
 	for dc := range byDC {
 		dcs = append(dcs, dc)
@@ -39,9 +39,9 @@
 	slices.Sort(dcs)
 	for _, dc := range dcs {
 		slices.Sort(byDC[dc])
-		far = append(far, byDC[dc])
+		remote = append(remote, byDC[dc])
 	}
-	return near, far
+	return local, remote
 }
 
 // After any sequence of changes, the lists contain each live host once, in order, and
@@ -63,10 +63,10 @@
 			case action == 3:
 				n.Forget(host)
 			}
-			near, far := n.Live()
-			wantNear, wantFar := expectedLive(n)
-			assert.Assert(t, slices.Equal(near, wantNear), "%v, not %v", near, wantNear)
-			assert.Assert(t, slices.EqualFunc(far, wantFar, slices.Equal), "%v, not %v", far, wantFar)
+			local, remote := n.Live()
+			wantLocal, wantRemote := expectedLive(n)
+			assert.Assert(t, slices.Equal(local, wantLocal), "%v, not %v", local, wantLocal)
+			assert.Assert(t, slices.EqualFunc(remote, wantRemote, slices.Equal), "%v, not %v", remote, wantRemote)
 			for _, m := range n.members {
 				_, suspect := n.suspects[m.Host]
 				assert.Equal(t, suspect, m.Status == Suspect)
--- a/internal/core/member/member.go
+++ b/internal/core/member/member.go
@@ -49,8 +49,8 @@
 	// ProbeTimeout is the time without an answer after which a direct probe is followed
 	// by indirect ones. It must exceed the round trip across data centres.
 	ProbeTimeout time.Duration
-	// SuspicionTimeout is how long a suspect may refute. A shorter time detects deaths sooner
-	// and is wrong more often.
+	// SuspicionTimeout is how long a suspect may refute. A shorter time detects deaths
+	// sooner and is wrong more often.
 	SuspicionTimeout time.Duration
 	// IndirectProbes is the number of hosts asked to probe indirectly.
 	IndirectProbes int
@@ -88,7 +88,8 @@
 	Since time.Time
 	// LastHeard is when the last packet from the host arrived.
 	LastHeard time.Time
-	// descriptorVersion is the version that DC and Peer belong to; Version may be newer.
+	// descriptorVersion is the version that DC and PeerAddr belong to; Version may be
+	// newer.
 	descriptorVersion int64
 	// listed reports whether the host is in the live lists, under listedDC.
 	listed   bool
@@ -129,9 +130,9 @@
 	consecutiveFailures int
 	rumors              map[string]*rumor
 
-	accused bool
-	out     []Datagram
-	changes []Change
+	suspected bool
+	out       []Datagram
+	changes   []Change
 }
 
 // probe is a probe without an answer yet.
@@ -150,7 +151,7 @@
 
 // rumor is a claim that is still being disseminated.
 type rumor struct {
-	note      msg.MemberClaim
+	claim     msg.MemberClaim
 	sendsLeft int
 }
 
@@ -170,12 +171,12 @@
 // SetVersion records that this host has published a new version of its entry.
 func (n *Node) SetVersion(v int64) {
 	n.version = v
-	n.accused = false
+	n.suspected = false
 }
 
-// Suspected reports whether others claim that this host's current version is not alive. The
-// caller publishes a greater version to refute the claim.
-func (n *Node) Suspected() bool { return n.accused }
+// Suspected reports whether others claim that this host's current version is not alive.
+// The caller publishes a greater version to refute the claim.
+func (n *Node) Suspected() bool { return n.suspected }
 
 // Isolated reports whether this host receives so few answers that it cannot judge other
 // hosts.
@@ -209,12 +210,12 @@
 // Live returns the hosts not considered dead, sorted by name: those of this data centre,
 // and one list for each other data centre. The lists are valid until the next call of a
 // method of the Node and must not be modified.
-func (n *Node) Live() (near []string, far [][]string) { return n.live.near, n.live.far }
+func (n *Node) Live() (local []string, remote [][]string) { return n.live.local, n.live.remote }
 
 // NoPeers reports whether no other host is known to be alive.
 func (n *Node) NoPeers() bool {
-	near, far := n.Live()
-	return len(near)+len(far) == 0
+	local, remote := n.Live()
+	return len(local)+len(remote) == 0
 }
 
 // Take returns and clears the datagrams to send and the status changes.
--- a/internal/core/member/probe.go
+++ b/internal/core/member/probe.go
@@ -22,20 +22,20 @@
 	}
 }
 
-// nextProbeHost iterates over the near hosts in random order, so that each is probed once
-// per round. Occasionally it returns a host of another data centre.
+// nextProbeHost iterates over the hosts of this data centre in random order, so that
+// each is probed once per round. Occasionally it returns a host of another data centre.
 func (n *Node) nextProbeHost() (string, bool) {
-	near, far := n.Live()
-	if len(far) > 0 && (len(near) == 0 || n.rng.Float64() < n.cfg.RemoteProbeShare) {
-		dc := far[n.rng.IntN(len(far))]
+	local, remote := n.Live()
+	if len(remote) > 0 && (len(local) == 0 || n.rng.Float64() < n.cfg.RemoteProbeShare) {
+		dc := remote[n.rng.IntN(len(remote))]
 		return dc[n.rng.IntN(len(dc))], true
 	}
 	for {
 		if len(n.probeRing) == 0 {
-			if len(near) == 0 {
+			if len(local) == 0 {
 				return "", false
 			}
-			n.probeRing = append(n.probeRing[:0], near...)
+			n.probeRing = append(n.probeRing[:0], local...)
 			n.rng.Shuffle(len(n.probeRing), func(i, j int) { n.probeRing[i], n.probeRing[j] = n.probeRing[j], n.probeRing[i] })
 		}
 		host := n.probeRing[0]
@@ -114,13 +114,13 @@
 
 func (n *Node) sendPingRequests(seq uint64, p *probe) {
 	m, ok := n.members[p.host]
-	near, _ := n.Live()
-	if !ok || len(near) == 0 {
+	local, _ := n.Live()
+	if !ok || len(local) == 0 {
 		return
 	}
 	sent := 0
-	for _, i := range n.rng.Perm(len(near)) {
-		helper := n.members[near[i]]
+	for _, i := range n.rng.Perm(len(local)) {
+		helper := n.members[local[i]]
 		if helper.Host == p.host || helper.Status != Alive {
 			continue
 		}
@@ -163,17 +163,17 @@
 // claim.
 const retransmitFactor = 3
 
-func (n *Node) addRumor(note msg.MemberClaim) {
+func (n *Node) addRumor(claim msg.MemberClaim) {
 	sends := retransmitFactor
 	for size := len(n.members); size > 0; size /= 2 {
 		sends += retransmitFactor
 	}
-	n.rumors[note.Host] = &rumor{note: note, sendsLeft: sends}
+	n.rumors[claim.Host] = &rumor{claim: claim, sendsLeft: sends}
 }
 
-// selectNotes picks the claims for one packet: first those about the destination itself,
+// selectClaims picks the claims for one packet: first those about the destination itself,
 // then those sent least often.
-func (n *Node) selectNotes(destination string) []msg.MemberClaim {
+func (n *Node) selectClaims(destination string) []msg.MemberClaim {
 	if len(n.rumors) == 0 {
 		return nil
 	}
@@ -183,20 +183,20 @@
 	}
 	sort.Slice(byPriority, func(i, j int) bool {
 		a, b := byPriority[i], byPriority[j]
-		if (a.note.Host == destination) != (b.note.Host == destination) {
-			return a.note.Host == destination
+		if (a.claim.Host == destination) != (b.claim.Host == destination) {
+			return a.claim.Host == destination
 		}
 		if a.sendsLeft != b.sendsLeft {
 			return a.sendsLeft > b.sendsLeft
 		}
-		return a.note.Host < b.note.Host
+		return a.claim.Host < b.claim.Host
 	})
 	byPriority = byPriority[:min(len(byPriority), n.cfg.ClaimsPerPacket)]
 	out := make([]msg.MemberClaim, 0, len(byPriority))
 	for _, r := range byPriority {
-		out = append(out, r.note)
+		out = append(out, r.claim)
 		if r.sendsLeft--; r.sendsLeft <= 0 {
-			delete(n.rumors, r.note.Host)
+			delete(n.rumors, r.claim.Host)
 		}
 	}
 	return out
@@ -204,7 +204,7 @@
 
 func (n *Node) send(to string, p *msg.Packet) {
 	p.From, p.FromVersion, p.FromAddr = n.cfg.Host, n.version, n.peer
-	p.Claims = append(p.Claims, n.selectNotes(p.ProbedHost)...)
+	p.Claims = append(p.Claims, n.selectClaims(p.ProbedHost)...)
 	n.out = append(n.out, Datagram{To: to, Packet: p})
 }
 
@@ -214,8 +214,8 @@
 		m.LastHeard = now
 		n.confirmAlive(now, m, p.FromVersion)
 	}
-	for _, note := range p.Claims {
-		n.stepNote(now, note)
+	for _, claim := range p.Claims {
+		n.stepClaim(now, claim)
 	}
 	switch p.Kind {
 	case msg.PacketPing:
@@ -266,20 +266,20 @@
 	}
 }
 
-// stepNote processes a claim about one version of a host.
-func (n *Node) stepNote(now time.Time, note msg.MemberClaim) {
-	status := Status(note.Status)
+// stepClaim processes a claim about one version of a host.
+func (n *Node) stepClaim(now time.Time, claim msg.MemberClaim) {
+	status := Status(claim.Status)
 	if status != Suspect && status != Dead {
 		return
 	}
-	if note.Host == n.cfg.Host {
-		if note.Version >= n.version {
-			n.accused = true
+	if claim.Host == n.cfg.Host {
+		if claim.Version >= n.version {
+			n.suspected = true
 		}
 		return
 	}
-	m, ok := n.members[note.Host]
-	if !ok || note.Version < m.Version || status <= m.Status {
+	m, ok := n.members[claim.Host]
+	if !ok || claim.Version < m.Version || status <= m.Status {
 		return
 	}
 	n.declare(now, m, status)
--- a/internal/core/once/attempt.go
+++ b/internal/core/once/attempt.go
@@ -106,8 +106,8 @@
 	}
 }
 
-// HandleResponseEnd handles the end of the response; complete reports whether its length and
-// hash match.
+// HandleResponseEnd handles the end of the response; complete reports whether its
+// length and hash match.
 func (a *Attempt) HandleResponseEnd(complete bool) {
 	if a.phase != Responding {
 		return
--- a/internal/core/once/table.go
+++ b/internal/core/once/table.go
@@ -64,7 +64,7 @@
 	// refused: evicting a key early could run its request twice.
 	MaxKeys int
 	// MaxBytes limits the total size of stored response bodies. A response that
-	// does not fit is not stored, and a repeated request gets ClaimRanUnkept.
+	// does not fit is not stored, and a repeated request gets ClaimResponseNotStored.
 	MaxBytes int
 	// MaxSkew is the maximum tolerated difference between the clocks of callers
 	// and owner.
--- a/internal/core/quota/state.go
+++ b/internal/core/quota/state.go
@@ -9,7 +9,7 @@
 // State is one host's view of a team's usage, for operators.
 type State struct {
 	Team string `json:"team"`
-	// Rate and Burst are the limit. Level is the used part of Room; both are in
+	// Rate and Burst are the limit. Level is the used part of Capacity; both are in
 	// requests.
 	Rate     float64 `json:"ratePerSecond"`
 	Burst    float64 `json:"burst"`
@@ -17,8 +17,8 @@
 	Capacity float64 `json:"room"`
 	// Home is the host that holds the account.
 	Home string `json:"home"`
-	// NearLimit reports whether hosts query the home for each request, Alone whether this
-	// host enforces its own share because no home responds.
+	// NearLimit reports whether hosts query the home for each request, Standalone
+	// whether this host enforces its own share because no home responds.
 	NearLimit  bool `json:"close"`
 	Standalone bool `json:"alone"`
 	// Passed and Refused count this host's requests since the account was created.
--- a/internal/core/retry/origin.go
+++ b/internal/core/retry/origin.go
@@ -42,8 +42,8 @@
 // NewOrigins returns an Origins without any routes.
 func NewOrigins() *Origins { return &Origins{byRoute: make(map[uint32]*origin)} }
 
-// Observe records one request of a route. idle reports whether no request was running on the
-// host where it began.
+// Observe records one request of a route. idle reports whether no request was running
+// on the host where it began.
 func (o *Origins) Observe(now time.Time, route uint32, idle bool) {
 	e, ok := o.byRoute[route]
 	if !ok {
@@ -66,8 +66,8 @@
 	return ok && e.fromIdle >= minCallerRequests && e.fromIdle >= minCallerShare*e.total
 }
 
-// IsCallRoute reports whether the route is known to be used by calls only. If hosts are hardly
-// ever idle, both Callers and IsCallRoute may be false.
+// IsCallRoute reports whether the route is known to be used by calls only. If hosts are
+// hardly ever idle, both IsCallerRoute and IsCallRoute may be false.
 func (o *Origins) IsCallRoute(route uint32) bool {
 	e, ok := o.byRoute[route]
 	return ok && e.total >= minCallRequests && e.fromIdle <= maxCallIdleShare*e.total
--- a/internal/core/retry/retry.go
+++ b/internal/core/retry/retry.go
@@ -57,19 +57,19 @@
 // SetLimits replaces the limits.
 func (b *Budget) SetLimits(l Limits) { b.limits = l }
 
-// AddRequest records the first attempt of a request that may be a caller's own, which adds to
-// the allowance. callOfRepeat is the probability that it is instead a call made by a run
-// that was itself a repeat. That fraction counts as a repeat made without asking the
-// Budget; only the remainder adds to the allowance.
+// AddRequest records the first attempt of a request that may be a caller's own, which
+// adds to the allowance. callOfRepeat is the probability that it is instead a call made
+// by a run that was itself a repeat. That fraction counts as a repeat made without
+// asking the Budget; only the remainder adds to the allowance.
 func (b *Budget) AddRequest(now time.Time, callOfRepeat float64) {
 	c := b.current(now)
 	c.requests += 1 - callOfRepeat
 	c.repeats += callOfRepeat
 }
 
-// AddCall records the first attempt of a call made by a run. It does not add to the allowance:
-// the request that was run does, at its own service. ofRepeat is the probability that the
-// run was itself a repeat.
+// AddCall records the first attempt of a call made by a run. It does not add to the
+// allowance: the request that was run does, at its own service. ofRepeat is the
+// probability that the run was itself a repeat.
 func (b *Budget) AddCall(now time.Time, ofRepeat float64) { b.current(now).repeats += ofRepeat }
 
 // Take records one repeat that is sent at once, if the budget permits it, and reports
--- a/internal/core/retry/retry_test.go
+++ b/internal/core/retry/retry_test.go
@@ -86,9 +86,9 @@
 	assert.Equal(t, b.Available(now), 1.0, "releasing a repeat held by another Budget must not increase this one")
 }
 
-// A request that may be a call of a repeated run counts as a repeat and does not add to the
-// allowance. Known calls never add to it. When requests of the first kind added to the
-// allowance, a service had 217 repeats where 199 were allowed.
+// A request that may be a call of a repeated run counts as a repeat and does not add to
+// the allowance. Known calls never add to it. When requests of the first kind added to
+// the allowance, a service had 217 repeats where 199 were allowed.
 func TestCallsOfRepeatsCountAsRepeats(t *testing.T) {
 	now := time.Unix(1000, 0)
 	b := NewBudget(now.Add(-time.Minute), Limits{Reserve: 2, Window: 10 * time.Second})
