--- a/internal/guard/announce.go
+++ b/internal/guard/announce.go
@@ -158,11 +158,11 @@
 	return nil
 }
 
-// Withdraw removes an instance at its own request. born identifies the run that asks
-// for it, 0 if not given: a delayed request from an earlier run removes nothing.
-func (g *Guard) Withdraw(now time.Time, name string, born int64) {
+// Withdraw removes an instance at its own request. startedMS identifies the start that
+// asks for it, 0 if not given: a delayed request from an earlier start removes nothing.
+func (g *Guard) Withdraw(now time.Time, name string, startedMS int64) {
 	g.mu.Lock()
-	if g.announcements.Leave(now, name, born) {
+	if g.announcements.Leave(now, name, startedMS) {
 		g.remove(name, "withdrawn")
 	}
 	g.mu.Unlock()
@@ -188,7 +188,7 @@
 
 // withdrawal is the optional body of a DELETE request.
 type withdrawal struct {
-	Born int64 `json:"born"`
+	StartedMS int64 `json:"born"`
 }
 
 // AnnounceHandler serves the HTTP interface for instances on this host: PUT
@@ -225,7 +225,7 @@
 		g.refuseAnnouncement(w, name, err)
 		return
 	}
-	g.Withdraw(time.Now(), name, l.Born)
+	g.Withdraw(time.Now(), name, l.StartedMS)
 	w.WriteHeader(http.StatusNoContent)
 }
 
--- a/internal/guard/call.go
+++ b/internal/guard/call.go
@@ -20,7 +20,7 @@
 // call forwards the request to the instance and relays the response. The caller holds a
 // slot, which call releases.
 func (x *exchange) call(m *msg.Run) {
-	if e := x.stopRefusal(); e != nil {
+	if e := x.checkBlocked(); e != nil {
 		x.inst.finish(time.Now(), x.id, result{shed: true})
 		x.refuse(e)
 		return
@@ -41,9 +41,9 @@
 	}()
 	started := time.Now()
 	x.inst.start(started, x.waiter, m)
-	run := x.guard.retryBudgets.begin(started, x.inst.service, x.retryReserved, m.Idempotent, x.aim)
+	run := x.guard.retryBudgets.begin(started, x.inst.service, x.retryReserved, m.Idempotent, x.hints)
 	if !x.retryReserved {
-		x.callPart = run.retryPart
+		x.nestedRetryChance = run.retryPart
 	}
 	x.retryReserved = false
 	defer x.guard.retryBudgets.end(run)
--- a/internal/guard/call_test.go
+++ b/internal/guard/call_test.go
@@ -93,8 +93,8 @@
 			Header: []msg.Field{{Name: "Idempotency-Key", Value: "k"}},
 		})
 	}
-	_, whole := run("one").(*msg.End)
-	assert.Assert(t, whole)
+	_, completed := run("one").(*msg.End)
+	assert.Assert(t, completed)
 	f, failed := run("two").(*msg.Fail)
 	assert.Assert(t, failed, "the second request got a response, so it was resent")
 	assert.Equal(t, f.Verdict, verdict.MayHaveRun)
--- a/internal/guard/counters.go
+++ b/internal/guard/counters.go
@@ -14,7 +14,7 @@
 	set     *metrics.Set
 	queue   *metrics.Histogram
 	service *metrics.Histogram
-	// terminated counts terminated instances, detected by their port.
+	// terminated counts the instances whose port was found to refuse connections.
 	terminated *metrics.Counter
 }
 
--- a/internal/guard/estimate.go
+++ b/internal/guard/estimate.go
@@ -82,11 +82,11 @@
 	if healthChanged {
 		to = loadreport.ToAll
 	}
-	i.sendPulse(load, to)
+	i.sendLoadReport(load, to)
 }
 
-func (i *instance) sendPulse(load msg.Load, to loadreport.Reach) {
-	i.guard.sendPulse(&msg.LoadReport{Loads: []msg.InstanceLoad{{Service: i.service, Instance: i.name, Load: load}}}, to)
+func (i *instance) sendLoadReport(load msg.Load, to loadreport.Reach) {
+	i.guard.sendLoadReport(&msg.LoadReport{Loads: []msg.InstanceLoad{{Service: i.service, Instance: i.name, Load: load}}}, to)
 }
 
 // requestWork asks a few fronts for a request if the instance has been idle for a
@@ -103,7 +103,7 @@
 	load := i.loadAt(now)
 	load.WantsTrial = true
 	i.mu.Unlock()
-	i.sendPulse(load, loadreport.ToFew)
+	i.sendLoadReport(load, loadreport.ToFew)
 }
 
 func occupancy(l msg.Load) int { return int(l.Running + l.Queued) }
--- a/internal/guard/estimate_test.go
+++ b/internal/guard/estimate_test.go
@@ -51,7 +51,7 @@
 	t.Helper()
 	g := newTestGuard(t, "127.0.0.1:1")
 	asked := &[]loadreport.Reach{}
-	g.sendPulse = func(p *msg.LoadReport, to loadreport.Reach) {
+	g.sendLoadReport = func(p *msg.LoadReport, to loadreport.Reach) {
 		if p.Loads[0].Load.WantsTrial {
 			*asked = append(*asked, to)
 		}
@@ -61,8 +61,8 @@
 
 // Regression test for starvation of idle instances: some healthy instances got a
 // hundred times as many requests as others. Each request for work was sent to all
-// nearby fronts. In a large data centre one such request and its replies exhausted
-// the host's pulse rate limit, so that fronts acted on outdated requests for work and
+// nearby fronts. In a large data centre one such request and its replies exhausted the
+// host's load report rate limit, so that fronts acted on outdated requests for work and
 // did not receive new ones. With 91 hosts at a tenth of their slots, requesting work
 // three times as soon left three times as many instances underused.
 func TestIdleInstanceRequestsWorkFromFewFronts(t *testing.T) {
@@ -85,10 +85,10 @@
 // Regression test for recovered instances that got no requests: for seconds they stayed
 // idle while a tenth of the requests failed at other instances. When many instances
 // change between failing and healthy, the changes are broadcast to all hosts and
-// exhaust the pulse rate limit. Requests for a trial were sent with the load updates,
-// which have lower priority than changed estimates, and reached hardly any front. In
-// a large deployment 75 to 108 of 162 instances of a service were considered doubtful
-// at a time; the logs show about 5 failed trials in 2 s, and instances without
+// exhaust the load report rate limit. Requests for a trial were sent with the load
+// updates, which have lower priority than changed estimates, and reached hardly any
+// front. In a large deployment 75 to 108 of 162 instances of a service were considered
+// doubtful at a time; the logs show about 5 failed trials in 2 s, and instances without
 // requests for 10 s.
 func TestDoubtfulInstanceRequestsTrial(t *testing.T) {
 	i, asked := recordWorkRequests(t)
--- a/internal/guard/explore_test.go
+++ b/internal/guard/explore_test.go
@@ -39,20 +39,20 @@
 	reset      bool
 }
 
-const wholeBody = "0123456789"
+const completeBody = "0123456789"
 
 var behaviours = []targetBehaviour{
-	{name: "ok", executes: true, complete: true, response: "200 OK\r\nContent-Length: 10\r\n\r\n" + wholeBody},
+	{name: "ok", executes: true, complete: true, response: "200 OK\r\nContent-Length: 10\r\n\r\n" + completeBody},
 	{name: "not executed", response: "503 Full\r\nRadishhoist-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"},
 	{name: "another instance", response: "421 Misdirected\r\nContent-Length: 0\r\n\r\n"},
-	{name: "refused without the not-run header", executes: true, response: "503 Full\r\nContent-Length: 10\r\n\r\n" + wholeBody},
-	{name: "failed", executes: true, response: "500 Failed\r\nContent-Length: 10\r\n\r\n" + wholeBody},
+	{name: "refused without the not-run header", executes: true, response: "503 Full\r\nContent-Length: 10\r\n\r\n" + completeBody},
+	{name: "failed", executes: true, response: "500 Failed\r\nContent-Length: 10\r\n\r\n" + completeBody},
 	{name: "no response", executes: true, close: true},
 	{name: "reset", executes: true, close: true, reset: true},
 	{name: "cut short", executes: true, response: "200 OK\r\nContent-Length: 10\r\n\r\n01234", close: true},
-	{name: "no length", executes: true, complete: true, response: "200 OK\r\nConnection: close\r\n\r\n" + wholeBody, close: true},
+	{name: "no length", executes: true, complete: true, response: "200 OK\r\nConnection: close\r\n\r\n" + completeBody, close: true},
 	{name: "no length, reset", executes: true, response: "200 OK\r\nConnection: close\r\n\r\n01234", close: true, reset: true},
-	{name: "response before the body", executes: true, complete: true, beforeBody: true, response: "200 OK\r\nContent-Length: 10\r\n\r\n" + wholeBody},
+	{name: "response before the body", executes: true, complete: true, beforeBody: true, response: "200 OK\r\nContent-Length: 10\r\n\r\n" + completeBody},
 }
 
 // interruption is an event during a request, and stage the point at which it occurs.
@@ -271,13 +271,13 @@
 		assert.Equal(t, runs, 0, "reported as not run")
 	}
 	if e.attempt.ResponseComplete() {
-		assert.Equal(t, string(e.body), wholeBody)
+		assert.Equal(t, string(e.body), completeBody)
 		assert.Assert(t, m.complete || slices.Contains([]string{"failed", "refused without the not-run header"}, m.name), "a truncated response looks complete")
 	}
 	if e.last != nil {
 		status := verdict.New(e.last.Verdict, e.last.Reason, "").Status()
-		promises := status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests
-		assert.Assert(t, !promises || e.last.Verdict == verdict.NotRun)
+		impliesNotRun := status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests
+		assert.Assert(t, !impliesNotRun || e.last.Verdict == verdict.NotRun)
 	}
 	if at == beforeRequest && (ev == hostDrains || ev == instanceLeaves) {
 		assert.Equal(t, runs, 0)
--- a/internal/guard/guard.go
+++ b/internal/guard/guard.go
@@ -55,7 +55,7 @@
 
 // Fence decides whether a run claimed at an epoch may still start.
 type Fence interface {
-	// MayRun reports false if this guard has already promised a greater epoch.
+	// MayRun reports false if this guard knows a greater epoch of the shard.
 	MayRun(service string, shard uint32, epoch uint64) bool
 }
 
@@ -69,7 +69,7 @@
 	// request suspected of causing a crash has completed. Both must reach all hosts.
 	// Nil disables the callback.
 	Crashed func(e crash.Crash)
-	Cleared func(end string, p crash.Fingerprint)
+	Cleared func(crashID string, p crash.Fingerprint)
 	// Blocked is called on one host of the fleet with a blocked request, which must
 	// be stored so that it survives a restart of all processes. It must not block.
 	// Nil disables the callback.
@@ -94,13 +94,13 @@
 	// announceLogLimiter limits the log lines about refused announcements.
 	announceLogLimiter event.Limiter
 	counts             counters
-	// sendPulse is called, without locks held, with updates that fronts need without
+	// sendLoadReport is called, without locks held, with updates that fronts need without
 	// delay.
-	sendPulse func(p *msg.LoadReport, to loadreport.Reach)
-	onChanged func()
-	onCrash   func(crash.Crash)
-	onCleared func(string, crash.Fingerprint)
-	onStopped func(BlockedRequest)
+	sendLoadReport func(p *msg.LoadReport, to loadreport.Reach)
+	onChanged      func()
+	onCrash        func(crash.Crash)
+	onCleared      func(string, crash.Fingerprint)
+	onBlocked      func(BlockedRequest)
 	// suspects tracks the requests suspected of crashing the instances that run
 	// them.
 	suspects *suspects
@@ -122,8 +122,8 @@
 // New returns a Guard without instances.
 func New(cfg Config, limits Limits, log *slog.Logger, fence Fence, hooks Hooks) *Guard {
 	g := &Guard{
-		cfg: cfg, log: log, fence: fence, onChanged: hooks.Changed, sendPulse: hooks.Pulse, model: chance.Default(), counts: newCounters(),
-		onCrash: hooks.Crashed, onCleared: hooks.Cleared, onStopped: hooks.Blocked, suspects: newSuspects(),
+		cfg: cfg, log: log, fence: fence, onChanged: hooks.Changed, sendLoadReport: hooks.Pulse, model: chance.Default(), counts: newCounters(),
+		onCrash: hooks.Crashed, onCleared: hooks.Cleared, onBlocked: hooks.Blocked, suspects: newSuspects(),
 		retryBudgets:  newRetryBudgets(),
 		announcements: announce.NewTracker(),
 		instances:     make(map[string]*instance),
@@ -135,8 +135,8 @@
 	if g.onCleared == nil {
 		g.onCleared = func(string, crash.Fingerprint) {}
 	}
-	if g.onStopped == nil {
-		g.onStopped = func(BlockedRequest) {}
+	if g.onBlocked == nil {
+		g.onBlocked = func(BlockedRequest) {}
 	}
 	g.limits.Store(&limits)
 	return g
@@ -253,8 +253,8 @@
 // finish well before it are refused.
 func (g *Guard) SetShutdownTime(end time.Time) { g.shutdownAt.Store(&end) }
 
-// ShutdownTime returns the planned time of process exit, and false while the process is not
-// stopping.
+// ShutdownTime returns the planned time of process exit, and false while the process is
+// not stopping.
 func (g *Guard) ShutdownTime() (time.Time, bool) {
 	end := g.shutdownAt.Load()
 	if end == nil {
--- a/internal/guard/instance.go
+++ b/internal/guard/instance.go
@@ -63,12 +63,12 @@
 	version           string
 	leaving           bool
 	stopped           bool
-	// terminated reports that the instance has terminated, judged by its port. It
-	// gets no requests until it announces itself again: each would lose one of its
-	// attempts there.
+	// terminated reports that the instance has terminated, announced or not, judged by
+	// its port. It gets no requests until it announces itself again: each would lose one
+	// of its attempts there.
 	terminated bool
-	// warmAt is when the instance reaches its full speed.
-	warmAt        time.Time
+	// warmUpEnd is when the instance reaches its full speed.
+	warmUpEnd     time.Time
 	lastAnnounced time.Time
 	counts        Counts
 }
@@ -122,7 +122,7 @@
 		detector: detect.NewDetector(params),
 		waiters:  make(map[admit.ID]*waiter),
 		slots:    a.Slots, conns: a.connections(), version: a.Version, lastAnnounced: now,
-		warmAt: now.Add(directory.DefaultWarmUp),
+		warmUpEnd: now.Add(directory.DefaultWarmUp),
 	}
 }
 
@@ -157,9 +157,9 @@
 	if a.WarmupLeftMS == nil {
 		return false
 	}
-	was := max(i.warmAt.Sub(now), 0)
+	was := max(i.warmUpEnd.Sub(now), 0)
 	left := time.Duration(*a.WarmupLeftMS) * time.Millisecond
-	i.warmAt = now.Add(left)
+	i.warmUpEnd = now.Add(left)
 	return (was - left).Abs() > warmupChangeThreshold
 }
 
@@ -301,7 +301,7 @@
 	out := directory.Instance{
 		Name: i.name, Service: i.service, Slots: i.slots, Conns: i.conns, Version: i.version,
 		Health: i.detector.Health(), StartedMS: i.started.UnixMilli(),
-		WarmUpLeft: max(time.Until(i.warmAt), 0),
+		WarmUpLeft: max(time.Until(i.warmUpEnd), 0),
 	}
 	if out.Health == detect.Suspect {
 		// Send the evidence at the time of suspicion, not the current one, which
--- a/internal/guard/judge.go
+++ b/internal/guard/judge.go
@@ -19,21 +19,21 @@
 		return result{shed: true}, verdict.New(verdict.NotRun, verdict.ReasonTargetShed, "the address belongs to another instance")
 	case d.NotRun != "" && a.Header.Get(d.NotRun) != "":
 		return result{shed: true}, verdict.New(verdict.NotRun, verdict.ReasonTargetShed, "the target did not run the request")
-	case promisesNotRun(a.Status) && !m.Idempotent:
+	case impliesNotRun(a.Status) && !m.Idempotent:
 		// The status would tell the caller that the request may safely be sent
 		// again.
 		return result{failed: true}, verdict.New(verdict.MayHaveRun, verdict.ReasonTargetBroke, "the target refused the request without stating that it was not run")
 	case a.Status/100 == 2 && d.TargetMarker != "" && a.Header.Get(d.TargetMarker) == "":
-		return result{failed: true}, verdict.New(verdict.Ran, verdict.ReasonTargetBroke, "the response lacks the required proof header")
+		return result{failed: true}, verdict.New(verdict.Ran, verdict.ReasonTargetBroke, "the response lacks the required target marker header")
 	case unrequestedEncoding(a.Header, m.Header):
 		return result{failed: true}, verdict.New(verdict.Ran, verdict.ReasonTargetBroke, "the response has a content encoding that the caller did not accept")
 	}
 	return classifyStatus(a.Status), nil
 }
 
-// promisesNotRun reports whether a caller may conclude from the status that the
+// impliesNotRun reports whether a caller may conclude from the status that the
 // request has not run and never will.
-func promisesNotRun(status int) bool {
+func impliesNotRun(status int) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusMisdirectedRequest, http.StatusTooManyRequests, http.StatusServiceUnavailable:
 		return true
--- a/internal/guard/judge_test.go
+++ b/internal/guard/judge_test.go
@@ -22,7 +22,7 @@
 		status     int
 		header     http.Header
 		idempotent bool
-		asked      []msg.Field
+		accepted   []msg.Field
 		want       *verdict.Error
 		failed     bool
 	}{
@@ -30,16 +30,16 @@
 		{name: "success without proof", status: 200, header: http.Header{}, want: &verdict.Error{Verdict: verdict.Ran}, failed: true},
 		{name: "failure needs no proof", status: 500, header: http.Header{}, failed: true},
 		{name: "not found is the target's answer", status: 404, header: proof},
-		{name: "refused, said so", status: 503, header: http.Header{d.NotRun: {"1"}}, want: &verdict.Error{Verdict: verdict.NotRun}},
+		{name: "refused, marked as not run", status: 503, header: http.Header{d.NotRun: {"1"}}, want: &verdict.Error{Verdict: verdict.NotRun}},
 		{name: "another instance", status: 421, header: http.Header{}, want: &verdict.Error{Verdict: verdict.NotRun}},
 		{name: "503 that proves nothing", status: 503, header: proof, want: &verdict.Error{Verdict: verdict.MayHaveRun}, failed: true},
 		{name: "429 that proves nothing", status: 429, header: proof, want: &verdict.Error{Verdict: verdict.MayHaveRun}, failed: true},
-		{name: "503 to work that can be repeated", status: 503, header: proof, idempotent: true},
-		{name: "encoded, not asked for", status: 200, header: http.Header{"Proof": {"x"}, "Content-Encoding": {"gzip"}}, want: &verdict.Error{Verdict: verdict.Ran}, failed: true},
-		{name: "encoded, asked for", status: 200, header: http.Header{"Proof": {"x"}, "Content-Encoding": {"gzip"}}, asked: []msg.Field{{Name: "Accept-Encoding", Value: "gzip"}}},
+		{name: "503 to idempotent work", status: 503, header: proof, idempotent: true},
+		{name: "encoded, not accepted", status: 200, header: http.Header{"Proof": {"x"}, "Content-Encoding": {"gzip"}}, want: &verdict.Error{Verdict: verdict.Ran}, failed: true},
+		{name: "encoded, accepted", status: 200, header: http.Header{"Proof": {"x"}, "Content-Encoding": {"gzip"}}, accepted: []msg.Field{{Name: "Accept-Encoding", Value: "gzip"}}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			res, fail := classifyResponse(&targetconn.Answer{Status: c.status, Header: c.header}, &msg.Run{Idempotent: c.idempotent, Header: c.asked}, d)
+			res, fail := classifyResponse(&targetconn.Answer{Status: c.status, Header: c.header}, &msg.Run{Idempotent: c.idempotent, Header: c.accepted}, d)
 			assert.Equal(t, res.failed, c.failed)
 			assert.Equal(t, fail == nil, c.want == nil)
 			if fail == nil {
--- a/internal/guard/repeats.go
+++ b/internal/guard/repeats.go
@@ -114,9 +114,9 @@
 }
 
 // reserve reserves a retry for a request that is about to be admitted.
-func (r *retryBudgets) reserve(now time.Time, service string, aim msg.AdmissionHints) bool {
+func (r *retryBudgets) reserve(now time.Time, service string, hints msg.AdmissionHints) bool {
 	kept := 0.0
-	if aim.Hedge || aim.ObjectiveMS > 0 && aim.UsedMS >= aim.ObjectiveMS {
+	if hints.Hedge || hints.ObjectiveMS > 0 && hints.UsedMS >= hints.ObjectiveMS {
 		kept = timelyRetryPart
 	}
 	r.mu.Lock()
@@ -154,7 +154,7 @@
 // begin records that a request is sent to an instance and uses the reservation if
 // there is one. Any other request counts as a first attempt and, on a route that may
 // be used for calls between services, in part also as a retry, as given by its front.
-func (r *retryBudgets) begin(now time.Time, service string, reserved, idempotent bool, aim msg.AdmissionHints) activeRun {
+func (r *retryBudgets) begin(now time.Time, service string, reserved, idempotent bool, hints msg.AdmissionHints) activeRun {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var run activeRun
@@ -165,23 +165,23 @@
 		run.retryPart = msg.Thousandths
 		k.budget.UseHeld(now)
 	default:
-		run.retryPart = k.recordFirstAttempt(now, aim)
+		run.retryPart = k.recordFirstAttempt(now, hints)
 	}
 	run.retryable = idempotent || reserved
 	r.countRun(run, 1)
 	return run
 }
 
-// recordFirstAttempt records a first attempt and returns the fraction that counts as a retry, in
-// thousandths.
-func (k *serviceBudget) recordFirstAttempt(now time.Time, aim msg.AdmissionHints) uint16 {
-	k.origins.Observe(now, aim.Route, aim.OriginIdle)
-	if k.origins.IsCallerRoute(aim.Route) {
+// recordFirstAttempt records a first attempt and returns the fraction that counts as a
+// retry, in thousandths.
+func (k *serviceBudget) recordFirstAttempt(now time.Time, hints msg.AdmissionHints) uint16 {
+	k.origins.Observe(now, hints.Route, hints.OriginIdle)
+	if k.origins.IsCallerRoute(hints.Route) {
 		k.budget.AddRequest(now, 0)
 		return 0
 	}
-	part := min(aim.NestedRetryChance, msg.Thousandths)
-	if k.origins.IsCallRoute(aim.Route) {
+	part := min(hints.NestedRetryChance, msg.Thousandths)
+	if k.origins.IsCallRoute(hints.Route) {
 		k.budget.AddCall(now, float64(part)/msg.Thousandths)
 	} else {
 		k.budget.AddRequest(now, float64(part)/msg.Thousandths)
@@ -217,18 +217,18 @@
 	return uint16(min(k.budget.Available(now), 1<<16-1))
 }
 
-// CallOrigin describes a request that originates on this host now. callPart is the
-// probability, in thousandths, that the request is a call made by a retried run,
+// CallOrigin describes a request that originates on this host now. nestedRetryChance is
+// the probability, in thousandths, that the request is a call made by a retried run,
 // given that it is a call at all: such calls are retries at the services they go to,
 // and nothing identifies the run that made them. It is the share of retries among the
 // runs of work that may be retried; other work on the same host would make it look
 // smaller. idle reports that nothing runs here.
-func (g *Guard) CallOrigin() (callPart uint16, idle bool) {
+func (g *Guard) CallOrigin() (nestedRetryChance uint16, idle bool) {
 	r := g.retryBudgets
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.retryableRuns > 0 {
-		callPart = uint16(r.retryParts / r.retryableRuns)
+		nestedRetryChance = uint16(r.retryParts / r.retryableRuns)
 	}
-	return callPart, r.runs == 0
+	return nestedRetryChance, r.runs == 0
 }
--- a/internal/guard/repeats_test.go
+++ b/internal/guard/repeats_test.go
@@ -171,15 +171,15 @@
 	now := time.Now()
 	g := newTestGuard(t, "127.0.0.1:1")
 	g.retryBudgets.apply(now.Add(-time.Minute), testDirectory([]bool{true}), retryLimits())
-	callPart, idle := g.CallOrigin()
+	nestedRetryChance, idle := g.CallOrigin()
 	assert.Assert(t, idle)
-	assert.Equal(t, callPart, uint16(0))
+	assert.Equal(t, nestedRetryChance, uint16(0))
 	assert.Equal(t, g.retryBudgets.begin(now, "s", false, true, msg.AdmissionHints{Route: 1, OriginIdle: true}).retryPart, uint16(0))
 	g.retryBudgets.begin(now, "s", false, false, msg.AdmissionHints{Route: 1, OriginIdle: true})
 	assert.Assert(t, g.retryBudgets.reserve(now, "s", msg.AdmissionHints{}))
 	repeat := g.retryBudgets.begin(now, "s", true, true, msg.AdmissionHints{Repeat: true, Route: 1})
-	callPart, idle = g.CallOrigin()
-	assert.Equal(t, callPart, uint16(msg.Thousandths/2), "work that cannot be retried does not count")
+	nestedRetryChance, idle = g.CallOrigin()
+	assert.Equal(t, nestedRetryChance, uint16(msg.Thousandths/2), "work that cannot be retried does not count")
 	assert.Assert(t, !idle)
 
 	before := g.retryBudgets.remaining(now, "s")
@@ -266,11 +266,11 @@
 }
 
 // serveFailing sends a retryable request and returns its failure.
-func serveFailing(t *testing.T, g *Guard, aim msg.AdmissionHints) *msg.Fail {
+func serveFailing(t *testing.T, g *Guard, hints msg.AdmissionHints) *msg.Fail {
 	t.Helper()
 	near, far := wire.Pipe()
 	defer near.Close()
-	go g.Serve(far, &msg.Run{RequestID: "r", Service: "s", Instance: "i", TimeoutMS: 20000, Idempotent: true, Method: "GET", URI: "/", Host: "a", Hints: aim})
+	go g.Serve(far, &msg.Run{RequestID: "r", Service: "s", Instance: "i", TimeoutMS: 20000, Idempotent: true, Method: "GET", URI: "/", Host: "a", Hints: hints})
 	m, err := near.Recv(context.Background())
 	assert.NilError(t, err)
 	fail, ok := m.(*msg.Fail)
--- a/internal/guard/restart_test.go
+++ b/internal/guard/restart_test.go
@@ -28,8 +28,8 @@
 	return w.Code
 }
 
-func readyBody(address string, born, sequence int) string {
-	return fmt.Sprintf(`{"service":"s","address":%q,"slots":2,"state":"ready","sequence":%d,"born":%d,"another":{"field":1}}`, address, sequence, born)
+func readyBody(address string, startedMS, sequence int) string {
+	return fmt.Sprintf(`{"service":"s","address":%q,"slots":2,"state":"ready","sequence":%d,"born":%d,"another":{"field":1}}`, address, sequence, startedMS)
 }
 
 // startHungTarget starts a target that does not respond until the test ends.
--- a/internal/guard/serve.go
+++ b/internal/guard/serve.go
@@ -40,15 +40,15 @@
 	disconnected               chan struct{}
 	// deadline is when the caller stops waiting, by this host's clock.
 	deadline time.Time
-	// aim is the front's data on the request; retryReserved reports that a retry is
+	// hints is the front's data on the request; retryReserved reports that a retry is
 	// reserved in the budget for it and not yet used.
-	aim           msg.AdmissionHints
+	hints         msg.AdmissionHints
 	retryReserved bool
 	// fingerprint is the request's fingerprint, 0 if it has none.
 	fingerprint crash.Fingerprint
-	// callPart is the probability that the run is a call made by a retried run, in
-	// thousandths.
-	callPart uint16
+	// nestedRetryChance is the probability that the run is a call made by a retried
+	// run, in thousandths.
+	nestedRetryChance uint16
 }
 
 // errFrontGone reports that the front cancelled the request or disconnected.
@@ -73,7 +73,7 @@
 }
 
 // admit offers the request to its instance and starts reading the stream.
-func (x *exchange) admit(service, name string, timeoutMS uint32, r admit.Request, aim msg.AdmissionHints, sample msg.Sample) bool {
+func (x *exchange) admit(service, name string, timeoutMS uint32, r admit.Request, hints msg.AdmissionHints, sample msg.Sample) bool {
 	x.service, x.instance = service, name
 	x.deadline = x.arrived.Add(time.Duration(timeoutMS) * time.Millisecond)
 	inst, ok := x.guard.find(service, name)
@@ -83,26 +83,26 @@
 	}
 	x.inst = inst
 	r.Deadline = x.deadline
-	objective := time.Duration(aim.ObjectiveMS) * time.Millisecond
+	objective := time.Duration(hints.ObjectiveMS) * time.Millisecond
 	if objective > 0 {
-		r.Objective = x.arrived.Add(objective - time.Duration(aim.UsedMS)*time.Millisecond)
+		r.Objective = x.arrived.Add(objective - time.Duration(hints.UsedMS)*time.Millisecond)
 	}
-	if !x.guard.finishesBeforeShutdown(x.arrived, time.Duration(aim.ExpectedMS)*time.Millisecond) {
+	if !x.guard.finishesBeforeShutdown(x.arrived, time.Duration(hints.ExpectedMS)*time.Millisecond) {
 		x.refuse(refusal(verdict.ReasonDraining, "this host is stopping and the request is expected to take too long"))
 		return false
 	}
-	x.fingerprint = crash.Fingerprint(aim.Fingerprint)
-	if e := x.stopRefusal(); e != nil {
+	x.fingerprint = crash.Fingerprint(hints.Fingerprint)
+	if e := x.checkBlocked(); e != nil {
 		x.refuse(e)
 		return false
 	}
-	if !x.reserveRetry(aim) {
+	if !x.reserveRetry(hints) {
 		x.refuse(refusal(verdict.ReasonRetryBudget, "this host's part of the retry budget is spent"))
 		return false
 	}
-	r.ExpectedService, r.AllowLate = time.Duration(aim.ExpectedMS)*time.Millisecond, aim.AllowLate
+	r.ExpectedService, r.AllowLate = time.Duration(hints.ExpectedMS)*time.Millisecond, hints.AllowLate
 	inst.observe(x.arrived, sample)
-	x.waiter = &waiter{fingerprint: x.fingerprint, overdueAfter: overdueAfter(aim)}
+	x.waiter = &waiter{fingerprint: x.fingerprint, overdueAfter: overdueAfter(hints)}
 	x.id = inst.offer(x.arrived, r, x.waiter)
 	x.inbox = make(chan msg.Message, 1)
 	x.disconnected = make(chan struct{})
@@ -121,8 +121,8 @@
 
 // overdueAfter returns the running time after which a request counts against its
 // instance.
-func overdueAfter(aim msg.AdmissionHints) time.Duration {
-	ms := max(overdueObjectiveFactor*aim.ObjectiveMS, overdueExpectedFactor*aim.ExpectedMS)
+func overdueAfter(hints msg.AdmissionHints) time.Duration {
+	ms := max(overdueObjectiveFactor*hints.ObjectiveMS, overdueExpectedFactor*hints.ExpectedMS)
 	return time.Duration(ms) * time.Millisecond
 }
 
@@ -237,12 +237,12 @@
 
 // reserveRetry reserves the request's share of the retry budget, and returns false if
 // the budget is spent. A first attempt is never refused.
-func (x *exchange) reserveRetry(aim msg.AdmissionHints) bool {
-	x.aim = aim
-	if !aim.Repeat {
+func (x *exchange) reserveRetry(hints msg.AdmissionHints) bool {
+	x.hints = hints
+	if !hints.Repeat {
 		return true
 	}
-	x.retryReserved = x.guard.retryBudgets.reserve(x.arrived, x.inst.service, aim)
+	x.retryReserved = x.guard.retryBudgets.reserve(x.arrived, x.inst.service, hints)
 	return x.retryReserved
 }
 
@@ -256,7 +256,7 @@
 // load returns the load that is sent with the end of the request.
 func (x *exchange) load() msg.Load {
 	l := x.inst.load()
-	l.RetryBudgetOverdrawn = x.callPart > 0 && l.RetryBudgetLeft == 0
+	l.RetryBudgetOverdrawn = x.nestedRetryChance > 0 && l.RetryBudgetLeft == 0
 	return l
 }
 
--- a/internal/guard/state.go
+++ b/internal/guard/state.go
@@ -70,8 +70,8 @@
 // Suspects returns the suspected requests for the state dump.
 func (g *Guard) Suspects() []SuspectState {
 	out := []SuspectState{}
-	for p, v := range *g.suspects.verdicts.Load() {
-		s := SuspectState{Fingerprint: p.String(), Crashes: v.Crashes, Instances: endRecords(g.suspects.endsOf(p))}
+	for p, v := range *g.suspects.assessments.Load() {
+		s := SuspectState{Fingerprint: p.String(), Crashes: v.Crashes, Instances: crashRecords(g.suspects.crashesOf(p))}
 		if !v.BlockedUntil.IsZero() {
 			s.Until = v.BlockedUntil.UTC().Format(time.RFC3339)
 		}
@@ -84,7 +84,7 @@
 // BlockedCount returns the number of blocked requests.
 func (g *Guard) BlockedCount() int {
 	n := 0
-	for _, v := range *g.suspects.verdicts.Load() {
+	for _, v := range *g.suspects.assessments.Load() {
 		if !v.BlockedUntil.IsZero() {
 			n++
 		}
--- a/internal/guard/suspects.go
+++ b/internal/guard/suspects.go
@@ -31,13 +31,13 @@
 	maxLocalCrashes = 64
 )
 
-// suspects holds what this host knows about requests that crash instances: its copy
-// of the crash.Book, which all hosts keep.
+// suspects holds what this host knows about requests that crash instances: its own
+// crash.Tracker, as every host has one.
 type suspects struct {
-	mu   sync.Mutex
-	book *crash.Tracker
+	mu      sync.Mutex
+	tracker *crash.Tracker
 	// verdicts is read for every request, without the lock.
-	verdicts atomic.Pointer[crash.Assessments]
+	assessments atomic.Pointer[crash.Assessments]
 	// localCrashes maps each crash of an instance on this host to the descriptions of
 	// the requests that ran there.
 	localCrashes map[string]map[crash.Fingerprint]string
@@ -47,57 +47,59 @@
 }
 
 func newSuspects() *suspects {
-	s := &suspects{book: crash.NewTracker(), localCrashes: make(map[string]map[crash.Fingerprint]string)}
-	s.verdicts.Store(&crash.Assessments{})
+	s := &suspects{tracker: crash.NewTracker(), localCrashes: make(map[string]map[crash.Fingerprint]string)}
+	s.assessments.Store(&crash.Assessments{})
 	return s
 }
 
-// verdict returns what is known of a request.
-func (s *suspects) verdict(p crash.Fingerprint) crash.Assessment { return (*s.verdicts.Load())[p] }
+// assessment returns what is known of a request.
+func (s *suspects) assessment(p crash.Fingerprint) crash.Assessment {
+	return (*s.assessments.Load())[p]
+}
 
-// update updates the book and returns the requests that are blocked as a result. f
+// update updates the tracker and returns the requests that are blocked as a result. f
 // reports whether it has changed anything.
 func (s *suspects) update(now time.Time, f func(*crash.Tracker) bool) []crash.Fingerprint {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !f(s.book) {
+	if !f(s.tracker) {
 		return nil
 	}
-	was, is := *s.verdicts.Load(), s.book.Assess(now)
-	s.verdicts.Store(&is)
-	var stopped []crash.Fingerprint
+	was, is := *s.assessments.Load(), s.tracker.Assess(now)
+	s.assessments.Store(&is)
+	var blocked []crash.Fingerprint
 	for p, v := range is {
 		if before := was[p]; !v.BlockedUntil.IsZero() && before.BlockedUntil.IsZero() {
-			stopped = append(stopped, p)
+			blocked = append(blocked, p)
 		}
 	}
-	slices.Sort(stopped)
-	return stopped
+	slices.Sort(blocked)
+	return blocked
 }
 
-// endsOf returns the crashes of which a request is suspected.
-func (s *suspects) endsOf(p crash.Fingerprint) []crash.Crash {
+// crashesOf returns the crashes of which a request is suspected.
+func (s *suspects) crashesOf(p crash.Fingerprint) []crash.Crash {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.book.CrashesOf(p)
+	return s.tracker.CrashesOf(p)
 }
 
 // storeDescriptions stores the descriptions of the requests of a crash on this host.
-func (s *suspects) storeDescriptions(end string, descriptions map[crash.Fingerprint]string) {
+func (s *suspects) storeDescriptions(id string, descriptions map[crash.Fingerprint]string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(s.localCrashes) >= maxLocalCrashes {
 		clear(s.localCrashes)
 	}
-	s.localCrashes[end] = descriptions
+	s.localCrashes[id] = descriptions
 }
 
 // description returns the description of a request of a crash, and false if the crash
 // was not on this host.
-func (s *suspects) description(end string, p crash.Fingerprint) (string, bool) {
+func (s *suspects) description(id string, p crash.Fingerprint) (string, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	descriptions, ok := s.localCrashes[end]
+	descriptions, ok := s.localCrashes[id]
 	return descriptions[p], ok
 }
 
@@ -122,7 +124,7 @@
 }
 
 // ApplyCrash applies the crash of an instance on any host. Requests that this host has
-// just seen complete did not cause it, wherever they ran when the instance ended: if
+// just seen complete did not cause it, wherever they ran when the instance crashed: if
 // instances are lost for another reason, the guards on their hosts may not have seen
 // these requests complete yet.
 func (g *Guard) ApplyCrash(e crash.Crash) {
@@ -134,13 +136,13 @@
 		}
 	}
 	reports := len(cleared) > 0 && g.runsSoftware(e.Software)
-	g.handleBlocked(g.suspects.update(now, func(b *crash.Tracker) bool {
-		changed := b.Add(now, e)
+	g.handleBlocked(g.suspects.update(now, func(t *crash.Tracker) bool {
+		changed := t.Add(now, e)
 		if reports {
 			return changed // reportCleared clears them, unless another host has reported them by then
 		}
 		for _, p := range cleared {
-			if b.Clear(now, e.ID, p) {
+			if t.Clear(now, e.ID, p) {
 				changed = true
 			}
 		}
@@ -154,16 +156,16 @@
 // clearDelay spreads the reports of guards with the same information over part of the
 // time for which the request waits, so that the first ones report and the others have
 // received it by then.
-func (g *Guard) clearDelay(end string) time.Duration {
-	return time.Duration(xxhash.Sum64String(g.cfg.Host+" "+end) % uint64(crash.ClearanceWait/3))
+func (g *Guard) clearDelay(id string) time.Duration {
+	return time.Duration(xxhash.Sum64String(g.cfg.Host+" "+id) % uint64(crash.ClearanceWait/3))
 }
 
 // reportCleared reports to the fleet the requests that did not cause a crash, except
 // those that another host has already reported.
-func (g *Guard) reportCleared(end string, prints []crash.Fingerprint) {
-	for _, p := range prints {
-		if g.clear(end, p) {
-			g.onCleared(end, p)
+func (g *Guard) reportCleared(id string, fingerprints []crash.Fingerprint) {
+	for _, p := range fingerprints {
+		if g.clear(id, p) {
+			g.onCleared(id, p)
 		}
 	}
 }
@@ -174,13 +176,13 @@
 }
 
 // ApplyCleared applies the report that a request did not cause a crash.
-func (g *Guard) ApplyCleared(end string, p crash.Fingerprint) { g.clear(end, p) }
+func (g *Guard) ApplyCleared(id string, p crash.Fingerprint) { g.clear(id, p) }
 
 // clear clears a request of a crash and reports whether that was new.
-func (g *Guard) clear(end string, p crash.Fingerprint) (changed bool) {
+func (g *Guard) clear(id string, p crash.Fingerprint) (changed bool) {
 	now := time.Now()
-	g.handleBlocked(g.suspects.update(now, func(b *crash.Tracker) bool {
-		changed = b.Clear(now, end, p)
+	g.handleBlocked(g.suspects.update(now, func(t *crash.Tracker) bool {
+		changed = t.Clear(now, id, p)
 		return changed
 	}))
 	return changed
@@ -188,15 +190,15 @@
 
 // ClearSuspect clears a request of all crashes known here, so that it may run again.
 func (g *Guard) ClearSuspect(p crash.Fingerprint) {
-	for _, e := range g.suspects.endsOf(p) {
+	for _, e := range g.suspects.crashesOf(p) {
 		g.ApplyCleared(e.ID, p)
 	}
 }
 
 // handleBlocked handles requests that are blocked from now on.
-func (g *Guard) handleBlocked(prints []crash.Fingerprint) {
-	for _, p := range prints {
-		g.logStopped(p)
+func (g *Guard) handleBlocked(fingerprints []crash.Fingerprint) {
+	for _, p := range fingerprints {
+		g.logBlocked(p)
 		g.scheduleStore(p)
 	}
 }
@@ -212,12 +214,12 @@
 // storeBlocked stores a blocked request if the last of its crashes, ordered by id,
 // was on this host, so that exactly one host does so.
 func (g *Guard) storeBlocked(p crash.Fingerprint) {
-	v, ends := g.CrashAssessment(p), g.suspects.endsOf(p)
-	if v.BlockedUntil.IsZero() || len(ends) == 0 {
+	v, crashes := g.CrashAssessment(p), g.suspects.crashesOf(p)
+	if v.BlockedUntil.IsZero() || len(crashes) == 0 {
 		return // cleared meanwhile
 	}
-	if description, local := g.suspects.description(ends[len(ends)-1].ID, p); local {
-		g.onStopped(BlockedRequest{Fingerprint: p, Request: description, Crashes: endRecords(ends)})
+	if description, local := g.suspects.description(crashes[len(crashes)-1].ID, p); local {
+		g.onBlocked(BlockedRequest{Fingerprint: p, Request: description, Crashes: crashRecords(crashes)})
 	}
 }
 
@@ -230,10 +232,10 @@
 	Crashes []record.InstanceEnd
 }
 
-// endRecords converts crashes to the form in which they are stored and displayed.
-func endRecords(ends []crash.Crash) []record.InstanceEnd {
-	out := make([]record.InstanceEnd, 0, len(ends))
-	for _, e := range ends {
+// crashRecords converts crashes to the form in which they are stored and displayed.
+func crashRecords(crashes []crash.Crash) []record.InstanceEnd {
+	out := make([]record.InstanceEnd, 0, len(crashes))
+	for _, e := range crashes {
 		out = append(out, record.InstanceEnd{
 			ID: e.ID, Service: e.Software.Service, Version: e.Software.Version, Host: e.Host, AtMS: e.DetectedAt.UnixMilli(),
 		})
@@ -242,7 +244,9 @@
 }
 
 // CrashAssessment returns what is known of a request suspected of crashing instances.
-func (g *Guard) CrashAssessment(p crash.Fingerprint) crash.Assessment { return g.suspects.verdict(p) }
+func (g *Guard) CrashAssessment(p crash.Fingerprint) crash.Assessment {
+	return g.suspects.assessment(p)
+}
 
 // BlockedRefusal returns the refusal of a blocked request.
 func BlockedRefusal(now time.Time, p crash.Fingerprint, v *crash.Assessment) *verdict.Error {
@@ -270,10 +274,10 @@
 	}
 }
 
-// stopRefusal returns the refusal of a request that must not reach the instance, and
+// checkBlocked returns the refusal of a request that must not reach the instance, and
 // nil for any other. It is called when the request arrives and again when it gets its
 // slot.
-func (x *exchange) stopRefusal() *verdict.Error {
+func (x *exchange) checkBlocked() *verdict.Error {
 	x.awaitClearance()
 	v := x.guard.CrashAssessment(x.fingerprint)
 	now := time.Now()
@@ -297,10 +301,10 @@
 	}
 	s, software := x.guard.suspects, x.inst.software()
 	s.recordCompletion(time.Now(), x.fingerprint, software)
-	if s.verdict(x.fingerprint).Crashes == 0 {
+	if s.assessment(x.fingerprint).Crashes == 0 {
 		return
 	}
-	for _, e := range s.endsOf(x.fingerprint) {
+	for _, e := range s.crashesOf(x.fingerprint) {
 		if e.Software == software {
 			x.guard.reportCleared(e.ID, []crash.Fingerprint{x.fingerprint})
 		}
--- a/internal/guard/suspects_test.go
+++ b/internal/guard/suspects_test.go
@@ -22,7 +22,7 @@
 	"github.com/radishhoist/radishhoist/verdict"
 )
 
-// crashingTarget is a target that terminates, or only closes a connection, on some
+// crashingTarget is a target that crashes, or only closes a connection, on some
 // paths.
 type crashingTarget struct {
 	listener net.Listener
@@ -59,7 +59,7 @@
 			return
 		}
 		switch r.URL.Path {
-		case "/end":
+		case "/crash":
 			f.crash()
 		case "/break":
 			_ = c.Close()
@@ -71,7 +71,7 @@
 	}
 }
 
-// crash closes everything at once, like a terminating process.
+// crash closes everything at once, like a crashing process.
 func (f *crashingTarget) crash() {
 	_ = f.listener.Close()
 	f.mu.Lock()
@@ -85,17 +85,17 @@
 type fleetReports struct {
 	crashes chan crash.Crash
 	cleared chan string
-	stopped chan BlockedRequest
+	blocked chan BlockedRequest
 }
 
 func newSuspectGuard(t *testing.T, address, service string) (*Guard, fleetReports) {
 	t.Helper()
-	n := fleetReports{crashes: make(chan crash.Crash, 4), cleared: make(chan string, 4), stopped: make(chan BlockedRequest, 4)}
+	n := fleetReports{crashes: make(chan crash.Crash, 4), cleared: make(chan string, 4), blocked: make(chan BlockedRequest, 4)}
 	g := New(Config{Host: "h", QueuePerSlot: 2, GrantLife: time.Minute, TargetIdle: time.Minute}, Limits{AnnounceExpiry: time.Hour},
 		slog.New(slog.NewTextHandler(io.Discard, nil)), allowAllFence{}, Hooks{
 			Changed: func() {}, Pulse: func(*msg.LoadReport, loadreport.Reach) {},
-			Crashed: func(e crash.Crash) { n.crashes <- e }, Cleared: func(end string, _ crash.Fingerprint) { n.cleared <- end },
-			Blocked: func(s BlockedRequest) { n.stopped <- s },
+			Crashed: func(e crash.Crash) { n.crashes <- e }, Cleared: func(id string, _ crash.Fingerprint) { n.cleared <- id },
+			Blocked: func(s BlockedRequest) { n.blocked <- s },
 		})
 	a := Announcement{Service: service, Address: address, Slots: 4, Connections: 8, Version: "1"}
 	assert.NilError(t, g.Announce(time.Now(), "i", a))
@@ -103,7 +103,7 @@
 }
 
 // send runs one request to completion and returns the guard's last message.
-func send(t *testing.T, g *Guard, path string, print crash.Fingerprint) msg.Message {
+func send(t *testing.T, g *Guard, path string, fingerprint crash.Fingerprint) msg.Message {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
 	defer cancel()
@@ -111,7 +111,7 @@
 	defer near.Close()
 	go g.Serve(far, &msg.Run{
 		RequestID: path, Service: "s", Instance: "i", TimeoutMS: 20000, Idempotent: true, Method: "GET", URI: path, Host: "s.example",
-		Hints: msg.AdmissionHints{Fingerprint: uint64(print)},
+		Hints: msg.AdmissionHints{Fingerprint: uint64(fingerprint)},
 	})
 	for {
 		m, err := near.Recv(ctx)
@@ -141,7 +141,7 @@
 	f := startCrashingTarget(t)
 	g, n := newSuspectGuard(t, f.listener.Addr().String(), "s")
 	waits := startWaiting(t, g)
-	fail, ok := send(t, g, "/end", 7).(*msg.Fail)
+	fail, ok := send(t, g, "/crash", 7).(*msg.Fail)
 	assert.Assert(t, ok)
 	assert.Equal(t, fail.Reason, verdict.ReasonTargetEnded)
 	assert.Equal(t, fail.Verdict, verdict.MayHaveRun)
@@ -167,10 +167,10 @@
 func TestCompletedRequestIsNotSuspected(t *testing.T) {
 	f := startCrashingTarget(t)
 	g, n := newSuspectGuard(t, f.listener.Addr().String(), "s")
-	_, whole := send(t, g, "/", 5).(*msg.End)
-	assert.Assert(t, whole)
+	_, completed := send(t, g, "/", 5).(*msg.End)
+	assert.Assert(t, completed)
 	startWaiting(t, g)
-	send(t, g, "/end", 7)
+	send(t, g, "/crash", 7)
 	assert.DeepEqual(t, (<-n.crashes).Fingerprints, []crash.Fingerprint{7})
 }
 
@@ -209,14 +209,14 @@
 // hosts only note it locally; an old success has no effect.
 func TestRecentlyCompletedRequestIsNotBlocked(t *testing.T) {
 	for name, c := range map[string]struct {
-		service string
-		ago     time.Duration
-		told    int
-		stopped bool
+		service  string
+		ago      time.Duration
+		reported int
+		blocked  bool
 	}{
-		"by a guard of the service": {service: "s", told: 3},
+		"by a guard of the service": {service: "s", reported: 3},
 		"by another host":           {service: "other"},
-		"long ago":                  {service: "s", ago: completionLifetime + 2*time.Second, stopped: true},
+		"long ago":                  {service: "s", ago: completionLifetime + 2*time.Second, blocked: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -226,8 +226,8 @@
 				reportThreeCrashes(g)
 				time.Sleep(crash.ClearanceWait)
 				v := g.CrashAssessment(5)
-				assert.Equal(t, v.BlockedEverywhere(time.Now()), c.stopped)
-				assert.Equal(t, len(n.cleared), c.told)
+				assert.Equal(t, v.BlockedEverywhere(time.Now()), c.blocked)
+				assert.Equal(t, len(n.cleared), c.reported)
 			})
 		})
 	}
@@ -259,8 +259,8 @@
 			g.ApplyCleared(id, 5)
 		}
 	})
-	_, whole := send(t, g, "/", 5).(*msg.End)
-	assert.Assert(t, whole)
+	_, completed := send(t, g, "/", 5).(*msg.End)
+	assert.Assert(t, completed)
 }
 
 // A blocked request is stored only if it has not been cleared for a while. A request
@@ -274,14 +274,14 @@
 			g.ApplyCrash(crashAt(0, 5))
 			g.ApplyCrash(crashAt(1, 5))
 			waits := startWaiting(t, g)
-			send(t, g, "/end", 7)
+			send(t, g, "/crash", 7)
 			<-waits
 			assert.Equal(t, g.CrashAssessment(5).Crashes, 3)
 			if cleared {
 				g.ApplyCleared("a", 5)
 			}
 			time.Sleep(2 * crash.ClearanceWait)
-			assert.Equal(t, len(n.stopped) == 0, cleared)
+			assert.Equal(t, len(n.blocked) == 0, cleared)
 		})
 	}
 }
@@ -295,13 +295,13 @@
 		g.ApplyCrash(crashAt(second, 7))
 	}
 	g.ApplyCrash(crashAt(3, 5))
-	fail, ok := send(t, g, "/end", 7).(*msg.Fail)
+	fail, ok := send(t, g, "/crash", 7).(*msg.Fail)
 	assert.Assert(t, ok)
 	assert.Equal(t, fail.Reason, verdict.ReasonCrashesTargets)
 	assert.Equal(t, fail.Verdict, verdict.NotRun)
 	assert.Assert(t, fail.RetryAfterMS > 60_000)
-	_, whole := send(t, g, "/", 5).(*msg.End)
-	assert.Assert(t, whole, "one crash does not block a request")
+	_, completed := send(t, g, "/", 5).(*msg.End)
+	assert.Assert(t, completed, "one crash does not block a request")
 	assert.Equal(t, <-n.cleared, "d")
 	assert.Equal(t, g.CrashAssessment(5).Crashes, 0)
 }
@@ -311,7 +311,7 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		if v := g.CrashAssessment(7); v.BlockedEverywhere(time.Time{}) {
-			b.Fatal("stopped")
+			b.Fatal("blocked")
 		}
 	}
 }
@@ -335,7 +335,7 @@
 	f := startCrashingTarget(t)
 	g, _ := newSuspectGuard(t, f.listener.Addr().String(), "s")
 	assert.Equal(t, g.Instances()[0].State, directory.Serving)
-	send(t, g, "/end", 7)
+	send(t, g, "/crash", 7)
 	assert.Equal(t, g.Instances()[0].State, directory.Leaving)
 	fail, ok := send(t, g, "/", 5).(*msg.Fail)
 	assert.Assert(t, ok)
--- a/internal/guard/trail.go
+++ b/internal/guard/trail.go
@@ -15,8 +15,8 @@
 // classified it: always if the caller gets no success, otherwise for sampled
 // requests.
 func (x *exchange) logEnd(started time.Time, res result, failure *verdict.Error) {
-	whole := failure == nil && res.status < http.StatusInternalServerError
-	if whole && !event.Sampled(x.request) {
+	succeeded := failure == nil && res.status < http.StatusInternalServerError
+	if succeeded && !event.Sampled(x.request) {
 		return
 	}
 	leftOut, ok := x.guard.requestLogLimiter.Allow(time.Now())
@@ -59,8 +59,8 @@
 		slog.Float64("was", previous/msg.Thousandths), slog.Float64("sick", now.FailureProbability()))
 }
 
-// logStopped logs a request that is blocked from now on.
-func (g *Guard) logStopped(p crash.Fingerprint) {
+// logBlocked logs a request that is blocked from now on.
+func (g *Guard) logBlocked(p crash.Fingerprint) {
 	v := g.CrashAssessment(p)
 	event.Log(g.log, event.RequestStopped, slog.String("print", p.String()), slog.Int("ends", v.Crashes), slog.Time("until", v.BlockedUntil))
 }
--- a/internal/guard/trail_test.go
+++ b/internal/guard/trail_test.go
@@ -39,14 +39,14 @@
 		lines int
 	}{
 		{name: "success", lines: 0},
-		{name: "the instance's time was up", act: func(*Guard, *msg.Run) { status = http.StatusGatewayTimeout }, lines: 1},
+		{name: "the instance exceeded the deadline", act: func(*Guard, *msg.Run) { status = http.StatusGatewayTimeout }, lines: 1},
 		{name: "the instance failed", act: func(*Guard, *msg.Run) { status = http.StatusInternalServerError }, lines: 1},
 		{name: "unknown instance", act: func(_ *Guard, run *msg.Run) { run.Instance = "other" }, lines: 1},
-		{name: "stopping", act: func(g *Guard, run *msg.Run) {
+		{name: "shutting down", act: func(g *Guard, run *msg.Run) {
 			g.SetShutdownTime(time.Now().Add(time.Second))
 			run.Hints.ExpectedMS = 1000
 		}, lines: 1},
-		{name: "no repeat left", act: func(_ *Guard, run *msg.Run) { run.Hints.Repeat = true }, lines: 1},
+		{name: "retry budget used up", act: func(_ *Guard, run *msg.Run) { run.Hints.Repeat = true }, lines: 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			status = http.StatusOK
