--- a/internal/front/cost_test.go
+++ b/internal/front/cost_test.go
@@ -17,9 +17,9 @@
 	return &request{route: r, arrived: now}
 }
 
-// Only work that will run before a request counts as queued ahead of it. A healthy instance
-// with a long queue of lower priority must cost less than an idle one that is likely to
-// fail.
+// Only work that will run before a request counts as queued ahead of it. A healthy
+// instance with a long queue of lower priority must cost less than an idle one that is
+// likely to fail.
 func TestQueuedAheadCountsOnlyEarlierWork(t *testing.T) {
 	now := time.Unix(1000, 0)
 	load := msg.Load{Slots: 4, Running: 4, Queued: 9, WaitingMS: [4]uint32{3000, 5000, 2000, 400}}
@@ -39,11 +39,11 @@
 	assert.Assert(t, cost(load, 0.03) < cost(msg.Load{Slots: 4}, 0.7))
 }
 
-// serviceWithRetryBudgets returns a service with one target per value in repeats, whose
+// serviceWithRetryBudgets returns a service with one target per value in budgets, whose
 // guard reported that much retry budget age ago.
-func serviceWithRetryBudgets(now time.Time, age time.Duration, repeats ...uint16) *serviceState {
+func serviceWithRetryBudgets(now time.Time, age time.Duration, budgets ...uint16) *serviceState {
 	st := &serviceState{}
-	for i, left := range repeats {
+	for i, left := range budgets {
 		observed := &observations{}
 		observed.updateLoad(now.Add(-age), msg.Load{Slots: 4, RetryBudgetLeft: left})
 		st.targets = append(st.targets, &target{observed: observed})
@@ -76,9 +76,9 @@
 // fail, and non-idempotent ones only after the guard has asked for some time.
 func TestTrialEligibility(t *testing.T) {
 	now := time.Unix(1000, 0)
-	trialWanted := func(sick uint16, since time.Duration) *observations {
+	trialWanted := func(estimate uint16, since time.Duration) *observations {
 		o := &observations{}
-		o.updateLoad(now.Add(-since), msg.Load{Slots: 4, WantsTrial: true, FailureEstimate: sick})
+		o.updateLoad(now.Add(-since), msg.Load{Slots: 4, WantsTrial: true, FailureEstimate: estimate})
 		return o
 	}
 	failing, healthy, waiting := trialWanted(700, 0), trialWanted(10, 0), trialWanted(10, trialWaitNonIdempotent)
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -127,8 +127,8 @@
 	return !now.Add(need).After(end)
 }
 
-// RefuseRequests makes the front refuse all new requests. It is called once callers have had time
-// to switch to other hosts.
+// RefuseRequests makes the front refuse all new requests. It is called once callers
+// have had time to switch to other hosts.
 func (f *Front) RefuseRequests() { f.refusing.Store(true) }
 
 // CancelRequests ends all requests in progress at the end of a graceful shutdown. Their callers
--- a/internal/front/identity.go
+++ b/internal/front/identity.go
@@ -19,10 +19,10 @@
 // RateLimiter enforces teams' request rates across all hosts.
 type RateLimiter interface {
 	// Admit reports whether a request of the team is within its rate, and if not, how long
-	// to wait. limited says that the request counts against a rate, so that Return can undo
-	// it.
+	// to wait. limited reports whether the request counts against a rate, so that Release
+	// can undo that.
 	Admit(ctx context.Context, team string) (ok, limited bool, wait time.Duration)
-	// Release releases an admitted request that did not run.
+	// Release takes back an admitted request that did not run.
 	Release(team string)
 }
 
--- a/internal/front/keys.go
+++ b/internal/front/keys.go
@@ -17,8 +17,9 @@
 	// Claim asks the owner of the key's shard. It has no error result: a claim that could
 	// not be made is refused.
 	Claim(ctx context.Context, service *directory.Service, k KeyRequest) ClaimResult
-	// Done reports to the owner how a claimed request ended. It may block for a long time.
-	Done(service *directory.Service, k KeyRequest, end RequestResult)
+	// Done reports the result of a claimed request to the owner. It may block for a long
+	// time.
+	Done(service *directory.Service, k KeyRequest, result RequestResult)
 }
 
 // KeyRequest identifies one request with an idempotency key.
@@ -45,12 +46,12 @@
 // RequestResult is the result of a claimed request.
 type RequestResult struct {
 	Verdict verdict.Verdict
-	// Whole says that a complete answer was received, and Kept that it is in the fields
-	// below.
-	Whole, Kept bool
-	Status      uint16
-	Header      []msg.Field
-	Body        []byte
+	// Complete reports that a complete answer was received, and Stored that it is in the
+	// fields below, to be stored for replay.
+	Complete, Stored bool
+	Status           uint16
+	Header           []msg.Field
+	Body             []byte
 }
 
 // maxKeyBytes is the maximum length of an Idempotency-Key.
@@ -78,8 +79,8 @@
 		return replay(task.answer), nil
 	}
 	if task.answer.Outcome == once.ClaimRun {
-		end := keyEnd(a, fail)
-		go f.keys.Done(req.service, k, end)
+		result := newRequestResult(a, fail)
+		go f.keys.Done(req.service, k, result)
 	}
 	return a, fail
 }
@@ -93,16 +94,16 @@
 	return d.Sum64() ^ uint64(req.length)
 }
 
-// keyEnd describes the result of a claimed request for the key's owner.
-func keyEnd(a *answer, fail *verdict.Error) RequestResult {
+// newRequestResult describes the result of a claimed request for the key's owner.
+func newRequestResult(a *answer, fail *verdict.Error) RequestResult {
 	if fail != nil {
 		return RequestResult{Verdict: fail.Verdict}
 	}
-	end := RequestResult{Verdict: verdict.Ran, Whole: true, Status: a.head.Status}
+	result := RequestResult{Verdict: verdict.Ran, Complete: true, Status: a.head.Status}
 	if !a.streaming {
-		end.Kept, end.Header, end.Body = true, a.head.Header, a.buffered
+		result.Stored, result.Header, result.Body = true, a.head.Header, a.buffered
 	}
-	return end
+	return result
 }
 
 // replay returns the answer stored for the key.
--- a/internal/front/request.go
+++ b/internal/front/request.go
@@ -33,8 +33,8 @@
 	state         *serviceState
 	idempotent    bool
 	fairnessClass uint32
-	// team is the caller's team, or "". keyRequired says that callers must send an API key,
-	// and countedInRate that the request counts against the team's rate.
+	// team is the caller's team, or "". keyRequired says that callers must send an API
+	// key, and countedInRate that the request counts against the team's rate.
 	team                       string
 	keyRequired, countedInRate bool
 	// teamPriority overrides the route's priority; nil means no override.
@@ -49,7 +49,7 @@
 	unbufferedUsed atomic.Bool
 	length         int64
 	// nestedRetryChance and originIdle tell guards how likely the request is to be a call
-	// made by a retried run, see msg.Aim.CallPart and msg.Aim.Idle.
+	// made by a retried run, see the fields of the same names in msg.AdmissionHints.
 	nestedRetryChance uint16
 	originIdle        bool
 	// fingerprint identifies the request when it is sent again.
@@ -250,8 +250,8 @@
 	return n
 }
 
-// bodyReader returns the body for one attempt, or false if the body was too large to buffer
-// and has been sent already.
+// bodyReader returns the body for one attempt, or false if the body was too large to
+// buffer and has been sent already.
 func (req *request) bodyReader() (io.Reader, bool) {
 	if req.unbuffered == nil {
 		return bytes.NewReader(req.body), true
--- a/internal/front/run.go
+++ b/internal/front/run.go
@@ -64,7 +64,7 @@
 		e.addFailure(retryLater(verdict.ReasonDraining, "this host is shutting down and the request is not expected to finish in time; retry on another host", defaultRetryAfter))
 		return pick{}, false
 	}
-	if hedge && e.suspectedOfCrashing() || len(e.failures) > 0 && e.endMoments() >= crash.RetryBelowIncidents {
+	if hedge && e.suspectedOfCrashing() || len(e.failures) > 0 && e.incidents() >= crash.RetryBelowIncidents {
 		// The request is not retried, nor sent to another instance if its designated one
 		// has no capacity.
 		return pick{}, false
@@ -177,7 +177,7 @@
 // if no target is left.
 func (e *execution) primaryAttempt(requestCtx context.Context) *outcome {
 	ctx, cancel := context.WithCancel(requestCtx)
-	e.awaitEndReports(ctx)
+	e.awaitClearance(ctx)
 	e.mu.Lock()
 	chosen, ok := e.next(false)
 	e.cancelPrimary = cancel
@@ -209,7 +209,7 @@
 	exec := &execution{front: f, req: req, rng: f.rng()}
 	defer func() { req.summary = exec.finish() }()
 	for {
-		exec.awaitEndReports(ctx)
+		exec.awaitClearance(ctx)
 		p, ok := exec.next(false)
 		if !ok {
 			break
--- a/internal/front/status.go
+++ b/internal/front/status.go
@@ -33,17 +33,19 @@
 	// Use is "used", "left out" or "unusable". Why gives the reason.
 	Use string `json:"use"`
 	Why string `json:"why,omitempty"`
-	// LatencyRatio is the service time relative to that of the service's other targets; 0 if
-	// unknown.
+	// LatencyRatio is the service time relative to that of the service's other targets;
+	// 0 if unknown.
 	LatencyRatio float64 `json:"pace"`
-	// FailureEstimate is the estimated probability that the target is failing most requests.
+	// FailureEstimate is the estimated probability that the target is failing most
+	// requests.
 	FailureEstimate float64 `json:"sick"`
-	// ShedShare is the share of requests that the target refuses although it has free slots.
-	// RepeatsLeft is the retry budget that its host last reported.
-	ShedShare       float64 `json:"refuses"`
-	RetryBudgetLeft int     `json:"repeatsLeft"`
-	Running         int     `json:"running"`
-	Queued          int     `json:"queued"`
+	// ShedShare is the share of requests that the target refuses although it has free
+	// slots.
+	ShedShare float64 `json:"refuses"`
+	// RetryBudgetLeft is the retry budget that its host last reported.
+	RetryBudgetLeft int `json:"repeatsLeft"`
+	Running         int `json:"running"`
+	Queued          int `json:"queued"`
 }
 
 // Status returns every service with the result of the floor rule.
--- a/internal/front/suspect.go
+++ b/internal/front/suspect.go
@@ -15,20 +15,20 @@
 )
 
 // A request that is suspected of crashing its instances is retried once after an instance
-// has ended, because most requests that ran beside another one's crash did not cause it. It
+// has crashed, because most requests that were running during a crash did not cause it. It
 // is never hedged, and not retried further: each attempt of the request that does cause
-// crashes ends another instance. All hosts send it to the same instance of its service, so
-// that no other is put at risk.
+// crashes takes down another instance. All hosts send it to the same instance of its
+// service, so that no other is put at risk.
 
-// suspectedOfCrashing reports whether an instance is known to have ended while running the
-// request. The caller must hold e.mu or have exclusive access.
-func (e *execution) suspectedOfCrashing() bool { return e.endMoments() > 0 }
+// suspectedOfCrashing reports whether an instance is known to have crashed while running
+// the request. The caller must hold e.mu or have exclusive access.
+func (e *execution) suspectedOfCrashing() bool { return e.incidents() > 0 }
 
-// endMoments counts the distinct moments at which instances have ended while running the
-// request. It is the higher of the number known to all hosts and that of this request's own
-// attempts, which may not have been reported yet. The caller must hold e.mu or have
+// incidents counts the incidents in which instances have crashed while running the
+// request. It is the higher of the number known to all hosts and that of this request's
+// own attempts, which may not have been reported yet. The caller must hold e.mu or have
 // exclusive access.
-func (e *execution) endMoments() int {
+func (e *execution) incidents() int {
 	own := 0
 	for _, fail := range e.failures {
 		if fail.Reason == verdict.ReasonTargetEnded {
@@ -39,16 +39,16 @@
 }
 
 // refusedAsCrashing reports whether a guard has refused the request because it crashes its
-// targets. The guard may know of ends that this host has not heard of. The caller must hold
-// e.mu or have exclusive access.
+// targets. The guard may know of crashes that have not been reported to this host yet. The
+// caller must hold e.mu or have exclusive access.
 func (e *execution) refusedAsCrashing() bool {
 	return slices.ContainsFunc(e.failures, func(fail *verdict.Error) bool { return fail.Reason == verdict.ReasonCrashesTargets })
 }
 
-// awaitEndReports waits while reports that would clear the request may still arrive. A
+// awaitClearance waits while reports that would clear the request may still arrive. A
 // request that was lost with several instances at once is retried just as the hosts learn
-// of their ends.
-func (e *execution) awaitEndReports(ctx context.Context) {
+// of their crashes.
+func (e *execution) awaitClearance(ctx context.Context) {
 	for {
 		v := e.front.guard.CrashAssessment(e.req.fingerprint)
 		wait := v.ClearanceTimeLeft(time.Now())
@@ -90,7 +90,7 @@
 }
 
 // succeeded reports whether a complete answer with a success status was received, which
-// proves that the request has run to its end.
+// proves that the request has run to completion.
 func (o *outcome) succeeded() bool {
 	return o.fail == nil && !o.answer.streaming && o.answer.head.Status < http.StatusBadRequest
 }
--- a/internal/front/suspect_test.go
+++ b/internal/front/suspect_test.go
@@ -37,7 +37,7 @@
 		now := time.Unix(1000, 0)
 		instances := rapid.IntRange(1, 12).Draw(t, "instances")
 		rng := rand.New(rand.NewPCG(1, rapid.Uint64().Draw(t, "seed")))
-		fingerprint := crash.Fingerprint(rapid.Uint64().Draw(t, "print"))
+		fingerprint := crash.Fingerprint(rapid.Uint64().Draw(t, "fingerprint"))
 		v := &crash.Assessment{Crashes: 3, BlockedUntil: now.Add(time.Minute), CrashedSoftware: []crash.Software{{Service: "s", Version: "0"}}}
 		one, other := newServiceView(instances, rng), newServiceView(instances, rng)
 
--- a/internal/keys/claim.go
+++ b/internal/keys/claim.go
@@ -44,8 +44,8 @@
 // shard and retries for a short time while the claim is refused, in particular
 // while no owner has authority.
 func (m *Manager) Claim(ctx context.Context, service *directory.Service, k front.KeyRequest) front.ClaimResult {
-	end := claimUntil(ctx, time.Now())
-	ctx, cancel := context.WithDeadline(ctx, end)
+	until := claimUntil(ctx, time.Now())
+	ctx, cancel := context.WithDeadline(ctx, until)
 	defer cancel()
 	for {
 		a := m.claimOnce(ctx, service.Name, k)
@@ -106,7 +106,7 @@
 // owner and retries for a while in case the shard is changing owner. If no owner
 // accepts the result, the claim times out at the owner and counts as
 // may-have-run.
-func (m *Manager) Done(service *directory.Service, k front.KeyRequest, end front.RequestResult) {
+func (m *Manager) Done(service *directory.Service, k front.KeyRequest, result front.RequestResult) {
 	until := time.Now().Add(doneRetryTimeout)
 	for time.Now().Before(until) {
 		shard, owner, ok := m.shardOf(service.Name, k.Key)
@@ -115,8 +115,8 @@
 		}
 		ctx, cancel := context.WithTimeout(context.Background(), doneCallTimeout)
 		reply, err := m.call(ctx, owner, &msg.KeyResult{
-			Service: service.Name, Shard: shard, Key: k.Key, RequestID: k.RequestID, Verdict: end.Verdict,
-			Complete: end.Whole, Stored: end.Kept, Status: end.Status, Header: end.Header, Body: end.Body,
+			Service: service.Name, Shard: shard, Key: k.Key, RequestID: k.RequestID, Verdict: result.Verdict,
+			Complete: result.Complete, Stored: result.Stored, Status: result.Status, Header: result.Header, Body: result.Body,
 		})
 		cancel()
 		if d, ok := reply.(*msg.HandoverDone); err == nil && ok && d.Accepted {
