--- a/internal/teams/teams.go
+++ b/internal/teams/teams.go
@@ -15,15 +15,15 @@
 	"github.com/radishhoist/radishhoist/record"
 )
 
-// Config holds the parameters of a Rates.
+// Config holds the parameters of Rates.
 type Config struct {
 	// Host is this host's name. Incarnation is its start time in Unix milliseconds.
 	Host        string
 	Incarnation uint64
-	// Allowance and AllowanceFraction are what a team may use beyond its limit in any Window over all
-	// hosts: a number of requests, and a fraction of what the limit allows. Most of it
-	// is granted as extra burst and rate; the rest covers what hosts do not know of each
-	// other yet.
+	// Allowance and AllowanceFraction are what a team may use beyond its limit in any
+	// Window over all hosts: a number of requests, and a fraction of what the limit
+	// allows. Most of it is granted as extra burst and rate; the rest covers requests
+	// that hosts have not reported to each other yet.
 	Allowance, AllowanceFraction float64
 	Window                       time.Duration
 	// Send sends a datagram to a host; it may be lost.
@@ -31,11 +31,11 @@
 }
 
 // Fractions of Config.Allowance that are granted as extra burst and, evenly over the
-// window, as extra rate, and the fraction of Config.Over that is granted.
+// window, as extra rate, and the fraction of Config.AllowanceFraction that is granted.
 const (
 	allowanceAsBurst = 0.2
 	allowanceAsRate  = 0.45
-	overAsRate       = 0.3
+	fractionAsRate   = 0.3
 )
 
 // Rates enforces the rate limits of teams. It is safe for concurrent use.
@@ -62,7 +62,7 @@
 	r.teams.Store(&map[string]*record.Team{})
 	r.node = quota.New(quota.Config{
 		Host: cfg.Host, Incarnation: cfg.Incarnation, Limit: r.limit,
-		ExtraBurst: allowanceAsBurst * cfg.Allowance, ExtraRate: allowanceAsRate * cfg.Allowance / max(cfg.Window.Seconds(), 1), ExtraRateFraction: overAsRate * cfg.AllowanceFraction,
+		ExtraBurst: allowanceAsBurst * cfg.Allowance, ExtraRate: allowanceAsRate * cfg.Allowance / max(cfg.Window.Seconds(), 1), ExtraRateFraction: fractionAsRate * cfg.AllowanceFraction,
 	}, time.Now(), rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
 	return r
 }
@@ -97,7 +97,7 @@
 
 // Admit decides whether a request of a team may run, and otherwise returns when to retry.
 // It blocks while the home of the team's account is queried. limited reports whether the
-// team has a limit: an admitted request then counts, and Return may take it back.
+// team has a limit: an admitted request then counts, and Release may take it back.
 func (r *Rates) Admit(ctx context.Context, team string) (ok, limited bool, wait time.Duration) {
 	limit, limited := r.limit(team)
 	if !limited {
--- a/internal/teams/teams_test.go
+++ b/internal/teams/teams_test.go
@@ -17,7 +17,7 @@
 // warmUp is how long a host runs until it no longer assumes that accounts are used up.
 const warmUp = time.Minute
 
-func TestATeamOverItsRateIsToldWhenToComeBack(t *testing.T) {
+func TestTeamOverItsRateGetsRetryTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := New(Config{Host: "h1"})
 		r.SetTeams(map[string]*record.Team{"desk": {Office: "o", RatePerSecond: 2, Burst: 3}})
@@ -43,7 +43,7 @@
 
 // A host that has just started grants no burst: it may have been granted before the whole
 // fleet stopped.
-func TestAStartGivesNoBurstAnew(t *testing.T) {
+func TestRestartGrantsNoBurst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := New(Config{Host: "h1"})
 		r.SetTeams(map[string]*record.Team{"desk": {Office: "o", RatePerSecond: 2, Burst: 30}})
@@ -62,15 +62,15 @@
 
 // pair is two hosts whose datagrams arrive after a delay, or not at all.
 type pair struct {
-	rates   map[string]*Rates
-	blocked bool
+	rates       map[string]*Rates
+	partitioned bool
 }
 
 func newPair(delay time.Duration) *pair {
 	p := &pair{rates: make(map[string]*Rates)}
 	for _, name := range []string{"h1", "h2"} {
 		p.rates[name] = New(Config{Host: name, Send: func(to string, m *msg.TeamPacket) {
-			if p.blocked {
+			if p.partitioned {
 				return
 			}
 			go func() {
@@ -99,7 +99,7 @@
 }
 
 // A request cancelled while its query is pending does not count against its team.
-func TestAGrantForACallerWhoLeftGoesBack(t *testing.T) {
+func TestGrantForCancelledRequestIsReleased(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newPair(20 * time.Millisecond)
 		notHome := p.notHome()
@@ -135,12 +135,12 @@
 }
 
 // If no home responds, a host decides by its own share, each time within 250 ms.
-func TestAHostThatReachesNoHomeGoesByItsShare(t *testing.T) {
+func TestHostWithoutHomeDecidesByItsShare(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newPair(time.Millisecond)
 		notHome := p.notHome()
 		p.run(warmUp)
-		p.blocked = true
+		p.partitioned = true
 		var wg sync.WaitGroup
 		wg.Go(func() { p.run(20 * time.Second) })
 		passed := 0
