--- a/internal/msg/keys.go
+++ b/internal/msg/keys.go
@@ -64,7 +64,7 @@
 // LeaseReply answers LeaseRequest.
 type LeaseReply struct {
 	Granted bool
-	// Epoch is the epoch that the guard has currently leased.
+	// Epoch is the greatest epoch that the guard knows for the shard.
 	Epoch uint64
 	// TTLMS is the duration of the lease, which the owner counts from its request.
 	TTLMS uint32
