--- a/internal/guard/estimate_test.go
+++ b/internal/guard/estimate_test.go
@@ -8,7 +8,7 @@
 
 	"github.com/radishhoist/radishhoist/internal/core/admit"
 	"github.com/radishhoist/radishhoist/internal/core/chance"
-	"github.com/radishhoist/radishhoist/internal/core/pulse"
+	"github.com/radishhoist/radishhoist/internal/core/loadreport"
 	"github.com/radishhoist/radishhoist/internal/msg"
 )
 
@@ -47,11 +47,11 @@
 
 // recordWorkRequests returns the test guard's instance and a list of its requests for
 // work.
-func recordWorkRequests(t *testing.T) (*instance, *[]pulse.Reach) {
+func recordWorkRequests(t *testing.T) (*instance, *[]loadreport.Reach) {
 	t.Helper()
 	g := newTestGuard(t, "127.0.0.1:1")
-	asked := &[]pulse.Reach{}
-	g.sendPulse = func(p *msg.LoadReport, to pulse.Reach) {
+	asked := &[]loadreport.Reach{}
+	g.sendLoadReport = func(p *msg.LoadReport, to loadreport.Reach) {
 		if p.Loads[0].Load.WantsTrial {
 			*asked = append(*asked, to)
 		}
@@ -61,8 +61,8 @@
 
 // Regression test for starvation of idle instances: some healthy instances got a
 // hundred times as many requests as others. Each request for work was sent to all
-// nearby fronts. In a large data centre one such request and its replies exhausted
-// the host's pulse rate limit, so that fronts acted on outdated requests for work and
+// nearby fronts. In a large data centre one such request and its replies exhausted the
+// host's load report rate limit, so that fronts acted on outdated requests for work and
 // did not receive new ones. With 91 hosts at a tenth of their slots, requesting work
 // three times as soon left three times as many instances underused.
 func TestIdleInstanceRequestsWorkFromFewFronts(t *testing.T) {
@@ -73,9 +73,9 @@
 	assert.Equal(t, len(*asked), 0, "it has just had work")
 	i.requestWork(now.Add(idleDelay))
 	i.requestWork(now.Add(idleDelay + workRequestInterval - 1))
-	assert.DeepEqual(t, *asked, []pulse.Reach{pulse.ToFew})
+	assert.DeepEqual(t, *asked, []loadreport.Reach{loadreport.ToFew})
 	i.requestWork(now.Add(idleDelay + workRequestInterval))
-	assert.DeepEqual(t, *asked, []pulse.Reach{pulse.ToFew, pulse.ToFew})
+	assert.DeepEqual(t, *asked, []loadreport.Reach{loadreport.ToFew, loadreport.ToFew})
 
 	fillSlots(i, now, 1)
 	i.requestWork(now.Add(idleDelay + 2*workRequestInterval))
@@ -85,10 +85,10 @@
 // Regression test for recovered instances that got no requests: for seconds they stayed
 // idle while a tenth of the requests failed at other instances. When many instances
 // change between failing and healthy, the changes are broadcast to all hosts and
-// exhaust the pulse rate limit. Requests for a trial were sent with the load updates,
-// which have lower priority than changed estimates, and reached hardly any front. In
-// a large deployment 75 to 108 of 162 instances of a service were considered doubtful
-// at a time; the logs show about 5 failed trials in 2 s, and instances without
+// exhaust the load report rate limit. Requests for a trial were sent with the load
+// updates, which have lower priority than changed estimates, and reached hardly any
+// front. In a large deployment 75 to 108 of 162 instances of a service were considered
+// doubtful at a time; the logs show about 5 failed trials in 2 s, and instances without
 // requests for 10 s.
 func TestDoubtfulInstanceRequestsTrial(t *testing.T) {
 	i, asked := recordWorkRequests(t)
@@ -98,5 +98,5 @@
 	i.publishLoad(now.Add(trialDelay))
 	assert.Equal(t, len(*asked), 0)
 	i.requestWork(now.Add(trialDelay))
-	assert.DeepEqual(t, *asked, []pulse.Reach{pulse.ToFew})
+	assert.DeepEqual(t, *asked, []loadreport.Reach{loadreport.ToFew})
 }
