--- a/internal/daemon/admin.go
+++ b/internal/daemon/admin.go
@@ -13,8 +13,8 @@
 	"github.com/radishhoist/radishhoist/internal/state"
 )
 
-// adminHandler serves operators: readiness, metrics, state, status, explain.
-// All of it only reads.
+// adminHandler serves the read-only admin endpoints: readiness, metrics, state,
+// status and explain.
 func (d *Daemon) adminHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+state.PathReady, d.getReady)
@@ -31,7 +31,7 @@
 	return mux
 }
 
-// readyHandler serves readiness alone.
+// readyHandler serves only the readiness endpoint.
 func (d *Daemon) readyHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+state.PathReady, d.getReady)
@@ -44,36 +44,36 @@
 	_ = json.NewEncoder(w).Encode(v)
 }
 
-// waiting says what keeps the process from taking traffic.
-func (d *Daemon) waiting() []string {
+// notReadyReasons lists what keeps the process from accepting traffic.
+func (d *Daemon) notReadyReasons() []string {
 	var out []string
 	if !d.ready.Load() {
-		out = append(out, "the whole record set, from the platform or a peer")
+		out = append(out, "the complete record set, from the platform or a peer")
 	}
-	if d.stopped.Load() {
+	if d.shuttingDown.Load() {
 		out = append(out, "nothing: the process is shutting down")
 	}
-	if d.stopHost.Load() {
-		out = append(out, "the end of a planned stop of this host: delete its Stop record to take work again")
+	if d.plannedStop.Load() {
+		out = append(out, "the end of a planned stop of this host: delete its Stop record to accept work again")
 	}
 	return out
 }
 
 func (d *Daemon) getReady(w http.ResponseWriter, _ *http.Request) {
-	waiting := d.waiting()
+	reasons := d.notReadyReasons()
 	status := http.StatusOK
-	if len(waiting) > 0 {
+	if len(reasons) > 0 {
 		status = http.StatusServiceUnavailable
 	}
-	writeJSON(w, status, state.Ready{Ready: len(waiting) == 0, Waiting: waiting})
+	writeJSON(w, status, state.Ready{Ready: len(reasons) == 0, Waiting: reasons})
 }
 
-// phase names where the process is in its life.
+// phase returns the life-cycle phase of the process.
 func (d *Daemon) phase() string {
 	switch {
-	case d.stopped.Load():
+	case d.shuttingDown.Load():
 		return "shutting down"
-	case d.stopHost.Load():
+	case d.plannedStop.Load():
 		return "planned stop"
 	case d.ready.Load():
 		return "serving"
@@ -86,7 +86,7 @@
 	cfg := d.cfg.Load()
 	return state.Dump{
 		Host: cfg.Host, DC: cfg.DC, Started: d.started.UTC().Format(time.RFC3339), Phase: d.phase(),
-		Waiting: d.waiting(), Instances: d.guard.State(), Suspects: d.guard.Suspects(), Services: d.front.Status(), Teams: d.teams.State(), Paths: d.front.Paths(),
+		Waiting: d.notReadyReasons(), Instances: d.guard.State(), Suspects: d.guard.Suspects(), Services: d.front.Status(), Teams: d.teams.State(), Paths: d.front.Paths(),
 		Control: d.control.State(), Peers: d.pool.Stats(), Shards: d.keys.State(),
 	}
 }
@@ -105,7 +105,7 @@
 	q := r.URL.Query()
 	u, err := url.Parse(q.Get("url"))
 	if err != nil || u.Path == "" {
-		http.Error(w, "url: write a URL with a path, for example http://plans.example/plans/7", http.StatusBadRequest)
+		http.Error(w, "url: must be a URL with a path, for example http://plans.example/plans/7", http.StatusBadRequest)
 		return
 	}
 	host := u.Host
--- a/internal/daemon/bench_test.go
+++ b/internal/daemon/bench_test.go
@@ -20,15 +20,15 @@
 	"github.com/radishhoist/radishhoist/record"
 )
 
-// pair is two daemons in this process: a front alone, and a host with one
-// target.
+// pair is two daemons in this process: one with a front only, and one with a target
+// beside it.
 type pair struct {
 	front, host *Daemon
 	target      *target.Server
 }
 
-// startPlatform starts a stand-in of the platform with one service "s" that all
-// requests go to, and gives its address.
+// startPlatform starts a platform stand-in with one service "s" and a route of all
+// requests to it, and returns its URL.
 func startPlatform(tb testing.TB) string {
 	tb.Helper()
 	server := platformd.NewServer()
@@ -47,7 +47,7 @@
 	return web.URL
 }
 
-// startDaemons starts two daemons on a platform.
+// startDaemons starts two daemons that use the given platform.
 func startDaemons(tb testing.TB, platform string) []*Daemon {
 	tb.Helper()
 	var daemons []*Daemon
@@ -60,7 +60,6 @@
 	return daemons
 }
 
-// startOnFreePorts starts a daemon on ports that are free.
 func startOnFreePorts(tb testing.TB, cfg *settings.Config) *Daemon {
 	tb.Helper()
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
@@ -108,9 +107,9 @@
 	return err
 }
 
-// BenchmarkRequest compares a call of the target itself, one through the
-// daemon beside it, and one through a front on another host. The caller's and
-// the target's own cost is in all three.
+// BenchmarkRequest compares a direct call to the target, a call through the daemon on
+// its host, and a call through the front of another host. All three include the cost
+// of the caller and the target.
 func BenchmarkRequest(b *testing.B) {
 	p := startPair(b)
 	for _, c := range []struct{ name, url string }{
--- a/internal/daemon/crash_test.go
+++ b/internal/daemon/crash_test.go
@@ -19,9 +19,9 @@
 	"github.com/radishhoist/radishhoist/verdict"
 )
 
-// startFragile starts an instance beside a daemon that ends on its fatal path, and is back
-// soon after.
-func startFragile(t *testing.T, host *Daemon) *target.Server {
+// startCrashingTarget starts an instance on the daemon's host. A request to
+// target.FatalPath ends it for 100 ms.
+func startCrashingTarget(t *testing.T, host *Daemon) *target.Server {
 	t.Helper()
 	s, err := target.Start(target.Config{Name: "i", Service: "s", Address: "127.0.0.1:0", Announce: host.cfg.Load().Announce, Slots: 4, DownFor: 100 * time.Millisecond})
 	assert.NilError(t, err)
@@ -29,27 +29,29 @@
 	return s
 }
 
-// awaitServed waits until a front serves requests.
-func awaitServed(t *testing.T, front *Daemon) {
+// waitUntilServed waits until the front serves requests.
+func waitUntilServed(t *testing.T, front *Daemon) {
 	t.Helper()
 	for end := time.Now().Add(20 * time.Second); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 		if get(http.DefaultClient, "http://"+front.cfg.Load().Callers+"/") == nil {
 			return
 		}
 	}
-	t.Fatal("no instance is used")
+	t.Fatal("no request was served within 20 s")
 }
 
-// reasonOf sends a request and gives the reason and the verdict of its failure.
-func reasonOf(t *testing.T, front *Daemon, path string) (reason, ran string) {
+// getFailure sends a GET that is expected to fail and returns the reason and the
+// verdict of its failure.
+func getFailure(t *testing.T, front *Daemon, path string) (reason, gotVerdict string) {
 	t.Helper()
 	req, err := http.NewRequest(http.MethodGet, "http://"+front.cfg.Load().Callers+path, nil)
 	assert.NilError(t, err)
-	return failureOf(t, req)
+	return sendFailing(t, req)
 }
 
-// failureOf sends a request and gives the reason and the verdict of its failure.
-func failureOf(t *testing.T, req *http.Request) (reason, ran string) {
+// sendFailing sends a request that is expected to fail and returns the reason and the
+// verdict of its failure.
+func sendFailing(t *testing.T, req *http.Request) (reason, gotVerdict string) {
 	t.Helper()
 	resp, err := http.DefaultClient.Do(req)
 	assert.NilError(t, err)
@@ -65,52 +67,45 @@
 	}
 }
 
-// What users would see: after the loss of all processes at once, the request that had
-// ended three instances ends three more. No such day was seen; the platform's days end
-// with such a loss, and its rule counts on.
-//
-// Order of events: a request ends three instances and is stopped. All processes end and
-// start again. The request comes once more.
-//
-// Cause: hosts keep nothing, and what the fleet knew of ends lived in its processes alone.
-//
-// Evidence: before the platform kept it, the request ended the instance that it met
-// after the loss.
-func TestAStoppedRequestStaysStoppedOverALossOfAllProcesses(t *testing.T) {
+// A blocked request must stay blocked after all daemons have been restarted at once.
+// The platform counts crashes across such a restart. Hosts store nothing: before blocked
+// requests were recorded on the platform, the request crashed the instance that it reached
+// after the restart, and could crash three before it was blocked again.
+func TestBlockedRequestStaysBlockedAfterRestartOfAllDaemons(t *testing.T) {
 	platform := startPlatform(t)
 	before := startDaemons(t, platform)
-	i := startFragile(t, before[1])
+	i := startCrashingTarget(t, before[1])
 	for range 3 {
-		awaitServed(t, before[0])
-		reason, _ := reasonOf(t, before[0], target.FatalPath)
+		waitUntilServed(t, before[0])
+		reason, _ := getFailure(t, before[0], target.FatalPath)
 		assert.Equal(t, reason, string(verdict.ReasonTargetEnded))
 	}
-	awaitServed(t, before[0])
-	reason, promise := reasonOf(t, before[0], target.FatalPath)
+	waitUntilServed(t, before[0])
+	reason, gotVerdict := getFailure(t, before[0], target.FatalPath)
 	assert.Equal(t, reason, string(verdict.ReasonCrashesTargets))
-	assert.Equal(t, promise, verdict.NotRun.String())
+	assert.Equal(t, gotVerdict, verdict.NotRun.String())
 	time.Sleep(time.Second)
 	shutdown(before)
 	assert.Equal(t, len(i.Runs().Ends), 3)
 
 	after := startDaemons(t, platform)
 	defer shutdown(after)
-	i = startFragile(t, after[1])
-	awaitServed(t, after[0])
-	reason, promise = reasonOf(t, after[0], target.FatalPath)
+	i = startCrashingTarget(t, after[1])
+	waitUntilServed(t, after[0])
+	reason, gotVerdict = getFailure(t, after[0], target.FatalPath)
 	assert.Equal(t, reason, string(verdict.ReasonCrashesTargets))
-	assert.Equal(t, promise, verdict.NotRun.String())
-	assert.Equal(t, len(i.Runs().Ends), 0, "no instance ended for it")
+	assert.Equal(t, gotVerdict, verdict.NotRun.String())
+	assert.Equal(t, len(i.Runs().Ends), 0, "the blocked request must not end an instance")
 
-	liftAll(t, platform)
+	deleteCrasher(t, platform)
 	for end := time.Now().Add(20 * time.Second); len(i.Runs().Ends) == 0 && time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
-		reason, _ = reasonOf(t, after[0], target.FatalPath)
+		reason, _ = getFailure(t, after[0], target.FatalPath)
 	}
-	assert.Equal(t, reason, string(verdict.ReasonTargetEnded), "it runs again by an operator's word")
+	assert.Equal(t, reason, string(verdict.ReasonTargetEnded), "the request must run again once its record is deleted")
 }
 
-// liftAll deletes every record of a stopped request, as an operator would.
-func liftAll(t *testing.T, platform string) {
+// deleteCrasher deletes the only Crasher record, as an operator would.
+func deleteCrasher(t *testing.T, platform string) {
 	t.Helper()
 	client := objects.NewClient(platform, time.Second)
 	defer client.Close()
@@ -121,62 +116,62 @@
 	assert.NilError(t, err)
 }
 
-// An operator sees a request that has ended instances before it is stopped and after, and
-// lets it run again; while the platform is away, what the daemon knows is shown all the
-// same.
+// The suspects command lists a request that has crashed instances, before and after it is
+// blocked, and clears it. While the platform is unreachable, it lists what the daemon knows.
 func TestOperatorsSeeAndClearSuspects(t *testing.T) {
 	platform := startPlatform(t)
 	daemons := startDaemons(t, platform)
 	defer shutdown(daemons)
-	i := startFragile(t, daemons[1])
-	assert.Equal(t, operate(t, platform, daemons[0], "suspects"), "no request is suspected of ending instances\n")
+	i := startCrashingTarget(t, daemons[1])
+	assert.Equal(t, runCLI(t, platform, daemons[0], "suspects"), "no request is suspected of ending instances\n")
 	for n := range 3 {
-		awaitServed(t, daemons[0])
-		reason, _ := reasonOf(t, daemons[0], target.FatalPath)
+		waitUntilServed(t, daemons[0])
+		reason, _ := getFailure(t, daemons[0], target.FatalPath)
 		assert.Equal(t, reason, string(verdict.ReasonTargetEnded))
 		if n == 0 {
-			shown := awaitSuspect(t, platform, daemons[0])
-			assert.Assert(t, strings.Contains(shown, " h1 "), "the host that saw it: %s", shown)
+			shown := waitForSuspect(t, platform, daemons[0])
+			assert.Assert(t, strings.Contains(shown, " h1 "), "missing the host that observed the crash: %s", shown)
 		}
 	}
-	awaitServed(t, daemons[0])
+	waitUntilServed(t, daemons[0])
 	time.Sleep(time.Second)
-	shown := operate(t, platform, daemons[0], "suspects")
-	assert.Assert(t, strings.Contains(shown, " h1 "), "the host that saw its ends: %s", shown)
+	shown := runCLI(t, platform, daemons[0], "suspects")
+	assert.Assert(t, strings.Contains(shown, " h1 "), "missing the host that observed the crashes: %s", shown)
 	assert.Assert(t, strings.Contains(shown, "stopped until") && strings.Contains(shown, "GET") && strings.Contains(shown, target.FatalPath), shown)
-	print := strings.Fields(strings.Split(shown, "\n")[1])[0]
-	away := operate(t, "http://127.0.0.1:1", daemons[0], "suspects")
-	assert.Assert(t, strings.Contains(away, "records are missing") && strings.Contains(away, print), away)
+	fingerprint := strings.Fields(strings.Split(shown, "\n")[1])[0]
+	withoutPlatform := runCLI(t, "http://127.0.0.1:1", daemons[0], "suspects")
+	assert.Assert(t, strings.Contains(withoutPlatform, "records are missing") && strings.Contains(withoutPlatform, fingerprint), withoutPlatform)
 
-	shown = operate(t, platform, daemons[0], "suspects", "clear", print)
+	shown = runCLI(t, platform, daemons[0], "suspects", "clear", fingerprint)
 	assert.Assert(t, strings.Contains(shown, "is removed"), shown)
 	before := len(i.Runs().Ends)
 	for end := time.Now().Add(20 * time.Second); len(i.Runs().Ends) == before && time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
-		reasonOf(t, daemons[0], target.FatalPath)
+		getFailure(t, daemons[0], target.FatalPath)
 	}
-	assert.Equal(t, len(i.Runs().Ends), before+1, "it runs again")
+	assert.Equal(t, len(i.Runs().Ends), before+1, "the request must run again once it is cleared")
 }
 
-// newsTime is how soon all hosts of a small fleet know of an end.
-const newsTime = 500 * time.Millisecond
+// crashPropagationTimeout is the time in which a crash becomes known to all hosts of a
+// small fleet.
+const crashPropagationTimeout = 500 * time.Millisecond
 
-// awaitSuspect waits until operators of a daemon see a request that has ended one
-// instance, and gives what they see. Its caller may have the answer before that: the news of the end goes a way of
-// its own.
-func awaitSuspect(t *testing.T, platform string, d *Daemon) string {
+// waitForSuspect waits until the suspects command lists a request that has crashed one
+// instance, and returns its output. The crash report is sent separately from the answer to
+// the request and may arrive later.
+func waitForSuspect(t *testing.T, platform string, d *Daemon) string {
 	t.Helper()
 	shown := ""
-	for end := time.Now().Add(newsTime); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
-		if shown = operate(t, platform, d, "suspects"); strings.Contains(shown, "suspected  1") {
+	for end := time.Now().Add(crashPropagationTimeout); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
+		if shown = runCLI(t, platform, d, "suspects"); strings.Contains(shown, "suspected  1") {
 			return shown
 		}
 	}
-	t.Fatalf("not shown in time: %s", shown)
+	t.Fatalf("suspect not listed within %s: %s", crashPropagationTimeout, shown)
 	return ""
 }
 
-// operate runs the operators' command line and gives what it prints.
-func operate(t *testing.T, platform string, d *Daemon, args ...string) string {
+// runCLI runs the radishhoist command and returns its output.
+func runCLI(t *testing.T, platform string, d *Daemon, args ...string) string {
 	t.Helper()
 	var out strings.Builder
 	all := append([]string{"radishhoist", "--platform", platform, "--admin", d.cfg.Load().Admin}, args...)
@@ -184,35 +179,35 @@
 	return out.String()
 }
 
-// newKey makes a key as callers should: with the time in it.
-func newKey(t *testing.T) string {
+// newIdempotencyKey returns a key with a timestamp in it, as callers should send.
+func newIdempotencyKey(t *testing.T) string {
 	t.Helper()
 	key, err := uuid.NewV7()
 	assert.NilError(t, err)
 	return key.String()
 }
 
-// awaitKeys waits until a keyed request is served and every shard of keys has taken one: a
-// key that is as old as its shard's owner is refused as unknown, and the owner of one shard
-// may begin later than that of another.
-func awaitKeys(t *testing.T, daemons []*Daemon) {
+// waitForKeyShards waits until a request with a key is served and every key shard holds a
+// key. A key that is as old as the owner of its shard is refused as unknown, and owners do
+// not all start at the same time.
+func waitForKeyShards(t *testing.T, daemons []*Daemon) {
 	t.Helper()
 	for end := time.Now().Add(20 * time.Second); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 		req, err := http.NewRequest(http.MethodPost, "http://"+daemons[0].cfg.Load().Callers+"/", nil)
 		assert.NilError(t, err)
-		req.Header.Set("Idempotency-Key", newKey(t))
+		req.Header.Set("Idempotency-Key", newIdempotencyKey(t))
 		resp, err := http.DefaultClient.Do(req)
 		assert.NilError(t, err)
 		_ = resp.Body.Close()
-		if resp.StatusCode == http.StatusOK && allShardsTake(daemons) {
+		if resp.StatusCode == http.StatusOK && allShardsHaveKeys(daemons) {
 			return
 		}
 	}
-	t.Fatal("keys have no owner")
+	t.Fatal("not every key shard held a key within 20 s")
 }
 
-// allShardsTake says that every shard of keys has taken a key.
-func allShardsTake(daemons []*Daemon) bool {
+// allShardsHaveKeys reports whether every key shard is held and has a key.
+func allShardsHaveKeys(daemons []*Daemon) bool {
 	shards := 0
 	for _, d := range daemons {
 		for _, s := range d.keys.State() {
@@ -225,8 +220,8 @@
 	return shards > 0
 }
 
-// addressedTo makes the fatal request for a front, with another address in its Host header.
-func addressedTo(t *testing.T, front *Daemon, host string) *http.Request {
+// fatalRequest returns a request to a front for target.FatalPath, with the given Host header.
+func fatalRequest(t *testing.T, front *Daemon, host string) *http.Request {
 	t.Helper()
 	req, err := http.NewRequest(http.MethodGet, "http://"+front.cfg.Load().Callers+target.FatalPath, nil)
 	assert.NilError(t, err)
@@ -234,63 +229,55 @@
 	return req
 }
 
-// What users saw in a soak: a request that had ended three instances went on ending others,
-// once at each front more.
-//
-// Order of events: the request ends an instance through one front, and comes again at
-// another; callers address each front by its own address.
-//
-// Cause: the address stood in the Host header, which was taken for a part of the request,
-// though its route holds for every host.
-//
-// Evidence: eighteen instances ended under one path, of which each front stopped its own
-// print after three.
-func TestTheFrontsAddressIsNoPartOfARequest(t *testing.T) {
+// The fingerprint of a request must not include the Host header when its route matches
+// every host. Callers address each front by its own address, so in a soak one request had
+// another fingerprint at each front: each blocked it only after three crashes, and
+// eighteen instances ended for one path.
+func TestFingerprintOmitsHostHeader(t *testing.T) {
 	daemons := startDaemons(t, startPlatform(t))
 	defer shutdown(daemons)
-	i := startFragile(t, daemons[1])
+	i := startCrashingTarget(t, daemons[1])
 	for n := range 3 {
-		awaitServed(t, daemons[0])
-		reason, _ := failureOf(t, addressedTo(t, daemons[0], fmt.Sprintf("10.0.0.%d", n)))
+		waitUntilServed(t, daemons[0])
+		reason, _ := sendFailing(t, fatalRequest(t, daemons[0], fmt.Sprintf("10.0.0.%d", n)))
 		assert.Equal(t, reason, string(verdict.ReasonTargetEnded))
 	}
-	awaitServed(t, daemons[0])
-	reason, promise := failureOf(t, addressedTo(t, daemons[0], "10.0.0.9"))
+	waitUntilServed(t, daemons[0])
+	reason, gotVerdict := sendFailing(t, fatalRequest(t, daemons[0], "10.0.0.9"))
 	assert.Equal(t, reason, string(verdict.ReasonCrashesTargets))
-	assert.Equal(t, promise, verdict.NotRun.String())
+	assert.Equal(t, gotVerdict, verdict.NotRun.String())
 	assert.Equal(t, len(i.Runs().Ends), 3)
 }
 
-// Work that cannot be repeated, with a key and without, and with a body too large to keep:
-// each send that reached an instance is told as one that may have run, and what comes
-// after the third end as one that has not. Neither another body nor another path is
-// stopped with it.
-func TestWorkThatIsNotIdempotentIsStoppedTruthfully(t *testing.T) {
+// Non-idempotent requests without a key, with a key, and with a body too large to buffer:
+// each that reached an instance is reported as "may have run", and each after the third
+// crash as "not run". Blocking it does not block another body or another path.
+func TestVerdictsOfBlockedNonIdempotentRequests(t *testing.T) {
 	daemons := startDaemons(t, startPlatform(t))
 	defer shutdown(daemons)
-	i := startFragile(t, daemons[1])
+	i := startCrashingTarget(t, daemons[1])
 	for name, body := range map[string]string{"plain": "x", "keyed": "y", "large": strings.Repeat("z", 1<<20)} {
 		before := len(i.Runs().Ends)
 		post := func(body string) *http.Request {
 			req, err := http.NewRequest(http.MethodPost, "http://"+daemons[0].cfg.Load().Callers+target.FatalPath, strings.NewReader(body))
 			assert.NilError(t, err)
 			if name == "keyed" {
-				req.Header.Set("Idempotency-Key", newKey(t))
+				req.Header.Set("Idempotency-Key", newIdempotencyKey(t))
 			}
 			return req
 		}
 		for range 3 {
-			awaitKeys(t, daemons)
-			reason, promise := failureOf(t, post(body))
+			waitForKeyShards(t, daemons)
+			reason, gotVerdict := sendFailing(t, post(body))
 			assert.Check(t, reason == string(verdict.ReasonTargetEnded), "%s: %s", name, reason)
-			assert.Check(t, promise == verdict.MayHaveRun.String(), "%s: %s", name, promise)
+			assert.Check(t, gotVerdict == verdict.MayHaveRun.String(), "%s: %s", name, gotVerdict)
 		}
-		awaitKeys(t, daemons)
-		reason, promise := failureOf(t, post(body))
+		waitForKeyShards(t, daemons)
+		reason, gotVerdict := sendFailing(t, post(body))
 		assert.Check(t, reason == string(verdict.ReasonCrashesTargets), "%s: %s", name, reason)
-		assert.Check(t, promise == verdict.NotRun.String(), "%s: %s", name, promise)
+		assert.Check(t, gotVerdict == verdict.NotRun.String(), "%s: %s", name, gotVerdict)
 		assert.Check(t, len(i.Runs().Ends) == before+3, "%s: %d", name, len(i.Runs().Ends)-before)
-		reason, _ = failureOf(t, post(body+"other"))
+		reason, _ = sendFailing(t, post(body+"other"))
 		assert.Check(t, reason == string(verdict.ReasonTargetEnded), "%s, another body: %s", name, reason)
 	}
 }
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,5 +1,5 @@
-// Package daemon puts the three roles of radishhoistd together: front, guard
-// and control, with their sockets, the admin endpoints and the drain.
+// Package daemon assembles radishhoistd from its three roles, front, guard and
+// control, and adds the sockets, the admin endpoints and graceful shutdown.
 package daemon
 
 import (
@@ -34,22 +34,22 @@
 	"github.com/radishhoist/radishhoist/record"
 )
 
-// Ports are what a deployment's platform puts in the place of the product's own.
+// Ports are the platform-specific parts of a daemon, which a deployment may replace.
 type Ports struct {
 	// Store is the platform's object API.
 	Store objects.Store
-	// Dialect names the headers of callers and targets.
+	// Dialect holds the names of the headers used with callers and targets.
 	Dialect header.Dialect
-	// Needs are the records without which nothing is served.
+	// Needs lists the records that the daemon requires before it serves requests.
 	Needs []record.Key
 }
 
-// OwnPorts speak the product's own dialect.
+// OwnPorts returns the ports for the default platform API and header names.
 func OwnPorts(cfg *settings.Config) Ports {
 	return Ports{Store: objects.NewClient(cfg.Platform, cfg.WatchWait), Dialect: header.Default()}
 }
 
-// Daemon is one host's process.
+// Daemon is the radishhoistd process of one host.
 type Daemon struct {
 	cfg     atomic.Pointer[settings.Config]
 	log     *slog.Logger
@@ -69,36 +69,37 @@
 	admin    *http.Server
 	probes   *http.Server
 	ready    atomic.Bool
-	stopped  atomic.Bool
-	// stopHost says that a Stop record covers this host.
-	stopHost atomic.Bool
+	// shuttingDown is set when Shutdown begins.
+	shuttingDown atomic.Bool
+	// plannedStop is set while a Stop record covers this host.
+	plannedStop atomic.Bool
 
 	cancel context.CancelFunc
 	wg     sync.WaitGroup
 }
 
 const (
-	// firstMessage bounds the wait for a stream's first message.
-	firstMessage = 10 * time.Second
-	// guardTick is the resolution of grants and deadlines at the guard.
-	guardTick = 20 * time.Millisecond
-	// sweepInterval is how often idle peer connections are looked for.
+	// firstMessageTimeout bounds the wait for the first message on a stream.
+	firstMessageTimeout = 10 * time.Second
+	// guardTickInterval is the resolution of grants and deadlines in the guard.
+	guardTickInterval = 20 * time.Millisecond
+	// sweepInterval is how often idle peer connections are closed.
 	sweepInterval = time.Minute
-	// failedStart bounds the closing of what a start that failed had opened.
-	failedStart = time.Second
-	// adminTimeout bounds the reading of an admin or announce request.
+	// failedStartTimeout bounds the cleanup after a failed start.
+	failedStartTimeout = time.Second
+	// adminTimeout bounds reading an admin, readiness or announce request.
 	adminTimeout = 5 * time.Second
 )
 
-// Start opens every socket and starts the roles. On an error nothing is left
-// running.
+// Start opens all sockets and starts the roles. On error it stops whatever it had
+// started.
 func Start(cfg *settings.Config, ports Ports, log *slog.Logger) (*Daemon, error) {
 	log = log.With(slog.String("host", cfg.Host), slog.String("dc", cfg.DC))
 	d := &Daemon{log: log, started: time.Now(), store: ports.Store}
 	d.cfg.Store(cfg)
 	store := objects.NewBudget(d.store, objects.CallsPerSecond, objects.CallBurst)
 	d.budget = store
-	store.Observe(newLateCalls(log).tell)
+	store.Observe(newLateCallLogger(log).report)
 	d.keys = keys.New(keys.Config{
 		Host: cfg.Host, Incarnation: uint64(d.started.UnixMilli()), LeaseDuration: cfg.LeaseDuration,
 	}, keys.Hooks{DistributeMap: func(obj objects.Object) { d.control.Inject(obj) }}, store, log)
@@ -107,7 +108,7 @@
 		TargetIdle: cfg.TargetIdle, Dialect: ports.Dialect,
 	}, guardLimits(cfg), log, d.keys, guard.Hooks{
 		Changed: func() { d.control.InstancesChanged() },
-		Pulse:   d.pulse,
+		Pulse:   d.distributeLoadReport,
 		Crashed: func(e crash.Crash) { d.control.TellEnd(e) },
 		Cleared: func(end string, p crash.Fingerprint) { d.control.TellCleared(end, p) },
 		Blocked: func(s guard.BlockedRequest) { d.control.Keep(s.Fingerprint, s.Request, s.Crashes) },
@@ -135,7 +136,7 @@
 	d.front.SetRates(d.teams)
 	d.gauges = d.newGauges()
 	if err := d.listen(); err != nil {
-		d.close(failedStart)
+		d.close(failedStartTimeout)
 		return nil, err
 	}
 	ctx, cancel := context.WithCancel(context.Background())
@@ -179,7 +180,7 @@
 	}()
 }
 
-// listen opens the sockets in the order in which others depend on them.
+// listen opens the sockets in dependency order; the one for callers comes last.
 func (d *Daemon) listen() error {
 	cfg := d.cfg.Load()
 	if err := d.control.Listen(); err != nil {
@@ -195,16 +196,16 @@
 	d.control.SetPeers(pool)
 	d.front.SetPeers(pool)
 	d.keys.SetPool(pool)
-	d.announce = smallServer(d.guard.AnnounceHandler())
-	if err := d.serve(cfg.Announce, "targets' announcements", d.announce, nil); err != nil {
+	d.announce = newHTTPServer(d.guard.AnnounceHandler())
+	if err := d.serve(cfg.Announce, "target announcements", d.announce, nil); err != nil {
 		return err
 	}
-	d.admin = smallServer(d.adminHandler())
+	d.admin = newHTTPServer(d.adminHandler())
 	if err := d.serve(cfg.Admin, "operators", d.admin, nil); err != nil {
 		return err
 	}
 	if cfg.Ready != "" {
-		d.probes = smallServer(d.readyHandler())
+		d.probes = newHTTPServer(d.readyHandler())
 		if err := d.serve(cfg.Ready, "readiness", d.probes, nil); err != nil {
 			return err
 		}
@@ -213,15 +214,15 @@
 	return d.serve(cfg.Callers, "callers", d.callers, d.front.Limit)
 }
 
-func smallServer(h http.Handler) *http.Server {
+func newHTTPServer(h http.Handler) *http.Server {
 	return &http.Server{
 		Handler: h, ReadHeaderTimeout: adminTimeout, ReadTimeout: adminTimeout,
 		IdleTimeout: time.Minute, MaxHeaderBytes: 16 << 10,
 	}
 }
 
-func (d *Daemon) serve(addr, whom string, s *http.Server, wrap func(net.Listener) net.Listener) error {
-	l, err := port.Listen(whom, addr)
+func (d *Daemon) serve(addr, purpose string, s *http.Server, wrap func(net.Listener) net.Listener) error {
+	l, err := port.Listen(purpose, addr)
 	if err != nil {
 		return err
 	}
@@ -232,16 +233,16 @@
 	return nil
 }
 
-// pulse tells this host's front and those that use its instances what has
-// changed there.
-func (d *Daemon) pulse(p *msg.LoadReport, to pulse.Reach) {
-	d.front.HandleLoadReport(p)
-	d.control.Tell(p, to)
+// distributeLoadReport passes a load report of the guard to the local front and to
+// hosts that use its instances.
+func (d *Daemon) distributeLoadReport(report *msg.LoadReport, to pulse.Reach) {
+	d.front.HandleLoadReport(report)
+	d.control.Tell(report, to)
 }
 
-// handleStream takes a stream that another host opened.
+// handleStream dispatches a stream opened by another host by its first message.
 func (d *Daemon) handleStream(_ *msg.Hello, s wire.Stream) {
-	ctx, cancel := context.WithTimeout(context.Background(), firstMessage)
+	ctx, cancel := context.WithTimeout(context.Background(), firstMessageTimeout)
 	first, err := s.Recv(ctx)
 	cancel()
 	if err != nil {
@@ -259,7 +260,7 @@
 }
 
 func (d *Daemon) tick(ctx context.Context) {
-	ticker := time.NewTicker(guardTick)
+	ticker := time.NewTicker(guardTickInterval)
 	defer ticker.Stop()
 	sweep := time.NewTicker(sweepInterval)
 	defer sweep.Stop()
@@ -275,25 +276,25 @@
 	}
 }
 
-// setDirectory brings a new directory into force in all roles.
+// setDirectory applies a new directory to all roles.
 func (d *Daemon) setDirectory(dir *directory.Directory) {
 	d.teams.SetTeams(dir.Teams)
 	d.front.SetDirectory(dir)
 	d.guard.Apply(dir)
 	d.keys.SetDirectory(dir)
-	d.followStop(dir)
+	d.applyPlannedStop(dir)
 	if dir.Whole && !d.ready.Swap(true) {
 		event.Log(d.log, event.Ready)
 	}
 }
 
-// followStop drains the host for a planned stop, and takes it back. Keys are
-// handed over before the fleet is told, so that nobody takes their shards
-// without their tables.
-func (d *Daemon) followStop(dir *directory.Directory) {
+// applyPlannedStop drains the host when a planned stop begins to cover it, and
+// resumes when none does. Keys are handed over before the fleet is notified:
+// otherwise another host could take over a shard without its key table.
+func (d *Daemon) applyPlannedStop(dir *directory.Directory) {
 	stop := dir.PlannedStop(d.cfg.Load().Host, "")
 	covered := stop != nil
-	if d.stopHost.Swap(covered) == covered || d.stopped.Load() {
+	if d.plannedStop.Swap(covered) == covered || d.shuttingDown.Load() {
 		return
 	}
 	if !covered {
@@ -306,12 +307,12 @@
 		ctx, cancel := context.WithTimeout(context.Background(), handOverTimeout)
 		defer cancel()
 		d.keys.HandOver(ctx)
-		d.control.Leave(d.stopHost.Load())
+		d.control.Leave(d.plannedStop.Load())
 	})
 }
 
-// handOverTimeout bounds the handing over of keys in a planned stop.
+// handOverTimeout bounds the key handover in a planned stop.
 const handOverTimeout = 10 * time.Second
 
-// Log gives the daemon's logger.
+// Log returns the daemon's logger.
 func (d *Daemon) Log() *slog.Logger { return d.log }
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -13,10 +13,10 @@
 	"github.com/radishhoist/radishhoist/internal/standin/target"
 )
 
-// Two daemons and a target in this process, so that the race detector sees
-// front, frames and guard at work: hedges, retries, large answers, keys, and a
-// shutdown that leaves nothing running.
-func TestWholePathUnderTheRaceDetector(t *testing.T) {
+// Runs two daemons and a target in one process, so that the race detector covers front,
+// wire frames and guard under hedges, retries, large answers and keys. Shutdown must
+// leave no goroutine running.
+func TestConcurrentRequestsAndShutdown(t *testing.T) {
 	defer goleak.VerifyNone(t, goleak.IgnoreCurrent())
 	t.Run("load", func(t *testing.T) {
 		p := startPair(t)
@@ -26,7 +26,7 @@
 			{Mode: target.Good}, {Mode: target.Errors, Share: 0.3}, {Mode: target.Truncate, Share: 0.3},
 		} {
 			p.target.Set(mode)
-			load(t, client, p)
+			sendConcurrently(t, client, p)
 		}
 		p.target.Set(target.Behaviour{Mode: target.Good})
 		assert.NilError(t, get(client, "http://"+p.front.cfg.Load().Callers+"/x?size=2000000"))
@@ -34,7 +34,7 @@
 	http.DefaultClient.CloseIdleConnections()
 }
 
-func load(t *testing.T, client *http.Client, p *pair) {
+func sendConcurrently(t *testing.T, client *http.Client, p *pair) {
 	t.Helper()
 	var wg sync.WaitGroup
 	for n := range 16 {
--- a/internal/daemon/drain.go
+++ b/internal/daemon/drain.go
@@ -12,84 +12,84 @@
 )
 
 const (
-	// leaveGrace is how long callers' new requests are still taken: callers turn
-	// to other hosts after two looks at the readiness, a second apart.
-	leaveGrace = 2900 * time.Millisecond
-	// takingShare bounds that time as a part of the drain timeout, which ends
-	// with the process being killed.
-	takingShare = 0.48
-	// servingShare is the part of that time in which this host's targets still
-	// get new work that is expected to end in time: they go on running, and a
-	// fleet whose hosts are stopped one after the other would be short of them.
-	servingShare = 0.75
-	// endingShare is the part of the drain timeout in which requests may run: with
-	// 0.9 work that took 5.5 s of the 6 s of a stop was cut off.
-	endingShare = 0.95
-	// lastShare bounds the time for the last answers, and closeShare the closing of
-	// everything, as parts of the drain timeout: 7 of 91 hosts were killed while they
-	// waited 0.4 s and more for either.
-	lastShare  = 0.02
+	// acceptGrace is how long new requests of callers are still accepted: callers
+	// switch to another host after two readiness checks, one second apart.
+	acceptGrace = 2900 * time.Millisecond
+	// acceptShare bounds that time as a fraction of the drain timeout, because the
+	// process is killed at the end of the drain timeout.
+	acceptShare = 0.48
+	// targetShare is the fraction of that time in which the targets of this host still
+	// get new work that is expected to finish in time. They keep running, and without
+	// them a fleet would lack capacity while its hosts are stopped one after another.
+	targetShare = 0.75
+	// completionShare is the fraction of the drain timeout in which requests may run.
+	// With 0.9, work that took 5.5 s was interrupted in a 6 s stop.
+	completionShare = 0.95
+	// flushShare bounds the time for writing the last answers, and closeShare the time
+	// for closing all parts, as fractions of the drain timeout: 7 of 91 hosts were
+	// killed while they spent 0.4 s or more on one of these.
+	flushShare = 0.02
 	closeShare = 0.01
 )
 
-// Shutdown stops gracefully: callers are told to turn elsewhere, targets get
-// short work for a while longer, then the fleet is told, new work is refused,
-// everything in flight ends, and it closes. It needs no platform. Whoever asks
-// for the stop once more, on again, gives it the whole time anew. It reports
-// whether all in flight had ended in time.
-func (d *Daemon) Shutdown(again <-chan os.Signal) bool {
-	d.stopped.Store(true)
+// Shutdown stops the daemon gracefully. It fails the readiness check, lets local
+// targets take short work for a while, then notifies the fleet, refuses new work,
+// waits for requests in flight and closes all parts. It does not need the platform.
+// Each value received from repeated restarts the drain timeout. It reports whether
+// all requests in flight finished in time.
+func (d *Daemon) Shutdown(repeated <-chan os.Signal) bool {
+	d.shuttingDown.Store(true)
 	timeout := d.cfg.Load().DrainTimeout
-	takingTime := min(leaveGrace, portion(timeout, takingShare))
-	taking, stopTaking := context.WithTimeout(context.Background(), takingTime)
-	defer stopTaking()
-	serving, stopServing := context.WithTimeout(taking, portion(takingTime, servingShare))
-	defer stopServing()
+	acceptTime := min(acceptGrace, fractionOf(timeout, acceptShare))
+	accepting, stopAccepting := context.WithTimeout(context.Background(), acceptTime)
+	defer stopAccepting()
+	dispatching, stopDispatching := context.WithTimeout(accepting, fractionOf(acceptTime, targetShare))
+	defer stopDispatching()
 	d.front.Drain()
-	ctx, cancel := untilQuiet(portion(timeout, endingShare), again, func(end time.Time) {
+	ctx, cancel := drainContext(fractionOf(timeout, completionShare), repeated, func(end time.Time) {
 		d.guard.SetShutdownTime(end)
-		event.Log(d.log, event.Draining, slog.String("cause", "asked to stop"), slog.Int64("withinMS", time.Until(end).Milliseconds()))
+		event.Log(d.log, event.Draining, slog.String("cause", "stop signal received"), slog.Int64("withinMS", time.Until(end).Milliseconds()))
 	})
 	defer cancel()
-	<-serving.Done()
-	// Keys are handed over just before the fleet hears of it: a shard that is
-	// frozen and whose owner still counts as there takes no key.
-	d.keys.HandOver(taking)
+	<-dispatching.Done()
+	// Keys are handed over just before the fleet is notified, because a frozen shard
+	// takes no keys while its owner still counts as alive.
+	d.keys.HandOver(accepting)
 	d.control.Leave(true)
 	d.guard.Drain()
-	<-taking.Done()
+	<-accepting.Done()
 	d.front.RefuseRequests()
-	whole := d.callers.Shutdown(ctx) == nil
-	whole = d.guard.Wait(ctx.Done()) && whole
-	if !whole {
+	completed := d.callers.Shutdown(ctx) == nil
+	completed = d.guard.Wait(ctx.Done()) && completed
+	if !completed {
 		d.front.CancelRequests()
-		d.lastAnswers(portion(timeout, lastShare))
+		d.flushAnswers(fractionOf(timeout, flushShare))
 	}
 	e := event.Drained
-	if !whole {
+	if !completed {
 		e = event.DrainTimeout
 	}
 	event.Log(d.log, e)
-	d.close(portion(timeout, closeShare))
-	return whole
+	d.close(fractionOf(timeout, closeShare))
+	return completed
 }
 
-// untilQuiet gives a context that ends a time after the last stop signal, and
-// tells each new end. A host may be stopped for two reasons, one after the other;
-// what asked last waits for as long as what asked first did. Ending by the first
-// request cut off work of 3 s, 3 s after the second.
-func untilQuiet(wait time.Duration, again <-chan os.Signal, tell func(end time.Time)) (context.Context, context.CancelFunc) {
+// drainContext returns a context that ends a timeout after the last stop signal, and
+// passes each new end time to onEnd. A host may be stopped for two reasons in
+// succession, and whoever sends the second signal waits as long as the first did. Ending
+// at the deadline of the first signal interrupted work of 3 s, 3 s after the second.
+func drainContext(timeout time.Duration, repeated <-chan os.Signal, onEnd func(end time.Time)) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(context.Background())
-	tell(time.Now().Add(wait))
+	onEnd(time.Now().Add(timeout))
 	go func() {
 		defer cancel()
-		timer := time.NewTimer(wait)
+		timer := time.NewTimer(timeout)
 		defer timer.Stop()
 		for {
 			select {
-			case <-again:
-				tell(time.Now().Add(wait))
-				timer.Reset(wait)
+			case <-repeated:
+				onEnd(time.Now().Add(timeout))
+				timer.Reset(timeout)
 			case <-timer.C:
 				return
 			case <-ctx.Done():
@@ -100,23 +100,23 @@
 	return ctx, cancel
 }
 
-// lastAnswers lets the answers to abandoned requests go out.
-func (d *Daemon) lastAnswers(within time.Duration) {
-	ctx, cancel := context.WithTimeout(context.Background(), within)
+// flushAnswers waits until the answers to cancelled requests are written.
+func (d *Daemon) flushAnswers(timeout time.Duration) {
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	if err := d.callers.Shutdown(ctx); err != nil {
-		event.Log(d.log, event.DrainTimeout, slog.String("cause", "answers were still going out: "+err.Error()))
+		event.Log(d.log, event.DrainTimeout, slog.String("cause", "answers not written in time: "+err.Error()))
 	}
 }
 
-func portion(d time.Duration, share float64) time.Duration {
+func fractionOf(d time.Duration, share float64) time.Duration {
 	return time.Duration(share * float64(d))
 }
 
-// close ends everything at once, and waits for it up to a time: what is left then
-// ends with the process.
-func (d *Daemon) close(within time.Duration) {
-	ctx, cancel := context.WithTimeout(context.Background(), within)
+// close stops all parts and waits for them up to the timeout; what is still running
+// then ends with the process.
+func (d *Daemon) close(timeout time.Duration) {
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	if d.callers != nil {
 		_ = d.callers.Close()
@@ -133,13 +133,13 @@
 		d.cancel()
 	}
 	if !awaitGroup(ctx, &d.wg) {
-		event.Log(d.log, event.DrainTimeout, slog.String("cause", "parts of the process were still ending"))
+		event.Log(d.log, event.DrainTimeout, slog.String("cause", "background tasks did not end in time"))
 	}
 	d.store.Close()
 }
 
-// awaitGroup waits for a group until a context is done, and reports whether all had
-// ended.
+// awaitGroup waits for the group or the end of the context, and reports whether the
+// group was done.
 func awaitGroup(ctx context.Context, wg *sync.WaitGroup) bool {
 	ended := make(chan struct{})
 	go func() {
--- a/internal/daemon/drain_test.go
+++ b/internal/daemon/drain_test.go
@@ -12,53 +12,53 @@
 	"gotest.tools/v3/assert"
 )
 
-// A host that is asked to stop a second time, as when its instance has gone and
-// then its own turn comes, has the whole time from then on.
-func TestASecondStopSignalGivesTheWholeTimeAnew(t *testing.T) {
+// A second stop signal restarts the drain timeout, for example when a host is stopped
+// first because its instance has left and then on its own account.
+func TestSecondStopSignalRestartsDrainTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		const wait = 5 * time.Second
+		const timeout = 5 * time.Second
 		start := time.Now()
-		again := make(chan os.Signal, 1)
+		repeated := make(chan os.Signal, 1)
 		var ends []time.Duration
-		ctx, cancel := untilQuiet(wait, again, func(end time.Time) { ends = append(ends, end.Sub(start)) })
+		ctx, cancel := drainContext(timeout, repeated, func(end time.Time) { ends = append(ends, end.Sub(start)) })
 		defer cancel()
 		time.Sleep(3 * time.Second)
-		again <- syscall.SIGTERM
+		repeated <- syscall.SIGTERM
 		time.Sleep(4 * time.Second)
 		synctest.Wait()
 		assert.NilError(t, ctx.Err())
 		<-ctx.Done()
 		assert.Equal(t, time.Since(start), 8*time.Second)
-		assert.DeepEqual(t, ends, []time.Duration{wait, 8 * time.Second})
+		assert.DeepEqual(t, ends, []time.Duration{timeout, 8 * time.Second})
 	})
 }
 
-func TestAStopThatIsOverWaitsForNothing(t *testing.T) {
+func TestDrainContextCancelEndsItsGoroutine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		ctx, cancel := untilQuiet(time.Hour, nil, func(time.Time) {})
+		ctx, cancel := drainContext(time.Hour, nil, func(time.Time) {})
 		cancel()
 		<-ctx.Done()
 		synctest.Wait()
 	})
 }
 
-// All that a stop may wait for leaves a part of the drain timeout, at whose end the
-// process is killed.
-func TestAStopEndsBeforeTheKill(t *testing.T) {
-	const left = 0.019
-	assert.Assert(t, endingShare+lastShare+closeShare <= 1-left)
-	assert.Assert(t, takingShare < endingShare)
+// The phases of a shutdown must leave part of the drain timeout unused, because the
+// process is killed at its end.
+func TestShutdownPhasesFitDrainTimeout(t *testing.T) {
+	const margin = 0.019
+	assert.Assert(t, completionShare+flushShare+closeShare <= 1-margin)
+	assert.Assert(t, acceptShare < completionShare)
 }
 
-// Work that was taken in good time has nearly all of the time to the kill: a request
-// that came 1.7 s after the stop ran until 5.52 s after it.
-func TestWorkHasNearlyAllTheTimeOfAStop(t *testing.T) {
-	const grace, needed = 6 * time.Second, 5520 * time.Millisecond
-	assert.Assert(t, portion(grace, endingShare) > needed, "%s", portion(grace, endingShare))
+// Accepted requests may run for nearly all of the drain timeout: a request that arrived
+// 1.7 s after a 6 s stop had begun needed until 5.52 s.
+func TestRequestsMayUseMostOfDrainTimeout(t *testing.T) {
+	const drainTimeout, needed = 6 * time.Second, 5520 * time.Millisecond
+	assert.Assert(t, fractionOf(drainTimeout, completionShare) > needed, "%s", fractionOf(drainTimeout, completionShare))
 }
 
-// Parts that do not end in time do not hold the process.
-func TestClosingWaitsForNoPartForLong(t *testing.T) {
+// A goroutine that does not end must not block the shutdown beyond its context.
+func TestAwaitGroupEndsWithContext(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var wg sync.WaitGroup
 		wg.Add(1)
--- a/internal/daemon/late.go
+++ b/internal/daemon/late.go
@@ -8,22 +8,22 @@
 	"github.com/radishhoist/radishhoist/internal/objects"
 )
 
-// lateCalls logs the calls to the platform that are late or fail, up to a rate.
-type lateCalls struct {
+// lateCallLogger logs calls to the platform that are late or fail, with rate limiting.
+type lateCallLogger struct {
 	log   *slog.Logger
 	limit event.Limiter
 }
 
-func newLateCalls(log *slog.Logger) *lateCalls { return &lateCalls{log: log} }
+func newLateCallLogger(log *slog.Logger) *lateCallLogger { return &lateCallLogger{log: log} }
 
-func (l *lateCalls) tell(call objects.LateCall) {
-	leftOut, ok := l.limit.Allow(time.Now())
+func (l *lateCallLogger) report(call objects.LateCall) {
+	suppressed, ok := l.limit.Allow(time.Now())
 	if !ok {
 		return
 	}
 	attrs := []slog.Attr{
 		slog.String("call", call.Call), slog.Int64("askedMS", call.Asked.Milliseconds()),
-		slog.Int64("waitedMS", call.Waited.Milliseconds()), slog.Uint64("linesLeftOut", leftOut),
+		slog.Int64("waitedMS", call.Waited.Milliseconds()), slog.Uint64("linesLeftOut", suppressed),
 	}
 	if !call.Ended {
 		event.Log(l.log, event.PlatformLate, attrs...)
--- a/internal/daemon/metrics.go
+++ b/internal/daemon/metrics.go
@@ -8,13 +8,13 @@
 	"github.com/radishhoist/radishhoist/internal/teams"
 )
 
-// newGauges makes the gauges of guard, control and keys. They are read when
-// the metrics are asked for. docs/operate/metrics.md lists them.
+// newGauges returns the gauges of guard, control and keys, evaluated on each scrape.
+// docs/operate/metrics.md lists them.
 func (d *Daemon) newGauges() *metrics.Set {
 	set := metrics.NewSet()
-	set.NewGauge("radishhoist_ready", func() float64 { return one(len(d.waiting()) == 0) })
+	set.NewGauge("radishhoist_ready", func() float64 { return boolToFloat(len(d.notReadyReasons()) == 0) })
 	set.NewGauge("radishhoist_instances", func() float64 { return float64(len(d.guard.State())) })
-	set.NewGauge("radishhoist_instances_suspect", d.countInstances(func(i guard.InstanceState) int { return int(one(i.Suspect())) }))
+	set.NewGauge("radishhoist_instances_suspect", d.sumInstances(func(i guard.InstanceState) int { return int(boolToFloat(i.Suspect())) }))
 	set.NewGauge("radishhoist_instance_sick_max", func() float64 {
 		worst := 0.0
 		for _, i := range d.guard.State() {
@@ -22,55 +22,56 @@
 		}
 		return worst
 	})
-	set.NewGauge("radishhoist_running", d.countInstances(func(i guard.InstanceState) int { return i.Running }))
-	set.NewGauge("radishhoist_queued", d.countInstances(func(i guard.InstanceState) int { return i.Queued }))
+	set.NewGauge("radishhoist_running", d.sumInstances(func(i guard.InstanceState) int { return i.Running }))
+	set.NewGauge("radishhoist_queued", d.sumInstances(func(i guard.InstanceState) int { return i.Queued }))
 	set.NewGauge("radishhoist_requests_stopped", func() float64 { return float64(d.guard.BlockedCount()) })
 	set.NewGauge("radishhoist_teams_close", d.countTeams(func(s teams.State) bool { return s.NearLimit }))
 	set.NewGauge("radishhoist_teams_alone", d.countTeams(func(s teams.State) bool { return s.Standalone }))
-	set.NewGauge("radishhoist_records", d.fromControl(func(s control.State) float64 { return float64(s.Records) }))
-	set.NewGauge("radishhoist_records_newest", d.fromControl(func(s control.State) float64 { return float64(s.Newest) }))
+	set.NewGauge("radishhoist_records", d.controlGauge(func(s control.State) float64 { return float64(s.Records) }))
+	set.NewGauge("radishhoist_records_newest", d.controlGauge(func(s control.State) float64 { return float64(s.Newest) }))
 	set.NewGauge("radishhoist_records_confirmed_age_seconds", func() float64 { return d.control.ConfirmedAge().Seconds() })
-	set.NewGauge("radishhoist_records_rejected", d.fromControl(func(s control.State) float64 { return float64(len(s.Rejected)) }))
-	set.NewGauge("radishhoist_platform_away", d.fromControl(func(s control.State) float64 { return one(s.Away) }))
-	set.NewGauge("radishhoist_isolated", d.fromControl(func(s control.State) float64 { return one(s.Isolated) }))
-	set.NewGauge("radishhoist_hosts_alive", d.fromControl(aliveHosts))
-	set.NewGauge("radishhoist_control_bytes_sent", d.fromControl(func(s control.State) float64 { return float64(s.Traffic.BytesOut) }))
+	set.NewGauge("radishhoist_records_rejected", d.controlGauge(func(s control.State) float64 { return float64(len(s.Rejected)) }))
+	set.NewGauge("radishhoist_platform_away", d.controlGauge(func(s control.State) float64 { return boolToFloat(s.Away) }))
+	set.NewGauge("radishhoist_isolated", d.controlGauge(func(s control.State) float64 { return boolToFloat(s.Isolated) }))
+	set.NewGauge("radishhoist_hosts_alive", d.controlGauge(countAliveHosts))
+	set.NewGauge("radishhoist_control_bytes_sent", d.controlGauge(func(s control.State) float64 { return float64(s.Traffic.BytesOut) }))
 	set.NewGauge("radishhoist_shards_held", func() float64 {
 		held := 0
 		for _, s := range d.keys.State() {
-			held += int(one(s.Held))
+			held += int(boolToFloat(s.Held))
 		}
 		return float64(held)
 	})
 	return set
 }
 
-func (d *Daemon) countTeams(is func(teams.State) bool) func() float64 {
+func (d *Daemon) countTeams(matches func(teams.State) bool) func() float64 {
 	return func() float64 {
 		n := 0.0
 		for _, s := range d.teams.State() {
-			n += one(is(s))
+			n += boolToFloat(matches(s))
 		}
 		return n
 	}
 }
 
-func one(b bool) float64 {
+func boolToFloat(b bool) float64 {
 	if b {
 		return 1
 	}
 	return 0
 }
 
-func aliveHosts(s control.State) float64 {
+// countAliveHosts counts the hosts that are alive, this one included.
+func countAliveHosts(s control.State) float64 {
 	alive := 1
 	for _, m := range s.Members {
-		alive += int(one(m.Status == "alive"))
+		alive += int(boolToFloat(m.Status == "alive"))
 	}
 	return float64(alive)
 }
 
-func (d *Daemon) countInstances(f func(guard.InstanceState) int) func() float64 {
+func (d *Daemon) sumInstances(f func(guard.InstanceState) int) func() float64 {
 	return func() float64 {
 		sum := 0
 		for _, i := range d.guard.State() {
@@ -80,6 +81,6 @@
 	}
 }
 
-func (d *Daemon) fromControl(f func(control.State) float64) func() float64 {
+func (d *Daemon) controlGauge(f func(control.State) float64) func() float64 {
 	return func() float64 { return f(d.control.State()) }
 }
--- a/internal/daemon/reload.go
+++ b/internal/daemon/reload.go
@@ -11,63 +11,63 @@
 	"github.com/radishhoist/radishhoist/internal/settings"
 )
 
-// reloadInterval is how often the settings file is looked at: it may change
-// without a signal, and nothing in it is needed within seconds.
+// reloadInterval is how often the settings file is checked for changes that come
+// without a signal. No setting is urgent enough to need a shorter interval.
 const reloadInterval = 5 * time.Second
 
-// Follow takes changes of the settings file, after each signal and at the
-// reload interval, until the context ends. applied is called with what is in
-// force after each change.
-func (d *Daemon) Follow(ctx context.Context, path string, signals <-chan os.Signal, applied func(*settings.Config)) {
+// Follow reloads the settings file on each signal, and when its content has changed
+// at a reload interval, until the context ends. After each reload it calls onReload
+// with the settings in effect.
+func (d *Daemon) Follow(ctx context.Context, path string, signals <-chan os.Signal, onReload func(*settings.Config)) {
 	ticker := time.NewTicker(reloadInterval)
 	defer ticker.Stop()
-	seen, err := os.ReadFile(path)
+	previous, err := os.ReadFile(path)
 	if err != nil {
 		event.Log(d.log, event.ReloadRefused, slog.String("cause", err.Error()))
 	}
 	for {
-		asked := false
+		signalled := false
 		select {
 		case <-ctx.Done():
 			return
 		case <-signals:
-			asked = true
+			signalled = true
 		case <-ticker.C:
 		}
 		text, err := os.ReadFile(path)
 		switch {
-		case err != nil && asked:
+		case err != nil && signalled:
 			event.Log(d.log, event.ReloadRefused, slog.String("cause", err.Error()))
 			continue
-		case err != nil, !asked && bytes.Equal(text, seen):
+		case err != nil, !signalled && bytes.Equal(text, previous):
 			continue
 		}
-		seen = text
-		d.reload(path, text, applied)
+		previous = text
+		d.reload(path, text, onReload)
 	}
 }
 
-// reload brings one text of the settings file into force as far as a running
-// process can. A bad one changes nothing.
-func (d *Daemon) reload(path string, text []byte, applied func(*settings.Config)) {
-	fresh, err := settings.Parse(path, text)
+// reload applies the settings in text that can change without a restart. Invalid
+// text changes nothing.
+func (d *Daemon) reload(path string, text []byte, onReload func(*settings.Config)) {
+	updated, err := settings.Parse(path, text)
 	if err != nil {
 		event.Log(d.log, event.ReloadRefused, slog.String("cause", err.Error()))
 		return
 	}
 	running := d.cfg.Load()
-	var taken, waiting []string
-	for _, c := range settings.Compare(running, fresh) {
+	var applied, pending []string
+	for _, c := range settings.Compare(running, updated) {
 		if c.Live {
-			taken = append(taken, c.Key)
+			applied = append(applied, c.Key)
 		} else {
-			waiting = append(waiting, c.Key)
+			pending = append(pending, c.Key)
 		}
 	}
-	adopted := settings.Adopt(running, fresh)
+	adopted := settings.Adopt(running, updated)
 	d.cfg.Store(adopted)
 	d.front.SetLimits(frontLimits(adopted))
 	d.guard.SetLimits(guardLimits(adopted))
-	applied(adopted)
-	event.Log(d.log, event.Reloaded, slog.Any("taken", taken), slog.Any("atNextStart", waiting))
+	onReload(adopted)
+	event.Log(d.log, event.Reloaded, slog.Any("taken", applied), slog.Any("atNextStart", pending))
 }
--- a/internal/daemon/reload_test.go
+++ b/internal/daemon/reload_test.go
@@ -21,15 +21,15 @@
 	"github.com/radishhoist/radishhoist/internal/settings"
 )
 
-const plain = "[host]\nname = h1\ndc = a\n[listen]\ncallers = 127.0.0.1:8080\npeer = 127.0.0.1:7300\n" +
+const baseSettings = "[host]\nname = h1\ndc = a\n[listen]\ncallers = 127.0.0.1:8080\npeer = 127.0.0.1:7300\n" +
 	"announce = 127.0.0.1:7700\nadmin = 127.0.0.1:7900\n[platform]\nurl = http://127.0.0.1:7000\n"
 
-// A signal brings live keys of a changed file into force; a bad file changes
-// nothing and is told with its fault.
-func TestSettingsAreReadAgainOnASignal(t *testing.T) {
+// A signal applies the live settings of a changed file. An invalid or missing file
+// changes nothing, and its error is logged.
+func TestSettingsReloadOnSignal(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "settings.ini")
 	write := func(text string) { assert.NilError(t, os.WriteFile(path, []byte(text), 0o600)) }
-	write(plain)
+	write(baseSettings)
 	cfg, err := settings.Load(path)
 	assert.NilError(t, err)
 	out := &logtest.Buffer{}
@@ -47,32 +47,32 @@
 		defer close(done)
 		d.Follow(ctx, path, signals, func(c *settings.Config) { applied <- c })
 	}()
-	write(plain + "[log]\nlevel = warn\n[guard]\ngrant_life = 2s\n")
+	write(baseSettings + "[log]\nlevel = warn\n[guard]\ngrant_life = 2s\n")
 	signals <- syscall.SIGHUP
 	assert.Equal(t, (<-applied).LogLevel, "warn")
 	assert.Equal(t, d.cfg.Load().GrantLife, cfg.GrantLife)
-	waitFor(t, out, `"atNextStart":["[guard] grant_life"]`)
+	waitForLog(t, out, `"atNextStart":["[guard] grant_life"]`)
 
-	write(plain + "[log]\nlevel = loud\n")
+	write(baseSettings + "[log]\nlevel = loud\n")
 	signals <- syscall.SIGHUP
-	waitFor(t, out, event.ReloadRefused.Name)
+	waitForLog(t, out, event.ReloadRefused.Name)
 	assert.Equal(t, d.cfg.Load().LogLevel, "warn")
 	assert.Assert(t, strings.Contains(out.String(), "[log] level"))
 
 	assert.NilError(t, os.Remove(path))
 	signals <- syscall.SIGHUP
-	waitFor(t, out, "no such file")
+	waitForLog(t, out, "no such file")
 	assert.Equal(t, d.cfg.Load().LogLevel, "warn")
 	cancel()
 	<-done
 }
 
-func waitFor(t *testing.T, out *logtest.Buffer, part string) {
+func waitForLog(t *testing.T, out *logtest.Buffer, part string) {
 	t.Helper()
 	for end := time.Now().Add(20 * time.Second); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		if strings.Contains(out.String(), part) {
 			return
 		}
 	}
-	t.Fatalf("no line with %q", part)
+	t.Fatalf("no log line with %q within 20 s", part)
 }
