--- a/internal/lab/bench.go
+++ b/internal/lab/bench.go
@@ -18,20 +18,20 @@
 	"github.com/radishhoist/radishhoist/record"
 )
 
-// The shape of the speed measurement: one front host, one target host, and a
-// target without service time, so that all that is measured is the system's.
+// Parameters of the benchmark: one front host, one target host, and a target without
+// service time, so that only the cost of the system is measured.
 const (
-	benchService = "bench"
-	benchSlots   = 512
-	benchFor     = 5 * time.Second
-	benchIdle    = 2000
-	// clockTicks is the kernel's unit of processor time, per second.
-	clockTicks = 100
+	benchService   = "bench"
+	benchSlots     = 512
+	benchDuration  = 5 * time.Second
+	benchIdleConns = 2000
+	// clockTicksPerSecond is the unit of CPU time in /proc (USER_HZ).
+	clockTicksPerSecond = 100
 )
 
-// Bench measures what front and guard add to a request, in one run on one
-// machine: latency against calling the target directly at the same rate,
-// processor time a request, and memory an idle connection.
+// Bench measures the overhead of front and guard in one run on one machine: latency
+// compared with direct calls to the target at the same rate, CPU time per request, and
+// memory per idle connection.
 func Bench(ctx context.Context, out io.Writer, bin string, rates []int) error {
 	dir, err := os.MkdirTemp("", "radishhoist-bench")
 	if err != nil {
@@ -40,13 +40,13 @@
 	defer func() { _ = os.RemoveAll(dir) }()
 	f := NewFleet(ctx, bin, dir, io.Discard)
 	defer f.Stop()
-	fronts, direct, err := startBench(ctx, f)
+	through, direct, err := startBench(ctx, f)
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(out, "%8s  %-22s %-22s %-22s %s\n", "rate/s", "direct p50 / p99", "through p50 / p99", "added p50 / p99", "daemons' CPU a request")
+	fmt.Fprintf(out, "%8s  %-22s %-22s %-22s %s\n", "rate/s", "direct p50 / p99", "through p50 / p99", "added p50 / p99", "daemon CPU per request")
 	for _, rate := range rates {
-		if err := benchRate(ctx, out, f, fronts, direct, rate); err != nil {
+		if err := benchRate(ctx, out, f, through, direct, rate); err != nil {
 			return err
 		}
 	}
@@ -78,52 +78,53 @@
 	return "http://" + f.Hosts[0].Callers() + "/x", "http://" + t.Address + "/x", err
 }
 
-// histograms are the latencies of the two ways, from many goroutines.
+// histograms records latencies by URL. It is safe for concurrent use.
 type histograms struct {
-	mu  sync.Mutex
-	url map[string]*hdrhistogram.Histogram
+	mu    sync.Mutex
+	byURL map[string]*hdrhistogram.Histogram
 }
 
 func (h *histograms) add(r Result) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	one, ok := h.url[r.URL]
+	histogram, ok := h.byURL[r.URL]
 	if !ok {
-		one = hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)
-		h.url[r.URL] = one
+		histogram = hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)
+		h.byURL[r.URL] = histogram
 	}
-	_ = one.RecordValue(max(r.FromSend.Microseconds(), 1))
+	_ = histogram.RecordValue(max(r.SinceSent.Microseconds(), 1))
 }
 
-func (h *histograms) at(url string, q float64) time.Duration {
-	return time.Duration(h.url[url].ValueAtQuantile(q)) * time.Microsecond
+func (h *histograms) quantile(url string, q float64) time.Duration {
+	return time.Duration(h.byURL[url].ValueAtQuantile(q)) * time.Microsecond
 }
 
-// benchRate sends to both ways in turn, so that both meet the same machine.
+// benchRate alternates between the two URLs, so that both are measured under the same
+// conditions on the machine.
 func benchRate(ctx context.Context, out io.Writer, f *Fleet, through, direct string, rate int) error {
-	h := &histograms{url: make(map[string]*hdrhistogram.Histogram)}
+	h := &histograms{byURL: make(map[string]*hdrhistogram.Histogram)}
 	cfg := LoadConfig{URLs: []string{direct, through}, Method: http.MethodGet, Rate: 2 * rate, For: time.Second}
 	if _, err := Load(ctx, cfg); err != nil {
 		return err
 	}
 	before := f.cpu()
-	cfg.For, cfg.Each = benchFor, h.add
+	cfg.For, cfg.Each = benchDuration, h.add
 	r, err := Load(ctx, cfg)
 	if err != nil {
 		return err
 	}
 	spent := f.cpu() - before
-	if r.Whole != r.Sent {
-		return errors.Errorf("%d of %d requests were not answered whole", r.Sent-r.Whole, r.Sent)
+	if r.Completed != r.Sent {
+		return errors.Errorf("%d of %d requests did not get a complete answer", r.Sent-r.Completed, r.Sent)
 	}
 	pair := func(a, b time.Duration) string { return fmt.Sprintf("%s / %s", a, b) }
-	d50, d99, t50, t99 := h.at(direct, 50), h.at(direct, 99), h.at(through, 50), h.at(through, 99)
+	d50, d99, t50, t99 := h.quantile(direct, 50), h.quantile(direct, 99), h.quantile(through, 50), h.quantile(through, 99)
 	fmt.Fprintf(out, "%8d  %-22s %-22s %-22s %s\n", rate, pair(d50, d99), pair(t50, t99), pair(t50-d50, t99-d99),
 		(spent / time.Duration(r.Sent/2)).Round(time.Microsecond))
 	return nil
 }
 
-// cpu is the processor time that all daemons have used.
+// cpu returns the CPU time that all daemons have used.
 func (f *Fleet) cpu() time.Duration {
 	var sum time.Duration
 	for _, h := range f.Hosts {
@@ -132,7 +133,7 @@
 	return sum
 }
 
-// CPU is the processor time the process has used, from /proc.
+// CPU returns the CPU time that the process has used, from /proc.
 func (p *Process) CPU() time.Duration {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.cmd.Process.Pid))
 	if err != nil {
@@ -146,10 +147,10 @@
 	}
 	u, _ := strconv.Atoi(fields[user])
 	s, _ := strconv.Atoi(fields[system])
-	return time.Duration(u+s) * time.Second / clockTicks
+	return time.Duration(u+s) * time.Second / clockTicksPerSecond
 }
 
-// RSS is the process's resident memory in bytes, from /proc.
+// RSS returns the resident memory of the process in bytes, from /proc.
 func (p *Process) RSS() int {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/statm", p.cmd.Process.Pid))
 	if err != nil {
@@ -163,18 +164,18 @@
 	return pages * os.Getpagesize()
 }
 
-// benchConnections measures the memory of idle callers' connections, each
-// after one request.
+// benchConnections measures the memory per idle caller connection that has carried one
+// request.
 func benchConnections(out io.Writer, h *Host) error {
 	before := h.Daemon.RSS()
-	conns := make([]net.Conn, 0, benchIdle)
+	conns := make([]net.Conn, 0, benchIdleConns)
 	defer func() {
 		for _, c := range conns {
 			_ = c.Close()
 		}
 	}()
 	buf := make([]byte, 4096)
-	for range benchIdle {
+	for range benchIdleConns {
 		c, err := net.Dial("tcp", h.Callers())
 		if err != nil {
 			return err
@@ -188,6 +189,6 @@
 		}
 	}
 	time.Sleep(time.Second)
-	fmt.Fprintf(out, "idle connection of a caller: %d bytes of resident memory each, over %d\n", (h.Daemon.RSS()-before)/benchIdle, benchIdle)
+	fmt.Fprintf(out, "idle caller connection: %d bytes of resident memory each, over %d connections\n", (h.Daemon.RSS()-before)/benchIdleConns, benchIdleConns)
 	return nil
 }
--- a/internal/lab/capacity.go
+++ b/internal/lab/capacity.go
@@ -16,43 +16,43 @@
 	"github.com/radishhoist/radishhoist/record"
 )
 
-// The target size.
+// The size that the system is designed for.
 const (
-	targetHosts     = 1600
-	targetInstances = 13000
-	targetServices  = 340
-	targetRoutes    = 25000
-	targetTeams     = 81000
-	instancesHost   = 8
+	designHosts      = 1600
+	designInstances  = 13000
+	designServices   = 340
+	designRoutes     = 25000
+	designTeams      = 81000
+	instancesPerHost = 8
 )
 
-// Capacity measures the slopes that docs/CAPACITY.md stands on.
+// Capacity measures how cost grows with size, which docs/CAPACITY.md extrapolates.
 func Capacity(ctx context.Context, out io.Writer, bin string, daemons []int) error {
 	fmt.Fprintf(out, "## Protocols, core state machines in one process, virtual time\n\n")
-	fmt.Fprintf(out, "| hosts | data centres | idle messages/s a host | idle bytes/s a host | CPU a host, %% of a core | entry reaches all in | bytes a change, fleet |\n|---|---|---|---|---|---|---|\n")
+	fmt.Fprintf(out, "| hosts | data centres | idle messages/s per host | idle bytes/s per host | CPU per host, %% of a core | propagation time to all hosts | bytes per change, fleet |\n|---|---|---|---|---|---|---|\n")
 	for _, hosts := range []int{50, 200, 800} {
-		meshRow(out, hosts)
+		printMeshRow(out, hosts)
 	}
 	fmt.Fprintf(out, "\n## Records in one process\n\n")
-	fmt.Fprintf(out, "| routes | teams | JSON, MB | memory, MB | compile, ms | directory with %d instances, ms | route lookup, ns |\n|---|---|---|---|---|---|---|\n", targetInstances)
+	fmt.Fprintf(out, "| routes | teams | JSON, MB | memory, MB | compile, ms | directory with %d instances, ms | route lookup, ns |\n|---|---|---|---|---|---|---|\n", designInstances)
 	for _, n := range []int{1000, 5000, 25000} {
-		if err := recordRow(out, n, n*targetTeams/targetRoutes); err != nil {
+		if err := printRecordRow(out, n, n*designTeams/designRoutes); err != nil {
 			return err
 		}
 	}
-	fmt.Fprintf(out, "\n## Real daemons, idle, one target each\n\n| daemons | CPU a daemon, %% of a core | resident memory, MB | control bytes/s sent a daemon |\n|---|---|---|---|\n")
+	fmt.Fprintf(out, "\n## Real daemons, idle, one target each\n\n| daemons | CPU per daemon, %% of a core | resident memory, MB | control bytes/s sent per daemon |\n|---|---|---|---|\n")
 	for _, n := range daemons {
-		if err := daemonRow(ctx, out, bin, n); err != nil {
+		if err := printDaemonRow(ctx, out, bin, n); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// meshRow measures membership and replication at a number of hosts.
-func meshRow(out io.Writer, hosts int) {
+// printMeshRow measures membership and replication with the given number of hosts.
+func printMeshRow(out io.Writer, hosts int) {
 	dcs := min(max(hosts/145, 2), 11)
-	m := mesh.New(mesh.Config{Hosts: hosts, DCs: dcs, Seed: 1, Instances: instancesHost, Watchers: 2})
+	m := mesh.New(mesh.Config{Hosts: hosts, DCs: dcs, Seed: 1, Instances: instancesPerHost, Watchers: 2})
 	m.StartAll()
 	m.Run(5 * time.Second)
 	sent := func() (messages, bytes int) {
@@ -73,7 +73,7 @@
 	const changes = 5
 	var slowest time.Duration
 	for i := range changes {
-		slowest = max(slowest, spreadTime(m, fmt.Sprintf("r%d", i)))
+		slowest = max(slowest, propagationTime(m, fmt.Sprintf("r%d", i)))
 	}
 	m.Run(10 * time.Second)
 	_, b2 := sent()
@@ -83,8 +83,9 @@
 		float64(m1-m0)/perHost, float64(b1-b0)/perHost, cpu, slowest, max(change/changes, 0))
 }
 
-// spreadTime writes one record and waits until every host has it.
-func spreadTime(m *mesh.Mesh, name string) time.Duration {
+// propagationTime writes one record and returns the virtual time until every host has it,
+// at most a minute.
+func propagationTime(m *mesh.Mesh, name string) time.Duration {
 	start := m.Now
 	m.Platform.Put(name, false, 300)
 	for m.Now.Sub(start) < time.Minute {
@@ -110,15 +111,16 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// FullSet makes the records of a size, as the platform would hold them.
-func FullSet(routes, teams int) ([]msg.Entry, error) {
+// GenerateRecords returns a record set with the given number of routes and teams, encoded
+// as on the platform.
+func GenerateRecords(routes, teams int) ([]msg.Entry, error) {
 	var out []msg.Entry
 	add := func(key record.Key, spec record.Spec) error {
 		value, err := record.Marshal(key, spec)
 		out = append(out, msg.Entry{Kind: string(key.Kind), Name: key.Name, Version: int64(len(out) + 1), Value: value})
 		return err
 	}
-	for i := range targetServices {
+	for i := range designServices {
 		s := &record.Service{Office: fmt.Sprintf("office-%02d", i%40), Preset: record.PresetCareful, Floor: record.Floor{Percent: 70}}
 		if err := add(record.Key{Kind: record.KindService, Name: fmt.Sprintf("service-%03d", i)}, s); err != nil {
 			return nil, err
@@ -127,7 +129,7 @@
 	for i := range routes {
 		r := &record.Route{
 			Host: fmt.Sprintf("site-%03d.example", i%400), PathPrefix: fmt.Sprintf("/area-%d/part-%d", i/400, i%7),
-			Service: fmt.Sprintf("service-%03d", i%targetServices), TimeoutMS: 2000,
+			Service: fmt.Sprintf("service-%03d", i%designServices), TimeoutMS: 2000,
 		}
 		if err := add(record.Key{Kind: record.KindRoute, Name: fmt.Sprintf("route-%05d", i)}, r); err != nil {
 			return nil, err
@@ -142,14 +144,14 @@
 	return out, nil
 }
 
-// FullHosts makes the hosts of the target size with their instances.
-func FullHosts() []*directory.Host {
+// GenerateHosts returns the hosts of the design size with their instances.
+func GenerateHosts() []*directory.Host {
 	var out []*directory.Host
-	for i := range targetHosts {
+	for i := range designHosts {
 		h := &directory.Host{Name: fmt.Sprintf("host-%04d", i), DC: fmt.Sprintf("dc-%02d", i%11), Peer: "10.0.0.1:7300", Alive: true}
-		for k := range instancesHost {
+		for k := range instancesPerHost {
 			h.Instances = append(h.Instances, directory.Instance{
-				Name: fmt.Sprintf("host-%04d-%d", i, k), Service: fmt.Sprintf("service-%03d", (i*instancesHost+k)%targetServices), Slots: 6, Conns: 350,
+				Name: fmt.Sprintf("host-%04d-%d", i, k), Service: fmt.Sprintf("service-%03d", (i*instancesPerHost+k)%designServices), Slots: 6, Conns: 350,
 			})
 		}
 		out = append(out, h)
@@ -165,10 +167,10 @@
 	return float64(s.HeapAlloc) / (1 << 20)
 }
 
-// recordRow measures one process's cost of a record set.
-func recordRow(out io.Writer, routes, teams int) error {
+// printRecordRow measures the cost of a record set in one process.
+func printRecordRow(out io.Writer, routes, teams int) error {
 	before := heapMB()
-	entries, err := FullSet(routes, teams)
+	entries, err := GenerateRecords(routes, teams)
 	if err != nil {
 		return err
 	}
@@ -188,7 +190,7 @@
 	start := time.Now()
 	compiled := directory.Compile(parsed, true)
 	compile := time.Since(start)
-	hosts := FullHosts()
+	hosts := GenerateHosts()
 	start = time.Now()
 	dir := directory.Build(compiled, hosts)
 	build := time.Since(start)
@@ -219,9 +221,9 @@
 	return time.Since(start) / lookups
 }
 
-// daemonRow measures real idle daemons.
-func daemonRow(ctx context.Context, out io.Writer, bin string, n int) error {
-	f, stop, err := startPlain(ctx, bin, n, func(i int) string { return fmt.Sprintf("127.1.%d.%d", i/200, 1+i%200) })
+// printDaemonRow measures n idle daemon processes.
+func printDaemonRow(ctx context.Context, out io.Writer, bin string, n int) error {
+	f, stop, err := startUniformFleet(ctx, bin, n, func(i int) string { return fmt.Sprintf("127.1.%d.%d", i/200, 1+i%200) })
 	if err != nil {
 		return err
 	}
--- a/internal/lab/capacity_test.go
+++ b/internal/lab/capacity_test.go
@@ -15,9 +15,9 @@
 	"github.com/radishhoist/radishhoist/record"
 )
 
-func parsedSet(tb testing.TB) ([]msg.Entry, []*record.Record) {
+func generateParsedRecords(tb testing.TB) ([]msg.Entry, []*record.Record) {
 	tb.Helper()
-	entries, err := FullSet(targetRoutes, targetTeams)
+	entries, err := GenerateRecords(designRoutes, designTeams)
 	assert.NilError(tb, err)
 	var parsed []*record.Record
 	for _, e := range entries {
@@ -29,7 +29,7 @@
 }
 
 func BenchmarkRouteLookup25000(b *testing.B) {
-	_, parsed := parsedSet(b)
+	_, parsed := generateParsedRecords(b)
 	var routes []*route.Route
 	for _, r := range parsed {
 		if spec, ok := r.Spec.(*record.Route); ok {
@@ -46,7 +46,7 @@
 }
 
 func BenchmarkTeamLookup81000(b *testing.B) {
-	_, parsed := parsedSet(b)
+	_, parsed := generateParsedRecords(b)
 	dir := directory.Build(directory.Compile(parsed, true), nil)
 	names := make([]string, 1000)
 	for i := range names {
@@ -59,15 +59,15 @@
 	}
 }
 
-// BenchmarkApplyOneChange is a change of one record in the full set, until the
-// new directory stands.
+// BenchmarkApplyOneChange measures applying a change of one record in the full set and
+// rebuilding the directory.
 func BenchmarkApplyOneChange(b *testing.B) {
-	entries, parsed := parsedSet(b)
+	entries, parsed := generateParsedRecords(b)
 	set := config.NewSet()
 	for _, e := range entries {
 		set.Apply(e)
 	}
-	hosts := FullHosts()
+	hosts := GenerateHosts()
 	version := int64(len(entries))
 	for b.Loop() {
 		version++
@@ -83,10 +83,10 @@
 	}
 }
 
-// BenchmarkStartFromPeer is a host that takes the full set from a peer, with
-// the messages encoded and decoded.
+// BenchmarkStartFromPeer measures loading the full set from a peer, including encoding
+// and decoding of the messages.
 func BenchmarkStartFromPeer(b *testing.B) {
-	entries, _ := parsedSet(b)
+	entries, _ := generateParsedRecords(b)
 	rng := rand.New(rand.NewPCG(1, 1))
 	full := config.NewNode(config.DefaultConfig(), rng)
 	full.LoadList(config.Peers{}, entries, int64(len(entries)), nil)
@@ -112,7 +112,7 @@
 			fresh.Step(peers, "full", m)
 		}
 		if !fresh.Complete() {
-			b.Fatal("the set is not whole")
+			b.Fatal("the record set is incomplete")
 		}
 	}
 	b.ReportMetric(float64(sent)/1e6, "MB")
--- a/internal/lab/demo.go
+++ b/internal/lab/demo.go
@@ -17,33 +17,35 @@
 	"github.com/radishhoist/radishhoist/record"
 )
 
-// The demo's shape: the Bureau's plans service on six hosts in three data
-// centres.
+// Parameters of the demo: the Bureau's plans service on six hosts in three data centres.
 const (
 	demoHosts   = 6
 	demoDCs     = 3
 	demoService = "plans"
 	demoSlots   = 7
-	demoRate    = 240
-	demoGray    = 8 * time.Second
-	demoTime    = 15 * time.Millisecond
-	// demoGood is how long all targets are good, and leastShare the part of its even
-	// share that each gets meanwhile at the least.
-	demoGood   = 5 * time.Second
-	leastShare = 0.5
+	// demoRate is in requests per second.
+	demoRate         = 240
+	demoGrayDuration = 8 * time.Second
+	demoServiceTime  = 15 * time.Millisecond
+	// demoGoodDuration is how long all targets stay good. Meanwhile each has to answer at
+	// least minEvenShare of an even share of the requests.
+	demoGoodDuration = 5 * time.Second
+	minEvenShare     = 0.5
 )
 
 // DemoConfig describes a run of the demo.
 type DemoConfig struct {
 	// Bin is the directory of the built programs.
 	Bin string
-	// Net is the third number of the addresses, 127.0.Net.x.
+	// Net is the third octet of the addresses, 127.0.Net.x.
 	Net int
-	// Verbose shows what the processes log.
+	// Verbose prints the logs of the processes.
 	Verbose bool
 }
 
-// Demo runs the main job for a newcomer to watch.
+// Demo starts a fleet, turns one target gray under load, and prints how the daemons
+// route around it. It fails if a request failed, if the target was not left out, or if
+// load was distributed too unevenly while all targets were good.
 func Demo(ctx context.Context, out io.Writer, cfg DemoConfig) error {
 	dir, err := os.MkdirTemp("", "radishhoist-demo")
 	if err != nil {
@@ -56,9 +58,9 @@
 	}
 	f := NewFleet(ctx, cfg.Bin, dir, logs)
 	defer f.Stop()
-	say := func(format string, args ...any) { fmt.Fprintf(out, format+"\n", args...) }
+	printf := func(format string, args ...any) { fmt.Fprintf(out, format+"\n", args...) }
 
-	say("1. platform stand-in, %d daemons in %d data centres, one target stand-in beside each", demoHosts, demoDCs)
+	printf("1. platform stand-in, %d daemons in %d data centres, one target stand-in beside each", demoHosts, demoDCs)
 	targets, err := startDemoFleet(ctx, f, cfg.Net)
 	if err != nil {
 		return err
@@ -66,49 +68,49 @@
 	if err := f.UntilServing(20*time.Second, map[string]int{demoService: demoHosts}); err != nil {
 		return err
 	}
-	say("   every daemon has the records and knows all %d targets", demoHosts)
+	printf("   every daemon has the records and knows all %d targets", demoHosts)
 
-	before, err := f.load(ctx, demoGood)
+	before, err := f.load(ctx, demoGoodDuration)
 	if err != nil {
 		return err
 	}
-	say("2. all targets good, %d requests a second through every daemon\n%s", demoRate, indent(before.String()))
-	starved, least := before.leastServed(targets)
-	say("   the even share is %d; %s, with the least, answered %.2f of it", before.Whole/len(targets), starved, least)
-	if least < leastShare {
-		return errors.Errorf("the good target %s answered %.2f of its even share; %.2f is the least", starved, least, leastShare)
+	printf("2. all targets good, %d requests per second, spread over all daemons\n%s", demoRate, indent(before.String()))
+	name, share := before.leastUsedTarget(targets)
+	printf("   an even share is %d; %s answered the fewest, %.2f of it", before.Completed/len(targets), name, share)
+	if share < minEvenShare {
+		return errors.Errorf("the good target %s answered %.2f of an even share; the minimum is %.2f", name, share, minEvenShare)
 	}
 
 	gray := targets[0]
-	say("3. target %s turns gray: five times slower, health unchanged", gray.Name)
+	printf("3. target %s turns gray: five times slower, health unchanged", gray.Name)
 	if err := gray.Set(target.Behaviour{Mode: target.Slow, Factor: 5}); err != nil {
 		return err
 	}
-	during, leftOut, err := f.loadAndWatch(ctx, gray.Name)
+	during, leftOut, err := f.loadWhileGray(ctx, gray.Name)
 	if err != nil {
 		return err
 	}
-	say("%s", indent(during.String()))
+	printf("%s", indent(during.String()))
 	if leftOut == 0 {
-		return errors.Errorf("the gray target %s was not left out within %s", gray.Name, demoGray)
+		return errors.Errorf("the gray target %s was not left out within %s", gray.Name, demoGrayDuration)
 	}
-	say("   left out by every daemon %s after it turned gray", leftOut.Round(10*time.Millisecond))
-	f.sayStatus(say)
-	if failed := before.Sent - before.Whole + during.Sent - during.Whole; failed > 0 {
-		return errors.Errorf("%d callers did not get a whole answer", failed)
+	printf("   left out by every daemon %s after it turned gray", leftOut.Round(10*time.Millisecond))
+	f.printStatus(printf)
+	if failed := before.Sent - before.Completed + during.Sent - during.Completed; failed > 0 {
+		return errors.Errorf("%d requests did not get a complete answer", failed)
 	}
-	say("4. no caller failed; p99 was %s with all good, %s with one gray", before.Quantile(99), during.Quantile(99))
+	printf("4. no request failed; p99 was %s with all targets good, %s with one gray", before.Quantile(99), during.Quantile(99))
 	return nil
 }
 
-// leastServed gives the target that answered the fewest requests, and which part of an
-// even share that was.
-func (r *Report) leastServed(targets []*Target) (name string, part float64) {
+// leastUsedTarget returns the name of the target that answered the fewest requests, and
+// their number as a fraction of an even share.
+func (r *Report) leastUsedTarget(targets []*Target) (name string, share float64) {
 	fewest := slices.MinFunc(targets, func(a, b *Target) int { return cmp.Compare(r.ByTarget[a.Name], r.ByTarget[b.Name]) })
-	return fewest.Name, float64(r.ByTarget[fewest.Name]*len(targets)) / float64(max(r.Whole, 1))
+	return fewest.Name, float64(r.ByTarget[fewest.Name]*len(targets)) / float64(max(r.Completed, 1))
 }
 
-// startDemoFleet starts every process and writes the records.
+// startDemoFleet starts all processes and writes the records.
 func startDemoFleet(ctx context.Context, f *Fleet, network int) ([]*Target, error) {
 	if err := f.StartPlatform(fmt.Sprintf("127.0.%d.1", network)); err != nil {
 		return nil, err
@@ -122,7 +124,7 @@
 		if err != nil {
 			return nil, err
 		}
-		t, err := f.StartTarget(h, demoService, 1, demoSlots, demoTime)
+		t, err := f.StartTarget(h, demoService, 1, demoSlots, demoServiceTime)
 		if err != nil {
 			return nil, err
 		}
@@ -153,16 +155,16 @@
 	return Load(ctx, LoadConfig{URLs: f.urls("/plans/42"), Method: http.MethodGet, Rate: demoRate, For: d})
 }
 
-// loadAndWatch sends load and notes when every host leaves a target out; 0
-// means that some never did.
-func (f *Fleet) loadAndWatch(ctx context.Context, gray string) (*Report, time.Duration, error) {
+// loadWhileGray sends load for demoGrayDuration and returns the time until every host
+// left the gray target out, 0 if that did not happen.
+func (f *Fleet) loadWhileGray(ctx context.Context, gray string) (*Report, time.Duration, error) {
 	start := time.Now()
 	out := make(chan time.Duration, 1)
-	watchCtx, cancel := context.WithTimeout(ctx, demoGray)
+	watchCtx, cancel := context.WithTimeout(ctx, demoGrayDuration)
 	defer cancel()
 	go func() {
 		for watchCtx.Err() == nil {
-			if f.allLeaveOut(gray) {
+			if f.leftOutByAll(gray) {
 				out <- time.Since(start)
 				return
 			}
@@ -170,29 +172,29 @@
 		}
 		out <- 0
 	}()
-	r, err := f.load(ctx, demoGray)
+	r, err := f.load(ctx, demoGrayDuration)
 	return r, <-out, err
 }
 
-func (f *Fleet) allLeaveOut(name string) bool {
+func (f *Fleet) leftOutByAll(name string) bool {
 	for _, h := range f.Hosts {
 		s, err := h.Status()
-		if err != nil || !leavesOut(s.Services, name) {
+		if err != nil || !isLeftOut(s.Services, name) {
 			return false
 		}
 	}
 	return true
 }
 
-func (f *Fleet) sayStatus(say func(string, ...any)) {
+func (f *Fleet) printStatus(printf func(string, ...any)) {
 	s, err := f.Hosts[0].Status()
 	if err != nil {
 		return
 	}
 	for _, svc := range s.Services {
-		say("   as %s sees %s: %d of %d slots in use, the floor is %d", f.Hosts[0].Name, svc.Name, svc.Healthy, svc.Known, svc.Required)
+		printf("   on %s, service %s: %d of %d slots in use, the floor is %d", f.Hosts[0].Name, svc.Name, svc.Healthy, svc.Known, svc.Required)
 		for _, t := range svc.Targets {
-			say("     %-14s %-4s %-9s %s", t.Name, t.DC, t.Use, t.Why)
+			printf("     %-14s %-4s %-9s %s", t.Name, t.DC, t.Use, t.Why)
 		}
 	}
 }
--- a/internal/lab/fleet.go
+++ b/internal/lab/fleet.go
@@ -27,12 +27,13 @@
 
 // Fleet is a small fleet of real processes on loopback addresses.
 type Fleet struct {
-	life     context.Context
+	ctx      context.Context
 	bin      string
 	dir      string
 	logs     io.Writer
 	Platform string
-	// Via is where the hosts to be started reach the platform, empty for Platform.
+	// Via is the platform URL that hosts started from now on use, for example that of a
+	// proxy; empty means Platform.
 	Via   string
 	Hosts []*Host
 
@@ -40,7 +41,7 @@
 	procs []*Process
 }
 
-// Host is one host of a Fleet: an address of its own with a daemon on it.
+// Host is one host of a Fleet: a loopback address with a daemon.
 type Host struct {
 	Name, DC string
 	IP       string
@@ -50,30 +51,30 @@
 
 // The ports of every host of a Fleet.
 const (
-	CallersPort  = 18080
-	PeerPort     = 17300
-	AnnouncePort = 17700
-	AdminPort    = 17900
-	PlatformPort = 17000
-	firstTarget  = 18100
+	CallersPort     = 18080
+	PeerPort        = 17300
+	AnnouncePort    = 17700
+	AdminPort       = 17900
+	PlatformPort    = 17000
+	firstTargetPort = 18100
 )
 
-// Callers is where the host takes callers' requests.
+// Callers returns the address for requests of callers.
 func (h *Host) Callers() string { return fmt.Sprintf("%s:%d", h.IP, CallersPort) }
 
-// Admin is the host's admin address.
+// Admin returns the address of the admin endpoints.
 func (h *Host) Admin() string { return fmt.Sprintf("%s:%d", h.IP, AdminPort) }
 
-// NewFleet prepares a fleet of programs in bin; settings files go below dir. The
-// end of life ends every wait for the fleet; Stop ends its processes.
-func NewFleet(life context.Context, bin, dir string, logs io.Writer) *Fleet {
-	return &Fleet{life: life, bin: bin, dir: dir, logs: logs}
+// NewFleet returns a fleet without processes. It runs programs from bin and writes
+// settings files to dir. The end of ctx ends every wait; Stop ends the processes.
+func NewFleet(ctx context.Context, bin, dir string, logs io.Writer) *Fleet {
+	return &Fleet{ctx: ctx, bin: bin, dir: dir, logs: logs}
 }
 
-// startPlain starts the platform and n hosts in three data centres, each with
-// one target of the demo's service, and waits until all serve. stop ends every
-// process and removes the settings.
-func startPlain(ctx context.Context, bin string, n int, ip func(int) string) (*Fleet, func(), error) {
+// startUniformFleet starts the platform and n hosts in three data centres, each with one
+// target of the demo service, and waits until all serve. The returned function ends all
+// processes and removes the settings files.
+func startUniformFleet(ctx context.Context, bin string, n int, ip func(int) string) (*Fleet, func(), error) {
 	dir, err := os.MkdirTemp("", "radishhoist-lab")
 	if err != nil {
 		return nil, nil, err
@@ -102,14 +103,14 @@
 		if err != nil {
 			return err
 		}
-		if _, err := f.StartTarget(h, demoService, 1, demoSlots, demoTime); err != nil {
+		if _, err := f.StartTarget(h, demoService, 1, demoSlots, demoServiceTime); err != nil {
 			return err
 		}
 	}
 	return f.UntilServing(time.Minute, map[string]int{demoService: n})
 }
 
-// StartPlatform starts the platform's stand-in on an address of its own.
+// StartPlatform starts the platform stand-in on the given address.
 func (f *Fleet) StartPlatform(ip string) error {
 	f.Platform = fmt.Sprintf("http://%s:%d", ip, PlatformPort)
 	p, err := f.start("platform", "radishhoist-lab", "platform", "--listen", fmt.Sprintf("%s:%d", ip, PlatformPort))
@@ -122,7 +123,7 @@
 	})
 }
 
-// StartHost writes a host's settings and starts its daemon.
+// StartHost writes the settings file of a host, with extra appended, and starts its daemon.
 func (f *Fleet) StartHost(name, dc, ip string, extra string) (*Host, error) {
 	platform := f.Platform
 	if f.Via != "" {
@@ -145,27 +146,27 @@
 %s
 `, name, dc, h.Callers(), ip, PeerPort, ip, AnnouncePort, h.Admin(), platform, extra)
 	if err := os.WriteFile(h.Config, []byte(text), 0o600); err != nil {
-		return nil, errors.Wrap(err, "settings of "+name)
+		return nil, errors.Wrap(err, "write settings of "+name)
 	}
 	f.Hosts = append(f.Hosts, h)
 	return h, f.Restart(h)
 }
 
-// Restart starts a host's daemon, which must not be running.
+// Restart starts the daemon of a host, which must not be running.
 func (f *Fleet) Restart(h *Host) error {
 	p, err := f.start(h.Name, "radishhoistd", "-config", h.Config)
 	h.Daemon = p
 	return err
 }
 
-// StartTarget starts a stand-in of one instance on a host, once the host takes
-// announcements: one that comes too early is repeated a second later, and the
-// instance counts as younger and colder than its peers.
+// StartTarget starts a target stand-in on a host once the host accepts announcements. A
+// target that announces itself earlier retries after a second, and then counts as younger
+// and less warmed up than its peers.
 func (f *Fleet) StartTarget(h *Host, service string, index, slots int, serviceTime time.Duration) (*Target, error) {
-	if err := f.Until(startPatience, "the announce address of "+h.Name, h.takesAnnouncements); err != nil {
+	if err := f.Until(startTimeout, "the announce address of "+h.Name, h.acceptsAnnouncements); err != nil {
 		return nil, err
 	}
-	t := &Target{Name: fmt.Sprintf("%s-%s-%d", service, h.Name, index), Address: fmt.Sprintf("%s:%d", h.IP, firstTarget+len(f.processes()))}
+	t := &Target{Name: fmt.Sprintf("%s-%s-%d", service, h.Name, index), Address: fmt.Sprintf("%s:%d", h.IP, firstTargetPort+len(f.processes()))}
 	p, err := f.start(t.Name, "radishhoist-lab", "target", "--name", t.Name, "--service", service,
 		"--listen", t.Address, "--announce", fmt.Sprintf("%s:%d", h.IP, AnnouncePort),
 		"--slots", fmt.Sprint(slots), "--service-time", serviceTime.String())
@@ -173,36 +174,36 @@
 		return nil, err
 	}
 	t.Process = p
-	return t, f.Until(startPatience, "target "+t.Name, func() bool {
+	return t, f.Until(startTimeout, "target "+t.Name, func() bool {
 		runs, err := t.Runs()
 		return err == nil && runs.PID == p.PID()
 	})
 }
 
-// Target is one stand-in of an instance.
+// Target is a stand-in for one instance.
 type Target struct {
 	Name    string
 	Address string
 	Process *Process
 }
 
-// Set changes the stand-in's behaviour.
+// Set changes the behaviour of the stand-in.
 func (t *Target) Set(b target.Behaviour) error {
 	return putJSON("http://"+t.Address+"/standin/behaviour", b)
 }
 
-// Runs reads the stand-in's counters.
+// Runs returns the counters of the stand-in.
 func (t *Target) Runs() (target.Runs, error) {
 	var r target.Runs
 	return r, getJSON("http://"+t.Address+"/standin/runs", &r)
 }
 
-// SetPlatformFaults sets the platform stand-in's switches.
+// SetPlatformFaults sets the faults that the platform stand-in simulates.
 func (f *Fleet) SetPlatformFaults(faults platformd.Faults) error {
 	return putJSON(f.Platform+"/standin/faults", faults)
 }
 
-// Put writes a record, replacing what is there.
+// Put writes a record, replacing an existing one.
 func (f *Fleet) Put(ctx context.Context, key record.Key, spec record.Spec) error {
 	value, err := record.Marshal(key, spec)
 	if err != nil {
@@ -215,7 +216,7 @@
 	return err
 }
 
-// Delete removes a record.
+// Delete deletes a record.
 func (f *Fleet) Delete(ctx context.Context, key record.Key) error {
 	client := objects.NewClient(f.Platform, settings.Default().WatchWait)
 	defer client.Close()
@@ -227,13 +228,13 @@
 	return err
 }
 
-// Status reads a host's status.
+// Status returns the status that the daemon reports.
 func (h *Host) Status() (*state.Status, error) {
 	var s state.Status
 	return &s, getJSON("http://"+h.Admin()+state.PathStatus, &s)
 }
 
-// Dump reads a host's whole state.
+// Dump returns the complete state that the daemon reports.
 func (h *Host) Dump() (*state.Dump, error) {
 	var d state.Dump
 	return &d, getJSON("http://"+h.Admin()+state.PathState, &d)
@@ -275,12 +276,12 @@
 
 const (
 	pollInterval = 50 * time.Millisecond
-	// startPatience bounds the wait for a process that was just started.
-	startPatience = 20 * time.Second
+	// startTimeout bounds the wait until a new process is ready.
+	startTimeout = 20 * time.Second
 )
 
-// takesAnnouncements says that the daemon listens for its host's instances.
-func (h *Host) takesAnnouncements() bool {
+// acceptsAnnouncements reports whether the announce address accepts connections.
+func (h *Host) acceptsAnnouncements() bool {
 	c, err := net.DialTimeout("tcp", fmt.Sprintf("%s:%d", h.IP, AnnouncePort), time.Second)
 	if err != nil {
 		return false
@@ -289,26 +290,26 @@
 	return true
 }
 
-// Until waits for a condition, and names what was waited for where it fails. It
-// fails at once where a process of the fleet has ended by itself.
-func (f *Fleet) Until(timeout time.Duration, what string, ok func() bool) error {
-	for end := time.Now().Add(timeout); time.Now().Before(end); sleep.For(f.life, pollInterval) {
-		if err := f.life.Err(); err != nil {
+// Until polls a condition. Its errors name what it waited for. It fails at once if a
+// process of the fleet exits unexpectedly.
+func (f *Fleet) Until(timeout time.Duration, what string, condition func() bool) error {
+	for end := time.Now().Add(timeout); time.Now().Before(end); sleep.For(f.ctx, pollInterval) {
+		if err := f.ctx.Err(); err != nil {
 			return errors.Wrapf(err, "waiting for %s", what)
 		}
 		for _, p := range f.processes() {
-			if err := p.endedEarly(); err != nil {
+			if err := p.unexpectedExit(); err != nil {
 				return errors.Wrapf(err, "waiting for %s", what)
 			}
 		}
-		if ok() {
+		if condition() {
 			return nil
 		}
 	}
 	return errors.Errorf("%s was not ready within %s", what, timeout)
 }
 
-// client is for the small calls of tests and demo.
+// client is used for admin and stand-in endpoints and for single requests.
 var client = &http.Client{Timeout: 5 * time.Second, Transport: &http.Transport{
 	DialContext:       (&net.Dialer{Timeout: time.Second}).DialContext,
 	DisableKeepAlives: true,
@@ -343,8 +344,8 @@
 	return nil
 }
 
-// leavesOut says that a status shows a target as left out.
-func leavesOut(services []front.ServiceStatus, name string) bool {
+// isLeftOut reports whether a target is shown as left out.
+func isLeftOut(services []front.ServiceStatus, name string) bool {
 	for _, svc := range services {
 		for _, t := range svc.Targets {
 			if t.Name == name {
--- a/internal/lab/load.go
+++ b/internal/lab/load.go
@@ -1,5 +1,5 @@
-// Package lab has the load tool, the demo, and what end-to-end tests share:
-// a small fleet of real processes on loopback addresses.
+// Package lab provides the load generator, the demo, measurements, and a small fleet of
+// real processes on loopback addresses that end-to-end tests use as well.
 package lab
 
 import (
@@ -22,62 +22,62 @@
 	"github.com/radishhoist/radishhoist/verdict"
 )
 
-// LoadConfig describes an open-loop load: requests start on time whether or
-// not earlier ones have been answered.
+// LoadConfig describes an open-loop load: requests are sent on schedule whether or not
+// earlier ones have been answered.
 type LoadConfig struct {
 	URLs   []string
 	Method string
-	// Rate is in requests a second.
+	// Rate is in requests per second.
 	Rate int
 	For  time.Duration
 	// Body is the size of the request body in bytes.
 	Body int
 	// Header is added to every request.
 	Header http.Header
-	// Each is called with every result, where set, from many goroutines.
+	// Each, if set, is called with every result, concurrently.
 	Each func(Result)
 }
 
-// Result is one request's outcome.
+// Result is the outcome of one request.
 type Result struct {
 	Status  int
 	Verdict string
 	Target  string
-	// URL is where it was sent.
-	URL string
-	// Took counts from when the request was due, FromSend from when it was
-	// sent: the timer's lateness lies between them.
-	Took     time.Duration
-	FromSend time.Duration
-	Err      error
+	URL     string
+	// SinceDue is the time from when the request was due until the end of its answer,
+	// SinceSent the time from when it was sent. They differ by the delay of the timer.
+	SinceDue  time.Duration
+	SinceSent time.Duration
+	Err       error
 }
 
-// Report sums up a load.
+// Report aggregates the results of a load.
 type Report struct {
-	mu       sync.Mutex
-	Sent     int
-	Whole    int
-	ByStatus map[string]int
-	ByTarget map[string]int
-	Latency  *hdrhistogram.Histogram
+	mu        sync.Mutex
+	Sent      int
+	Completed int
+	ByStatus  map[string]int
+	ByTarget  map[string]int
+	Latency   *hdrhistogram.Histogram
 }
 
 const (
 	maxRate     = 50000
 	maxDuration = 10 * time.Minute
-	// maxInFlight bounds the requests under way.
+	// maxInFlight bounds the number of concurrent requests.
 	maxInFlight = 10000
 )
 
-// Load sends requests to loopback addresses only.
+// Load sends requests at a fixed rate and waits for their answers. It accepts only
+// loopback addresses.
 func Load(ctx context.Context, cfg LoadConfig) (*Report, error) {
 	for _, u := range cfg.URLs {
-		if err := loopbackOnly(u); err != nil {
+		if err := requireLoopback(u); err != nil {
 			return nil, err
 		}
 	}
 	if cfg.Rate < 1 || cfg.Rate > maxRate || cfg.For <= 0 || cfg.For > maxDuration || len(cfg.URLs) == 0 {
-		return nil, errors.Errorf("load: write at least one URL, a rate of 1 to %d and a time up to %s", maxRate, maxDuration)
+		return nil, errors.Errorf("load: need at least one URL, a rate of 1 to %d requests per second and a duration of up to %s", maxRate, maxDuration)
 	}
 	r := &Report{ByStatus: map[string]int{}, ByTarget: map[string]int{}, Latency: hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)}
 	transport := &http.Transport{MaxIdleConnsPerHost: 1024, MaxConnsPerHost: 2048}
@@ -109,13 +109,13 @@
 	return r, nil
 }
 
-func loopbackOnly(raw string) error {
+func requireLoopback(raw string) error {
 	u, err := url.Parse(raw)
 	if err != nil {
 		return errors.Wrap(err, "load")
 	}
 	if ip := net.ParseIP(u.Hostname()); ip == nil || !ip.IsLoopback() {
-		return errors.Errorf("load: %q is not a loopback IP number; the load tool sends nowhere else", u.Hostname())
+		return errors.Errorf("load: %q is not a loopback IP address; the load generator sends to no others", u.Hostname())
 	}
 	return nil
 }
@@ -131,13 +131,13 @@
 	sent := time.Now()
 	resp, err := client.Do(req)
 	if err != nil {
-		return Result{Err: err, URL: url, Took: time.Since(due), FromSend: time.Since(sent)}
+		return Result{Err: err, URL: url, SinceDue: time.Since(due), SinceSent: time.Since(sent)}
 	}
 	defer func() { _ = resp.Body.Close() }()
 	_, err = io.Copy(io.Discard, resp.Body)
 	return Result{
 		Status: resp.StatusCode, Verdict: resp.Header.Get(verdict.Header),
-		Target: resp.Header.Get(header.Target), URL: url, Took: time.Since(due), FromSend: time.Since(sent), Err: err,
+		Target: resp.Header.Get(header.Target), URL: url, SinceDue: time.Since(due), SinceSent: time.Since(sent), Err: err,
 	}
 }
 
@@ -154,25 +154,26 @@
 		r.ByStatus[fmt.Sprint(res.Status)]++
 	}
 	if res.Err == nil && res.Status < http.StatusBadRequest {
-		r.Whole++
+		r.Completed++
 	}
 	if res.Target != "" {
 		r.ByTarget[res.Target]++
 	}
-	_ = r.Latency.RecordValue(max(res.Took.Microseconds(), 1))
+	_ = r.Latency.RecordValue(max(res.SinceDue.Microseconds(), 1))
 }
 
-// Quantile gives a latency quantile, q from 0 to 100.
+// Quantile returns a latency percentile, q from 0 to 100, measured from when requests
+// were due.
 func (r *Report) Quantile(q float64) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return time.Duration(r.Latency.ValueAtQuantile(q)) * time.Microsecond
 }
 
-// String is the report for a terminal.
+// String formats the report for a terminal.
 func (r *Report) String() string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "sent %d, answered whole %d\n", r.Sent, r.Whole)
+	fmt.Fprintf(&b, "sent %d, answered whole %d\n", r.Sent, r.Completed)
 	fmt.Fprintf(&b, "latency p50 %s  p90 %s  p99 %s  max %s\n", r.Quantile(50), r.Quantile(90), r.Quantile(99), r.Quantile(100))
 	writeCounts(&b, "by status", r.ByStatus)
 	writeCounts(&b, "by target", r.ByTarget)
--- a/internal/lab/process.go
+++ b/internal/lab/process.go
@@ -14,21 +14,22 @@
 	"github.com/pkg/errors"
 )
 
-// Process is one child process, ended by its pid. The kernel kills it where this
-// process ends first, in whatever way.
+// Process is a child process. The kernel kills it if this process exits first, in
+// whatever way.
 type Process struct {
-	Name string
-	cmd  *exec.Cmd
-	done chan struct{}
-	err  error
-	said *tail
-	// meant says that a signal was sent to it, so that its end is no surprise.
-	meant atomic.Bool
+	Name   string
+	cmd    *exec.Cmd
+	done   chan struct{}
+	err    error
+	output *tailWriter
+	// signalled is set once a signal was sent, after which an exit is expected.
+	signalled atomic.Bool
 }
 
-// startThread hands work to one thread that lasts as long as this process: a
-// child's parent-death signal comes at the end of the thread that started it.
-var startThread = sync.OnceValue(func() chan<- func() {
+// childStarter returns a channel of functions to run on one OS thread that lives as long
+// as this process. Children have to be started there, because the parent-death signal is
+// sent when the thread that started the child exits.
+var childStarter = sync.OnceValue(func() chan<- func() {
 	work := make(chan func())
 	go func() {
 		runtime.LockOSThread()
@@ -40,16 +41,16 @@
 })
 
 func (f *Fleet) start(name, program string, args ...string) (*Process, error) {
-	said := &tail{to: f.logs}
+	output := &tailWriter{dst: f.logs}
 	cmd := exec.Command(filepath.Join(f.bin, program), args...)
-	cmd.Stdout, cmd.Stderr = said, said
+	cmd.Stdout, cmd.Stderr = output, output
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	started := make(chan error)
-	startThread() <- func() { started <- cmd.Start() }
+	childStarter() <- func() { started <- cmd.Start() }
 	if err := <-started; err != nil {
 		return nil, errors.Wrapf(err, "start %s", name)
 	}
-	p := &Process{Name: name, cmd: cmd, done: make(chan struct{}), said: said}
+	p := &Process{Name: name, cmd: cmd, done: make(chan struct{}), output: output}
 	go func() {
 		p.err = cmd.Wait()
 		close(p.done)
@@ -60,17 +61,17 @@
 	return p, nil
 }
 
-// PID is the process's id, by which its answers are told from those of another
-// run on the same address.
+// PID returns the process ID. It distinguishes the answers of this process from those of
+// another run on the same address.
 func (p *Process) PID() int { return p.cmd.Process.Pid }
 
-// Signal sends a signal to the process's own pid.
+// Signal sends a signal to the process, whose exit is expected from then on.
 func (p *Process) Signal(sig syscall.Signal) error {
-	p.meant.Store(true)
+	p.signalled.Store(true)
 	return p.cmd.Process.Signal(sig)
 }
 
-// Wait waits for the end and gives its error; false on a time-out.
+// Wait waits for the exit and returns its error; it returns false on a time-out.
 func (p *Process) Wait(timeout time.Duration) (bool, error) {
 	select {
 	case <-p.done:
@@ -80,19 +81,19 @@
 	}
 }
 
-// endedEarly is the error of a process that ended by itself, nil otherwise.
-func (p *Process) endedEarly() error {
+// unexpectedExit returns an error if the process exited without a signal from this one.
+func (p *Process) unexpectedExit() error {
 	ended, err := p.Wait(0)
-	if !ended || p.meant.Load() {
+	if !ended || p.signalled.Load() {
 		return nil
 	}
 	if err == nil {
 		err = errors.New("exit status 0")
 	}
-	return errors.Wrapf(err, "%s ended early, its last line: %s", p.Name, p.said.lastLine())
+	return errors.Wrapf(err, "%s ended early, last line of its output: %s", p.Name, p.output.lastLine())
 }
 
-// Stop ends every process of the fleet by its pid.
+// Stop kills all processes of the fleet, suspended ones too, and waits up to 5 s for each.
 func (f *Fleet) Stop() {
 	procs := f.processes()
 	for _, p := range procs {
@@ -110,28 +111,28 @@
 	return f.procs[:len(f.procs):len(f.procs)]
 }
 
-// tail passes on what a process writes and keeps the end of it.
-type tail struct {
-	to   io.Writer
+// tailWriter forwards the output of a process and keeps the end of it.
+type tailWriter struct {
+	dst  io.Writer
 	mu   sync.Mutex
 	kept []byte
 }
 
-// maxTail is how much of what a process writes is kept, in bytes.
-const maxTail = 4 << 10
+// maxTailBytes is how much output of a process is kept.
+const maxTailBytes = 4 << 10
 
 // Write implements io.Writer.
-func (t *tail) Write(p []byte) (int, error) {
+func (t *tailWriter) Write(p []byte) (int, error) {
 	t.mu.Lock()
 	t.kept = append(t.kept, p...)
-	if over := len(t.kept) - maxTail; over > 0 {
+	if over := len(t.kept) - maxTailBytes; over > 0 {
 		t.kept = append(t.kept[:0], t.kept[over:]...)
 	}
 	t.mu.Unlock()
-	return t.to.Write(p)
+	return t.dst.Write(p)
 }
 
-func (t *tail) lastLine() string {
+func (t *tailWriter) lastLine() string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	text := bytes.TrimSpace(t.kept)
--- a/internal/lab/takeover.go
+++ b/internal/lab/takeover.go
@@ -18,60 +18,60 @@
 	"github.com/radishhoist/radishhoist/verdict"
 )
 
-// The shape of the takeover measurement.
+// Parameters of the takeover measurement; the rate is in requests per second.
 const (
-	takeoverHosts = 5
-	takeoverRate  = 40
-	takeoverFor   = 20 * time.Second
-	takeoverDrain = "owner drained"
+	takeoverHosts    = 5
+	takeoverRate     = 40
+	takeoverDuration = 20 * time.Second
+	takeoverDrain    = "owner drained"
 )
 
-// takeoverSend is one fresh keyed request.
-type takeoverSend struct {
-	after    time.Duration
-	answered bool
-	reason   string
+// keyedRequest is the result of a request with a fresh key.
+type keyedRequest struct {
+	sentAfter time.Duration
+	answered  bool
+	reason    string
 }
 
-// Takeover measures what callers with fresh keys are refused, and for how
-// long, when the owner of key shards is killed, frozen or drained.
+// Takeover measures how many requests with fresh keys are refused, and for how long,
+// when the owner of key shards is killed, frozen or drained.
 func Takeover(ctx context.Context, out io.Writer, bin string) error {
-	fmt.Fprintf(out, "| what happens to the owner | shards it had | sent in %s | refused | last refusal after | by reason |\n|---|---|---|---|---|---|\n", takeoverFor)
+	fmt.Fprintf(out, "| event | shards of the owner | sent in %s | refused | last refusal after | by reason |\n|---|---|---|---|---|---|\n", takeoverDuration)
 	for _, c := range []struct {
 		name string
 		sig  syscall.Signal
 	}{{"owner killed", syscall.SIGKILL}, {"owner frozen", syscall.SIGSTOP}, {takeoverDrain, syscall.SIGTERM}} {
-		if err := takeoverRow(ctx, out, bin, c.name, c.sig); err != nil {
+		if err := measureTakeover(ctx, out, bin, c.name, c.sig); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func takeoverRow(ctx context.Context, out io.Writer, bin, name string, sig syscall.Signal) error {
-	f, stop, err := startPlain(ctx, bin, takeoverHosts, func(i int) string { return fmt.Sprintf("127.0.0.%d", 61+i) })
+func measureTakeover(ctx context.Context, out io.Writer, bin, name string, sig syscall.Signal) error {
+	f, stop, err := startUniformFleet(ctx, bin, takeoverHosts, func(i int) string { return fmt.Sprintf("127.0.0.%d", 61+i) })
 	if err != nil {
 		return err
 	}
 	defer stop()
-	owner, shards, err := f.settledOwner()
+	owner, shards, err := f.waitForShardOwner()
 	if err != nil {
 		return err
 	}
 	if err := owner.Daemon.Signal(sig); err != nil {
 		return err
 	}
-	sends := f.freshKeys(owner)
-	reportTakeover(out, name, shards, sends)
+	requests := f.sendFreshKeys(owner)
+	printTakeoverRow(out, name, shards, requests)
 	return nil
 }
 
-// settledOwner waits until fresh keys are taken on every shard, and gives an
-// owner with its number of shards.
-func (f *Fleet) settledOwner() (*Host, int, error) {
-	err := f.Until(time.Minute, "every shard", func() bool {
+// waitForShardOwner waits until requests with fresh keys are answered on every shard, and
+// returns the first host that owns shards, with their number.
+func (f *Fleet) waitForShardOwner() (*Host, int, error) {
+	err := f.Until(time.Minute, "the owners of all key shards", func() bool {
 		for range 24 {
-			if s := f.freshKey(f.Hosts[0], time.Now()); !s.answered {
+			if s := f.sendFreshKey(f.Hosts[0], time.Now()); !s.answered {
 				return false
 			}
 		}
@@ -88,32 +88,32 @@
 	return nil, 0, errors.New("no host owns a shard")
 }
 
-// freshKeys sends requests with fresh keys through every host but one.
-func (f *Fleet) freshKeys(not *Host) []takeoverSend {
+// sendFreshKeys sends requests with fresh keys through every host except one.
+func (f *Fleet) sendFreshKeys(except *Host) []keyedRequest {
 	var hosts []*Host
 	for _, h := range f.Hosts {
-		if h != not {
+		if h != except {
 			hosts = append(hosts, h)
 		}
 	}
 	start := time.Now()
-	sends := make([]takeoverSend, int(takeoverFor.Seconds())*takeoverRate)
+	requests := make([]keyedRequest, int(takeoverDuration.Seconds())*takeoverRate)
 	var wg sync.WaitGroup
-	for i := range sends {
+	for i := range requests {
 		time.Sleep(time.Until(start.Add(time.Duration(i) * time.Second / takeoverRate)))
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			sends[i] = f.freshKey(hosts[i%len(hosts)], start)
+			requests[i] = f.sendFreshKey(hosts[i%len(hosts)], start)
 		}()
 	}
 	wg.Wait()
-	return sends
+	return requests
 }
 
-// freshKey sends one request with a fresh key; its caller waits a second.
-func (f *Fleet) freshKey(h *Host, start time.Time) takeoverSend {
-	s := takeoverSend{after: time.Since(start), reason: "no answer"}
+// sendFreshKey sends one request with a fresh key and a timeout of one second.
+func (f *Fleet) sendFreshKey(h *Host, start time.Time) keyedRequest {
+	s := keyedRequest{sentAfter: time.Since(start), reason: "no answer"}
 	req, err := http.NewRequest(http.MethodPost, "http://"+h.Callers()+"/plans/7", strings.NewReader("seat"))
 	if err != nil {
 		return s
@@ -136,17 +136,17 @@
 	return s
 }
 
-func reportTakeover(out io.Writer, name string, shards int, sends []takeoverSend) {
+func printTakeoverRow(out io.Writer, name string, shards int, requests []keyedRequest) {
 	refused, last := 0, time.Duration(0)
 	reasons := make(map[string]int)
-	for _, s := range sends {
+	for _, s := range requests {
 		if s.answered {
 			continue
 		}
 		refused++
 		reasons[s.reason]++
-		last = max(last, s.after)
+		last = max(last, s.sentAfter)
 	}
-	fmt.Fprintf(out, "| %s | %d of 4 | %d | %.1f %% | %.1f s | %v |\n", name, shards, len(sends),
-		100*float64(refused)/float64(len(sends)), last.Seconds(), reasons)
+	fmt.Fprintf(out, "| %s | %d of 4 | %d | %.1f %% | %.1f s | %v |\n", name, shards, len(requests),
+		100*float64(refused)/float64(len(requests)), last.Seconds(), reasons)
 }
