--- a/internal/fleetsim/fleet.go
+++ b/internal/fleetsim/fleet.go
@@ -158,7 +158,7 @@
 		Host: h.name, QueuePerSlot: queuePerSlot, GrantLife: grantTTL, TargetIdle: targetIdle, Dialect: dialect,
 		Dial: func(context.Context, string) (net.Conn, error) { return h.instance.connect() },
 	}, guard.Limits{AnnounceExpiry: time.Hour, RetryReserve: f.scenario.RetryReserve, RetryWindow: f.scenario.RetryWindow},
-		log, allowAllRuns{}, guard.Hooks{
+		log, allowAllFence{}, guard.Hooks{
 			Changed: func() {}, Pulse: h.sendLoadReport,
 			Crashed: func(e crash.Crash) { h.broadcast(func(other *host) { other.guard.ApplyCrash(e) }) },
 			Cleared: func(end string, p crash.Fingerprint) {
@@ -172,11 +172,11 @@
 	return h
 }
 
-// allowAllRuns is a guard.Fence that allows every run, since no simulated request has a key.
-type allowAllRuns struct{}
+// allowAllFence is a guard.Fence that allows every run, since no simulated request has a key.
+type allowAllFence struct{}
 
 // MayRun implements guard.Fence.
-func (allowAllRuns) MayRun(string, uint32, uint64) bool { return true }
+func (allowAllFence) MayRun(string, uint32, uint64) bool { return true }
 
 func (f *fleet) newRand() *rand.Rand {
 	f.mu.Lock()
