--- a/internal/control/confirm.go
+++ b/internal/control/confirm.go
@@ -9,13 +9,13 @@
 	"github.com/radishhoist/radishhoist/internal/objects"
 )
 
-// confirmations say, for each feed of the platform, since when what is in force
-// here is known to be current: everything acknowledged before that moment is in
-// force. A host that does not watch learns it from the digests of those that do, and
-// from others that have learned it.
+// confirmations holds, for each feed, the time up to which the local records are known to
+// be current: all writes acknowledged before it have been applied. A host that does not
+// watch the platform learns these times from the digests of other hosts, directly or
+// indirectly from a watcher.
 type confirmations struct {
 	feeds []objects.Feed
-	// at has the zero time for a feed that was never confirmed.
+	// at is zero for a feed that has never been confirmed.
 	at   []time.Time
 	from []string
 }
@@ -24,29 +24,30 @@
 	return &confirmations{feeds: feeds, at: make([]time.Time, len(feeds)), from: make([]string, len(feeds))}
 }
 
-// note takes a confirmation where it is newer than the one known. from is the host
-// that told it, or fromPlatform.
-func (c *confirmations) note(feed objects.Feed, at time.Time, from string) {
+// confirm updates the time of a feed if at is newer. from is the host that reported it,
+// or platformSource.
+func (c *confirmations) confirm(feed objects.Feed, at time.Time, from string) {
 	if i := slices.Index(c.feeds, feed); i >= 0 {
-		c.noteAt(i, at, from)
+		c.confirmAt(i, at, from)
 	}
 }
 
-// noteAll takes a confirmation of every feed.
-func (c *confirmations) noteAll(at time.Time, from string) {
+// confirmAll updates the time of every feed.
+func (c *confirmations) confirmAll(at time.Time, from string) {
 	for i := range c.feeds {
-		c.noteAt(i, at, from)
+		c.confirmAt(i, at, from)
 	}
 }
 
-func (c *confirmations) noteAt(i int, at time.Time, from string) {
+func (c *confirmations) confirmAt(i int, at time.Time, from string) {
 	if at.After(c.at[i]) {
 		c.at[i], c.from[i] = at, from
 	}
 }
 
-// ages tells the confirmations to another host, in milliseconds: durations, because
-// hosts' clocks differ. It is nil while a feed was never confirmed.
+// ages returns the ages of the confirmations in milliseconds, to send to another host.
+// Ages are sent because the clocks of hosts differ. The result is nil until every feed
+// has been confirmed.
 func (c *confirmations) ages(now time.Time) []uint32 {
 	out := make([]uint32, 0, len(c.at))
 	for _, at := range c.at {
@@ -58,22 +59,22 @@
 	return out
 }
 
-// hear takes the ages that a host with the same set has told.
-func (c *confirmations) hear(now time.Time, ages []uint32, from string) {
+// applyAges applies the ages reported by a host that has the same record set.
+func (c *confirmations) applyAges(now time.Time, ages []uint32, from string) {
 	if len(ages) != len(c.feeds) {
 		return
 	}
 	for i, ms := range ages {
-		c.noteAt(i, now.Add(-time.Duration(ms)*time.Millisecond), from)
+		c.confirmAt(i, now.Add(-time.Duration(ms)*time.Millisecond), from)
 	}
 }
 
-// Confirmation says since when one feed of the platform is known to be in force.
+// Confirmation is the age of the last confirmation of a feed.
 type Confirmation struct {
 	Feed string `json:"feed"`
-	// AgeMS is -1 where it was never confirmed.
+	// AgeMS is -1 if the feed has never been confirmed.
 	AgeMS int64 `json:"ageMS"`
-	// From is the host that told it, or "platform".
+	// From is the host that reported it, or "platform".
 	From string `json:"from"`
 }
 
@@ -89,8 +90,8 @@
 	return out
 }
 
-// ConfirmedAge is the age of the oldest confirmation; before the first one, that of
-// the process.
+// ConfirmedAge returns the age of the oldest confirmation. A feed that has never been
+// confirmed counts with the age of the process.
 func (c *Control) ConfirmedAge() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -106,18 +107,18 @@
 	return time.Since(oldest)
 }
 
-// tellAges puts this host's confirmations into a digest of its records. The caller
-// holds the lock.
-func (c *Control) tellAges(now time.Time, d *msg.Digest) {
+// addConfirmations adds the confirmations of this host to a digest of its records. The
+// caller holds the lock.
+func (c *Control) addConfirmations(now time.Time, d *msg.Digest) {
 	if d.Set == msg.SetRecords {
 		d.AgesMS = c.confirmed.ages(now)
 	}
 }
 
-// hearAges takes the confirmations of a host that has the same records: what is
-// current there is so here. The caller holds the lock.
-func (c *Control) hearAges(from string, d *msg.Digest) {
+// applyConfirmations applies the confirmations of a host that has the same records, since
+// records that are current there are current here. The caller holds the lock.
+func (c *Control) applyConfirmations(from string, d *msg.Digest) {
 	if d.Set == msg.SetRecords && d.Root == c.replica.Set(msg.SetRecords).Root() {
-		c.confirmed.hear(time.Now(), d.AgesMS, from)
+		c.confirmed.applyAges(time.Now(), d.AgesMS, from)
 	}
 }
--- a/internal/control/confirm_test.go
+++ b/internal/control/confirm_test.go
@@ -11,29 +11,29 @@
 	"github.com/radishhoist/radishhoist/internal/objects"
 )
 
-// An operator reads from a host since when its records are known to be current: the
-// age stays small while the platform answers, and grows while it does not.
-func TestTheAgeOfTheConfirmationIsThatOfTheLastAnswer(t *testing.T) {
+// Operators use the age to see how current the records of a host are: it must stay small
+// while the platform responds, and grow while it does not.
+func TestConfirmedAgeIsAgeOfLastResponse(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := startWatched(t, testAwayMax)
+		w := startWatcherTest(t, testAwayMax)
 		defer w.stop()
 		for range 50 {
 			time.Sleep(100 * time.Millisecond)
 			age := w.control.ConfirmedAge()
 			assert.Assert(t, age <= 2*testWatchWait+2*watchPause, "%s", age)
 		}
-		w.silent(true)
+		w.setSilent(true)
 		time.Sleep(10 * time.Second)
 		age := w.control.ConfirmedAge()
 		assert.Assert(t, age >= 10*time.Second && age <= 13*time.Second, "%s", age)
 		state := w.control.State().Confirmed
 		assert.Equal(t, len(state), 1)
-		assert.Equal(t, state[0].From, fromPlatform)
+		assert.Equal(t, state[0].From, platformSource)
 	})
 }
 
-// A host that does not watch learns from the digest of one that has the same records
-// since when they are current; a digest of other records proves nothing.
+// A host that does not watch learns the confirmation times from a digest of a host with
+// the same records. A digest of different records confirms nothing.
 func TestConfirmationsSpreadWithDigests(t *testing.T) {
 	c, _ := newTestControl(t)
 	c.started = time.Now().Add(-time.Minute)
@@ -46,43 +46,43 @@
 	age := c.ConfirmedAge()
 	assert.Assert(t, age >= 3*time.Second && age < 4*time.Second, "%s", age)
 	assert.Equal(t, c.State().Confirmed[0].From, "b")
-	// An older word changes nothing; nor does one about other feeds.
+	// Older confirmations and those for a different number of feeds are ignored.
 	c.HandleControl(from, &msg.Digest{Set: msg.SetRecords, Root: root, AgesMS: []uint32{9000}})
 	c.HandleControl(from, &msg.Digest{Set: msg.SetRecords, Root: root, AgesMS: []uint32{1, 1}})
 	assert.Assert(t, c.ConfirmedAge() >= 3*time.Second)
 }
 
-// A host whose confirmations are not complete tells none.
-func TestNoAgesAreToldBeforeEveryFeedIsConfirmed(t *testing.T) {
+// A host sends no ages until all of its feeds are confirmed.
+func TestNoAgesAreSentBeforeEveryFeedIsConfirmed(t *testing.T) {
 	now := time.Now()
 	c := newConfirmations([]objects.Feed{"a", "b"})
 	assert.Assert(t, c.ages(now) == nil)
-	c.note("a", now, fromPlatform)
+	c.confirm("a", now, platformSource)
 	assert.Assert(t, c.ages(now) == nil)
-	c.note("b", now.Add(-time.Second), fromPlatform)
+	c.confirm("b", now.Add(-time.Second), platformSource)
 	assert.DeepEqual(t, c.ages(now), []uint32{0, 1000})
 }
 
-// While the platform answers, a change waits for no more than the pause between two
+// While the platform responds, a change is delayed by no more than the pause between two
 // watches.
-func TestAChangeOfAnAnsweringPlatformIsInForceAtOnce(t *testing.T) {
+func TestChangeIsAppliedImmediatelyWhilePlatformResponds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := startWatched(t, testAwayMax)
+		w := startWatcherTest(t, testAwayMax)
 		defer w.stop()
 		time.Sleep(3 * time.Second)
 		for range 5 {
-			w.change()
-			late := w.late()
-			assert.Assert(t, late < testFleetPart, "%s", late)
+			w.changeRecord()
+			delay := w.waitUntilApplied()
+			assert.Assert(t, delay < testFleetMargin, "%s", delay)
 		}
 	})
 }
 
-// A watch that ends with nothing new gives no reason to build the directory again: a
-// watcher would do so, and hand it to all roles, more than once a second.
-func TestAnEmptyWatchBuildsNoDirectory(t *testing.T) {
+// A watch that returns no changes must not rebuild the directory: a watcher would
+// otherwise build and distribute one more than once a second.
+func TestEmptyWatchDoesNotRebuildDirectory(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := startWatched(t, testAwayMax)
+		w := startWatcherTest(t, testAwayMax)
 		defer w.stop()
 		time.Sleep(3 * time.Second)
 		w.control.publish(time.Now())
@@ -91,6 +91,6 @@
 		w.control.mu.Lock()
 		defer w.control.mu.Unlock()
 		assert.Assert(t, w.platform.Counts().Watches > before)
-		assert.Assert(t, w.control.rebuild(time.Now()) == nil)
+		assert.Assert(t, w.control.rebuildDirectory(time.Now()) == nil)
 	})
 }
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -1,6 +1,6 @@
-// Package control keeps a host's view of the fleet: membership, the record set
-// in force, the directory compiled from both, and the summary of what is in
-// force. It puts sockets and timers round the cores in internal/core.
+// Package control maintains a host's view of the fleet: membership, the replicated
+// records, the directory compiled from both, and the status summary of the data centre.
+// It connects the state machines in internal/core to sockets and timers.
 package control
 
 import (
@@ -26,166 +26,166 @@
 	"github.com/radishhoist/radishhoist/record"
 )
 
-// Config has the parameters of a Control.
+// Config holds the parameters of a Control.
 type Config struct {
-	// Host, DC, Peer and Admin are what the host says of itself.
+	// Host, DC, Peer and Admin identify this host and its addresses.
 	Host, DC, Peer, Admin string
-	// Incarnation is the process's start, in Unix milliseconds.
+	// Incarnation is the start time of the process in Unix milliseconds.
 	Incarnation uint64
-	// Seeds are peer addresses to start from.
+	// Seeds are the peer addresses contacted while no other host is known.
 	Seeds []string
-	// Member and Replica are the parameters of the cores.
+	// Member and Replica are the parameters of membership and replication.
 	Member  member.Config
 	Replica config.Config
-	// WatchersPerDC is how many hosts of a data centre watch the platform.
+	// WatchersPerDC is the number of hosts of a data centre that watch the platform.
 	WatchersPerDC int
-	// Needs are the records without which this host serves nothing.
+	// Needs are the records that must be present before this host serves traffic.
 	Needs []record.Key
-	// AwayMax is the longest pause between calls to a platform that is away.
+	// AwayMax is the longest pause between calls to an unavailable platform.
 	AwayMax time.Duration
-	// StatusInterval is the least time between two written summaries.
+	// StatusInterval is the minimum time between two writes of the status summary.
 	StatusInterval time.Duration
 }
 
-// Hooks are what Control drives.
+// Hooks are the callbacks of a Control.
 type Hooks struct {
-	// Directory is called with each new directory, one at a time.
+	// Directory is called with each new directory, never concurrently.
 	Directory func(*directory.Directory)
-	// Instances lists this host's own instances.
+	// Instances returns the instances of this host.
 	Instances func() []directory.Instance
-	// Pulse is called with what other hosts' guards tell of their instances. It
-	// must not block.
+	// Pulse is called with load reports from the guards of other hosts. It must not
+	// block.
 	Pulse func(*msg.LoadReport)
-	// Ended is called with the ends of instances anywhere, and Cleared with what
-	// requests were cleared of. They must not block.
+	// Ended is called with the crash of an instance on any host, and Cleared with a
+	// request that did not cause a crash. They must not block.
 	Ended   func(crash.Crash)
 	Cleared func(end string, p crash.Fingerprint)
-	// Lifted is called with a request that may run again by an operator's word. It must
-	// not block.
+	// Lifted is called with a request that an operator has unblocked. It must not block.
 	Lifted func(p crash.Fingerprint)
-	// Teams holds teams to their rates; nil where nothing does.
-	Teams Teams
-	// Synced is called once the shard maps were read from the platform.
+	// Teams enforces the rates of teams. It may be nil.
+	Teams TeamRateLimiter
+	// Synced is called once the shard maps have been read from the platform.
 	Synced func()
 }
 
-// Control is one host's control role. It is safe for concurrent use.
+// Control runs the control plane of one host. It is safe for concurrent use.
 type Control struct {
 	cfg      Config
 	hooks    Hooks
 	log      *slog.Logger
 	store    objects.Store
-	pool     Peers
+	sender   MessageSender
 	udp      *net.UDPConn
 	outboxes *outboxes
 
-	// publishing is held while a directory is built and handed on.
-	publishing sync.Mutex
+	// publishMu is held while a directory is built and passed to the hook.
+	publishMu sync.Mutex
 
-	// started is when this process began.
+	// started is the time at which this process started.
 	started time.Time
 
-	mu       sync.Mutex
-	rng      *rand.Rand
-	members  *member.Node
-	replica  *config.Node
-	version  int64
-	leaving  bool
-	selfDue  bool
-	hosts    map[string]*directory.Host
-	forgetAt map[string]time.Time
-	// hostRecords are the platform's Host records of this data centre.
+	mu          sync.Mutex
+	rng         *rand.Rand
+	members     *member.Node
+	replica     *config.Node
+	version     int64
+	leaving     bool
+	selfChanged bool
+	hosts       map[string]*directory.Host
+	removeAt    map[string]time.Time
+	// hostRecords are the Host records of this data centre that the platform stores.
 	hostRecords map[string]hostRecord
 	records     *recordSet
-	// confirmed says since when the records in force are known to be current.
+	// confirmed is the time up to which the records are known to be current, per feed.
 	confirmed *confirmations
 	compiled  *directory.Records
 	dir       *directory.Directory
 	dirty     bool
-	// compiledTo is the newest version in compiled, and inForce in the directory that was
-	// handed on last.
-	compiledTo, inForce int64
-	// builtAt is when dir was built.
-	builtAt  time.Time
-	reports  map[string]report
-	reported time.Time
+	// compiledVersion is the newest record version in compiled, and activeVersion that in
+	// the directory last passed to the hook.
+	compiledVersion, activeVersion int64
+	// builtAt is the time at which dir was built.
+	builtAt    time.Time
+	reports    map[string]receivedReport
+	reportedAt time.Time
 	// contacts are the hosts that are known by address only.
 	contacts *contact.Contacts
 	watching bool
-	// away are the feeds whose last call failed.
-	away    map[objects.Feed]bool
-	traffic Traffic
-	// pulses says who is told of instances.
-	pulses *pulse.Limiter
-	// unkept are the requests that are stopped and do not stand in the platform yet.
-	unkept unkept
-	// endsSwept is when old ends were dropped last.
-	endsSwept time.Time
-	// hostsTold is when the hosts were told to what holds teams to their rates.
-	hostsTold time.Time
-	// unreadLines bounds the lines about objects that cannot be read.
-	unreadLines event.Limiter
+	// failedFeeds are the feeds whose last call failed.
+	failedFeeds map[objects.Feed]bool
+	traffic     Traffic
+	// reportLimiter selects the recipients of load reports within the rate limits.
+	reportLimiter *pulse.Limiter
+	// pendingCrashers are the Crasher records not yet stored in the platform.
+	pendingCrashers pendingCrashers
+	// crashesPrunedAt is the time at which expired crash entries were last removed.
+	crashesPrunedAt time.Time
+	// teamHostsSetAt is the time at which hooks.Teams last received the list of hosts.
+	teamHostsSetAt time.Time
+	// decodeErrorLog limits the rate of log lines about entries that cannot be decoded or
+	// encoded.
+	decodeErrorLog event.Limiter
 }
 
 const (
 	// tickInterval is the resolution of the timers.
 	tickInterval = 50 * time.Millisecond
-	// versionShift is where the count of changes starts in a host's version;
-	// the incarnation stands above it.
+	// versionShift is the position of the incarnation in the version of a host entry. The
+	// bits below it count changes.
 	versionShift = 20
-	// maxPacket bounds a membership datagram, in bytes.
-	maxPacket = 60 << 10
+	// maxPacketBytes is the size of the receive buffer for membership datagrams.
+	maxPacketBytes = 60 << 10
 )
 
-// New makes a Control; Run starts it.
+// New creates a Control. Run starts it.
 func New(cfg Config, hooks Hooks, store objects.Store, log *slog.Logger) *Control {
 	rng := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	version := int64(cfg.Incarnation) << versionShift
 	c := &Control{
 		cfg: cfg, hooks: hooks, store: store, log: log, rng: rng, started: time.Now(),
-		members:     member.New(cfg.Member, cfg.DC, cfg.Peer, version, rng),
-		replica:     config.NewNode(cfg.Replica, rng),
-		version:     version,
-		hosts:       make(map[string]*directory.Host),
-		forgetAt:    make(map[string]time.Time),
-		hostRecords: make(map[string]hostRecord),
-		records:     newRecordSet(),
-		confirmed:   newConfirmations(store.Feeds()),
-		compiled:    directory.Compile(nil, false),
-		dir:         &directory.Directory{},
-		reports:     make(map[string]report),
-		contacts:    contact.New(cfg.DC, without(cfg.Seeds, cfg.Peer), rng),
-		away:        make(map[objects.Feed]bool),
-		selfDue:     true,
-		pulses:      pulse.New(rng),
+		members:       member.New(cfg.Member, cfg.DC, cfg.Peer, version, rng),
+		replica:       config.NewNode(cfg.Replica, rng),
+		version:       version,
+		hosts:         make(map[string]*directory.Host),
+		removeAt:      make(map[string]time.Time),
+		hostRecords:   make(map[string]hostRecord),
+		records:       newRecordSet(),
+		confirmed:     newConfirmations(store.Feeds()),
+		compiled:      directory.Compile(nil, false),
+		dir:           &directory.Directory{},
+		reports:       make(map[string]receivedReport),
+		contacts:      contact.New(cfg.DC, excludeAddr(cfg.Seeds, cfg.Peer), rng),
+		failedFeeds:   make(map[objects.Feed]bool),
+		selfChanged:   true,
+		reportLimiter: pulse.New(rng),
 	}
 	c.outboxes = newOutboxes(c.sendMessage)
 	return c
 }
 
-// Peers are the ways to the other hosts.
-type Peers interface {
-	// SendControl sends a message to the host at an address. It may wait for as long
-	// as the connection takes.
+// MessageSender sends control messages to other hosts.
+type MessageSender interface {
+	// SendControl sends a message to the host at an address. It may block until a
+	// connection is established.
 	SendControl(ctx context.Context, addr string, m msg.Message) error
-	// SendLossy is SendControl for a message that may vanish on its way.
+	// SendLossy sends a message that may be lost in transit.
 	SendLossy(ctx context.Context, addr string, m msg.Message) error
 }
 
-// SetPeers sets the ways to the other hosts, before Run.
-func (c *Control) SetPeers(p Peers) { c.pool = p }
+// SetPeers sets the sender of control messages. It must be called before Run.
+func (c *Control) SetPeers(p MessageSender) { c.sender = p }
 
-// Listen opens the membership socket, before Run.
+// Listen opens the membership socket. It must be called before Run.
 func (c *Control) Listen() error {
 	addr, err := net.ResolveUDPAddr("udp", c.cfg.Peer)
 	if err != nil {
-		return errors.Wrapf(err, "membership address %s", c.cfg.Peer)
+		return errors.Wrapf(err, "resolve membership address %s", c.cfg.Peer)
 	}
 	c.udp, err = net.ListenUDP("udp", addr)
 	return port.Explain(err, "membership", c.cfg.Peer)
 }
 
-// Run works until the context ends.
+// Run blocks until the context ends.
 func (c *Control) Run(ctx context.Context) {
 	var wg sync.WaitGroup
 	start := func(f func(context.Context)) {
@@ -200,8 +200,8 @@
 	start(c.watch)
 	start(c.tickLoop)
 	start(c.writeStatus)
-	start(c.sweepHosts)
-	start(c.keepCrashers)
+	start(c.removeStaleRecords)
+	start(c.storeCrashers)
 	<-ctx.Done()
 	_ = c.udp.Close()
 	wg.Wait()
@@ -225,50 +225,49 @@
 	c.mu.Lock()
 	c.members.Tick(now)
 	if c.members.Suspected() {
-		c.selfDue = true
+		c.selfChanged = true
 	}
-	if c.selfDue {
-		c.publishSelf()
+	if c.selfChanged {
+		c.publishOwnEntry()
 	}
 	c.replica.Tick(now, c.peers())
 	c.callContacts(now)
-	c.report(now)
-	c.sweepEnds(now)
+	c.sendReport(now)
+	c.pruneCrashes(now)
 	c.flush(now)
 	c.mu.Unlock()
 	c.tickTeams(now, c.publish(now))
 }
 
-// publish brings a new directory into force where anything has changed. One
-// call at a time builds and hands on, so that an older directory never follows
-// a newer one. True means that there was one.
+// publish builds a new directory if anything has changed and passes it to the hook. It
+// reports whether it did. Calls are serialized so that an older directory never replaces
+// a newer one.
 func (c *Control) publish(now time.Time) bool {
-	c.publishing.Lock()
-	defer c.publishing.Unlock()
+	c.publishMu.Lock()
+	defer c.publishMu.Unlock()
 	c.mu.Lock()
-	dir := c.rebuild(now)
-	newest := c.compiledTo
+	dir := c.rebuildDirectory(now)
+	newest := c.compiledVersion
 	c.mu.Unlock()
 	if dir == nil {
 		return false
 	}
 	c.hooks.Directory(dir)
 	c.mu.Lock()
-	c.inForce = newest
+	c.activeVersion = newest
 	c.mu.Unlock()
 	return true
 }
 
-// InstancesChanged says that what this host tells of its instances has
-// changed; the next tick spreads it.
+// InstancesChanged marks the entry of this host as changed. The next tick publishes it.
 func (c *Control) InstancesChanged() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.selfDue = true
+	c.selfChanged = true
 }
 
-// Inject brings an object into force that this host has just written or read,
-// without waiting for a watcher to see it.
+// Inject applies an object that this host has just written or read, without waiting for a
+// watcher to receive it.
 func (c *Control) Inject(obj objects.Object) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -276,20 +275,20 @@
 	c.flush(time.Now())
 }
 
-// Leave tells the fleet that this host takes no new work, or takes it again.
+// Leave announces whether this host has stopped accepting new work.
 func (c *Control) Leave(leaving bool) {
 	c.mu.Lock()
 	if c.leaving != leaving {
 		c.leaving = leaving
-		c.publishSelf()
+		c.publishOwnEntry()
 		c.flush(time.Now())
 	}
 	c.mu.Unlock()
 }
 
-// publishSelf writes a new version of what this host says of itself.
-func (c *Control) publishSelf() {
-	c.selfDue = false
+// publishOwnEntry publishes a new version of the entry of this host.
+func (c *Control) publishOwnEntry() {
+	c.selfChanged = false
 	c.version++
 	c.members.SetVersion(c.version)
 	state := msg.HostState{
@@ -310,13 +309,13 @@
 // hostKind is the kind of the entries in msg.SetHosts.
 const hostKind = string(record.KindHost)
 
-// peers lists whom to replicate with.
+// peers returns the live hosts to replicate with.
 func (c *Control) peers() config.Peers {
-	near, far := c.members.Live()
-	return config.Peers{Local: near, Remote: far}
+	local, remote := c.members.Live()
+	return config.Peers{Local: local, Remote: remote}
 }
 
-// HandleControl takes a message from another host.
+// HandleControl processes a message from another host.
 func (c *Control) HandleControl(from *msg.Hello, m msg.Message) {
 	if from.Host == "" {
 		return
@@ -326,29 +325,29 @@
 	c.traffic.MessagesIn++
 	switch m := m.(type) {
 	case *msg.Report:
-		c.takeReport(from.Host, m)
+		c.storeReport(from.Host, m)
 		return
 	case *msg.LoadReport:
-		c.takePulse(m)
+		c.handleLoadReport(m)
 		return
 	case *msg.Digest:
-		c.hearAges(from.Host, m)
+		c.applyConfirmations(from.Host, m)
 	}
 	c.replica.Step(c.peers(), from.Host, m)
 	c.flush(time.Now())
 }
 
-// flush takes the cores' output: it applies what has come into force and
-// queues what is to be sent. The caller holds the lock.
+// flush applies the entries and membership changes that the state machines have produced,
+// and queues or sends their messages. The caller holds the lock.
 func (c *Control) flush(now time.Time) {
 	for {
 		out, applied := c.replica.Take()
 		c.apply(now, applied)
 		for _, o := range out {
 			if d, ok := o.Msg.(*msg.Digest); ok {
-				c.tellAges(now, d)
+				c.addConfirmations(now, d)
 			}
-			c.queue(o)
+			c.enqueueToHost(o)
 		}
 		if len(out) == 0 && len(applied) == 0 {
 			break
@@ -356,25 +355,25 @@
 	}
 	datagrams, changes := c.members.Take()
 	for _, ch := range changes {
-		c.hostChanged(now, ch)
+		c.handleMemberChange(now, ch)
 	}
 	for _, d := range datagrams {
 		c.sendPacket(d)
 	}
 }
 
-// queue hands a message to the outbox of its host.
-func (c *Control) queue(o config.Outbound) {
+// enqueueToHost queues a message to a host.
+func (c *Control) enqueueToHost(o config.Outbound) {
 	h, ok := c.hosts[o.To]
 	if !ok || o.To == c.cfg.Host {
 		return
 	}
-	c.queueTo(h.Peer, o.Msg)
+	c.enqueue(h.Peer, o.Msg)
 }
 
-// queueTo hands a message to the outbox of an address. A full one drops it: repair
-// finds what was lost.
-func (c *Control) queueTo(addr string, m msg.Message) {
+// enqueue queues a message to an address. If the queue is full, the message is dropped;
+// periodic repair restores the lost data.
+func (c *Control) enqueue(addr string, m msg.Message) {
 	if !c.outboxes.put(addr, m) {
 		c.traffic.Dropped++
 		return
@@ -383,15 +382,15 @@
 	c.traffic.BytesOut += uint64(m.(interface{ Msgsize() int }).Msgsize())
 }
 
-// sendMessage sends a message of an outbox. Loads and reports are soon replaced by newer
-// ones; all else must not vanish in a connection that has fallen silent. A message that
-// cannot be sent is lost: repair finds it.
+// sendMessage sends a queued message. Load reports and status reports are soon superseded
+// and may be lost; other messages must not vanish in a connection that has stopped
+// responding. Send errors are ignored because periodic repair restores the lost data.
 func (c *Control) sendMessage(ctx context.Context, addr string, m msg.Message) {
 	switch m.(type) {
 	case *msg.LoadReport, *msg.Report:
-		_ = c.pool.SendLossy(ctx, addr, m)
+		_ = c.sender.SendLossy(ctx, addr, m)
 	default:
-		_ = c.pool.SendControl(ctx, addr, m)
+		_ = c.sender.SendControl(ctx, addr, m)
 	}
 }
 
@@ -410,7 +409,7 @@
 }
 
 func (c *Control) readPackets(ctx context.Context) {
-	buf := make([]byte, maxPacket)
+	buf := make([]byte, maxPacketBytes)
 	for ctx.Err() == nil {
 		n, _, err := c.udp.ReadFromUDP(buf)
 		if err != nil {
@@ -419,7 +418,7 @@
 			}
 			continue
 		}
-		if c.hearTeams(buf[:n]) {
+		if c.handleTeamPacket(buf[:n]) {
 			continue
 		}
 		var p msg.Packet
@@ -429,14 +428,14 @@
 		c.mu.Lock()
 		c.traffic.PacketsIn++
 		now := time.Now()
-		c.noticeStranger(&p)
+		c.addUnknownSender(&p)
 		c.members.Step(now, &p)
 		c.flush(now)
 		c.mu.Unlock()
 	}
 }
 
-// Traffic counts control messages since the start.
+// Traffic counts control messages since the process started.
 type Traffic struct {
 	PacketsIn   uint64 `json:"packetsIn"`
 	PacketsOut  uint64 `json:"packetsOut"`
@@ -446,14 +445,14 @@
 	Dropped     uint64 `json:"dropped"`
 }
 
-func (c *Control) hostChanged(now time.Time, ch member.Change) {
+func (c *Control) handleMemberChange(now time.Time, ch member.Change) {
 	e := event.HostJoined
 	switch ch.Status {
 	case member.Suspect:
 		e = event.HostSuspect
 	case member.Dead:
 		e = event.HostDead
-		c.forgetAt[ch.Host] = now.Add(forgetAfter)
+		c.removeAt[ch.Host] = now.Add(deadHostRetention)
 	}
 	event.Log(c.log, e, slog.String("peer", ch.Host))
 	c.dirty = true
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -18,19 +18,19 @@
 	"github.com/radishhoist/radishhoist/record"
 )
 
-// awayStore is a platform that never answers.
-type awayStore struct{ objects.Store }
+// unavailableStore is a platform that never responds.
+type unavailableStore struct{ objects.Store }
 
-func (awayStore) Get(context.Context, record.Key) (objects.Object, error) {
+func (unavailableStore) Get(context.Context, record.Key) (objects.Object, error) {
 	return objects.Object{}, &objects.UnavailableError{Cause: context.DeadlineExceeded}
 }
 
-func (awayStore) Feeds() []objects.Feed { return []objects.Feed{"a"} }
+func (unavailableStore) Feeds() []objects.Feed { return []objects.Feed{"a"} }
 
-func (awayStore) FeedOf(record.Kind) objects.Feed { return "a" }
+func (unavailableStore) FeedOf(record.Kind) objects.Feed { return "a" }
 
-// newOver makes a Control over a store, with no sockets.
-func newOver(store objects.Store, directory func(*directory.Directory)) *Control {
+// newControlWithStore creates a Control with a store and without sockets.
+func newControlWithStore(store objects.Store, directory func(*directory.Directory)) *Control {
 	return New(Config{
 		Host: "a", DC: "dc", Peer: "127.0.0.1:0", Incarnation: 1, AwayMax: 2 * time.Second,
 		Member: member.DefaultConfig("a"), Replica: config.DefaultConfig(), WatchersPerDC: 1,
@@ -44,14 +44,15 @@
 
 func noInstances() []directory.Instance { return nil }
 
-// newTestControl makes a Control that is stepped by hand.
+// newTestControl creates a Control that the test drives itself, and returns the
+// directories that it builds.
 func newTestControl(t *testing.T) (*Control, *[]*directory.Directory) {
 	t.Helper()
-	var seen []*directory.Directory
-	c := newOver(awayStore{}, func(d *directory.Directory) { seen = append(seen, d) })
+	var directories []*directory.Directory
+	c := newControlWithStore(unavailableStore{}, func(d *directory.Directory) { directories = append(directories, d) })
 	assert.NilError(t, c.Listen())
 	t.Cleanup(func() { _ = c.udp.Close() })
-	return c, &seen
+	return c, &directories
 }
 
 func serviceEntry(t *testing.T, name string, version int64) msg.Entry {
@@ -62,10 +63,10 @@
 	return msg.Entry{Kind: string(record.KindService), Name: name, Version: version, Value: value}
 }
 
-// A host that has every record by repair before the snapshot that proves them
-// whole must start to serve all the same.
-func TestWholeWithoutNewsIsNoticed(t *testing.T) {
-	c, seen := newTestControl(t)
+// A host that received every record by repair, before the snapshot that shows the set to
+// be complete, must start to serve traffic although the snapshot has no new entries.
+func TestCompletenessWithoutNewEntriesIsNoticed(t *testing.T) {
+	c, directories := newTestControl(t)
 	peerState := msg.HostState{DC: "dc", Peer: "127.0.0.1:2", Incarnation: 1}
 	value, err := peerState.MarshalMsg(nil)
 	assert.NilError(t, err)
@@ -75,81 +76,81 @@
 	c.HandleControl(from, &msg.Rumor{Set: msg.SetRecords, Entries: []msg.Entry{entry}})
 	now := time.Now()
 	c.tick(now)
-	assert.Assert(t, len(*seen) > 0)
-	assert.Assert(t, !(*seen)[len(*seen)-1].Whole)
+	assert.Assert(t, len(*directories) > 0)
+	assert.Assert(t, !(*directories)[len(*directories)-1].Whole)
 
 	c.HandleControl(from, &msg.Snapshot{Set: msg.SetRecords, Entries: []msg.Entry{entry}, Last: true, Complete: true})
 	c.tick(now.Add(tickInterval))
-	assert.Assert(t, (*seen)[len(*seen)-1].Whole, "the set is whole, and the directory in force does not say so")
+	assert.Assert(t, (*directories)[len(*directories)-1].Whole, "the record set is complete, but the directory does not say so")
 }
 
-func TestRecordsOfHostsGoneForGoodAreRemoved(t *testing.T) {
+func TestStaleHostRecordsAreRemoved(t *testing.T) {
 	c, _ := newTestControl(t)
 	value, err := record.Marshal(record.Key{Kind: record.KindHost, Name: "old"}, &record.Host{DC: "dc", Peer: "127.0.0.1:9"})
 	assert.NilError(t, err)
-	c.noteHostRecords(hostListings([]objects.Object{{Kind: record.KindHost, Name: "old", Version: 5, Value: value}}))
+	c.storeHostRecords(hostListings([]objects.Object{{Kind: record.KindHost, Name: "old", Version: 5, Value: value}}))
 	now := time.Now()
-	assert.Equal(t, len(c.goneHosts(now)), 0)
-	assert.Equal(t, len(c.goneHosts(now.Add(janitorPatience/2))), 0)
-	assert.DeepEqual(t, c.goneHosts(now.Add(janitorPatience)), map[string]int64{"old": 5})
-	// A host that is known again is left alone, and counts from new.
+	assert.Equal(t, len(c.staleHostRecords(now)), 0)
+	assert.Equal(t, len(c.staleHostRecords(now.Add(unknownHostRetention/2))), 0)
+	assert.DeepEqual(t, c.staleHostRecords(now.Add(unknownHostRetention)), map[string]int64{"old": 5})
+	// A host that has become known again keeps its record, and its unknown time restarts.
 	c.hosts["old"] = &directory.Host{Name: "old"}
-	assert.Equal(t, len(c.goneHosts(now.Add(2*janitorPatience))), 0)
+	assert.Equal(t, len(c.staleHostRecords(now.Add(2*unknownHostRetention))), 0)
 	delete(c.hosts, "old")
-	assert.Equal(t, len(c.goneHosts(now.Add(2*janitorPatience))), 0)
+	assert.Equal(t, len(c.staleHostRecords(now.Add(2*unknownHostRetention))), 0)
 }
 
-// The record of a stopped request goes once it has been cleared of its ends: kept, it
-// would stop the request again after a loss of all processes.
-func TestTheRecordOfAClearedRequestIsRemoved(t *testing.T) {
+// The record of a blocked request is removed once the request has been cleared of enough
+// crashes. Otherwise it would block the request again after all processes were lost.
+func TestRecordOfClearedRequestIsRemoved(t *testing.T) {
 	c, _ := newTestControl(t)
 	now := time.Now()
-	const print = crash.Fingerprint(7)
+	const fingerprint = crash.Fingerprint(7)
 	c.hooks.Cleared = func(string, crash.Fingerprint) {}
-	key := record.Key{Kind: record.KindCrasher, Name: print.String()}
-	s := &record.Crasher{Request: "GET /status"}
+	key := record.Key{Kind: record.KindCrasher, Name: fingerprint.String()}
+	crasher := &record.Crasher{Request: "GET /status"}
 	for _, id := range []string{"a", "b", "c"} {
-		s.Ends = append(s.Ends, record.InstanceEnd{ID: id, Service: "desk", AtMS: now.UnixMilli()})
+		crasher.Ends = append(crasher.Ends, record.InstanceEnd{ID: id, Service: "desk", AtMS: now.UnixMilli()})
 	}
-	c.records.inForce[key] = &record.Record{Key: key, Version: 3, Spec: s}
-	assert.Equal(t, len(c.forgottenCrashers(now)), 0)
-	c.TellCleared("a", print+1)
-	assert.Equal(t, len(c.forgottenCrashers(now)), 0, "another request was cleared")
-	c.TellCleared("a", print)
-	assert.DeepEqual(t, c.forgottenCrashers(now), map[record.Key]int64{key: 3})
+	c.records.active[key] = &record.Record{Key: key, Version: 3, Spec: crasher}
+	assert.Equal(t, len(c.staleCrasherRecords(now)), 0)
+	c.TellCleared("a", fingerprint+1)
+	assert.Equal(t, len(c.staleCrasherRecords(now)), 0, "another request was cleared")
+	c.TellCleared("a", fingerprint)
+	assert.DeepEqual(t, c.staleCrasherRecords(now), map[record.Key]int64{key: 3})
 }
 
-// A host that starts while the platform is away knows nobody. A probe of an old
-// peer is all it hears: it must call back who sent it, and once only.
-func TestAHostThatKnowsNobodyCallsBackWhoProbesIt(t *testing.T) {
+// A host that starts while the platform is unavailable knows no other host and only
+// receives probes from former peers. It must call the sender, and only once.
+func TestHostWithoutPeersCallsItsProber(t *testing.T) {
 	c, _ := newTestControl(t)
 	probe := &msg.Packet{Kind: msg.PacketPing, From: "b", FromAddr: "127.0.0.1:2", ProbedHost: "a"}
-	c.noticeStranger(probe)
+	c.addUnknownSender(probe)
 	now := time.Now()
 	c.tick(now)
 	c.tick(now.Add(tickInterval))
-	called := c.outboxes.boxes["127.0.0.1:2"].waiting
-	assert.Equal(t, len(called), 2)
-	_, tellsOfItself := called[0].(*msg.Rumor)
-	pull, asks := called[1].(*msg.Pull)
-	assert.Assert(t, tellsOfItself && asks && pull.All && pull.Set == msg.SetHosts)
+	queued := c.outboxes.byAddr["127.0.0.1:2"].queued
+	assert.Equal(t, len(queued), 2)
+	_, announces := queued[0].(*msg.Rumor)
+	pull, isPull := queued[1].(*msg.Pull)
+	assert.Assert(t, announces && isPull && pull.All && pull.Set == msg.SetHosts)
 
 	c.hosts["c"] = &directory.Host{Name: "c"}
-	c.noticeStranger(&msg.Packet{Kind: msg.PacketPing, From: "c", FromAddr: "127.0.0.1:3", ProbedHost: "a"})
+	c.addUnknownSender(&msg.Packet{Kind: msg.PacketPing, From: "c", FromAddr: "127.0.0.1:3", ProbedHost: "a"})
 	assert.Equal(t, c.contacts.Candidates(), 1)
 }
 
-// Of hosts that start at once only a few watch: those that come first among the
-// records, until the hosts have heard of each other.
-func TestAFleetThatStartsAsOneDoesNotWatchWithEveryHost(t *testing.T) {
+// When many hosts start at the same time, only those that rank first among the Host
+// records watch the platform until the hosts have discovered each other.
+func TestFewHostsWatchWhenFleetStartsTogether(t *testing.T) {
 	c, _ := newTestControl(t)
 	for _, name := range []string{"b", "c", "d", "e", "f", "g", "h", "i"} {
 		value, err := record.Marshal(record.Key{Kind: record.KindHost, Name: name}, &record.Host{DC: "dc", Peer: "127.0.0.1:9"})
 		assert.NilError(t, err)
-		c.noteHostRecords(hostListings([]objects.Object{{Kind: record.KindHost, Name: name, Version: 5, Value: value}}))
+		c.storeHostRecords(hostListings([]objects.Object{{Kind: record.KindHost, Name: name, Version: 5, Value: value}}))
 	}
-	assert.Assert(t, c.unmet() > 0, "pick another name for the host under test: it comes first")
-	assert.Assert(t, !c.ranksAsWatcher())
-	c.started = c.started.Add(-2 * meetingTime)
-	assert.Assert(t, c.ranksAsWatcher())
+	assert.Assert(t, c.unknownBefore() > 0, "the host under test ranks first; pick another name")
+	assert.Assert(t, !c.shouldWatch())
+	c.started = c.started.Add(-2 * discoveryTime)
+	assert.Assert(t, c.shouldWatch())
 }
--- a/internal/control/crashers.go
+++ b/internal/control/crashers.go
@@ -19,79 +19,79 @@
 )
 
 const (
-	// keepInterval is how often it is looked for stopped requests that are to be kept,
-	// and the pause after the platform has failed to take one.
-	keepInterval = 500 * time.Millisecond
-	// unkeptLines is how often a line tells that the platform does not take them.
-	unkeptLines = time.Minute
+	// storeInterval is how often pending Crasher records are written, and thereby the
+	// pause after a failed write.
+	storeInterval = 500 * time.Millisecond
+	// storeFailureLogInterval is the minimum time between log lines about failed writes.
+	storeFailureLogInterval = time.Minute
 )
 
-// unkept holds the records of stopped requests until they stand in the platform.
-type unkept struct {
-	mu      sync.Mutex
-	byPrint map[crash.Fingerprint][]byte
-	// toldAt is when a line told last that the platform does not take one.
-	toldAt time.Time
+// pendingCrashers holds the records of blocked requests until they are stored in the
+// platform.
+type pendingCrashers struct {
+	mu            sync.Mutex
+	byFingerprint map[crash.Fingerprint][]byte
+	// loggedAt is the time at which a failed write was last logged.
+	loggedAt time.Time
 }
 
-// Keep has a stopped request kept in the platform, so that a loss of all processes does
-// not forget it. It does not wait for that.
+// Keep stores a blocked request in the platform, so that it stays blocked when all
+// processes of the fleet are lost. It returns without waiting for the write.
 func (c *Control) Keep(p crash.Fingerprint, request string, ends []record.InstanceEnd) {
 	value, err := record.Marshal(crasherKey(p), &record.Crasher{Request: request, Ends: ends})
 	if err != nil {
-		c.logUnkept(p, err)
+		c.logUnwritten(p, err)
 		return
 	}
-	c.unkept.mu.Lock()
-	defer c.unkept.mu.Unlock()
-	if c.unkept.byPrint == nil {
-		c.unkept.byPrint = make(map[crash.Fingerprint][]byte)
+	c.pendingCrashers.mu.Lock()
+	defer c.pendingCrashers.mu.Unlock()
+	if c.pendingCrashers.byFingerprint == nil {
+		c.pendingCrashers.byFingerprint = make(map[crash.Fingerprint][]byte)
 	}
-	c.unkept.byPrint[p] = value
+	c.pendingCrashers.byFingerprint[p] = value
 }
 
-// crasherKey is the key of a stopped request's record.
+// crasherKey returns the key of the record of a blocked request.
 func crasherKey(p crash.Fingerprint) record.Key {
 	return record.Key{Kind: record.KindCrasher, Name: p.String()}
 }
 
-// next gives the record of one request that is to be kept; false for none.
-func (u *unkept) next() (crash.Fingerprint, []byte, bool) {
+// peek returns any pending record, or false if there is none.
+func (u *pendingCrashers) peek() (crash.Fingerprint, []byte, bool) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	for p, value := range u.byPrint {
+	for p, value := range u.byFingerprint {
 		return p, value, true
 	}
 	return 0, nil, false
 }
 
-func (u *unkept) done(p crash.Fingerprint) {
+func (u *pendingCrashers) remove(p crash.Fingerprint) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	delete(u.byPrint, p)
+	delete(u.byFingerprint, p)
 }
 
-// keepCrashers writes stopped requests to the platform, however often it fails.
-func (c *Control) keepCrashers(ctx context.Context) {
-	for sleep.For(ctx, keepInterval) {
-		c.keepAll(ctx, time.Now())
+// storeCrashers periodically writes pending records to the platform.
+func (c *Control) storeCrashers(ctx context.Context) {
+	for sleep.For(ctx, storeInterval) {
+		c.storePending(ctx, time.Now())
 	}
 }
 
-// keepAll writes the stopped requests that are to be kept, until the platform fails to take
-// one.
-func (c *Control) keepAll(ctx context.Context, now time.Time) {
-	for p, value, ok := c.unkept.next(); ok; p, value, ok = c.unkept.next() {
-		if err := c.keepCrasher(ctx, p, value); err != nil {
-			c.tellUnkept(now, p, err)
+// storePending writes the pending records until a write fails.
+func (c *Control) storePending(ctx context.Context, now time.Time) {
+	for p, value, ok := c.pendingCrashers.peek(); ok; p, value, ok = c.pendingCrashers.peek() {
+		if err := c.storeCrasher(ctx, p, value); err != nil {
+			c.logStoreFailure(now, p, err)
 			return
 		}
-		c.unkept.done(p)
+		c.pendingCrashers.remove(p)
 	}
 }
 
-// keepCrasher writes one record. One that stands there already says the same.
-func (c *Control) keepCrasher(ctx context.Context, p crash.Fingerprint, value []byte) error {
+// storeCrasher writes one record. If the record exists already, it has the same content.
+func (c *Control) storeCrasher(ctx context.Context, p crash.Fingerprint, value []byte) error {
 	_, err := c.store.Put(ctx, crasherKey(p), value, 0)
 	var conflict *objects.ConflictError
 	if errors.As(err, &conflict) {
@@ -100,106 +100,107 @@
 	return err
 }
 
-// tellUnkept logs that the platform does not take a record, the first time and each
-// unkeptLines after.
-func (c *Control) tellUnkept(now time.Time, p crash.Fingerprint, cause error) {
-	if !c.unkept.toldAt.IsZero() && now.Sub(c.unkept.toldAt) < unkeptLines {
+// logStoreFailure logs a failed write, at most once per storeFailureLogInterval.
+func (c *Control) logStoreFailure(now time.Time, p crash.Fingerprint, cause error) {
+	if !c.pendingCrashers.loggedAt.IsZero() && now.Sub(c.pendingCrashers.loggedAt) < storeFailureLogInterval {
 		return
 	}
-	c.unkept.toldAt = now
-	c.logUnkept(p, cause)
+	c.pendingCrashers.loggedAt = now
+	c.logUnwritten(p, cause)
 }
 
-func (c *Control) logUnkept(p crash.Fingerprint, cause error) {
+func (c *Control) logUnwritten(p crash.Fingerprint, cause error) {
 	event.Log(c.log, event.RecordUnwritten, slog.String("record", crasherKey(p).String()), slog.String("cause", cause.Error()))
 }
 
-// applyCrasher takes a stopped request from the platform, or that it may run again. The
-// caller holds the lock.
+// applyCrasher applies a Crasher record from the platform: a blocked request, or its
+// deletion, which allows the request again. The caller holds the lock.
 func (c *Control) applyCrasher(e msg.Entry) {
 	if e.Kind != string(record.KindCrasher) {
 		return
 	}
 	p, err := crash.ParseFingerprint(e.Name)
 	if err != nil {
-		c.refuseEnd(time.Now(), e, err)
+		c.logRefused(time.Now(), e, err)
 		return
 	}
 	if e.Deleted {
 		c.hooks.Lifted(p)
-		c.clearEnds(p)
+		c.clearFromCrashes(p)
 		return
 	}
-	r, ok := c.records.inForce[crasherKey(p)]
+	r, ok := c.records.active[crasherKey(p)]
 	if !ok {
-		return // refused, with a line of its own
+		return // rejected, which has been logged
 	}
-	for _, end := range r.Spec.(*record.Crasher).Ends {
-		if time.Since(time.UnixMilli(end.AtMS)) > crash.RetentionPeriod {
+	for _, crashed := range r.Spec.(*record.Crasher).Ends {
+		if time.Since(time.UnixMilli(crashed.AtMS)) > crash.RetentionPeriod {
 			continue
 		}
 		c.hooks.Ended(crash.Crash{
-			ID: end.ID, Software: crash.Software{Service: end.Service, Version: end.Version},
-			Host: end.Host, DetectedAt: time.UnixMilli(end.AtMS), Fingerprints: []crash.Fingerprint{p},
+			ID: crashed.ID, Software: crash.Software{Service: crashed.Service, Version: crashed.Version},
+			Host: crashed.Host, DetectedAt: time.UnixMilli(crashed.AtMS), Fingerprints: []crash.Fingerprint{p},
 		})
 	}
 }
 
-// clearEnds clears a request of all ends, for hosts that hear of them later. All hosts
-// that do so write the same, so that it spreads once. The caller holds the lock.
-func (c *Control) clearEnds(p crash.Fingerprint) {
+// clearFromCrashes publishes clearances of a request for all known crashes, for hosts
+// that receive the crashes later. All hosts that do so publish identical entries, so they
+// spread only once. The caller holds the lock.
+func (c *Control) clearFromCrashes(p crash.Fingerprint) {
 	var cleared []msg.Entry
 	c.replica.Set(msg.SetEnds).Each(func(e msg.Entry) {
-		if e.Kind != endKind {
+		if e.Kind != crashKind {
 			return
 		}
-		if end, err := readEnd(e); err == nil && slices.Contains(end.Fingerprints, p) {
-			cleared = append(cleared, clearedEntry(e.Name, p, e.Version))
+		if crashed, err := decodeCrash(e); err == nil && slices.Contains(crashed.Fingerprints, p) {
+			cleared = append(cleared, clearanceEntry(e.Name, p, e.Version))
 		}
 	})
 	c.replica.Publish(c.peers(), msg.SetEnds, cleared)
 }
 
-func clearedEntry(end string, p crash.Fingerprint, version int64) msg.Entry {
-	return msg.Entry{Kind: clearedKind, Name: end + printStart + p.String(), Version: version}
+func clearanceEntry(crashID string, p crash.Fingerprint, version int64) msg.Entry {
+	return msg.Entry{Kind: clearanceKind, Name: crashID + fingerprintSeparator + p.String(), Version: version}
 }
 
-// endVersion is the version of an end, now for one that is not known here. The caller
-// holds the lock.
-func (c *Control) endVersion(end string, now time.Time) int64 {
-	if e, ok := c.replica.Set(msg.SetEnds).Get(config.Key{Kind: endKind, Name: end}); ok {
+// crashVersion returns the version of a crash entry, or the current time if it is
+// unknown. The caller holds the lock.
+func (c *Control) crashVersion(crashID string, now time.Time) int64 {
+	if e, ok := c.replica.Set(msg.SetEnds).Get(config.Key{Kind: crashKind, Name: crashID}); ok {
 		return e.Version
 	}
 	return now.UnixMilli()
 }
 
-// forgottenCrashers lists the records of requests whose ends are no longer remembered, or
-// that were cleared of so many that the rest would not stop them, where this host is the
-// first of its data centre. The caller holds the lock.
-func (c *Control) forgottenCrashers(now time.Time) map[record.Key]int64 {
+// staleCrasherRecords returns the records of requests whose crashes have expired, or that
+// have been cleared of so many crashes that the rest no longer block them, with their
+// versions. It returns none unless this host ranks first in its data centre. The caller
+// holds the lock.
+func (c *Control) staleCrasherRecords(now time.Time) map[record.Key]int64 {
 	out := make(map[record.Key]int64)
 	if c.rank() != 0 {
 		return out
 	}
-	for key, r := range c.records.inForce {
+	for key, r := range c.records.active {
 		s, ok := r.Spec.(*record.Crasher)
 		if !ok {
 			continue
 		}
 		last := slices.MaxFunc(s.Ends, func(x, y record.InstanceEnd) int { return int(x.AtMS - y.AtMS) })
-		if now.Sub(time.UnixMilli(last.AtMS)) > crash.RetentionPeriod || c.blamed(key.Name, s.Ends) < crash.BlockAfterIncidents {
+		if now.Sub(time.UnixMilli(last.AtMS)) > crash.RetentionPeriod || c.countUncleared(key.Name, s.Ends) < crash.BlockAfterIncidents {
 			out[key] = r.Version
 		}
 	}
 	return out
 }
 
-// blamed counts the ends that a request, named by its print, has not been cleared of. The
-// caller holds the lock.
-func (c *Control) blamed(print string, ends []record.InstanceEnd) int {
+// countUncleared returns the number of crashes that a request has not been cleared of.
+// The caller holds the lock.
+func (c *Control) countUncleared(fingerprint string, crashes []record.InstanceEnd) int {
 	n := 0
-	for _, e := range ends {
-		if _, cleared := c.replica.Set(msg.SetEnds).Get(config.Key{Kind: clearedKind, Name: e.ID + printStart + print}); !cleared {
+	for _, e := range crashes {
+		if _, cleared := c.replica.Set(msg.SetEnds).Get(config.Key{Kind: clearanceKind, Name: e.ID + fingerprintSeparator + fingerprint}); !cleared {
 			n++
 		}
 	}
--- a/internal/control/ends.go
+++ b/internal/control/ends.go
@@ -12,112 +12,113 @@
 )
 
 const (
-	// endKind is the kind of an end in msg.SetEnds, named by its id; clearedKind that of
-	// what a request was cleared of, named by the end's id and the request's print.
-	endKind, clearedKind = "End", "Cleared"
-	// printStart begins the print in a name of clearedKind.
-	printStart = "/"
-	// endsSweep is how often old ends are dropped.
-	endsSweep = time.Minute
+	// crashKind is the kind of a crash in msg.SetEnds, named by its ID. clearanceKind is
+	// the kind of an entry that clears a request of a crash, named by the crash ID and
+	// the fingerprint of the request.
+	crashKind, clearanceKind = "End", "Cleared"
+	// fingerprintSeparator precedes the fingerprint in the name of a clearance.
+	fingerprintSeparator = "/"
+	// pruneInterval is how often expired crash entries are removed.
+	pruneInterval = time.Minute
 )
 
-// TellEnd tells all hosts of the end of an instance.
+// TellEnd publishes the crash of an instance to all hosts.
 func (c *Control) TellEnd(e crash.Crash) {
 	m := msg.InstanceEnd{Service: e.Software.Service, SoftwareVersion: e.Software.Version, Host: e.Host, AtMS: e.DetectedAt.UnixMilli()}
 	for _, p := range e.Fingerprints {
 		m.Prints = append(m.Prints, uint64(p))
 	}
-	entry := msg.Entry{Kind: endKind, Name: e.ID, Version: m.AtMS}
+	entry := msg.Entry{Kind: crashKind, Name: e.ID, Version: m.AtMS}
 	var err error
 	if entry.Value, err = m.MarshalMsg(nil); err != nil {
-		c.refuseEnd(e.DetectedAt, entry, err)
+		c.logRefused(e.DetectedAt, entry, err)
 		return
 	}
-	c.tellEnds(entry)
+	c.publishCrashEntry(entry)
 }
 
-// TellCleared tells all hosts that a request had no part in an end.
-func (c *Control) TellCleared(end string, p crash.Fingerprint) {
+// TellCleared publishes to all hosts that a request did not cause a crash.
+func (c *Control) TellCleared(crashID string, p crash.Fingerprint) {
 	c.mu.Lock()
-	version := c.endVersion(end, time.Now())
+	version := c.crashVersion(crashID, time.Now())
 	c.mu.Unlock()
-	c.tellEnds(clearedEntry(end, p, version))
+	c.publishCrashEntry(clearanceEntry(crashID, p, version))
 }
 
-func (c *Control) tellEnds(e msg.Entry) {
+func (c *Control) publishCrashEntry(e msg.Entry) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.replica.Publish(c.peers(), msg.SetEnds, []msg.Entry{e})
 	c.flush(time.Now())
 }
 
-// applyEnd takes an entry of msg.SetEnds. The entry's version is when it was made, so
-// that one that is too old to count is known by it.
-func (c *Control) applyEnd(now time.Time, e msg.Entry) {
-	if e.Deleted || oldEnd(now, e) {
+// applyCrashEntry applies an entry of msg.SetEnds. The version is the time at which the
+// entry was created, so expired entries are recognized by it.
+func (c *Control) applyCrashEntry(now time.Time, e msg.Entry) {
+	if e.Deleted || crashEntryExpired(now, e) {
 		return
 	}
 	var err error
 	switch e.Kind {
-	case endKind:
-		var end crash.Crash
-		if end, err = readEnd(e); err == nil {
-			c.hooks.Ended(end)
+	case crashKind:
+		var crashed crash.Crash
+		if crashed, err = decodeCrash(e); err == nil {
+			c.hooks.Ended(crashed)
 		}
-	case clearedKind:
+	case clearanceKind:
 		var p crash.Fingerprint
-		cut := strings.LastIndex(e.Name, printStart)
-		if p, err = crash.ParseFingerprint(e.Name[cut+1:]); err == nil && cut >= 0 {
-			c.hooks.Cleared(e.Name[:cut], p)
+		separator := strings.LastIndex(e.Name, fingerprintSeparator)
+		if p, err = crash.ParseFingerprint(e.Name[separator+1:]); err == nil && separator >= 0 {
+			c.hooks.Cleared(e.Name[:separator], p)
 		}
 	}
 	if err != nil {
-		c.refuseEnd(now, e, err)
+		c.logRefused(now, e, err)
 	}
 }
 
-func readEnd(e msg.Entry) (crash.Crash, error) {
+func decodeCrash(e msg.Entry) (crash.Crash, error) {
 	var m msg.InstanceEnd
 	if _, err := m.UnmarshalMsg(e.Value); err != nil {
 		return crash.Crash{}, err
 	}
-	end := crash.Crash{
+	crashed := crash.Crash{
 		ID: e.Name, Software: crash.Software{Service: m.Service, Version: m.SoftwareVersion},
 		Host: m.Host, DetectedAt: time.UnixMilli(m.AtMS),
 	}
 	for _, p := range m.Prints {
-		end.Fingerprints = append(end.Fingerprints, crash.Fingerprint(p))
+		crashed.Fingerprints = append(crashed.Fingerprints, crash.Fingerprint(p))
 	}
-	return end, nil
+	return crashed, nil
 }
 
-// refuseEnd logs an entry that cannot be read or written, up to a rate.
-func (c *Control) refuseEnd(now time.Time, e msg.Entry, cause error) {
-	if leftOut, ok := c.unreadLines.Allow(now); ok {
+// logRefused logs, at a limited rate, an entry that cannot be decoded or encoded.
+func (c *Control) logRefused(now time.Time, e msg.Entry, cause error) {
+	if leftOut, ok := c.decodeErrorLog.Allow(now); ok {
 		event.Log(c.log, event.RecordRefused, slog.String("record", e.Kind+"/"+e.Name), slog.String("cause", cause.Error()),
 			slog.Uint64("linesLeftOut", leftOut))
 	}
 }
 
-// oldEnd says that an entry of msg.SetEnds is no longer remembered.
-func oldEnd(now time.Time, e msg.Entry) bool {
+// crashEntryExpired reports whether an entry of msg.SetEnds is past the retention period.
+func crashEntryExpired(now time.Time, e msg.Entry) bool {
 	return now.Sub(time.UnixMilli(e.Version)).Abs() > crash.RetentionPeriod
 }
 
-// sweepEnds drops ends that are no longer remembered. The caller holds the lock.
-func (c *Control) sweepEnds(now time.Time) {
-	if now.Sub(c.endsSwept) < endsSweep {
+// pruneCrashes removes expired crash entries. The caller holds the lock.
+func (c *Control) pruneCrashes(now time.Time) {
+	if now.Sub(c.crashesPrunedAt) < pruneInterval {
 		return
 	}
-	c.endsSwept = now
+	c.crashesPrunedAt = now
 	set := c.replica.Set(msg.SetEnds)
-	var old []config.Key
+	var expired []config.Key
 	set.Each(func(e msg.Entry) {
-		if oldEnd(now, e) {
-			old = append(old, config.Key{Kind: e.Kind, Name: e.Name})
+		if crashEntryExpired(now, e) {
+			expired = append(expired, config.Key{Kind: e.Kind, Name: e.Name})
 		}
 	})
-	for _, key := range old {
+	for _, key := range expired {
 		set.Remove(key)
 	}
 }
--- a/internal/control/hosts.go
+++ b/internal/control/hosts.go
@@ -13,17 +13,17 @@
 	"github.com/radishhoist/radishhoist/internal/msg"
 )
 
-// forgetAfter is how long a dead host is remembered: it counts against its
-// services' healthy capacity until then.
-const forgetAfter = 10 * time.Minute
+// deadHostRetention is how long a dead host is kept. Until it is removed, it counts
+// against the healthy capacity of its services.
+const deadHostRetention = 10 * time.Minute
 
-// hostsPause is the least time between two directories where only hosts have changed:
-// each is made of all hosts and instances, and while a fleet starts some host changes
-// with every tick. Work for a host or instance that leaves is refused by its guard
-// meanwhile.
-const hostsPause = 200 * time.Millisecond
+// hostRebuildInterval is the minimum time between two directory builds caused by host
+// changes only. A build processes all hosts and instances, and while a fleet starts, some
+// host changes on every tick. In the meantime, the guard of a host or instance that is
+// leaving refuses requests.
+const hostRebuildInterval = 200 * time.Millisecond
 
-// apply takes entries that have come into force in the replicated sets.
+// apply processes entries that replication has applied to its sets.
 func (c *Control) apply(now time.Time, applied []config.Applied) {
 	for _, a := range applied {
 		switch a.Set {
@@ -33,7 +33,7 @@
 			c.records.apply(c.log, a.Entry, a.From)
 			c.applyCrasher(a.Entry)
 		case msg.SetEnds:
-			c.applyEnd(now, a.Entry)
+			c.applyCrashEntry(now, a.Entry)
 			continue
 		}
 		c.dirty = true
@@ -51,10 +51,10 @@
 		return
 	}
 	if e.Name == c.cfg.Host && e.Version > c.version {
-		// Somebody has this host at a greater version, from an earlier life
-		// with a clock ahead of this one's. Overtake it.
+		// Another host has a newer version of this host's entry, left by a previous
+		// process whose clock was ahead. Continue from that version.
 		c.version = e.Version
-		c.selfDue = true
+		c.selfChanged = true
 		return
 	}
 	if old, ok := c.hosts[e.Name]; state.Leaving && (!ok || !old.Leaving) {
@@ -68,7 +68,7 @@
 		h.Instances = append(h.Instances, fromWire(now, inst))
 	}
 	c.hosts[e.Name] = h
-	delete(c.forgetAt, e.Name)
+	delete(c.removeAt, e.Name)
 	c.members.Update(now, e.Name, state.DC, state.Peer, e.Version)
 }
 
@@ -89,26 +89,26 @@
 	}
 }
 
-// rebuild compiles a new directory where anything has changed. The caller
-// holds the lock; nil means no change.
-func (c *Control) rebuild(now time.Time) *directory.Directory {
-	c.forgetDead(now)
-	whole := c.whole()
-	becameWhole := whole != c.dir.Whole
-	recordsChanged := c.records.dirty || becameWhole
-	hostsDue := c.dirty && now.Sub(c.builtAt) >= hostsPause
+// rebuildDirectory builds a new directory, or returns nil if nothing has changed or the
+// rebuild is not due yet. The caller holds the lock.
+func (c *Control) rebuildDirectory(now time.Time) *directory.Directory {
+	c.removeDeadHosts(now)
+	complete := c.hasRequiredRecords()
+	completeChanged := complete != c.dir.Whole
+	recordsChanged := c.records.dirty || completeChanged
+	hostsDue := c.dirty && now.Sub(c.builtAt) >= hostRebuildInterval
 	if !recordsChanged && !hostsDue {
 		return nil
 	}
 	c.dirty, c.builtAt = false, now
 	if recordsChanged {
 		c.records.dirty = false
-		if becameWhole {
+		if completeChanged {
 			event.Log(c.log, event.SetLoaded, slog.Int("records", c.replica.Set(msg.SetRecords).Len()),
 				slog.Int64("newest", c.replica.Set(msg.SetRecords).Newest()))
 		}
-		c.compiled = c.compiled.Recompile(c.records.list(), whole)
-		c.compiledTo = c.replica.Set(msg.SetRecords).Newest()
+		c.compiled = c.compiled.Recompile(c.records.list(), complete)
+		c.compiledVersion = c.replica.Set(msg.SetRecords).Newest()
 	}
 	hosts := make([]*directory.Host, 0, len(c.hosts))
 	for _, h := range c.hosts {
@@ -122,25 +122,25 @@
 	return c.dir
 }
 
-// whole says that this host has the whole set, and in it what it needs to
-// serve: until then it cannot tell a request without a route from one whose
-// route it has not heard of. The caller holds the lock.
-func (c *Control) whole() bool {
+// hasRequiredRecords reports whether the record set is complete and includes the records
+// required to serve traffic. Until then, a request without a route cannot be told from
+// one whose route has not been received. The caller holds the lock.
+func (c *Control) hasRequiredRecords() bool {
 	for _, key := range c.cfg.Needs {
-		if _, ok := c.records.inForce[key]; !ok {
+		if _, ok := c.records.active[key]; !ok {
 			return false
 		}
 	}
 	return c.replica.Complete()
 }
 
-// forgetDead drops hosts that have been dead for long.
-func (c *Control) forgetDead(now time.Time) {
-	for host, at := range c.forgetAt {
+// removeDeadHosts removes hosts that have been dead for deadHostRetention.
+func (c *Control) removeDeadHosts(now time.Time) {
+	for host, at := range c.removeAt {
 		if now.Before(at) {
 			continue
 		}
-		delete(c.forgetAt, host)
+		delete(c.removeAt, host)
 		if c.members.Status(host) != member.Dead {
 			continue
 		}
@@ -153,39 +153,39 @@
 	}
 }
 
-// noticeStranger takes a packet of a host that is not known here. A host that
-// has just started while the platform is away knows nobody; its old peers go on
-// probing its address, and it calls back who does. The caller holds the lock.
-func (c *Control) noticeStranger(p *msg.Packet) {
-	if p.From == "" || p.From == c.cfg.Host || p.FromAddr == "" || c.knows(p.From) {
+// addUnknownSender adds the sender of a packet to the contacts if it is unknown. A host
+// that starts while the platform is unavailable knows no other host, but its former peers
+// still probe its address, so it can call them. The caller holds the lock.
+func (c *Control) addUnknownSender(p *msg.Packet) {
+	if p.From == "" || p.From == c.cfg.Host || p.FromAddr == "" || c.isKnown(p.From) {
 		return
 	}
 	c.contacts.AddProber(p.From, p.FromAddr)
 }
 
-// knows says that the fleet has told of a host.
-func (c *Control) knows(host string) bool {
+// isKnown reports whether the entry of a host has been received.
+func (c *Control) isKnown(host string) bool {
 	_, known := c.hosts[host]
 	return known
 }
 
-// callContacts tells hosts that are known by address only of this one, and asks
-// for what they know. The caller holds the lock.
+// callContacts sends the entry of this host to hosts that are known by address only, and
+// requests their entries. The caller holds the lock.
 func (c *Control) callContacts(now time.Time) {
-	if c.contacts.AllReached(c.knows, c.members.NoPeers()) {
+	if c.contacts.AllReached(c.isKnown, c.members.NoPeers()) {
 		c.replica.Resend(c.peers(), msg.SetHosts, config.Key{Kind: hostKind, Name: c.cfg.Host})
 	}
-	for _, call := range c.contacts.NextCalls(now, c.knows, c.members.NoPeers()) {
+	for _, call := range c.contacts.NextCalls(now, c.isKnown, c.members.NoPeers()) {
 		self, ok := c.replica.Set(msg.SetHosts).Get(config.Key{Kind: hostKind, Name: c.cfg.Host})
 		if !ok {
 			return
 		}
-		c.queueTo(call.Addr, &msg.Rumor{Set: msg.SetHosts, Entries: []msg.Entry{self}})
-		c.queueTo(call.Addr, call.PullRequest(hostKind))
+		c.enqueue(call.Addr, &msg.Rumor{Set: msg.SetHosts, Entries: []msg.Entry{self}})
+		c.enqueue(call.Addr, call.PullRequest(hostKind))
 	}
 }
 
-// without leaves one address out of a list.
-func without(addrs []string, not string) []string {
-	return slices.DeleteFunc(slices.Clone(addrs), func(addr string) bool { return addr == not })
+// excludeAddr returns a copy of addrs without one address.
+func excludeAddr(addrs []string, excluded string) []string {
+	return slices.DeleteFunc(slices.Clone(addrs), func(addr string) bool { return addr == excluded })
 }
--- a/internal/control/janitor.go
+++ b/internal/control/janitor.go
@@ -10,24 +10,24 @@
 )
 
 const (
-	// janitorInterval is how often the first watcher of a data centre looks
-	// for Host records that nobody stands behind.
-	janitorInterval = 10 * time.Minute
-	// janitorPatience is how long a host must be unknown before its record is
-	// removed. A host that comes back writes it anew.
-	janitorPatience = time.Hour
+	// cleanupInterval is how often the first-ranked host of a data centre looks for stale
+	// records.
+	cleanupInterval = 10 * time.Minute
+	// unknownHostRetention is how long a host must be unknown before its record is
+	// removed. A host that returns writes its record again.
+	unknownHostRetention = time.Hour
 )
 
-// hostRecord is a Host record of this data centre.
+// hostRecord is a stored Host record of this data centre.
 type hostRecord struct {
 	version int64
-	// unknownSince is when its host was first found unknown.
+	// unknownSince is the time at which the host was first found to be unknown.
 	unknownSince time.Time
 }
 
-// noteHostRecords keeps the Host records of this data centre. The caller holds
-// the lock.
-func (c *Control) noteHostRecords(all []hostListing) {
+// storeHostRecords adds the listed Host records of this data centre. The caller holds the
+// lock.
+func (c *Control) storeHostRecords(all []hostListing) {
 	for _, l := range all {
 		if l.DC == c.cfg.DC {
 			c.hostRecords[l.name] = hostRecord{version: l.version}
@@ -35,8 +35,9 @@
 	}
 }
 
-// dropHostRecords takes the removal of Host records. The caller holds the lock.
-func (c *Control) dropHostRecords(all []objects.Object) {
+// removeHostRecords drops the Host records that were deleted from the platform. The
+// caller holds the lock.
+func (c *Control) removeHostRecords(all []objects.Object) {
 	for _, obj := range all {
 		if obj.Kind == record.KindHost && obj.Deleted {
 			delete(c.hostRecords, obj.Name)
@@ -44,10 +45,10 @@
 	}
 }
 
-// goneHosts lists the records to remove: of hosts that have been unknown for
-// long, where this host is the first of its data centre. The caller holds the
-// lock.
-func (c *Control) goneHosts(now time.Time) map[string]int64 {
+// staleHostRecords returns the records of hosts that have been unknown for
+// unknownHostRetention, with their versions. It returns none unless this host ranks first
+// in its data centre. The caller holds the lock.
+func (c *Control) staleHostRecords(now time.Time) map[string]int64 {
 	out := make(map[string]int64)
 	if c.rank() != 0 {
 		return out
@@ -59,7 +60,7 @@
 			r.unknownSince = time.Time{}
 		case r.unknownSince.IsZero():
 			r.unknownSince = now
-		case now.Sub(r.unknownSince) >= janitorPatience:
+		case now.Sub(r.unknownSince) >= unknownHostRetention:
 			out[name] = r.version
 		}
 		c.hostRecords[name] = r
@@ -67,22 +68,22 @@
 	return out
 }
 
-// sweepHosts removes the records of hosts that are gone for good and of requests that
-// are forgotten, each on the condition that nobody has written it since.
-func (c *Control) sweepHosts(ctx context.Context) {
+// removeStaleRecords periodically deletes stale Host and Crasher records, each only if it
+// has not been written since.
+func (c *Control) removeStaleRecords(ctx context.Context) {
 	for ctx.Err() == nil {
-		sleep.For(ctx, janitorInterval)
+		sleep.For(ctx, cleanupInterval)
 		c.mu.Lock()
-		gone := c.goneHosts(time.Now())
-		forgotten := c.forgottenCrashers(time.Now())
+		staleHosts := c.staleHostRecords(time.Now())
+		staleCrashers := c.staleCrasherRecords(time.Now())
 		c.mu.Unlock()
-		for key, version := range forgotten {
-			// A conflict means that another data centre's first host was sooner; what else
-			// fails is tried in the next sweep.
+		for key, version := range staleCrashers {
+			// A conflict means that the first-ranked host of another data centre has
+			// deleted it already. After any other error, the next run tries again.
 			_, _ = c.store.Delete(ctx, key, version)
 		}
-		for name, version := range gone {
-			// A conflict means that the host is back.
+		for name, version := range staleHosts {
+			// A conflict means that the host has returned.
 			_, _ = c.store.Delete(ctx, record.Key{Kind: record.KindHost, Name: name}, version)
 		}
 	}
--- a/internal/control/join.go
+++ b/internal/control/join.go
@@ -10,11 +10,12 @@
 	"github.com/radishhoist/radishhoist/record"
 )
 
-// join writes this host's record, then reads what there is: of two hosts that
-// start at once, at least one sees the other. What it reads is the whole set,
-// so that a fleet that starts anew need not wait for each other. It gives the revision from which the feeds are to be watched.
+// join writes the Host record of this host, then reads all records, and returns the
+// revision from which to watch the feeds. Of two hosts that start at the same time, at
+// least one sees the record of the other. Because the list is complete, hosts of a fleet
+// that starts from scratch need not wait for each other.
 func (c *Control) join(ctx context.Context) (int64, error) {
-	if err := c.writeSelf(ctx); err != nil {
+	if err := c.writeOwnRecord(ctx); err != nil {
 		return 0, err
 	}
 	began := time.Now()
@@ -22,22 +23,23 @@
 	if err != nil {
 		return 0, err
 	}
-	c.takeWhole(page, began)
+	c.applyFullList(page, began)
 	c.publish(time.Now())
-	// The maps are in force here now; only then may the guard promise.
+	// The shard maps have been applied, so the guard may grant leases from now on.
 	c.hooks.Synced()
 	return page.Revision, nil
 }
 
-// writeSelf writes this host's record: as a new one first, which is the usual
-// case and one call, else over what an earlier life has left.
-func (c *Control) writeSelf(ctx context.Context) error {
+// writeOwnRecord writes the Host record of this host. It first attempts to create it,
+// which usually succeeds and takes one call, and otherwise replaces the record of an
+// earlier process.
+func (c *Control) writeOwnRecord(ctx context.Context) error {
 	key := record.Key{Kind: record.KindHost, Name: c.cfg.Host}
 	value, err := record.Marshal(key, &record.Host{DC: c.cfg.DC, Peer: c.cfg.Peer, Admin: c.cfg.Admin, Incarnation: c.cfg.Incarnation})
 	if err != nil {
 		return err
 	}
-	mine := func(stored []byte) bool { return c.standsFor(key, stored) }
+	isOwn := func(stored []byte) bool { return c.isCurrentOwnRecord(key, stored) }
 	_, err = c.store.Put(ctx, key, value, 0)
 	var conflict *objects.ConflictError
 	switch {
@@ -45,20 +47,21 @@
 		return nil
 	case !errors.As(err, &conflict):
 		return err
-	case mine(conflict.Current.Value):
-		// An earlier try whose answer was lost, or an earlier life at the same place.
+	case isOwn(conflict.Current.Value):
+		// Written by an earlier attempt whose response was lost, or by an earlier process
+		// at the same address.
 		return nil
 	}
-	_, err = objects.PutSettled(ctx, c.store, key, value, conflict.Current.Version, mine)
+	_, err = objects.PutSettled(ctx, c.store, key, value, conflict.Current.Version, isOwn)
 	return err
 }
 
-// standsFor says that a Host record in the platform does for this host: it tells of
-// the same place, and was written so lately that nobody can be about to remove it. The
-// start that it tells of may be an earlier one: hosts tell each other of theirs. A host
-// that starts again soon so saves one call of four, and a fleet that lost its power as
-// many calls as it has hosts.
-func (c *Control) standsFor(key record.Key, stored []byte) bool {
+// isCurrentOwnRecord reports whether a stored Host record can be left in place: it has
+// the addresses of this host and is too recent for another host to remove it. Its
+// incarnation may be that of an earlier process, because hosts exchange the current
+// incarnation directly. This saves one of four calls when a host restarts soon, and one
+// call per host when a whole fleet restarts after a power failure.
+func (c *Control) isCurrentOwnRecord(key record.Key, stored []byte) bool {
 	r, err := record.Parse(stored)
 	if err != nil || r.Key != key {
 		return false
@@ -68,18 +71,19 @@
 		return false
 	}
 	age := time.Duration(int64(c.cfg.Incarnation)-int64(h.Incarnation)) * time.Millisecond
-	return h.DC == c.cfg.DC && h.Peer == c.cfg.Peer && h.Admin == c.cfg.Admin && age >= 0 && age < janitorPatience
+	return h.DC == c.cfg.DC && h.Peer == c.cfg.Peer && h.Admin == c.cfg.Admin && age >= 0 && age < unknownHostRetention
 }
 
-// hostListing is one Host record as the platform lists it.
+// hostListing is a Host record listed by the platform.
 type hostListing struct {
 	name    string
 	version int64
 	*record.Host
 }
 
-// hostListings reads the Host records of a page, each once: 354 hosts that start at
-// once read as many of them each. One that cannot be read names no host.
+// hostListings decodes the Host records of a page, each only once: when 354 hosts start
+// at the same time, each of them reads 354 records. Records that cannot be decoded are
+// skipped.
 func hostListings(all []objects.Object) []hostListing {
 	var out []hostListing
 	for _, obj := range all {
@@ -97,12 +101,11 @@
 	return out
 }
 
-// meet takes Host records: their addresses become seeds, and hosts not known
-// yet are called. The caller holds the lock.
-func (c *Control) meet(all []hostListing) {
+// addContacts adds the listed hosts to the contacts. The caller holds the lock.
+func (c *Control) addContacts(all []hostListing) {
 	for _, l := range all {
 		if l.name != c.cfg.Host {
-			c.contacts.AddListed(l.name, l.DC, l.Peer, c.knows(l.name))
+			c.contacts.AddListed(l.name, l.DC, l.Peer, c.isKnown(l.name))
 		}
 	}
 }
--- a/internal/control/join_test.go
+++ b/internal/control/join_test.go
@@ -12,14 +12,15 @@
 	"github.com/radishhoist/radishhoist/record"
 )
 
-// oneRecord is a platform that holds a host's record and counts the writes over it.
-type oneRecord struct {
-	awayStore
+// singleRecordStore is a platform that stores one Host record and counts the times it is
+// overwritten.
+type singleRecordStore struct {
+	unavailableStore
 	stored []byte
 	writes int
 }
 
-func (s *oneRecord) Put(_ context.Context, key record.Key, value []byte, ifVersion int64) (objects.Object, error) {
+func (s *singleRecordStore) Put(_ context.Context, key record.Key, value []byte, ifVersion int64) (objects.Object, error) {
 	current := objects.Object{Kind: key.Kind, Name: key.Name, Version: 7, Value: s.stored}
 	if ifVersion != current.Version {
 		return objects.Object{}, &objects.ConflictError{Current: current, IfVersion: ifVersion}
@@ -29,31 +30,31 @@
 	return objects.Object{Kind: key.Kind, Name: key.Name, Version: 8, Value: value}, nil
 }
 
-// A fleet that lost its power wrote each host's record anew, 354 calls in the second
-// in which it read everything. A record of the same place is left as it stands, unless
-// it is so old that the host may have been held for gone.
-func TestAHostThatStartsAgainSoonLeavesItsRecord(t *testing.T) {
-	const began = 1_000_000_000
-	hour := uint64(janitorPatience.Milliseconds())
+// After a power failure every host wrote its record again: 354 calls in the same second
+// in which the hosts read all records. A record with the same address is kept unless it
+// is so old that another host may be about to remove it.
+func TestRestartedHostKeepsRecentRecord(t *testing.T) {
+	const startedMS = 1_000_000_000
+	retentionMS := uint64(unknownHostRetention.Milliseconds())
 	for _, c := range []struct {
 		name   string
 		stored record.Host
 		writes int
 	}{
-		{"the same place, a minute before", record.Host{DC: "dc", Peer: "127.0.0.1:0", Incarnation: began - uint64(time.Minute.Milliseconds())}, 0},
-		{"an earlier try of this start", record.Host{DC: "dc", Peer: "127.0.0.1:0", Incarnation: began}, 0},
-		{"another address", record.Host{DC: "dc", Peer: "127.0.0.2:0", Incarnation: began - 1}, 1},
-		{"a record that may be removed now", record.Host{DC: "dc", Peer: "127.0.0.1:0", Incarnation: began - hour}, 1},
-		{"a clock that went back", record.Host{DC: "dc", Peer: "127.0.0.1:0", Incarnation: began + 1}, 1},
+		{"same address, a minute earlier", record.Host{DC: "dc", Peer: "127.0.0.1:0", Incarnation: startedMS - uint64(time.Minute.Milliseconds())}, 0},
+		{"earlier attempt of the same process", record.Host{DC: "dc", Peer: "127.0.0.1:0", Incarnation: startedMS}, 0},
+		{"different address", record.Host{DC: "dc", Peer: "127.0.0.2:0", Incarnation: startedMS - 1}, 1},
+		{"record old enough to be removed", record.Host{DC: "dc", Peer: "127.0.0.1:0", Incarnation: startedMS - retentionMS}, 1},
+		{"clock set back", record.Host{DC: "dc", Peer: "127.0.0.1:0", Incarnation: startedMS + 1}, 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			key := record.Key{Kind: record.KindHost, Name: "a"}
 			stored, err := record.Marshal(key, &c.stored)
 			assert.NilError(t, err)
-			store := &oneRecord{stored: stored}
-			control := newOver(store, func(*directory.Directory) {})
-			control.cfg.Incarnation = began
-			assert.NilError(t, control.writeSelf(t.Context()))
+			store := &singleRecordStore{stored: stored}
+			control := newControlWithStore(store, func(*directory.Directory) {})
+			control.cfg.Incarnation = startedMS
+			assert.NilError(t, control.writeOwnRecord(t.Context()))
 			assert.Equal(t, store.writes, c.writes)
 		})
 	}
--- a/internal/control/outbox.go
+++ b/internal/control/outbox.go
@@ -9,79 +9,81 @@
 )
 
 const (
-	// outboxDepth bounds the messages that wait for one address.
-	outboxDepth = 64
-	// sendTimeout bounds the sending of one message: a dial and a sign of life, and as
-	// much again. What is older is of no more use; the repair finds what was lost.
+	// outboxCapacity is the maximum number of messages queued for one address.
+	outboxCapacity = 64
+	// sendTimeout limits the sending of one message. It allows for a dial and a
+	// ping of the peer, with as much again in reserve. Later delivery is not useful,
+	// because periodic repair restores the lost data.
 	sendTimeout = 2 * time.Second
 )
 
-// outboxes hold the messages to other hosts. Each address is served in order and by a
-// sender of its own, which lives while there is something to send: a host that is cut
-// off, or that takes nothing more, holds up nobody else.
+// outboxes hold the messages to other hosts. Each address has its own queue and, while
+// the queue is not empty, its own sending goroutine, so that a host that is unreachable
+// or does not read delays no other.
 type outboxes struct {
 	send func(ctx context.Context, addr string, m msg.Message)
 
 	mu sync.Mutex
-	// ctx is nil until the senders are started.
-	ctx   context.Context
-	boxes map[string]*outbox
-	wg    sync.WaitGroup
+	// ctx is nil until start is called.
+	ctx    context.Context
+	byAddr map[string]*outbox
+	wg     sync.WaitGroup
 }
 
-// outbox is what waits for one address.
+// outbox is the queue of one address.
 type outbox struct {
-	waiting []msg.Message
+	queued  []msg.Message
 	sending bool
 }
 
 func newOutboxes(send func(ctx context.Context, addr string, m msg.Message)) *outboxes {
-	return &outboxes{send: send, boxes: make(map[string]*outbox)}
+	return &outboxes{send: send, byAddr: make(map[string]*outbox)}
 }
 
-// put adds a message; false where too many wait.
+// put queues a message. It returns false if the queue is full.
 func (o *outboxes) put(addr string, m msg.Message) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	box, ok := o.boxes[addr]
+	box, ok := o.byAddr[addr]
 	if !ok {
 		box = &outbox{}
-		o.boxes[addr] = box
+		o.byAddr[addr] = box
 	}
-	if len(box.waiting) >= outboxDepth {
+	if len(box.queued) >= outboxCapacity {
 		return false
 	}
-	box.waiting = append(box.waiting, m)
-	o.serve(addr, box)
+	box.queued = append(box.queued, m)
+	o.startSender(addr, box)
 	return true
 }
 
-// start begins to send what waits, until the context ends.
+// start starts sending the queued messages, until the context ends.
 func (o *outboxes) start(ctx context.Context) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.ctx = ctx
-	for addr, box := range o.boxes {
-		o.serve(addr, box)
+	for addr, box := range o.byAddr {
+		o.startSender(addr, box)
 	}
 }
 
-// wait waits for the senders, after the context has ended.
+// wait blocks until all senders have stopped, which they do after the context has ended.
 func (o *outboxes) wait() { o.wg.Wait() }
 
-// serve starts the sender of an address that has none. The caller holds the lock.
-func (o *outboxes) serve(addr string, box *outbox) {
+// startSender starts the sending goroutine of an address if none is running. The caller
+// holds the lock.
+func (o *outboxes) startSender(addr string, box *outbox) {
 	if box.sending || o.ctx == nil || o.ctx.Err() != nil {
 		return
 	}
 	box.sending = true
-	o.wg.Go(func() { o.drain(addr, box) })
+	o.wg.Go(func() { o.sendQueued(addr, box) })
 }
 
-// drain sends what waits for an address, until nothing does.
-func (o *outboxes) drain(addr string, box *outbox) {
+// sendQueued sends the messages of an address until its queue is empty.
+func (o *outboxes) sendQueued(addr string, box *outbox) {
 	for {
-		m, ok := o.take(addr, box)
+		m, ok := o.next(addr, box)
 		if !ok {
 			return
 		}
@@ -91,15 +93,15 @@
 	}
 }
 
-func (o *outboxes) take(addr string, box *outbox) (msg.Message, bool) {
+func (o *outboxes) next(addr string, box *outbox) (msg.Message, bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if len(box.waiting) == 0 || o.ctx.Err() != nil {
+	if len(box.queued) == 0 || o.ctx.Err() != nil {
 		box.sending = false
-		delete(o.boxes, addr)
+		delete(o.byAddr, addr)
 		return nil, false
 	}
-	m := box.waiting[0]
-	box.waiting = box.waiting[1:]
+	m := box.queued[0]
+	box.queued = box.queued[1:]
 	return m, true
 }
--- a/internal/control/pace.go
+++ b/internal/control/pace.go
@@ -5,19 +5,19 @@
 	"time"
 )
 
-// awayMin is the first pause after a failed call; it doubles.
-const awayMin = 250 * time.Millisecond
+// minBackoff is the pause after the first failed call. It doubles with each failure.
+const minBackoff = 250 * time.Millisecond
 
-// pacer gives the pauses between calls to a platform that fails them.
-type pacer struct {
+// backoff computes the pauses between failed calls to the platform.
+type backoff struct {
 	max      time.Duration
 	failures int
 }
 
-// next is the pause after one more failure, at most max; jitter takes up to half of
-// it off, so that watchers that failed together do not ask together.
-func (p *pacer) next() time.Duration {
-	pause := awayMin
+// next returns the pause after another failure, at most max. Jitter shortens it by up to
+// half, so that watchers that failed at the same time do not retry at the same time.
+func (p *backoff) next() time.Duration {
+	pause := minBackoff
 	for i := 0; i < p.failures && pause < p.max; i++ {
 		pause *= 2
 	}
@@ -26,6 +26,6 @@
 	return pause/2 + time.Duration(rand.Int64N(int64(pause/2)+1))
 }
 
-// reset makes the next pause the first again: each answer does, or one failure long
-// after an outage would cost the longest pause.
-func (p *pacer) reset() { p.failures = 0 }
+// reset restarts with the shortest pause. It is called after each successful call;
+// otherwise a single failure long after an outage would cause the longest pause.
+func (p *backoff) reset() { p.failures = 0 }
--- a/internal/control/pack.go
+++ b/internal/control/pack.go
@@ -9,38 +9,39 @@
 )
 
 const (
-	// packFrom is from what size on, in bytes, a record travels compressed: a
-	// whole configuration shrinks to about a tenth.
-	packFrom = 2 << 10
-	// packMark starts a compressed value; a record starts with a brace.
-	packMark = 0
-	// maxUnpacked bounds a value once it is unpacked, in bytes.
-	maxUnpacked = 64 << 20
+	// compressMinBytes is the size from which a record is sent compressed. Whole
+	// configurations compress to about a tenth of their size.
+	compressMinBytes = 2 << 10
+	// compressedPrefix is the first byte of a compressed value. An uncompressed record
+	// starts with a brace.
+	compressedPrefix = 0
+	// maxDecompressedBytes limits the size of a decompressed value.
+	maxDecompressedBytes = 64 << 20
 )
 
-// pack compresses a record's value for the way between hosts.
-func pack(value []byte) []byte {
-	if len(value) < packFrom {
+// compress compresses a record value to be sent between hosts, if it is large enough.
+func compress(value []byte) []byte {
+	if len(value) < compressMinBytes {
 		return value
 	}
 	var out bytes.Buffer
-	out.WriteByte(packMark)
+	out.WriteByte(compressedPrefix)
 	w, err := flate.NewWriter(&out, flate.BestSpeed)
 	if err != nil {
 		panic("control: " + err.Error())
 	}
-	// A bytes.Buffer takes everything.
+	// Writes to a bytes.Buffer do not fail.
 	_, _ = w.Write(value)
 	_ = w.Close()
 	return out.Bytes()
 }
 
-// unpack is the inverse of pack.
-func unpack(value []byte) ([]byte, error) {
-	if len(value) == 0 || value[0] != packMark {
+// decompress reverses compress.
+func decompress(value []byte) ([]byte, error) {
+	if len(value) == 0 || value[0] != compressedPrefix {
 		return value, nil
 	}
 	r := flate.NewReader(bytes.NewReader(value[1:]))
-	out, err := io.ReadAll(io.LimitReader(r, maxUnpacked))
-	return out, errors.Wrap(err, "unpack a record")
+	out, err := io.ReadAll(io.LimitReader(r, maxDecompressedBytes))
+	return out, errors.Wrap(err, "decompress record")
 }
--- a/internal/control/pack_test.go
+++ b/internal/control/pack_test.go
@@ -8,18 +8,18 @@
 	"pgregory.net/rapid"
 )
 
-func TestPackedValuesComeBack(t *testing.T) {
+func TestCompressedValuesRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		value := bytes.Repeat([]byte(`{"name":"`+rapid.StringMatching(`[a-z]{1,20}`).Draw(t, "name")+`"}`), rapid.IntRange(1, 2000).Draw(t, "times"))
-		back, err := unpack(pack(value))
+		decompressed, err := decompress(compress(value))
 		assert.NilError(t, err)
-		assert.Assert(t, bytes.Equal(back, value))
-		assert.Assert(t, len(pack(value)) <= max(len(value), packFrom))
+		assert.Assert(t, bytes.Equal(decompressed, value))
+		assert.Assert(t, len(compress(value)) <= max(len(value), compressMinBytes))
 	})
 }
 
-func TestABrokenPackIsAnError(t *testing.T) {
-	packed := pack(bytes.Repeat([]byte("{}"), packFrom))
-	_, err := unpack(packed[:len(packed)/2])
-	assert.ErrorContains(t, err, "unpack")
+func TestTruncatedCompressedValueIsAnError(t *testing.T) {
+	compressed := compress(bytes.Repeat([]byte("{}"), compressMinBytes))
+	_, err := decompress(compressed[:len(compressed)/2])
+	assert.ErrorContains(t, err, "decompress")
 }
--- a/internal/control/pulse.go
+++ b/internal/control/pulse.go
@@ -7,34 +7,36 @@
 	"github.com/radishhoist/radishhoist/internal/msg"
 )
 
-// Tell passes a pulse of this host's guard to fronts. Each other data centre gets one
-// copy, which is passed on there. Where the rate does not suffice for all, some are told.
-func (c *Control) Tell(p *msg.LoadReport, to pulse.Reach) {
+// Tell sends a load report from this host's guard to fronts. Every other data centre
+// receives one copy, which is forwarded there. If the rate limit does not allow all
+// recipients, only some receive it.
+func (c *Control) Tell(report *msg.LoadReport, to pulse.Reach) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
-	near, dcs := c.members.Live()
+	local, dcs := c.members.Live()
 	if to == pulse.ToAll {
-		relayed := &msg.LoadReport{Forward: true, Loads: p.Loads}
-		c.tellAll(c.pulses.SelectRemote(now, dcs), relayed)
+		forwarded := &msg.LoadReport{Forward: true, Loads: report.Loads}
+		c.enqueueLoadReport(c.reportLimiter.SelectRemote(now, dcs), forwarded)
 	}
-	c.tellAll(c.pulses.SelectLocal(now, near, to), p)
+	c.enqueueLoadReport(c.reportLimiter.SelectLocal(now, local, to), report)
 }
 
-// tellAll sends a pulse to some hosts. The caller holds the lock.
-func (c *Control) tellAll(hosts []string, p *msg.LoadReport) {
+// enqueueLoadReport queues a load report for the given hosts. The caller holds the lock.
+func (c *Control) enqueueLoadReport(hosts []string, report *msg.LoadReport) {
 	for _, host := range hosts {
 		if h, ok := c.hosts[host]; ok {
-			c.queueTo(h.Peer, p)
+			c.enqueue(h.Peer, report)
 		}
 	}
 }
 
-// takePulse hands a pulse of another host on.
-func (c *Control) takePulse(p *msg.LoadReport) {
-	c.hooks.Pulse(p)
-	if p.Forward {
-		near, _ := c.members.Live()
-		c.tellAll(c.pulses.SelectLocal(time.Now(), near, pulse.ToAll), &msg.LoadReport{Loads: p.Loads})
+// handleLoadReport processes a load report of another host and forwards it within the
+// data centre if requested.
+func (c *Control) handleLoadReport(report *msg.LoadReport) {
+	c.hooks.Pulse(report)
+	if report.Forward {
+		local, _ := c.members.Live()
+		c.enqueueLoadReport(c.reportLimiter.SelectLocal(time.Now(), local, pulse.ToAll), &msg.LoadReport{Loads: report.Loads})
 	}
 }
--- a/internal/control/pulse_test.go
+++ b/internal/control/pulse_test.go
@@ -11,135 +11,137 @@
 	"github.com/radishhoist/radishhoist/internal/msg"
 )
 
-// withHosts makes a Control that knows hosts near it and in other data centres.
-func withHosts(t *testing.T, near int, far ...int) *Control {
+// newControlWithHosts creates a Control that knows local hosts of its own data centre, and
+// remote[i] hosts of each other data centre.
+func newControlWithHosts(t *testing.T, local int, remote ...int) *Control {
 	t.Helper()
 	c, _ := newTestControl(t)
-	meet := func(name, dc string) {
+	addHost := func(name, dc string) {
 		state := msg.HostState{DC: dc, Peer: "127.0.0.1:1" + name[1:], Incarnation: 1}
 		value, err := state.MarshalMsg(nil)
 		assert.NilError(t, err)
 		c.applyHost(time.Now(), msg.Entry{Kind: hostKind, Name: name, Version: 1 << 20, Value: value})
 	}
-	for i := range near {
-		meet(fmt.Sprintf("n%03d", i), "dc")
+	for i := range local {
+		addHost(fmt.Sprintf("n%03d", i), "dc")
 	}
-	for d, hosts := range far {
+	for d, hosts := range remote {
 		for i := range hosts {
-			meet(fmt.Sprintf("f%d%02d", d+1, i), fmt.Sprint("far", d))
+			addHost(fmt.Sprintf("f%d%02d", d+1, i), fmt.Sprint("far", d))
 		}
 	}
 	return c
 }
 
-// told counts the pulses that wait to be sent, and those to be passed on.
-func told(c *Control) (all, relayed int) {
-	for addr, box := range c.outboxes.boxes {
-		for _, m := range box.waiting {
+// takeQueuedReports removes all queued messages and counts the load reports among them,
+// and those to be forwarded.
+func takeQueuedReports(c *Control) (all, forwarded int) {
+	for addr, box := range c.outboxes.byAddr {
+		for _, m := range box.queued {
 			if p, ok := m.(*msg.LoadReport); ok {
 				all++
 				if p.Forward {
-					relayed++
+					forwarded++
 				}
 			}
 		}
-		delete(c.outboxes.boxes, addr)
+		delete(c.outboxes.byAddr, addr)
 	}
-	return all, relayed
+	return all, forwarded
 }
 
-func aPulse() *msg.LoadReport {
+func newLoadReport() *msg.LoadReport {
 	return &msg.LoadReport{Loads: []msg.InstanceLoad{{Service: "s", Instance: "i"}}}
 }
 
-func TestASmallFleetIsToldEverythingWithOneCopyADataCentre(t *testing.T) {
-	c := withHosts(t, 7, 8, 8)
-	c.Tell(aPulse(), pulse.ToLocal)
-	all, relayed := told(c)
+func TestSmallFleetReceivesAllLoadReports(t *testing.T) {
+	c := newControlWithHosts(t, 7, 8, 8)
+	c.Tell(newLoadReport(), pulse.ToLocal)
+	all, forwarded := takeQueuedReports(c)
 	assert.Equal(t, all, 7)
-	assert.Equal(t, relayed, 0)
-	c.Tell(aPulse(), pulse.ToAll)
-	all, relayed = told(c)
+	assert.Equal(t, forwarded, 0)
+	c.Tell(newLoadReport(), pulse.ToAll)
+	all, forwarded = takeQueuedReports(c)
 	assert.Equal(t, all, 9)
-	assert.Equal(t, relayed, 2)
+	assert.Equal(t, forwarded, 2)
 }
 
-func TestARelayedPulseIsPassedOnNearbyOnly(t *testing.T) {
-	c := withHosts(t, 7, 8)
-	heard := 0
-	c.hooks.Pulse = func(*msg.LoadReport) { heard++ }
-	c.HandleControl(&msg.Hello{Host: "f100"}, &msg.LoadReport{Forward: true, Loads: aPulse().Loads})
-	all, relayed := told(c)
-	assert.Equal(t, heard, 1)
+func TestForwardedLoadReportStaysInDataCentre(t *testing.T) {
+	c := newControlWithHosts(t, 7, 8)
+	received := 0
+	c.hooks.Pulse = func(*msg.LoadReport) { received++ }
+	c.HandleControl(&msg.Hello{Host: "f100"}, &msg.LoadReport{Forward: true, Loads: newLoadReport().Loads})
+	all, forwarded := takeQueuedReports(c)
+	assert.Equal(t, received, 1)
 	assert.Equal(t, all, 7)
-	assert.Equal(t, relayed, 0)
-	c.HandleControl(&msg.Hello{Host: "n001"}, aPulse())
-	all, _ = told(c)
+	assert.Equal(t, forwarded, 0)
+	c.HandleControl(&msg.Hello{Host: "n001"}, newLoadReport())
+	all, _ = takeQueuedReports(c)
 	assert.Equal(t, all, 0)
 }
 
-// A large fleet is told of loads and of wishes too, while nothing else is to be
-// told: a front that never hears of them leaves instances without work that have
-// been well again for long.
-func TestALargeFleetIsToldOfLoads(t *testing.T) {
+// Hosts of a large fleet must receive load reports while there are no others to send. A
+// front that does not receive them sends no work to instances that recovered long ago.
+func TestLargeFleetReceivesLoadReports(t *testing.T) {
 	for _, hosts := range []int{22, 60, 90} {
-		c := withHosts(t, hosts, 30)
-		c.Tell(aPulse(), pulse.ToLocal)
-		all, _ := told(c)
+		c := newControlWithHosts(t, hosts, 30)
+		c.Tell(newLoadReport(), pulse.ToLocal)
+		all, _ := takeQueuedReports(c)
 		assert.Assert(t, all >= min(hosts, pulse.Burst-pulse.ChangeReserve-1), "%d of %d", all, hosts)
 	}
 }
 
-// Whatever there is to tell and however many hosts there are, a host sends no more
-// than its rate, and loads leave room for turned estimates.
-func TestTheRateOfPulsesDoesNotGrowWithTheFleet(t *testing.T) {
+// The send rate is limited independently of the number of reports and hosts, and reports
+// of loads leave a reserve for changed estimates.
+func TestLoadReportRateIsIndependentOfFleetSize(t *testing.T) {
 	for _, hosts := range []int{7, 64, 500} {
-		c := withHosts(t, hosts, 20, 20)
-		begun := time.Now()
+		c := newControlWithHosts(t, hosts, 20, 20)
+		start := time.Now()
 		for range 200 {
-			c.Tell(aPulse(), pulse.ToLocal)
+			c.Tell(newLoadReport(), pulse.ToLocal)
 		}
-		loads, _ := told(c)
-		assert.Assert(t, float64(loads) <= pulse.ChangeReserve+pulse.MaxRate*time.Since(begun).Seconds()+1)
-		c.Tell(aPulse(), pulse.ToAll)
-		turned, relayed := told(c)
-		assert.Assert(t, turned >= min(hosts+2, pulse.ChangeReserve-1))
-		assert.Equal(t, relayed, 2)
+		loads, _ := takeQueuedReports(c)
+		assert.Assert(t, float64(loads) <= pulse.ChangeReserve+pulse.MaxRate*time.Since(start).Seconds()+1)
+		c.Tell(newLoadReport(), pulse.ToAll)
+		changed, forwarded := takeQueuedReports(c)
+		assert.Assert(t, changed >= min(hosts+2, pulse.ChangeReserve-1))
+		assert.Equal(t, forwarded, 2)
 		for range 200 {
-			c.Tell(aPulse(), pulse.ToAll)
+			c.Tell(newLoadReport(), pulse.ToAll)
 		}
-		more, _ := told(c)
-		assert.Assert(t, float64(loads+turned+more) <= pulse.Burst+pulse.MaxRate*time.Since(begun).Seconds()+1)
+		more, _ := takeQueuedReports(c)
+		assert.Assert(t, float64(loads+changed+more) <= pulse.Burst+pulse.MaxRate*time.Since(start).Seconds()+1)
 	}
 }
 
-// However large the data centre, few hosts hear that an instance has nothing to do: were
-// it told to all, all would send there, and it would use up what the host may send.
-func TestFewHostsHearOfAnIdleInstance(t *testing.T) {
+// Few hosts are told of an idle instance, whatever the size of the data centre. If all
+// were told, all would send requests there, and the reports would use up the host's rate
+// limit.
+func TestFewHostsReceiveReportOfIdleInstance(t *testing.T) {
 	for _, hosts := range []int{2, 7, 90} {
-		c := withHosts(t, hosts, 30)
-		c.Tell(aPulse(), pulse.ToFew)
-		all, relayed := told(c)
+		c := newControlWithHosts(t, hosts, 30)
+		c.Tell(newLoadReport(), pulse.ToFew)
+		all, forwarded := takeQueuedReports(c)
 		assert.Equal(t, all, min(hosts, 4))
-		assert.Equal(t, relayed, 0)
+		assert.Equal(t, forwarded, 0)
 	}
 }
 
-// Where many instances turn, what is told of that uses up the rate. Those that ask for a
-// request are heard all the same, within a rate of their own.
+// If many estimates change, the reports of that use up the rate limit. Reports of
+// instances that request work have a separate limit and are still sent.
 func TestAsksAreHeardBesideTurnedEstimates(t *testing.T) {
-	c := withHosts(t, 500, 20, 20)
-	begun := time.Now()
+	c := newControlWithHosts(t, 500, 20, 20)
+	start := time.Now()
 	for range 200 {
-		c.Tell(aPulse(), pulse.ToAll)
+		c.Tell(newLoadReport(), pulse.ToAll)
 	}
-	told(c)
-	c.Tell(aPulse(), pulse.ToFew)
-	asked, _ := told(c)
-	assert.Equal(t, asked, 4)
+	takeQueuedReports(c)
+	c.Tell(newLoadReport(), pulse.ToFew)
+	toFew, _ := takeQueuedReports(c)
+	assert.Equal(t, toFew, 4)
 	for range 200 {
-		c.Tell(aPulse(), pulse.ToFew)
+		c.Tell(newLoadReport(), pulse.ToFew)
 	}
-	more, _ := told(c)
-	assert.Assert(t, float64(asked+more) <= pulse.FewHostsMaxRate*(1+time.Since(begun).Seconds())+1)
+	more, _ := takeQueuedReports(c)
+	assert.Assert(t, float64(toFew+more) <= pulse.FewHostsMaxRate*(1+time.Since(start).Seconds())+1)
 }
--- a/internal/control/rank.go
+++ b/internal/control/rank.go
@@ -8,13 +8,13 @@
 	"github.com/radishhoist/radishhoist/internal/event"
 )
 
-// ranksAsWatcher says whether this host is among the first few live hosts of
-// its data centre, in an order that all compute alike. Where views differ, a
-// few hosts more or less watch, which is harmless.
-func (c *Control) ranksAsWatcher() bool {
+// shouldWatch reports whether this host is one of the first WatchersPerDC live hosts of
+// its data centre, in an order that all hosts agree on. While views of the membership
+// differ, a few hosts more or fewer watch, which is harmless.
+func (c *Control) shouldWatch() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	watch := c.rank()+c.unmet() < c.cfg.WatchersPerDC
+	watch := c.rank()+c.unknownBefore() < c.cfg.WatchersPerDC
 	if watch != c.watching {
 		c.watching = watch
 		e := event.WatchStopped
@@ -26,27 +26,28 @@
 	return watch
 }
 
-// backupPatience is how many times as long as the first watcher of a data centre
-// the others leave a watch waiting: they hear of a change as soon, and spare calls;
-// only where the platform holds a watch beyond its time the first must be sooner.
-const backupPatience = 4
+// backupWaitFactor multiplies the wait time of watches on all but the first watcher of a
+// data centre. Longer waits save calls and do not delay changes. The first watcher uses
+// the shorter wait, which detects sooner that the platform holds a watch beyond its wait
+// time.
+const backupWaitFactor = 4
 
-// patience is that of this host's watches.
-func (c *Control) patience() int {
+// waitFactor returns the factor for the wait time of this host's watches.
+func (c *Control) waitFactor() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.rank() == 0 {
 		return 1
 	}
-	return backupPatience
+	return backupWaitFactor
 }
 
-// rank is this host's place among the live hosts of its data centre.
+// rank returns the number of live hosts of the data centre that precede this one.
 func (c *Control) rank() int {
-	near, _ := c.members.Live()
+	local, _ := c.members.Live()
 	own := xxhash.Sum64String(c.cfg.Host)
 	before := 0
-	for _, host := range near {
+	for _, host := range local {
 		if h, ok := c.hosts[host]; ok && h.Leaving {
 			continue
 		}
@@ -57,11 +58,12 @@
 	return before
 }
 
-// unmet counts, while this process is young, the hosts of its data centre that
-// rank before it and that only the platform names so far: a fleet that starts as
-// one would watch with every host. 24 hosts saved 78 calls of 363 in a minute.
-func (c *Control) unmet() int {
-	if time.Since(c.started) >= meetingTime {
+// unknownBefore counts, during discoveryTime after the start, the hosts of the data
+// centre that precede this one and are known only from the platform's records. Otherwise
+// every host of a fleet that starts at once would watch. With 24 hosts this saves 78 of
+// 363 calls in a minute.
+func (c *Control) unknownBefore() int {
+	if time.Since(c.started) >= discoveryTime {
 		return 0
 	}
 	own := xxhash.Sum64String(c.cfg.Host)
@@ -74,6 +76,6 @@
 	return before
 }
 
-// meetingTime is how long hosts that start at once take to hear of each other,
-// several times over.
-const meetingTime = 2 * time.Second
+// discoveryTime is several times as long as hosts that start at the same time take to
+// discover each other.
+const discoveryTime = 2 * time.Second
--- a/internal/control/records.go
+++ b/internal/control/records.go
@@ -8,63 +8,65 @@
 	"github.com/radishhoist/radishhoist/record"
 )
 
-// recordSet holds the records in force: each at the newest version that could
-// be read. A bad or too new record is refused alone; the last good stays.
+// recordSet holds the active records, each at the newest version that could be parsed. If
+// a record is invalid or its schema is too new, only that record is rejected and its last
+// valid version stays active.
 type recordSet struct {
-	inForce  map[record.Key]*record.Record
+	active   map[record.Key]*record.Record
 	rejected map[record.Key]msg.ReportRejected
 	dirty    bool
 }
 
 func newRecordSet() *recordSet {
 	return &recordSet{
-		inForce:  make(map[record.Key]*record.Record),
+		active:   make(map[record.Key]*record.Record),
 		rejected: make(map[record.Key]msg.ReportRejected),
 	}
 }
 
-// fromPlatform names the source of records that no other host told of.
-const fromPlatform = "platform"
+// platformSource is the logged source of records that were not received from another
+// host.
+const platformSource = "platform"
 
-// apply brings one entry into force or refuses it with its reason. from is the
-// host that told of it, empty for this one.
+// apply activates a record or rejects it with a reason. from is the host that sent it;
+// empty if this host read it from the platform or wrote it.
 func (s *recordSet) apply(log *slog.Logger, e msg.Entry, from string) {
 	if from == "" {
-		from = fromPlatform
+		from = platformSource
 	}
 	key := record.Key{Kind: record.Kind(e.Kind), Name: e.Name}
 	s.dirty = true
 	if e.Deleted {
-		delete(s.inForce, key)
+		delete(s.active, key)
 		delete(s.rejected, key)
 		event.Log(log, event.RecordApplied, slog.String("record", key.String()),
 			slog.Int64("version", e.Version), slog.Bool("deleted", true), slog.String("from", from))
 		return
 	}
 	var r *record.Record
-	value, err := unpack(e.Value)
+	value, err := decompress(e.Value)
 	if err == nil {
 		r, err = record.Parse(value)
 	}
 	if err == nil && r.Key != key {
 		err = &record.InvalidError{Key: key, Faults: []record.Fault{{
-			Field: "name", Wrong: "the document is " + r.Key.String(), Remedy: "write it under its own kind and name",
+			Field: "name", Wrong: "the document's key is " + r.Key.String(), Remedy: "store it under its own kind and name",
 		}}}
 	}
 	if err != nil {
-		s.refuse(log, key, e.Version, err)
+		s.reject(log, key, e.Version, err)
 		return
 	}
 	r.Version = e.Version
-	s.inForce[key] = r
+	s.active[key] = r
 	delete(s.rejected, key)
 	event.Log(log, event.RecordApplied, slog.String("record", key.String()),
 		slog.Int64("version", e.Version), slog.Int("schemaVersion", r.SchemaVersion), slog.String("from", from))
 }
 
-func (s *recordSet) refuse(log *slog.Logger, key record.Key, version int64, err error) {
+func (s *recordSet) reject(log *slog.Logger, key record.Key, version int64, err error) {
 	rejected := msg.ReportRejected{Key: key.String(), Version: version, Reason: err.Error()}
-	if last, ok := s.inForce[key]; ok {
+	if last, ok := s.active[key]; ok {
 		rejected.InForce = last.Version
 	}
 	s.rejected[key] = rejected
@@ -73,8 +75,8 @@
 }
 
 func (s *recordSet) list() []*record.Record {
-	out := make([]*record.Record, 0, len(s.inForce))
-	for _, r := range s.inForce {
+	out := make([]*record.Record, 0, len(s.active))
+	for _, r := range s.active {
 		out = append(out, r)
 	}
 	return out
--- a/internal/control/send_test.go
+++ b/internal/control/send_test.go
@@ -13,16 +13,16 @@
 	"github.com/radishhoist/radishhoist/internal/msg"
 )
 
-// stuckPeers take messages for all addresses but one, for which a message waits until
-// its sender gives it up.
-type stuckPeers struct {
-	stuck string
-	mu    sync.Mutex
-	sent  map[string]time.Time
+// blockingSender accepts messages for all addresses but one. A message to that address
+// blocks until its context ends.
+type blockingSender struct {
+	blockedAddr string
+	mu          sync.Mutex
+	sent        map[string]time.Time
 }
 
-func (p *stuckPeers) SendControl(ctx context.Context, addr string, _ msg.Message) error {
-	if addr == p.stuck {
+func (p *blockingSender) SendControl(ctx context.Context, addr string, _ msg.Message) error {
+	if addr == p.blockedAddr {
 		<-ctx.Done()
 		return ctx.Err()
 	}
@@ -32,40 +32,34 @@
 	return nil
 }
 
-func (p *stuckPeers) SendLossy(ctx context.Context, addr string, m msg.Message) error {
+func (p *blockingSender) SendLossy(ctx context.Context, addr string, m msg.Message) error {
 	return p.SendControl(ctx, addr, m)
 }
 
-// What users saw: nothing yet. Looked for after configurations had come into force late
-// because something that could not end stood in front.
-//
-// Order of events: a host is cut off, or its connection takes nothing more. What others
-// have to tell it waits, for up to 10 s. An eighth of all other hosts hears nothing
-// meanwhile, because their messages wait behind it.
-//
-// Cause: addresses shared a few senders.
-//
-// Evidence: here 12 of 100 addresses got their message only with the end of the test.
+// A host that is unreachable or does not read must not delay messages to others. When
+// addresses shared a few senders, its messages blocked one for up to 10 s, and with it
+// those to an eighth of the other hosts: 12 of 100 addresses received their message only
+// at the end of this test.
 func TestAStuckPeerHoldsUpNobodyElse(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := newOver(awayStore{}, nil)
-		peers := &stuckPeers{stuck: "10.0.0.0:1", sent: make(map[string]time.Time)}
-		c.SetPeers(peers)
+		c := newControlWithStore(unavailableStore{}, nil)
+		sender := &blockingSender{blockedAddr: "10.0.0.0:1", sent: make(map[string]time.Time)}
+		c.SetPeers(sender)
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		c.outboxes.start(ctx)
 		start := time.Now()
 		c.mu.Lock()
 		for i := range 100 {
-			c.queueTo(fmt.Sprintf("10.0.0.%d:1", i), &msg.Digest{})
+			c.enqueue(fmt.Sprintf("10.0.0.%d:1", i), &msg.Digest{})
 		}
 		c.mu.Unlock()
 		time.Sleep(20 * time.Second)
-		peers.mu.Lock()
-		defer peers.mu.Unlock()
-		assert.Equal(t, len(peers.sent), 99)
-		for addr, at := range peers.sent {
-			assert.Assert(t, at.Sub(start) < 50*time.Millisecond, "%s got its message %s late", addr, at.Sub(start))
+		sender.mu.Lock()
+		defer sender.mu.Unlock()
+		assert.Equal(t, len(sender.sent), 99)
+		for addr, at := range sender.sent {
+			assert.Assert(t, at.Sub(start) < 50*time.Millisecond, "message to %s was sent after %s", addr, at.Sub(start))
 		}
 		cancel()
 		synctest.Wait()
--- a/internal/control/silent_test.go
+++ b/internal/control/silent_test.go
@@ -11,69 +11,62 @@
 	"github.com/radishhoist/radishhoist/internal/standin/platformd"
 )
 
-// What users saw: a route that had been added was answered 404, 2.5 s after its
-// configuration had been acknowledged, by hosts that reached the platform.
+// A new route was answered with 404 for 2.5 s after its configuration had been
+// acknowledged, by hosts that could reach the platform.
 //
-// Order of events: the platform took calls and answered none for some seconds, then
-// answered again. The hosts that watch it gave up their watches and each sent a
-// list into the silence. The platform came back and an operator changed the
-// configuration. The lists, which could not be answered any more, were waited for
-// until their own time limit of 5 s was over; nothing else was asked meanwhile.
-//
-// Cause: the only call under way was one that cannot be answered, and its time
-// limit is longer than the time in which a change is to be in force.
-//
-// Evidence: the watchers' lines "platform away" and "platform back" of a fleet whose
-// platform was silent for 7 s: those whose list began 2.2 s before the return were
-// back 3.3 s after it, those whose list had just ended 0.35 s after it.
+// The platform had accepted calls without responding for some seconds. The watchers had
+// abandoned their watches and each had sent a list, which was never answered. When the
+// platform responded again, they waited for the 5 s timeout of the list before they made
+// another call, longer than the time in which a change must be applied. With 7 s without
+// responses, watchers whose list had started 2.2 s before the end recovered 3.3 s after
+// it, and those whose list had just timed out 0.35 s after it.
 func TestAChangeAfterASilenceIsInForceInTime(t *testing.T) {
 	for silence := time.Second; silence <= 12*time.Second; silence += 500 * time.Millisecond {
 		for _, phase := range []time.Duration{0, 300 * time.Millisecond, 700 * time.Millisecond} {
-			t.Run(fmt.Sprintf("silent for %s from %s on", silence, phase), func(t *testing.T) {
+			t.Run(fmt.Sprintf("no response for %s, phase %s", silence, phase), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
-					w := startWatched(t, testAwayMax)
+					w := startWatcherTest(t, testAwayMax)
 					defer w.stop()
 					time.Sleep(3 * time.Second)
-					w.change()
-					assert.Assert(t, w.late() < testFleetPart)
+					w.changeRecord()
+					assert.Assert(t, w.waitUntilApplied() < testFleetMargin)
 					time.Sleep(phase)
-					w.silent(true)
+					w.setSilent(true)
 					time.Sleep(silence)
-					w.silent(false)
-					w.change()
-					late := w.late()
-					assert.Assert(t, late <= testBound-testFleetPart, "in force at the watcher %s after the acknowledgement", late)
+					w.setSilent(false)
+					w.changeRecord()
+					delay := w.waitUntilApplied()
+					assert.Assert(t, delay <= testApplyLimit-testFleetMargin, "applied at the watcher %s after the acknowledgement", delay)
 				})
 			})
 		}
 	}
 }
 
-// A platform that refuses every call and then serves again is asked anew within the
-// longest pause, and what was changed is in force with the next answer.
+// When a platform that rejected every call recovers, it is called again within the
+// longest pause, and changes are applied with the next response.
 func TestAChangeAfterRefusalsIsInForceInTime(t *testing.T) {
 	for refused := time.Second; refused <= 20*time.Second; refused += 700 * time.Millisecond {
 		synctest.Test(t, func(t *testing.T) {
-			w := startWatched(t, testAwayMax)
+			w := startWatcherTest(t, testAwayMax)
 			defer w.stop()
 			time.Sleep(3 * time.Second)
 			w.platform.SetFaults(platformd.Faults{Outage: true})
 			time.Sleep(refused)
 			w.platform.SetFaults(platformd.Faults{})
-			w.change()
-			late := w.late()
-			assert.Assert(t, late <= w.control.cfg.AwayMax+watchPause, "refused for %s: in force %s after", refused, late)
+			w.changeRecord()
+			delay := w.waitUntilApplied()
+			assert.Assert(t, delay <= w.control.cfg.AwayMax+watchPause, "calls rejected for %s: applied %s after", refused, delay)
 		})
 	}
 }
 
-// What users saw: nothing yet. After a long outage each later single failure cost a
-// watcher the longest pause, because only a watcher that stopped watching began again
-// with the shortest: on all watchers that had met the outage, for the rest of their
-// lives. A change that came in such a pause was late by up to 1.5 times the longest.
-func TestAFailureLongAfterAnOutageCostsTheShortestPause(t *testing.T) {
+// The backoff was reset only when a host stopped being a watcher. After a long outage
+// each later single failure therefore caused the longest pause, until the process ended,
+// and a change during it was late by up to 1.5 times the longest pause.
+func TestFailureLongAfterOutageUsesShortestPause(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := startWatched(t, 20*time.Second)
+		w := startWatcherTest(t, 20*time.Second)
 		defer w.stop()
 		time.Sleep(3 * time.Second)
 		w.platform.SetFaults(platformd.Faults{Outage: true})
@@ -84,21 +77,21 @@
 		for !w.control.State().Away {
 			time.Sleep(time.Millisecond)
 		}
-		// One call was refused; the next is not.
+		// One call was rejected; the next succeeds.
 		w.platform.SetFaults(platformd.Faults{})
-		w.change()
-		late := w.late()
-		assert.Assert(t, late <= awayMin, "in force %s after", late)
+		w.changeRecord()
+		delay := w.waitUntilApplied()
+		assert.Assert(t, delay <= minBackoff, "applied %s after", delay)
 	})
 }
 
-// Calls that fail pause for longer and longer, up to the bound and never beyond it.
-func TestPausesStayWithinTheirBound(t *testing.T) {
-	p := pacer{max: 600 * time.Millisecond}
+// Pauses between failed calls never exceed the maximum.
+func TestBackoffStaysWithinMaximum(t *testing.T) {
+	p := backoff{max: 600 * time.Millisecond}
 	for i := range 100 {
 		pause := p.next()
 		assert.Assert(t, pause > 0 && pause <= p.max, "%d: %s", i, pause)
 	}
 	p.reset()
-	assert.Assert(t, p.next() <= awayMin)
+	assert.Assert(t, p.next() <= minBackoff)
 }
--- a/internal/control/status.go
+++ b/internal/control/status.go
@@ -17,31 +17,29 @@
 )
 
 const (
-	// reportInterval is how often a host tells its data centre's summing host
-	// what it has in force.
+	// reportInterval is how often a host reports its records to the status writer of its
+	// data centre.
 	reportInterval = 5 * time.Second
-	// reportLife is how long such a report counts.
-	reportLife = 3 * reportInterval
-	// statusRefresh is how often the summary is written where it has not
-	// changed.
-	statusRefresh = time.Minute
-	// maxBehind bounds the hosts named as behind.
+	// reportTTL is how long a received report is used.
+	reportTTL = 3 * reportInterval
+	// statusRefreshInterval is how often an unchanged summary is written.
+	statusRefreshInterval = time.Minute
+	// maxBehind limits the hosts listed as behind, and the rejected records in a report.
 	maxBehind = 20
 )
 
-// report is one host's word on what it has in force.
-type report struct {
+// receivedReport is a host's report on its records, with the time of receipt.
+type receivedReport struct {
 	at time.Time
 	msg.Report
 }
 
-// report sends this host's report to the host that sums up. The caller holds
-// the lock.
-func (c *Control) report(now time.Time) {
-	if now.Sub(c.reported) < reportInterval {
+// sendReport sends this host's report to the status writer. The caller holds the lock.
+func (c *Control) sendReport(now time.Time) {
+	if now.Sub(c.reportedAt) < reportInterval {
 		return
 	}
-	c.reported = now
+	c.reportedAt = now
 	set := c.replica.Set(msg.SetRecords)
 	r := &msg.Report{Root: set.Root(), Newest: set.Newest(), Whole: c.replica.Complete()}
 	for _, rejected := range c.records.rejected {
@@ -49,25 +47,26 @@
 			r.Rejected = append(r.Rejected, rejected)
 		}
 	}
-	to := c.summingHost()
+	to := c.statusWriter()
 	if to == c.cfg.Host {
-		c.takeReport(to, r)
+		c.storeReport(to, r)
 		return
 	}
 	if h, ok := c.hosts[to]; ok {
-		c.queueTo(h.Peer, r)
+		c.enqueue(h.Peer, r)
 	}
 }
 
-func (c *Control) takeReport(from string, r *msg.Report) {
-	c.reports[from] = report{at: time.Now(), Report: *r}
+func (c *Control) storeReport(from string, r *msg.Report) {
+	c.reports[from] = receivedReport{at: time.Now(), Report: *r}
 }
 
-// summingHost is the live host of this data centre that comes first by name.
-func (c *Control) summingHost() string {
-	near, _ := c.members.Live()
+// statusWriter returns the first live host of this data centre by name, which collects
+// the reports and writes the summary.
+func (c *Control) statusWriter() string {
+	local, _ := c.members.Live()
 	first := c.cfg.Host
-	for _, host := range near {
+	for _, host := range local {
 		if host < first && c.members.Status(host) == member.Alive {
 			first = host
 		}
@@ -75,37 +74,37 @@
 	return first
 }
 
-// summary sums up the reports of this data centre; false where this host is
-// not the one to do so.
-func (c *Control) summary(now time.Time) (*record.Status, bool) {
+// summarize aggregates the reports of this data centre. It returns false if this host is
+// not the status writer.
+func (c *Control) summarize(now time.Time) (*record.Status, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.summingHost() != c.cfg.Host {
+	if c.statusWriter() != c.cfg.Host {
 		return nil, false
 	}
-	near, _ := c.members.Live()
-	s := &record.Status{DC: c.cfg.DC, Writer: c.cfg.Host, AtMS: now.UnixMilli(), Hosts: len(near) + 1}
+	local, _ := c.members.Live()
+	s := &record.Status{DC: c.cfg.DC, Writer: c.cfg.Host, AtMS: now.UnixMilli(), Hosts: len(local) + 1}
 	byRoot := make(map[uint64]*record.InForce)
 	hostsOf := make(map[uint64][]string)
 	rejected := make(map[string]record.Rejected)
-	for host, r := range c.reports {
-		if now.Sub(r.at) > reportLife {
+	for host, received := range c.reports {
+		if now.Sub(received.at) > reportTTL {
 			delete(c.reports, host)
 			continue
 		}
-		f, ok := byRoot[r.Root]
+		f, ok := byRoot[received.Root]
 		if !ok {
-			f = &record.InForce{Root: fmt.Sprintf("%016x", r.Root)}
-			byRoot[r.Root] = f
+			f = &record.InForce{Root: fmt.Sprintf("%016x", received.Root)}
+			byRoot[received.Root] = f
 		}
 		f.Hosts++
-		f.Revision = max(f.Revision, r.Newest)
-		hostsOf[r.Root] = append(hostsOf[r.Root], host)
-		for _, bad := range r.Rejected {
+		f.Revision = max(f.Revision, received.Newest)
+		hostsOf[received.Root] = append(hostsOf[received.Root], host)
+		for _, bad := range received.Rejected {
 			rejected[bad.Key] = record.Rejected(bad)
 		}
 	}
-	s.InForce = ranked(byRoot, hostsOf)
+	s.InForce = newestFirst(byRoot, hostsOf)
 	for _, r := range rejected {
 		s.Rejected = append(s.Rejected, r)
 	}
@@ -113,8 +112,9 @@
 	return s, true
 }
 
-// ranked puts the newest set first and names the hosts that have another.
-func ranked(byRoot map[uint64]*record.InForce, hostsOf map[uint64][]string) []record.InForce {
+// newestFirst sorts the record sets by revision, newest first, and lists the hosts that
+// have an older set.
+func newestFirst(byRoot map[uint64]*record.InForce, hostsOf map[uint64][]string) []record.InForce {
 	var out []record.InForce
 	for root, f := range byRoot {
 		hosts := hostsOf[root]
@@ -134,15 +134,15 @@
 	return out
 }
 
-// writeStatus keeps the data centre's summary in the platform up to date.
+// writeStatus updates the status summary of the data centre in the platform.
 func (c *Control) writeStatus(ctx context.Context) {
 	var last record.Status
 	var lastAt time.Time
 	for ctx.Err() == nil {
 		sleep.For(ctx, c.cfg.StatusInterval)
 		now := time.Now()
-		s, mine := c.summary(now)
-		if !mine || (sameStatus(&last, s) && now.Sub(lastAt) < statusRefresh) {
+		s, isWriter := c.summarize(now)
+		if !isWriter || (sameStatus(&last, s) && now.Sub(lastAt) < statusRefreshInterval) {
 			continue
 		}
 		if c.putStatus(ctx, s) == nil {
@@ -151,7 +151,7 @@
 	}
 }
 
-// putStatus overwrites the summary; only the newest matters.
+// putStatus overwrites the stored summary.
 func (c *Control) putStatus(ctx context.Context, s *record.Status) error {
 	key := record.Key{Kind: record.KindStatus, Name: c.cfg.DC}
 	value, err := record.Marshal(key, s)
@@ -173,7 +173,7 @@
 	return fmt.Sprint(x) == fmt.Sprint(y)
 }
 
-// State is the control part of the state dump.
+// State is the part of the state dump that describes the control plane.
 type State struct {
 	Version int64  `json:"version"`
 	Leaving bool   `json:"leaving"`
@@ -181,13 +181,13 @@
 	Records int    `json:"records"`
 	Root    string `json:"root"`
 	Newest  int64  `json:"newest"`
-	// InForce is the newest version that requests are served by; Newest may be a moment
-	// ahead of it.
+	// InForce is the newest record version that requests are routed by. Newest may be
+	// briefly ahead of it.
 	InForce  int64 `json:"inForce"`
 	Watching bool  `json:"watching"`
 	Away     bool  `json:"platformAway"`
 	Isolated bool  `json:"isolated"`
-	// Confirmed says since when the records in force are known to be current, and from whom.
+	// Confirmed is the age of the records per feed, and the source of that information.
 	Confirmed []Confirmation       `json:"confirmed"`
 	Rejected  []msg.ReportRejected `json:"rejected"`
 	Members   []MemberState        `json:"members"`
@@ -195,7 +195,7 @@
 	Instances int                  `json:"instancesKnown"`
 }
 
-// MemberState is one host as this one sees it.
+// MemberState is the state of another host as seen by this one.
 type MemberState struct {
 	Host    string `json:"host"`
 	DC      string `json:"dc"`
@@ -204,15 +204,15 @@
 	Version int64  `json:"version"`
 }
 
-// State reads the state for the dump.
+// State returns the state for the dump.
 func (c *Control) State() State {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	set := c.replica.Set(msg.SetRecords)
 	s := State{
 		Version: c.version, Leaving: c.leaving, Whole: c.replica.Complete(),
-		Records: set.Len(), Root: fmt.Sprintf("%016x", set.Root()), Newest: set.Newest(), InForce: c.inForce,
-		Watching: c.watching, Away: len(c.away) > 0, Isolated: c.members.Isolated(),
+		Records: set.Len(), Root: fmt.Sprintf("%016x", set.Root()), Newest: set.Newest(), InForce: c.activeVersion,
+		Watching: c.watching, Away: len(c.failedFeeds) > 0, Isolated: c.members.Isolated(),
 		Confirmed: c.confirmed.state(time.Now()),
 		Rejected:  []msg.ReportRejected{}, Members: []MemberState{}, Traffic: c.traffic,
 	}
@@ -231,7 +231,7 @@
 	return s
 }
 
-// Directory gives the newest directory.
+// Directory returns the newest directory.
 func (c *Control) Directory() *directory.Directory {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/control/teams.go
+++ b/internal/control/teams.go
@@ -11,32 +11,33 @@
 	"github.com/radishhoist/radishhoist/internal/msg"
 )
 
-// Teams holds teams to their rates; Control carries its datagrams on the
-// membership socket and tells it which hosts live.
-type Teams interface {
-	// Receive takes a datagram of another host.
+// TeamRateLimiter enforces the rates of teams. Control carries its datagrams on the
+// membership socket and provides the list of live hosts.
+type TeamRateLimiter interface {
+	// Receive processes a datagram from another host.
 	Receive(p *msg.TeamPacket)
-	// Tick is called every 50 ms.
+	// Tick is called on every tick of Control, every 50 ms.
 	Tick()
-	// SetHosts takes the hosts that live, in order of name, and how many there are with
-	// those that have died of late.
+	// SetHosts sets the live hosts, sorted by name, and the number of hosts that share
+	// the rates, which includes recently dead hosts.
 	SetHosts(alive []quota.Host, known int)
 }
 
 const (
-	// teamMark begins a datagram about teams; no membership packet begins with it.
-	teamMark = 0xc1
-	// hostsAgain is the time after which the hosts are told again, because a dead one
-	// may count no more.
-	hostsAgain = time.Second
-	// deadCounts is how long a dead host counts among the hosts that share a team's
-	// rate: it may live on the other side of a cut.
-	deadCounts = 20 * time.Second
+	// teamPacketPrefix is the first byte of a team datagram. No membership packet starts
+	// with it.
+	teamPacketPrefix = 0xc1
+	// teamHostsInterval is how often the hosts are set without a change of the directory,
+	// because a dead host may have ceased to count.
+	teamHostsInterval = time.Second
+	// deadHostShareTime is how long a dead host still counts among those that share a
+	// team's rate: it may be alive on the other side of a network partition.
+	deadHostShareTime = 20 * time.Second
 )
 
-// SendTeams sends a datagram about teams to a host; it may vanish.
+// SendTeams sends a team datagram to a host. It may be lost.
 func (c *Control) SendTeams(to string, p *msg.TeamPacket) {
-	buf, err := p.MarshalMsg([]byte{teamMark})
+	buf, err := p.MarshalMsg([]byte{teamPacketPrefix})
 	if err != nil {
 		return
 	}
@@ -55,9 +56,9 @@
 	_, _ = c.udp.WriteToUDP(buf, addr)
 }
 
-// hearTeams takes a datagram about teams, false where it is none.
-func (c *Control) hearTeams(buf []byte) bool {
-	if len(buf) == 0 || buf[0] != teamMark {
+// handleTeamPacket processes a team datagram. It returns false if buf is not one.
+func (c *Control) handleTeamPacket(buf []byte) bool {
+	if len(buf) == 0 || buf[0] != teamPacketPrefix {
 		return false
 	}
 	var p msg.TeamPacket
@@ -67,21 +68,21 @@
 	return true
 }
 
-// tickTeams drives the teams' rates.
+// tickTeams updates the hosts of the team rate limiter if due, and ticks it.
 func (c *Control) tickTeams(now time.Time, hostsChanged bool) {
 	if c.hooks.Teams == nil {
 		return
 	}
-	if hostsChanged || now.Sub(c.hostsTold) >= hostsAgain {
-		c.hostsTold = now
-		c.hooks.Teams.SetHosts(c.sharers(now))
+	if hostsChanged || now.Sub(c.teamHostsSetAt) >= teamHostsInterval {
+		c.teamHostsSetAt = now
+		c.hooks.Teams.SetHosts(c.rateSharingHosts(now))
 	}
 	c.hooks.Teams.Tick()
 }
 
-// sharers lists the hosts that keep teams' accounts, and counts those that share
-// the rates.
-func (c *Control) sharers(now time.Time) ([]quota.Host, int) {
+// rateSharingHosts returns the live hosts that account for team usage, and the number of
+// hosts that share the rates.
+func (c *Control) rateSharingHosts(now time.Time) ([]quota.Host, int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	alive := []quota.Host{{Name: c.cfg.Host, DC: c.cfg.DC}}
@@ -91,7 +92,7 @@
 		case h.Leaving || name == c.cfg.Host:
 		case c.members.Status(name) != member.Dead:
 			alive = append(alive, quota.Host{Name: name, DC: h.DC})
-		case now.Before(c.forgetAt[name].Add(deadCounts - forgetAfter)):
+		case now.Before(c.removeAt[name].Add(deadHostShareTime - deadHostRetention)):
 			dead++
 		}
 	}
--- a/internal/control/watch.go
+++ b/internal/control/watch.go
@@ -14,167 +14,168 @@
 )
 
 const (
-	// watchPause is the least time between two watch calls: it bounds the
-	// calls a burst of changes makes.
+	// watchPause is the pause after a watch call. It limits the number of calls that a
+	// burst of changes causes.
 	watchPause = 200 * time.Millisecond
-	// rankInterval is how often a host looks whether it is to watch.
-	rankInterval = 500 * time.Millisecond
-	// joining stands for a feed while the host joins the fleet.
-	joining objects.Feed = "join"
+	// rankCheckInterval is how often a host checks whether it should watch the platform.
+	rankCheckInterval = 500 * time.Millisecond
+	// joinFeed stands for a feed in logs and in failedFeeds while the host joins the
+	// fleet.
+	joinFeed objects.Feed = "join"
 )
 
-// replicated are the kinds that are spread to every host.
-var replicated = map[record.Kind]bool{
+// replicatedKinds are the record kinds that are replicated to every host.
+var replicatedKinds = map[record.Kind]bool{
 	record.KindService: true, record.KindRoute: true, record.KindTeam: true,
 	record.KindStop: true, record.KindShardMap: true, record.KindConfiguration: true,
 	record.KindCrasher: true,
 }
 
-// watch joins the fleet and then, while this host ranks among its data
-// centre's watchers, follows the platform. The platform may be away for hours:
-// nothing but this goroutine and those it starts waits for it.
+// watch joins the fleet and then follows the platform's feeds while this host is one of
+// the watchers of its data centre. The platform may be unavailable for hours, so only
+// this goroutine and those it starts wait for it.
 func (c *Control) watch(ctx context.Context) {
-	revision, ok := c.joinFleet(ctx)
+	revision, ok := c.joinWithRetry(ctx)
 	if !ok {
 		return
 	}
-	positions := make(map[objects.Feed]*position)
+	positions := make(map[objects.Feed]*feedPosition)
 	for _, feed := range c.store.Feeds() {
-		positions[feed] = &position{revision: revision, listed: true}
+		positions[feed] = &feedPosition{revision: revision, canWatch: true}
 	}
 	for ctx.Err() == nil {
-		if c.ranksAsWatcher() {
-			c.follow(ctx, positions)
+		if c.shouldWatch() {
+			c.followFeeds(ctx, positions)
 		}
-		sleep.For(ctx, rankInterval)
+		sleep.For(ctx, rankCheckInterval)
 	}
 }
 
-// joinFleet joins the fleet, however often the platform fails it; false where the context
-// ended before.
-func (c *Control) joinFleet(ctx context.Context) (int64, bool) {
-	pace := pacer{max: c.cfg.AwayMax}
+// joinWithRetry calls join until it succeeds. It returns false if the context ends first.
+func (c *Control) joinWithRetry(ctx context.Context) (int64, bool) {
+	retry := backoff{max: c.cfg.AwayMax}
 	for ctx.Err() == nil {
 		began := time.Now()
 		revision, err := c.join(ctx)
 		if err == nil {
-			c.platformBack(joining)
+			c.markAnswered(joinFeed)
 			return revision, true
 		}
-		c.pauseAfter(ctx, joining, &pace, began, err)
+		c.pauseAfterFailure(ctx, joinFeed, &retry, began, err)
 	}
 	return 0, false
 }
 
-// position is how far one feed was followed.
-type position struct {
-	// revision is that of the last answer.
+// feedPosition is the position reached in one feed.
+type feedPosition struct {
+	// revision is the revision of the last response.
 	revision int64
-	// listed is false where the events after revision are no longer kept.
-	listed bool
-	// fresh says that the last answer was a list.
-	fresh bool
+	// canWatch is false if the platform no longer stores the events after revision.
+	canWatch bool
+	// fromList is true if the last response was a list.
+	fromList bool
 }
 
-// follow follows every feed by itself, so that none waits for a call of another,
-// until this host ranks as watcher no more.
-func (c *Control) follow(ctx context.Context, positions map[objects.Feed]*position) {
+// followFeeds follows every feed in its own goroutine, so that a slow call for one does
+// not delay another, until this host is no longer a watcher.
+func (c *Control) followFeeds(ctx context.Context, positions map[objects.Feed]*feedPosition) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	ends := make(chan struct{}, len(positions))
+	ended := make(chan struct{}, len(positions))
 	for feed, p := range positions {
 		go func() {
 			c.followFeed(ctx, feed, p)
-			ends <- struct{}{}
+			ended <- struct{}{}
 		}()
 	}
 	for range positions {
-		<-ends
+		<-ended
 		cancel()
 	}
 }
 
-// followFeed keeps one feed's records up to date. After a failed call it goes on
-// from where it was: what the platform still keeps needs no list.
-func (c *Control) followFeed(ctx context.Context, feed objects.Feed, p *position) {
-	pace := pacer{max: c.cfg.AwayMax}
-	for ctx.Err() == nil && c.ranksAsWatcher() {
+// followFeed keeps the records of one feed up to date. After a failed call it resumes at
+// its position, since a list is required only if the platform has discarded the events
+// after it.
+func (c *Control) followFeed(ctx context.Context, feed objects.Feed, p *feedPosition) {
+	retry := backoff{max: c.cfg.AwayMax}
+	for ctx.Err() == nil && c.shouldWatch() {
 		began := time.Now()
-		err := c.advance(ctx, feed, p, began)
+		err := c.fetch(ctx, feed, p, began)
 		var compacted *objects.CompactedError
 		if errors.As(err, &compacted) {
-			p.listed = false
-			if !p.fresh {
-				// The platform answers; what was missed is in a new list.
+			p.canWatch = false
+			if !p.fromList {
+				// The platform is available; a list returns the missed changes.
 				continue
 			}
 		}
 		if err != nil {
-			c.pauseAfter(ctx, feed, &pace, began, err)
+			c.pauseAfterFailure(ctx, feed, &retry, began, err)
 			continue
 		}
-		pace.reset()
-		c.platformBack(feed)
-		if !p.fresh {
+		retry.reset()
+		c.markAnswered(feed)
+		if !p.fromList {
 			sleep.For(ctx, watchPause)
 		}
 	}
 }
 
-// advance makes one call that begins now: a watch, or a list where there is nothing to
-// watch from.
-func (c *Control) advance(ctx context.Context, feed objects.Feed, p *position, now time.Time) error {
-	if !p.listed {
+// fetch makes one call, started at now: a watch, or a list if watching from the position
+// is impossible.
+func (c *Control) fetch(ctx context.Context, feed objects.Feed, p *feedPosition, now time.Time) error {
+	if !p.canWatch {
 		page, err := c.store.ListFeed(ctx, feed)
 		if err != nil {
 			return err
 		}
-		c.takeList(feed, page, now)
-		p.revision, p.listed, p.fresh = page.Revision, true, true
+		c.applyFeedList(feed, page, now)
+		p.revision, p.canWatch, p.fromList = page.Revision, true, true
 		return nil
 	}
-	page, err := c.store.Watch(ctx, feed, p.revision, c.patience())
+	page, err := c.store.Watch(ctx, feed, p.revision, c.waitFactor())
 	if err != nil {
 		return err
 	}
-	c.takeEvents(feed, page, now)
-	p.revision, p.fresh = max(p.revision, page.Revision), false
+	c.applyWatchPage(feed, page, now)
+	p.revision, p.fromList = max(p.revision, page.Revision), false
 	return nil
 }
 
-// pauseAfter waits after a failed call that began at a time: the pause counts from
-// then, so that nothing is added to a call that has waited long by itself.
-func (c *Control) pauseAfter(ctx context.Context, feed objects.Feed, pace *pacer, began time.Time, err error) {
+// pauseAfterFailure waits after a failed call. The pause is measured from the start of
+// the call, so that a call that timed out is followed by a shorter pause or none.
+func (c *Control) pauseAfterFailure(ctx context.Context, feed objects.Feed, retry *backoff, began time.Time, err error) {
 	if ctx.Err() != nil {
 		return
 	}
-	c.platformAway(feed, err)
-	pause := max(pace.next()-time.Since(began), 0)
+	c.markFailed(feed, err)
+	pause := max(retry.next()-time.Since(began), 0)
 	event.Log(c.log, event.PlatformPause, slog.String("feed", string(feed)),
-		slog.Int("failures", pace.failures), slog.Int64("pauseMS", pause.Milliseconds()))
+		slog.Int("failures", retry.failures), slog.Int64("pauseMS", pause.Milliseconds()))
 	sleep.For(ctx, pause)
 }
 
-// platformAway notes that a feed's call failed.
-func (c *Control) platformAway(feed objects.Feed, err error) {
+// markFailed records that a call for a feed failed.
+func (c *Control) markFailed(feed objects.Feed, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(c.away) == 0 {
+	if len(c.failedFeeds) == 0 {
 		event.Log(c.log, event.PlatformAway, slog.String("cause", err.Error()))
 	}
-	c.away[feed] = true
+	c.failedFeeds[feed] = true
 }
 
-// platformBack notes that a feed's call was answered; the platform is back once all
-// that had failed are.
-func (c *Control) platformBack(feed objects.Feed) {
+// markAnswered records that a call for a feed succeeded. The platform counts as available
+// again once this holds for all feeds that had failed.
+func (c *Control) markAnswered(feed objects.Feed) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.away[feed] {
+	if !c.failedFeeds[feed] {
 		return
 	}
-	delete(c.away, feed)
-	if len(c.away) == 0 {
+	delete(c.failedFeeds, feed)
+	if len(c.failedFeeds) == 0 {
 		event.Log(c.log, event.PlatformBack)
 	}
 }
--- a/internal/control/watch_test.go
+++ b/internal/control/watch_test.go
@@ -14,29 +14,29 @@
 	"github.com/radishhoist/radishhoist/record"
 )
 
-// forgetfulStore drops its history under the first watch that waits, after a
-// change that this watch never shows.
-type forgetfulStore struct {
+// compactingStore discards its history during the first watch, including a change that
+// this watch does not return.
+type compactingStore struct {
 	objects.Store
-	mu       sync.Mutex
-	revision int64
-	lists    []time.Time
-	dropped  time.Time
+	mu          sync.Mutex
+	revision    int64
+	lists       []time.Time
+	compactedAt time.Time
 }
 
-func (s *forgetfulStore) Feeds() []objects.Feed { return []objects.Feed{"a", "b"} }
+func (s *compactingStore) Feeds() []objects.Feed { return []objects.Feed{"a", "b"} }
 
-func (s *forgetfulStore) FeedOf(record.Kind) objects.Feed { return "a" }
+func (s *compactingStore) FeedOf(record.Kind) objects.Feed { return "a" }
 
-func (s *forgetfulStore) ListFeed(ctx context.Context, _ objects.Feed) (objects.Page, error) {
+func (s *compactingStore) ListFeed(ctx context.Context, _ objects.Feed) (objects.Page, error) {
 	return s.List(ctx)
 }
 
-func (s *forgetfulStore) Put(_ context.Context, key record.Key, value []byte, _ int64) (objects.Object, error) {
+func (s *compactingStore) Put(_ context.Context, key record.Key, value []byte, _ int64) (objects.Object, error) {
 	return objects.Object{Kind: key.Kind, Name: key.Name, Version: 1, Value: value}, nil
 }
 
-func (s *forgetfulStore) List(context.Context, ...record.Kind) (objects.Page, error) {
+func (s *compactingStore) List(context.Context, ...record.Kind) (objects.Page, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.lists = append(s.lists, time.Now())
@@ -44,9 +44,9 @@
 	return objects.Page{Revision: s.revision}, nil
 }
 
-func (s *forgetfulStore) Watch(ctx context.Context, feed objects.Feed, after int64, _ int) (objects.Page, error) {
+func (s *compactingStore) Watch(ctx context.Context, feed objects.Feed, after int64, _ int) (objects.Page, error) {
 	s.mu.Lock()
-	first := s.dropped.IsZero() && feed == "a"
+	first := s.compactedAt.IsZero() && feed == "a"
 	s.mu.Unlock()
 	if !first {
 		<-ctx.Done()
@@ -54,17 +54,17 @@
 	}
 	time.Sleep(time.Second)
 	s.mu.Lock()
-	s.dropped = time.Now()
+	s.compactedAt = time.Now()
 	s.mu.Unlock()
 	return objects.Page{}, &objects.CompactedError{After: after}
 }
 
-// What was changed while the history was dropped is in force only with the next
-// list: it must follow at once, not after the pause of a failed call.
+// Changes made before the history was discarded are applied only with the next list,
+// which must follow immediately rather than after the pause of a failed call.
 func TestADroppedHistoryIsFollowedByAListAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		store := &forgetfulStore{}
-		c := newOver(store, func(*directory.Directory) {})
+		store := &compactingStore{}
+		c := newControlWithStore(store, func(*directory.Directory) {})
 		ctx, cancel := context.WithCancel(t.Context())
 		done := make(chan struct{})
 		go func() {
@@ -74,7 +74,7 @@
 		time.Sleep(1500 * time.Millisecond)
 		cancel()
 		<-done
-		assert.Equal(t, len(store.lists), 2, "one to join, one after the drop")
-		assert.Equal(t, store.lists[1], store.dropped)
+		assert.Equal(t, len(store.lists), 2, "one to join, one after compaction")
+		assert.Equal(t, store.lists[1], store.compactedAt)
 	})
 }
--- a/internal/control/watched_test.go
+++ b/internal/control/watched_test.go
@@ -17,18 +17,19 @@
 	"github.com/radishhoist/radishhoist/record"
 )
 
-// The figures of a deployment whose configurations are to be in force within 2 s of
-// their acknowledgement.
+// Settings of a deployment in which configurations must be applied within 2 s of their
+// acknowledgement.
 const (
-	testBound     = 2 * time.Second
-	testWatchWait = time.Second
-	testAwayMax   = time.Second
-	// testFleetPart is left of the bound for the way from a watcher to all hosts.
-	testFleetPart = 500 * time.Millisecond
+	testApplyLimit = 2 * time.Second
+	testWatchWait  = time.Second
+	testAwayMax    = time.Second
+	// testFleetMargin is the part of testApplyLimit reserved for replication from a
+	// watcher to all hosts.
+	testFleetMargin = 500 * time.Millisecond
 )
 
-// watched is a host that watches a platform in virtual time.
-type watched struct {
+// watcherTest runs one host as a watcher of a platform in virtual time.
+type watcherTest struct {
 	t        *testing.T
 	control  *Control
 	platform *platformd.Server
@@ -37,17 +38,16 @@
 	stop     func()
 }
 
-// startWatched starts a platform and one host that watches it; the host does what
-// happens between the two and nothing else.
-func startWatched(t *testing.T, awayMax time.Duration) *watched {
+// startWatcherTest starts a platform and one host that runs only the watch loop.
+func startWatcherTest(t *testing.T, awayMax time.Duration) *watcherTest {
 	t.Helper()
-	w := &watched{t: t, platform: platformd.NewServer(), key: record.Key{Kind: record.KindService, Name: "plans"}}
+	w := &watcherTest{t: t, platform: platformd.NewServer(), key: record.Key{Kind: record.KindService, Name: "plans"}}
 	listener := memnet.Listen()
 	server := &http.Server{Handler: w.platform.Handler()}
 	go func() { _ = server.Serve(listener) }()
 	client := objects.NewClient("http://platform", testWatchWait)
 	client.SetDial(listener.Dial)
-	w.control = newOver(client, func(*directory.Directory) {})
+	w.control = newControlWithStore(client, func(*directory.Directory) {})
 	w.control.cfg.AwayMax = awayMax
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan struct{})
@@ -64,8 +64,8 @@
 	return w
 }
 
-// change acknowledges a new version of the record.
-func (w *watched) change() {
+// changeRecord stores a new version of the record in the platform.
+func (w *watcherTest) changeRecord() {
 	w.t.Helper()
 	value, err := record.Marshal(w.key, &record.Service{Office: "o", Preset: record.PresetQuick, Floor: record.Floor{Percent: 50}})
 	assert.NilError(w.t, err)
@@ -74,23 +74,24 @@
 	w.version = obj.Version
 }
 
-// inForce says that the newest acknowledged version is in force at the host.
-func (w *watched) inForce() bool {
+// isApplied reports whether the host has applied the newest version.
+func (w *watcherTest) isApplied() bool {
 	w.control.mu.Lock()
 	defer w.control.mu.Unlock()
 	e, ok := w.control.replica.Set(msg.SetRecords).Get(config.Key{Kind: string(w.key.Kind), Name: w.key.Name})
 	return ok && e.Version >= w.version
 }
 
-// late waits until the newest version is in force and gives how long that took.
-func (w *watched) late() time.Duration {
+// waitUntilApplied waits until the newest version is applied, for at most a minute, and
+// returns the time waited.
+func (w *watcherTest) waitUntilApplied() time.Duration {
 	start := time.Now()
-	for !w.inForce() && time.Since(start) < time.Minute {
+	for !w.isApplied() && time.Since(start) < time.Minute {
 		time.Sleep(5 * time.Millisecond)
 	}
 	return time.Since(start)
 }
 
-func (w *watched) silent(silent bool) {
+func (w *watcherTest) setSilent(silent bool) {
 	w.platform.SetFaults(platformd.Faults{Silent: silent})
 }
