--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -39,10 +39,10 @@
 	Replica config.Config
 	// WatchersPerDC is the number of hosts of a data centre that watch the platform.
 	WatchersPerDC int
-	// Needs are the records that must be present before this host serves traffic.
-	Needs []record.Key
-	// AwayMax is the longest pause between calls to an unavailable platform.
-	AwayMax time.Duration
+	// RequiredRecords are the records that must be present before this host serves traffic.
+	RequiredRecords []record.Key
+	// MaxRetryInterval is the longest pause between calls to an unavailable platform.
+	MaxRetryInterval time.Duration
 	// StatusInterval is the minimum time between two writes of the status summary.
 	StatusInterval time.Duration
 }
@@ -53,19 +53,19 @@
 	Directory func(*directory.Directory)
 	// Instances returns the instances of this host.
 	Instances func() []directory.Instance
-	// Pulse is called with load reports from the guards of other hosts. It must not
+	// LoadReport is called with load reports from the guards of other hosts. It must not
 	// block.
-	Pulse func(*msg.LoadReport)
-	// Ended is called with the crash of an instance on any host, and Cleared with a
+	LoadReport func(*msg.LoadReport)
+	// Crashed is called with the crash of an instance on any host, and Cleared with a
 	// request that did not cause a crash. They must not block.
-	Ended   func(crash.Crash)
+	Crashed func(crash.Crash)
 	Cleared func(end string, p crash.Fingerprint)
-	// Lifted is called with a request that an operator has unblocked. It must not block.
-	Lifted func(p crash.Fingerprint)
-	// Teams enforces the rates of teams. It may be nil.
-	Teams TeamRateLimiter
-	// Synced is called once the shard maps have been read from the platform.
-	Synced func()
+	// Unblocked is called with a request that an operator has unblocked. It must not block.
+	Unblocked func(p crash.Fingerprint)
+	// TeamLimiter enforces the rates of teams. It may be nil.
+	TeamLimiter TeamRateLimiter
+	// ShardMapsRead is called once the shard maps have been read from the platform.
+	ShardMapsRead func()
 }
 
 // Control runs the control plane of one host. It is safe for concurrent use.
@@ -172,8 +172,8 @@
 	SendLossy(ctx context.Context, addr string, m msg.Message) error
 }
 
-// SetPeers sets the sender of control messages. It must be called before Run.
-func (c *Control) SetPeers(p MessageSender) { c.sender = p }
+// SetSender sets the sender of control messages. It must be called before Run.
+func (c *Control) SetSender(p MessageSender) { c.sender = p }
 
 // Listen opens the membership socket. It must be called before Run.
 func (c *Control) Listen() error {
@@ -266,17 +266,17 @@
 	c.selfChanged = true
 }
 
-// Inject applies an object that this host has just written or read, without waiting for a
+// ApplyObject applies an object that this host has just written or read, without waiting for a
 // watcher to receive it.
-func (c *Control) Inject(obj objects.Object) {
+func (c *Control) ApplyObject(obj objects.Object) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.replica.Publish(c.peers(), msg.SetRecords, toEntries([]objects.Object{obj}))
 	c.flush(time.Now())
 }
 
-// Leave announces whether this host has stopped accepting new work.
-func (c *Control) Leave(leaving bool) {
+// SetLeaving announces whether this host has stopped accepting new work.
+func (c *Control) SetLeaving(leaving bool) {
 	c.mu.Lock()
 	if c.leaving != leaving {
 		c.leaving = leaving
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -32,13 +32,13 @@
 // newControlWithStore creates a Control with a store and without sockets.
 func newControlWithStore(store objects.Store, directory func(*directory.Directory)) *Control {
 	return New(Config{
-		Host: "a", DC: "dc", Peer: "127.0.0.1:0", Incarnation: 1, AwayMax: 2 * time.Second,
+		Host: "a", DC: "dc", Peer: "127.0.0.1:0", Incarnation: 1, MaxRetryInterval: 2 * time.Second,
 		Member: member.DefaultConfig("a"), Replica: config.DefaultConfig(), WatchersPerDC: 1,
 	}, Hooks{
-		Directory: directory,
-		Instances: noInstances,
-		Synced:    func() {},
-		Pulse:     func(*msg.LoadReport) {},
+		Directory:     directory,
+		Instances:     noInstances,
+		ShardMapsRead: func() {},
+		LoadReport:    func(*msg.LoadReport) {},
 	}, store, slog.New(slog.NewTextHandler(io.Discard, nil)))
 }
 
@@ -77,11 +77,11 @@
 	now := time.Now()
 	c.tick(now)
 	assert.Assert(t, len(*directories) > 0)
-	assert.Assert(t, !(*directories)[len(*directories)-1].Whole)
+	assert.Assert(t, !(*directories)[len(*directories)-1].Complete)
 
 	c.HandleControl(from, &msg.Snapshot{Set: msg.SetRecords, Entries: []msg.Entry{entry}, Last: true, Complete: true})
 	c.tick(now.Add(tickInterval))
-	assert.Assert(t, (*directories)[len(*directories)-1].Whole, "the record set is complete, but the directory does not say so")
+	assert.Assert(t, (*directories)[len(*directories)-1].Complete, "the record set is complete, but the directory does not say so")
 }
 
 func TestStaleHostRecordsAreRemoved(t *testing.T) {
@@ -110,13 +110,13 @@
 	key := record.Key{Kind: record.KindCrasher, Name: fingerprint.String()}
 	crasher := &record.Crasher{Request: "GET /status"}
 	for _, id := range []string{"a", "b", "c"} {
-		crasher.Ends = append(crasher.Ends, record.InstanceEnd{ID: id, Service: "desk", AtMS: now.UnixMilli()})
+		crasher.Crashes = append(crasher.Crashes, record.InstanceCrash{ID: id, Service: "desk", AtMS: now.UnixMilli()})
 	}
 	c.records.active[key] = &record.Record{Key: key, Version: 3, Spec: crasher}
 	assert.Equal(t, len(c.staleCrasherRecords(now)), 0)
-	c.TellCleared("a", fingerprint+1)
+	c.PublishClearance("a", fingerprint+1)
 	assert.Equal(t, len(c.staleCrasherRecords(now)), 0, "another request was cleared")
-	c.TellCleared("a", fingerprint)
+	c.PublishClearance("a", fingerprint)
 	assert.DeepEqual(t, c.staleCrasherRecords(now), map[record.Key]int64{key: 3})
 }
 
--- a/internal/control/crashers.go
+++ b/internal/control/crashers.go
@@ -35,10 +35,10 @@
 	loggedAt time.Time
 }
 
-// Keep stores a blocked request in the platform, so that it stays blocked when all
+// StoreCrasher stores a blocked request in the platform, so that it stays blocked when all
 // processes of the fleet are lost. It returns without waiting for the write.
-func (c *Control) Keep(p crash.Fingerprint, request string, ends []record.InstanceEnd) {
-	value, err := record.Marshal(crasherKey(p), &record.Crasher{Request: request, Ends: ends})
+func (c *Control) StoreCrasher(p crash.Fingerprint, request string, ends []record.InstanceCrash) {
+	value, err := record.Marshal(crasherKey(p), &record.Crasher{Request: request, Crashes: ends})
 	if err != nil {
 		c.logUnwritten(p, err)
 		return
@@ -110,7 +110,7 @@
 }
 
 func (c *Control) logUnwritten(p crash.Fingerprint, cause error) {
-	event.Log(c.log, event.RecordUnwritten, slog.String("record", crasherKey(p).String()), slog.String("cause", cause.Error()))
+	event.Log(c.log, event.RecordNotWritten, slog.String("record", crasherKey(p).String()), slog.String("cause", cause.Error()))
 }
 
 // applyCrasher applies a Crasher record from the platform: a blocked request, or its
@@ -125,7 +125,7 @@
 		return
 	}
 	if e.Deleted {
-		c.hooks.Lifted(p)
+		c.hooks.Unblocked(p)
 		c.clearFromCrashes(p)
 		return
 	}
@@ -133,11 +133,11 @@
 	if !ok {
 		return // rejected, which has been logged
 	}
-	for _, crashed := range r.Spec.(*record.Crasher).Ends {
+	for _, crashed := range r.Spec.(*record.Crasher).Crashes {
 		if time.Since(time.UnixMilli(crashed.AtMS)) > crash.RetentionPeriod {
 			continue
 		}
-		c.hooks.Ended(crash.Crash{
+		c.hooks.Crashed(crash.Crash{
 			ID: crashed.ID, Software: crash.Software{Service: crashed.Service, Version: crashed.Version},
 			Host: crashed.Host, DetectedAt: time.UnixMilli(crashed.AtMS), Fingerprints: []crash.Fingerprint{p},
 		})
@@ -149,7 +149,7 @@
 // spread only once. The caller holds the lock.
 func (c *Control) clearFromCrashes(p crash.Fingerprint) {
 	var cleared []msg.Entry
-	c.replica.Set(msg.SetEnds).Each(func(e msg.Entry) {
+	c.replica.Set(msg.SetCrashes).Each(func(e msg.Entry) {
 		if e.Kind != crashKind {
 			return
 		}
@@ -157,7 +157,7 @@
 			cleared = append(cleared, clearanceEntry(e.Name, p, e.Version))
 		}
 	})
-	c.replica.Publish(c.peers(), msg.SetEnds, cleared)
+	c.replica.Publish(c.peers(), msg.SetCrashes, cleared)
 }
 
 func clearanceEntry(crashID string, p crash.Fingerprint, version int64) msg.Entry {
@@ -167,7 +167,7 @@
 // crashVersion returns the version of a crash entry, or the current time if it is
 // unknown. The caller holds the lock.
 func (c *Control) crashVersion(crashID string, now time.Time) int64 {
-	if e, ok := c.replica.Set(msg.SetEnds).Get(config.Key{Kind: crashKind, Name: crashID}); ok {
+	if e, ok := c.replica.Set(msg.SetCrashes).Get(config.Key{Kind: crashKind, Name: crashID}); ok {
 		return e.Version
 	}
 	return now.UnixMilli()
@@ -187,8 +187,8 @@
 		if !ok {
 			continue
 		}
-		last := slices.MaxFunc(s.Ends, func(x, y record.InstanceEnd) int { return int(x.AtMS - y.AtMS) })
-		if now.Sub(time.UnixMilli(last.AtMS)) > crash.RetentionPeriod || c.countUncleared(key.Name, s.Ends) < crash.BlockAfterIncidents {
+		last := slices.MaxFunc(s.Crashes, func(x, y record.InstanceCrash) int { return int(x.AtMS - y.AtMS) })
+		if now.Sub(time.UnixMilli(last.AtMS)) > crash.RetentionPeriod || c.countUncleared(key.Name, s.Crashes) < crash.BlockAfterIncidents {
 			out[key] = r.Version
 		}
 	}
@@ -197,10 +197,10 @@
 
 // countUncleared returns the number of crashes that a request has not been cleared of.
 // The caller holds the lock.
-func (c *Control) countUncleared(fingerprint string, crashes []record.InstanceEnd) int {
+func (c *Control) countUncleared(fingerprint string, crashes []record.InstanceCrash) int {
 	n := 0
 	for _, e := range crashes {
-		if _, cleared := c.replica.Set(msg.SetEnds).Get(config.Key{Kind: clearanceKind, Name: e.ID + fingerprintSeparator + fingerprint}); !cleared {
+		if _, cleared := c.replica.Set(msg.SetCrashes).Get(config.Key{Kind: clearanceKind, Name: e.ID + fingerprintSeparator + fingerprint}); !cleared {
 			n++
 		}
 	}
--- a/internal/control/ends.go
+++ b/internal/control/ends.go
@@ -22,13 +22,13 @@
 	pruneInterval = time.Minute
 )
 
-// TellEnd publishes the crash of an instance to all hosts.
-func (c *Control) TellEnd(e crash.Crash) {
-	m := msg.InstanceEnd{Service: e.Software.Service, SoftwareVersion: e.Software.Version, Host: e.Host, AtMS: e.DetectedAt.UnixMilli()}
+// PublishCrash publishes the crash of an instance to all hosts.
+func (c *Control) PublishCrash(e crash.Crash) {
+	m := msg.InstanceCrash{Service: e.Software.Service, SoftwareVersion: e.Software.Version, Host: e.Host, DetectedAtMS: e.DetectedAt.UnixMilli()}
 	for _, p := range e.Fingerprints {
-		m.Prints = append(m.Prints, uint64(p))
+		m.Fingerprints = append(m.Fingerprints, uint64(p))
 	}
-	entry := msg.Entry{Kind: crashKind, Name: e.ID, Version: m.AtMS}
+	entry := msg.Entry{Kind: crashKind, Name: e.ID, Version: m.DetectedAtMS}
 	var err error
 	if entry.Value, err = m.MarshalMsg(nil); err != nil {
 		c.logRefused(e.DetectedAt, entry, err)
@@ -37,8 +37,8 @@
 	c.publishCrashEntry(entry)
 }
 
-// TellCleared publishes to all hosts that a request did not cause a crash.
-func (c *Control) TellCleared(crashID string, p crash.Fingerprint) {
+// PublishClearance publishes to all hosts that a request did not cause a crash.
+func (c *Control) PublishClearance(crashID string, p crash.Fingerprint) {
 	c.mu.Lock()
 	version := c.crashVersion(crashID, time.Now())
 	c.mu.Unlock()
@@ -48,7 +48,7 @@
 func (c *Control) publishCrashEntry(e msg.Entry) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.replica.Publish(c.peers(), msg.SetEnds, []msg.Entry{e})
+	c.replica.Publish(c.peers(), msg.SetCrashes, []msg.Entry{e})
 	c.flush(time.Now())
 }
 
@@ -63,7 +63,7 @@
 	case crashKind:
 		var crashed crash.Crash
 		if crashed, err = decodeCrash(e); err == nil {
-			c.hooks.Ended(crashed)
+			c.hooks.Crashed(crashed)
 		}
 	case clearanceKind:
 		var p crash.Fingerprint
@@ -78,15 +78,15 @@
 }
 
 func decodeCrash(e msg.Entry) (crash.Crash, error) {
-	var m msg.InstanceEnd
+	var m msg.InstanceCrash
 	if _, err := m.UnmarshalMsg(e.Value); err != nil {
 		return crash.Crash{}, err
 	}
 	crashed := crash.Crash{
 		ID: e.Name, Software: crash.Software{Service: m.Service, Version: m.SoftwareVersion},
-		Host: m.Host, DetectedAt: time.UnixMilli(m.AtMS),
+		Host: m.Host, DetectedAt: time.UnixMilli(m.DetectedAtMS),
 	}
-	for _, p := range m.Prints {
+	for _, p := range m.Fingerprints {
 		crashed.Fingerprints = append(crashed.Fingerprints, crash.Fingerprint(p))
 	}
 	return crashed, nil
@@ -111,7 +111,7 @@
 		return
 	}
 	c.crashesPrunedAt = now
-	set := c.replica.Set(msg.SetEnds)
+	set := c.replica.Set(msg.SetCrashes)
 	var expired []config.Key
 	set.Each(func(e msg.Entry) {
 		if crashEntryExpired(now, e) {
--- a/internal/control/ends_test.go
+++ b/internal/control/ends_test.go
@@ -22,7 +22,7 @@
 // Crash and clearance entries from peers are applied or rejected, whatever their content,
 // and an applied entry identifies the crash by its name.
 func FuzzCrashEntries(f *testing.F) {
-	m := msg.InstanceEnd{Service: "desk", SoftwareVersion: "1", AtMS: 1, Prints: []uint64{7}}
+	m := msg.InstanceCrash{Service: "desk", SoftwareVersion: "1", DetectedAtMS: 1, Fingerprints: []uint64{7}}
 	encoded, err := m.MarshalMsg(nil)
 	assert.NilError(f, err)
 	f.Add(crashKind, "i@1", encoded)
@@ -35,7 +35,7 @@
 		tracker := crash.NewTracker()
 		now := time.Now()
 		c := newControlWithStore(unavailableStore{}, func(*directory.Directory) {})
-		c.hooks.Ended = func(e crash.Crash) {
+		c.hooks.Crashed = func(e crash.Crash) {
 			assert.Equal(t, e.ID, name)
 			tracker.Add(now, e)
 		}
@@ -74,7 +74,7 @@
 	c := newControlWithStore(store, func(*directory.Directory) {})
 	c.log = slog.New(slog.NewTextHandler(&lines, nil))
 	for p := range crash.Fingerprint(3) {
-		c.Keep(p+1, "GET /status", []record.InstanceEnd{{ID: "i@1", AtMS: 1000}})
+		c.StoreCrasher(p+1, "GET /status", []record.InstanceCrash{{ID: "i@1", AtMS: 1000}})
 	}
 	logged := func() int { return strings.Count(lines.String(), "403 Forbidden") }
 	now := time.Now()
--- a/internal/control/join.go
+++ b/internal/control/join.go
@@ -26,7 +26,7 @@
 	c.applyFullList(page, began)
 	c.publish(time.Now())
 	// The shard maps have been applied, so the guard may grant leases from now on.
-	c.hooks.Synced()
+	c.hooks.ShardMapsRead()
 	return page.Revision, nil
 }
 
@@ -52,7 +52,7 @@
 		// at the same address.
 		return nil
 	}
-	_, err = objects.PutSettled(ctx, c.store, key, value, conflict.Current.Version, isOwn)
+	_, err = objects.PutConfirmed(ctx, c.store, key, value, conflict.Current.Version, isOwn)
 	return err
 }
 
--- a/internal/control/pulse.go
+++ b/internal/control/pulse.go
@@ -7,10 +7,10 @@
 	"github.com/radishhoist/radishhoist/internal/msg"
 )
 
-// Tell sends a load report from this host's guard to fronts. Every other data centre
+// SendLoadReport sends a load report from this host's guard to fronts. Every other data centre
 // receives one copy, which is forwarded there. If the rate limit does not allow all
 // recipients, only some receive it.
-func (c *Control) Tell(report *msg.LoadReport, to loadreport.Reach) {
+func (c *Control) SendLoadReport(report *msg.LoadReport, to loadreport.Reach) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
@@ -34,7 +34,7 @@
 // handleLoadReport processes a load report of another host and forwards it within the
 // data centre if requested.
 func (c *Control) handleLoadReport(report *msg.LoadReport) {
-	c.hooks.Pulse(report)
+	c.hooks.LoadReport(report)
 	if report.Forward {
 		local, _ := c.members.Live()
 		c.enqueueLoadReport(c.reportLimiter.SelectLocal(time.Now(), local, loadreport.ToAll), &msg.LoadReport{Loads: report.Loads})
--- a/internal/control/pulse_test.go
+++ b/internal/control/pulse_test.go
@@ -56,11 +56,11 @@
 
 func TestSmallFleetReceivesAllLoadReports(t *testing.T) {
 	c := newControlWithHosts(t, 7, 8, 8)
-	c.Tell(newLoadReport(), loadreport.ToLocal)
+	c.SendLoadReport(newLoadReport(), loadreport.ToLocal)
 	all, forwarded := takeQueuedReports(c)
 	assert.Equal(t, all, 7)
 	assert.Equal(t, forwarded, 0)
-	c.Tell(newLoadReport(), loadreport.ToAll)
+	c.SendLoadReport(newLoadReport(), loadreport.ToAll)
 	all, forwarded = takeQueuedReports(c)
 	assert.Equal(t, all, 9)
 	assert.Equal(t, forwarded, 2)
@@ -69,7 +69,7 @@
 func TestForwardedLoadReportStaysInDataCentre(t *testing.T) {
 	c := newControlWithHosts(t, 7, 8)
 	received := 0
-	c.hooks.Pulse = func(*msg.LoadReport) { received++ }
+	c.hooks.LoadReport = func(*msg.LoadReport) { received++ }
 	c.HandleControl(&msg.Hello{Host: "f100"}, &msg.LoadReport{Forward: true, Loads: newLoadReport().Loads})
 	all, forwarded := takeQueuedReports(c)
 	assert.Equal(t, received, 1)
@@ -85,7 +85,7 @@
 func TestLargeFleetReceivesLoadReports(t *testing.T) {
 	for _, hosts := range []int{22, 60, 90} {
 		c := newControlWithHosts(t, hosts, 30)
-		c.Tell(newLoadReport(), loadreport.ToLocal)
+		c.SendLoadReport(newLoadReport(), loadreport.ToLocal)
 		all, _ := takeQueuedReports(c)
 		assert.Assert(t, all >= min(hosts, loadreport.Burst-loadreport.ChangeReserve-1), "%d of %d", all, hosts)
 	}
@@ -98,16 +98,16 @@
 		c := newControlWithHosts(t, hosts, 20, 20)
 		start := time.Now()
 		for range 200 {
-			c.Tell(newLoadReport(), loadreport.ToLocal)
+			c.SendLoadReport(newLoadReport(), loadreport.ToLocal)
 		}
 		loads, _ := takeQueuedReports(c)
 		assert.Assert(t, float64(loads) <= loadreport.ChangeReserve+loadreport.MaxRate*time.Since(start).Seconds()+1)
-		c.Tell(newLoadReport(), loadreport.ToAll)
+		c.SendLoadReport(newLoadReport(), loadreport.ToAll)
 		changed, forwarded := takeQueuedReports(c)
 		assert.Assert(t, changed >= min(hosts+2, loadreport.ChangeReserve-1))
 		assert.Equal(t, forwarded, 2)
 		for range 200 {
-			c.Tell(newLoadReport(), loadreport.ToAll)
+			c.SendLoadReport(newLoadReport(), loadreport.ToAll)
 		}
 		more, _ := takeQueuedReports(c)
 		assert.Assert(t, float64(loads+changed+more) <= loadreport.Burst+loadreport.MaxRate*time.Since(start).Seconds()+1)
@@ -120,7 +120,7 @@
 func TestFewHostsReceiveReportOfIdleInstance(t *testing.T) {
 	for _, hosts := range []int{2, 7, 90} {
 		c := newControlWithHosts(t, hosts, 30)
-		c.Tell(newLoadReport(), loadreport.ToFew)
+		c.SendLoadReport(newLoadReport(), loadreport.ToFew)
 		all, forwarded := takeQueuedReports(c)
 		assert.Equal(t, all, min(hosts, 4))
 		assert.Equal(t, forwarded, 0)
@@ -133,14 +133,14 @@
 	c := newControlWithHosts(t, 500, 20, 20)
 	start := time.Now()
 	for range 200 {
-		c.Tell(newLoadReport(), loadreport.ToAll)
+		c.SendLoadReport(newLoadReport(), loadreport.ToAll)
 	}
 	takeQueuedReports(c)
-	c.Tell(newLoadReport(), loadreport.ToFew)
+	c.SendLoadReport(newLoadReport(), loadreport.ToFew)
 	toFew, _ := takeQueuedReports(c)
 	assert.Equal(t, toFew, 4)
 	for range 200 {
-		c.Tell(newLoadReport(), loadreport.ToFew)
+		c.SendLoadReport(newLoadReport(), loadreport.ToFew)
 	}
 	more, _ := takeQueuedReports(c)
 	assert.Assert(t, float64(toFew+more) <= loadreport.FewHostsMaxRate*(1+time.Since(start).Seconds())+1)
--- a/internal/control/records.go
+++ b/internal/control/records.go
@@ -49,8 +49,8 @@
 		r, err = record.Parse(value)
 	}
 	if err == nil && r.Key != key {
-		err = &record.InvalidError{Key: key, Faults: []record.Fault{{
-			Field: "name", Wrong: "the document's key is " + r.Key.String(), Remedy: "store it under its own kind and name",
+		err = &record.InvalidError{Key: key, FieldErrors: []record.FieldError{{
+			Field: "name", Problem: "the document's key is " + r.Key.String(), Remedy: "store it under its own kind and name",
 		}}}
 	}
 	if err != nil {
--- a/internal/control/send_test.go
+++ b/internal/control/send_test.go
@@ -44,7 +44,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := newControlWithStore(unavailableStore{}, nil)
 		sender := &blockingSender{blockedAddr: "10.0.0.0:1", sent: make(map[string]time.Time)}
-		c.SetPeers(sender)
+		c.SetSender(sender)
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		c.outboxes.start(ctx)
--- a/internal/control/silent_test.go
+++ b/internal/control/silent_test.go
@@ -56,7 +56,7 @@
 			w.platform.SetFaults(platformd.Faults{})
 			w.changeRecord()
 			delay := w.waitUntilApplied()
-			assert.Assert(t, delay <= w.control.cfg.AwayMax+watchPause, "calls rejected for %s: applied %s after", refused, delay)
+			assert.Assert(t, delay <= w.control.cfg.MaxRetryInterval+watchPause, "calls rejected for %s: applied %s after", refused, delay)
 		})
 	}
 }
@@ -74,7 +74,7 @@
 		w.platform.SetFaults(platformd.Faults{})
 		time.Sleep(time.Minute)
 		w.platform.SetFaults(platformd.Faults{Outage: true})
-		for !w.control.State().Away {
+		for !w.control.State().PlatformAway {
 			time.Sleep(time.Millisecond)
 		}
 		// One call was rejected; the next succeeds.
--- a/internal/control/status.go
+++ b/internal/control/status.go
@@ -41,7 +41,7 @@
 	}
 	c.reportedAt = now
 	set := c.replica.Set(msg.SetRecords)
-	r := &msg.Report{Root: set.Root(), Newest: set.Newest(), Whole: c.replica.Complete()}
+	r := &msg.Report{Root: set.Root(), Newest: set.Newest(), Complete: c.replica.Complete()}
 	for _, rejected := range c.records.rejected {
 		if len(r.Rejected) < maxBehind {
 			r.Rejected = append(r.Rejected, rejected)
@@ -84,7 +84,7 @@
 	}
 	local, _ := c.members.Live()
 	s := &record.Status{DC: c.cfg.DC, Writer: c.cfg.Host, AtMS: now.UnixMilli(), Hosts: len(local) + 1}
-	byRoot := make(map[uint64]*record.InForce)
+	byRoot := make(map[uint64]*record.HostsInForce)
 	hostsOf := make(map[uint64][]string)
 	rejected := make(map[string]record.Rejected)
 	for host, received := range c.reports {
@@ -94,7 +94,7 @@
 		}
 		f, ok := byRoot[received.Root]
 		if !ok {
-			f = &record.InForce{Root: fmt.Sprintf("%016x", received.Root)}
+			f = &record.HostsInForce{Root: fmt.Sprintf("%016x", received.Root)}
 			byRoot[received.Root] = f
 		}
 		f.Hosts++
@@ -114,8 +114,8 @@
 
 // newestFirst sorts the record sets by revision, newest first, and lists the hosts that
 // have an older set.
-func newestFirst(byRoot map[uint64]*record.InForce, hostsOf map[uint64][]string) []record.InForce {
-	var out []record.InForce
+func newestFirst(byRoot map[uint64]*record.HostsInForce, hostsOf map[uint64][]string) []record.HostsInForce {
+	var out []record.HostsInForce
 	for root, f := range byRoot {
 		hosts := hostsOf[root]
 		sort.Strings(hosts)
@@ -175,24 +175,24 @@
 
 // State is the part of the state dump that describes the control plane.
 type State struct {
-	Version int64  `json:"version"`
-	Leaving bool   `json:"leaving"`
-	Whole   bool   `json:"whole"`
-	Records int    `json:"records"`
-	Root    string `json:"root"`
-	Newest  int64  `json:"newest"`
-	// InForce is the newest record version that requests are routed by. Newest may be
+	Version  int64  `json:"version"`
+	Leaving  bool   `json:"leaving"`
+	Complete bool   `json:"whole"`
+	Records  int    `json:"records"`
+	Root     string `json:"root"`
+	Newest   int64  `json:"newest"`
+	// ActiveVersion is the newest record version that requests are routed by. Newest may be
 	// briefly ahead of it.
-	InForce  int64 `json:"inForce"`
-	Watching bool  `json:"watching"`
-	Away     bool  `json:"platformAway"`
-	Isolated bool  `json:"isolated"`
+	ActiveVersion int64 `json:"inForce"`
+	Watching      bool  `json:"watching"`
+	PlatformAway  bool  `json:"platformAway"`
+	Isolated      bool  `json:"isolated"`
 	// Confirmed is the age of the records per feed, and the source of that information.
-	Confirmed []Confirmation       `json:"confirmed"`
-	Rejected  []msg.ReportRejected `json:"rejected"`
-	Members   []MemberState        `json:"members"`
-	Traffic   Traffic              `json:"traffic"`
-	Instances int                  `json:"instancesKnown"`
+	Confirmed      []Confirmation       `json:"confirmed"`
+	Rejected       []msg.ReportRejected `json:"rejected"`
+	Members        []MemberState        `json:"members"`
+	Traffic        Traffic              `json:"traffic"`
+	InstancesKnown int                  `json:"instancesKnown"`
 }
 
 // MemberState is the state of another host as seen by this one.
@@ -210,9 +210,9 @@
 	defer c.mu.Unlock()
 	set := c.replica.Set(msg.SetRecords)
 	s := State{
-		Version: c.version, Leaving: c.leaving, Whole: c.replica.Complete(),
-		Records: set.Len(), Root: fmt.Sprintf("%016x", set.Root()), Newest: set.Newest(), InForce: c.activeVersion,
-		Watching: c.watching, Away: len(c.failedFeeds) > 0, Isolated: c.members.Isolated(),
+		Version: c.version, Leaving: c.leaving, Complete: c.replica.Complete(),
+		Records: set.Len(), Root: fmt.Sprintf("%016x", set.Root()), Newest: set.Newest(), ActiveVersion: c.activeVersion,
+		Watching: c.watching, PlatformAway: len(c.failedFeeds) > 0, Isolated: c.members.Isolated(),
 		Confirmed: c.confirmed.state(time.Now()),
 		Rejected:  []msg.ReportRejected{}, Members: []MemberState{}, Traffic: c.traffic,
 	}
@@ -226,7 +226,7 @@
 		})
 	}
 	for _, h := range c.hosts {
-		s.Instances += len(h.Instances)
+		s.InstancesKnown += len(h.Instances)
 	}
 	return s
 }
--- a/internal/control/take.go
+++ b/internal/control/take.go
@@ -14,7 +14,7 @@
 // logUndecodable logs, at a limited rate, stored objects that cannot be decoded, such as
 // those of another writer.
 func (c *Control) logUndecodable(page objects.Page) {
-	for _, err := range page.Unread {
+	for _, err := range page.Undecodable {
 		if leftOut, ok := c.decodeErrorLog.Allow(time.Now()); ok {
 			event.Log(c.log, event.RecordRefused, slog.String("cause", err.Error()), slog.Uint64("linesLeftOut", leftOut))
 		}
--- a/internal/control/teams.go
+++ b/internal/control/teams.go
@@ -35,8 +35,8 @@
 	deadHostShareTime = 20 * time.Second
 )
 
-// SendTeams sends a team datagram to a host. It may be lost.
-func (c *Control) SendTeams(to string, p *msg.TeamPacket) {
+// SendTeamPacket sends a team datagram to a host. It may be lost.
+func (c *Control) SendTeamPacket(to string, p *msg.TeamPacket) {
 	buf, err := p.MarshalMsg([]byte{teamPacketPrefix})
 	if err != nil {
 		return
@@ -62,22 +62,22 @@
 		return false
 	}
 	var p msg.TeamPacket
-	if _, err := p.UnmarshalMsg(buf[1:]); err == nil && c.hooks.Teams != nil {
-		c.hooks.Teams.Receive(&p)
+	if _, err := p.UnmarshalMsg(buf[1:]); err == nil && c.hooks.TeamLimiter != nil {
+		c.hooks.TeamLimiter.Receive(&p)
 	}
 	return true
 }
 
 // tickTeams updates the hosts of the team rate limiter if due, and ticks it.
 func (c *Control) tickTeams(now time.Time, hostsChanged bool) {
-	if c.hooks.Teams == nil {
+	if c.hooks.TeamLimiter == nil {
 		return
 	}
 	if hostsChanged || now.Sub(c.teamHostsSetAt) >= teamHostsInterval {
 		c.teamHostsSetAt = now
-		c.hooks.Teams.SetHosts(c.rateSharingHosts(now))
+		c.hooks.TeamLimiter.SetHosts(c.rateSharingHosts(now))
 	}
-	c.hooks.Teams.Tick()
+	c.hooks.TeamLimiter.Tick()
 }
 
 // rateSharingHosts returns the live hosts that account for team usage, and the number of
--- a/internal/control/watch.go
+++ b/internal/control/watch.go
@@ -53,7 +53,7 @@
 
 // joinWithRetry calls join until it succeeds. It returns false if the context ends first.
 func (c *Control) joinWithRetry(ctx context.Context) (int64, bool) {
-	retry := backoff{max: c.cfg.AwayMax}
+	retry := backoff{max: c.cfg.MaxRetryInterval}
 	for ctx.Err() == nil {
 		began := time.Now()
 		revision, err := c.join(ctx)
@@ -98,7 +98,7 @@
 // its position, since a list is required only if the platform has discarded the events
 // after it.
 func (c *Control) followFeed(ctx context.Context, feed objects.Feed, p *feedPosition) {
-	retry := backoff{max: c.cfg.AwayMax}
+	retry := backoff{max: c.cfg.MaxRetryInterval}
 	for ctx.Err() == nil && c.shouldWatch() {
 		began := time.Now()
 		err := c.fetch(ctx, feed, p, began)
--- a/internal/control/watched_test.go
+++ b/internal/control/watched_test.go
@@ -48,7 +48,7 @@
 	client := objects.NewClient("http://platform", testWatchWait)
 	client.SetDial(listener.Dial)
 	w.control = newControlWithStore(client, func(*directory.Directory) {})
-	w.control.cfg.AwayMax = awayMax
+	w.control.cfg.MaxRetryInterval = awayMax
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan struct{})
 	go func() {
--- a/internal/msg/keys.go
+++ b/internal/msg/keys.go
@@ -5,7 +5,7 @@
 //go:generate go tool msgp -o keys_gen.go -tests=false -io=false
 
 //msgp:limit arrays:1200000 maps:64
-//msgp:tuple KeyClaim KeyClaimed KeyResult LeaseRequest LeaseReply KeyEntry Handover HandoverDone
+//msgp:tuple KeyClaim ClaimReply KeyResult LeaseRequest LeaseReply KeyEntry Handover HandoverReply
 //msgp:shim verdict.Verdict as:uint8 using:uint8/verdict.Verdict
 
 // KeyClaim asks the owner of a shard whether a request with an idempotency key may run
@@ -22,8 +22,8 @@
 	CreatedMS int64
 }
 
-// KeyClaimed answers KeyClaim.
-type KeyClaimed struct {
+// ClaimReply answers KeyClaim.
+type ClaimReply struct {
 	// Outcome is a once.ClaimOutcome.
 	Outcome uint8
 	Epoch   uint64
@@ -102,7 +102,7 @@
 	Last bool
 }
 
-// HandoverDone answers each part of a Handover, and KeyResult.
-type HandoverDone struct {
+// HandoverReply answers each part of a Handover, and KeyResult.
+type HandoverReply struct {
 	Accepted bool
 }
--- a/internal/msg/keys_gen.go
+++ b/internal/msg/keys_gen.go
@@ -13,6 +13,116 @@
 	zde46b8ablimitMaps   = 64
 )
 
+// MarshalMsg implements msgp.Marshaler
+func (z *ClaimReply) MarshalMsg(b []byte) (o []byte, err error) {
+	o = msgp.Require(b, z.Msgsize())
+	// array header, size 6
+	o = append(o, 0x96)
+	o = msgp.AppendUint8(o, z.Outcome)
+	o = msgp.AppendUint64(o, z.Epoch)
+	o = msgp.AppendUint16(o, z.Status)
+	o = msgp.AppendArrayHeader(o, uint32(len(z.Header)))
+	for za0001 := range z.Header {
+		o, err = z.Header[za0001].MarshalMsg(o)
+		if err != nil {
+			err = msgp.WrapError(err, "Header", za0001)
+			return
+		}
+	}
+	o = msgp.AppendBytes(o, z.Body)
+	o = msgp.AppendUint32(o, z.RetryAfterMS)
+	return
+}
+
+// UnmarshalMsg implements msgp.Unmarshaler
+func (z *ClaimReply) UnmarshalMsg(bts []byte) (o []byte, err error) {
+	var zb0001 uint32
+	zb0001, bts, err = msgp.ReadArrayHeaderBytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err)
+		return
+	}
+	if zb0001 != 6 {
+		err = msgp.ArrayError{Wanted: 6, Got: zb0001}
+		return
+	}
+	z.Outcome, bts, err = msgp.ReadUint8Bytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err, "Outcome")
+		return
+	}
+	z.Epoch, bts, err = msgp.ReadUint64Bytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err, "Epoch")
+		return
+	}
+	z.Status, bts, err = msgp.ReadUint16Bytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err, "Status")
+		return
+	}
+	var zb0002 uint32
+	zb0002, bts, err = msgp.ReadArrayHeaderBytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err, "Header")
+		return
+	}
+	if zb0002 > 256 {
+		err = msgp.ErrLimitExceeded
+		return
+	}
+	if cap(z.Header) >= int(zb0002) {
+		z.Header = (z.Header)[:zb0002]
+	} else {
+		z.Header = make([]Field, zb0002)
+	}
+	for za0001 := range z.Header {
+		bts, err = z.Header[za0001].UnmarshalMsg(bts)
+		if err != nil {
+			err = msgp.WrapError(err, "Header", za0001)
+			return
+		}
+	}
+	var zb0003 uint32
+	zb0003, bts, err = msgp.ReadBytesHeader(bts)
+	if err != nil {
+		err = msgp.WrapError(err, "Body")
+		return
+	}
+	if zb0003 > zde46b8ablimitArrays {
+		err = msgp.ErrLimitExceeded
+		return
+	}
+	if z.Body == nil || uint32(cap(z.Body)) < zb0003 {
+		z.Body = make([]byte, zb0003)
+	} else {
+		z.Body = z.Body[:zb0003]
+	}
+	if uint32(len(bts)) < zb0003 {
+		err = msgp.ErrShortBytes
+		return
+	}
+	copy(z.Body, bts[:zb0003])
+	bts = bts[zb0003:]
+	z.RetryAfterMS, bts, err = msgp.ReadUint32Bytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err, "RetryAfterMS")
+		return
+	}
+	o = bts
+	return
+}
+
+// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
+func (z *ClaimReply) Msgsize() (s int) {
+	s = 1 + msgp.Uint8Size + msgp.Uint64Size + msgp.Uint16Size + msgp.ArrayHeaderSize
+	for za0001 := range z.Header {
+		s += z.Header[za0001].Msgsize()
+	}
+	s += msgp.BytesPrefixSize + len(z.Body) + msgp.Uint32Size
+	return
+}
+
 // MarshalMsg implements msgp.Marshaler
 func (z *Handover) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
@@ -120,7 +230,7 @@
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z HandoverDone) MarshalMsg(b []byte) (o []byte, err error) {
+func (z HandoverReply) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
 	// array header, size 1
 	o = append(o, 0x91)
@@ -129,7 +239,7 @@
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *HandoverDone) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *HandoverReply) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var zb0001 uint32
 	zb0001, bts, err = msgp.ReadArrayHeaderBytes(bts)
 	if err != nil {
@@ -150,7 +260,7 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z HandoverDone) Msgsize() (s int) {
+func (z HandoverReply) Msgsize() (s int) {
 	s = 1 + msgp.BoolSize
 	return
 }
@@ -221,116 +331,6 @@
 	return
 }
 
-// MarshalMsg implements msgp.Marshaler
-func (z *KeyClaimed) MarshalMsg(b []byte) (o []byte, err error) {
-	o = msgp.Require(b, z.Msgsize())
-	// array header, size 6
-	o = append(o, 0x96)
-	o = msgp.AppendUint8(o, z.Outcome)
-	o = msgp.AppendUint64(o, z.Epoch)
-	o = msgp.AppendUint16(o, z.Status)
-	o = msgp.AppendArrayHeader(o, uint32(len(z.Header)))
-	for za0001 := range z.Header {
-		o, err = z.Header[za0001].MarshalMsg(o)
-		if err != nil {
-			err = msgp.WrapError(err, "Header", za0001)
-			return
-		}
-	}
-	o = msgp.AppendBytes(o, z.Body)
-	o = msgp.AppendUint32(o, z.RetryAfterMS)
-	return
-}
-
-// UnmarshalMsg implements msgp.Unmarshaler
-func (z *KeyClaimed) UnmarshalMsg(bts []byte) (o []byte, err error) {
-	var zb0001 uint32
-	zb0001, bts, err = msgp.ReadArrayHeaderBytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err)
-		return
-	}
-	if zb0001 != 6 {
-		err = msgp.ArrayError{Wanted: 6, Got: zb0001}
-		return
-	}
-	z.Outcome, bts, err = msgp.ReadUint8Bytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err, "Outcome")
-		return
-	}
-	z.Epoch, bts, err = msgp.ReadUint64Bytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err, "Epoch")
-		return
-	}
-	z.Status, bts, err = msgp.ReadUint16Bytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err, "Status")
-		return
-	}
-	var zb0002 uint32
-	zb0002, bts, err = msgp.ReadArrayHeaderBytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err, "Header")
-		return
-	}
-	if zb0002 > 256 {
-		err = msgp.ErrLimitExceeded
-		return
-	}
-	if cap(z.Header) >= int(zb0002) {
-		z.Header = (z.Header)[:zb0002]
-	} else {
-		z.Header = make([]Field, zb0002)
-	}
-	for za0001 := range z.Header {
-		bts, err = z.Header[za0001].UnmarshalMsg(bts)
-		if err != nil {
-			err = msgp.WrapError(err, "Header", za0001)
-			return
-		}
-	}
-	var zb0003 uint32
-	zb0003, bts, err = msgp.ReadBytesHeader(bts)
-	if err != nil {
-		err = msgp.WrapError(err, "Body")
-		return
-	}
-	if zb0003 > zde46b8ablimitArrays {
-		err = msgp.ErrLimitExceeded
-		return
-	}
-	if z.Body == nil || uint32(cap(z.Body)) < zb0003 {
-		z.Body = make([]byte, zb0003)
-	} else {
-		z.Body = z.Body[:zb0003]
-	}
-	if uint32(len(bts)) < zb0003 {
-		err = msgp.ErrShortBytes
-		return
-	}
-	copy(z.Body, bts[:zb0003])
-	bts = bts[zb0003:]
-	z.RetryAfterMS, bts, err = msgp.ReadUint32Bytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err, "RetryAfterMS")
-		return
-	}
-	o = bts
-	return
-}
-
-// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *KeyClaimed) Msgsize() (s int) {
-	s = 1 + msgp.Uint8Size + msgp.Uint64Size + msgp.Uint16Size + msgp.ArrayHeaderSize
-	for za0001 := range z.Header {
-		s += z.Header[za0001].Msgsize()
-	}
-	s += msgp.BytesPrefixSize + len(z.Body) + msgp.Uint32Size
-	return
-}
-
 // MarshalMsg implements msgp.Marshaler
 func (z *KeyEntry) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
