--- a/internal/core/admit/admit.go
+++ b/internal/core/admit/admit.go
@@ -1,6 +1,7 @@
 // Package admit is the admission control of one instance. It grants slots,
 // queues requests that can still meet their deadline, refuses the others early,
-// and handles cancellation.
+// and handles cancellation. A slot is the right to run one request. The fronts are the
+// proxies at the callers: they choose instances and send the requests to them.
 //
 // A Queue has no clock and does no I/O. The caller passes in the time,
 // serializes the calls, and carries out the returned decisions. Because start
@@ -104,29 +105,29 @@
 func (r *Request) rank() int { return int(r.Priority)*Priorities + int(r.SubPriority) }
 
 const (
-	// initialService is the assumed service time until one has been measured.
-	initialService = 20 * time.Millisecond
-	// serviceWeight is the weight of a new sample in the moving average of the
+	// initialServiceTime is the assumed service time until one has been measured.
+	initialServiceTime = 20 * time.Millisecond
+	// serviceTimeWeight is the weight of a new sample in the moving average of the
 	// service time.
-	serviceWeight = 0.1
+	serviceTimeWeight = 0.1
 	// minRetryAfter is the minimum Retry-After of a refusal.
 	minRetryAfter = 50 * time.Millisecond
 )
 
 // Queue is the admission state of one instance.
 type Queue struct {
-	cfg      Config
-	tickets  map[ID]*ticket
-	busy     int
-	ranks    [rankCount]rankQueue
-	queued   int
-	service  time.Duration
-	draining bool
+	cfg         Config
+	tickets     map[ID]*ticket
+	busy        int
+	ranks       [rankCount]rankQueue
+	queued      int
+	serviceTime time.Duration
+	draining    bool
 }
 
 // NewQueue returns an empty Queue.
 func NewQueue(cfg Config) *Queue {
-	return &Queue{cfg: cfg, tickets: make(map[ID]*ticket), service: initialService}
+	return &Queue{cfg: cfg, tickets: make(map[ID]*ticket), serviceTime: initialServiceTime}
 }
 
 // Running returns the number of slots in use, by running requests or by grants.
@@ -146,7 +147,7 @@
 }
 
 // Service returns the moving average of the service time.
-func (q *Queue) Service() time.Duration { return q.service }
+func (q *Queue) Service() time.Duration { return q.serviceTime }
 
 // Ticket describes a request held by the Queue, for state dumps and tests.
 type Ticket struct {
@@ -213,7 +214,7 @@
 		r.Objective = r.Deadline
 	}
 	if r.ExpectedService <= 0 {
-		r.ExpectedService = q.service
+		r.ExpectedService = q.serviceTime
 	}
 	t := &ticket{Request: r}
 	if q.busy < q.cfg.Slots && q.queued == 0 {
@@ -232,9 +233,8 @@
 	return q.enqueue(t, wait)
 }
 
-// enqueue adds a request to the queue. If the queue is full, the newest request
-// of the class with the most waiting requests is evicted, unless that is the
-// newcomer's own class.
+// enqueue adds a request to the queue. If the queue is full, it evicts the request that
+// evictionCandidate selects, or refuses the newcomer if there is none.
 func (q *Queue) enqueue(t *ticket, wait time.Duration) []Decision {
 	out := []Decision{{ID: t.ID, Action: Wait}}
 	if q.queued >= q.cfg.Slots*q.cfg.QueuePerSlot {
@@ -270,12 +270,12 @@
 
 // Cancel withdraws a request. It returns NotRun if the request had not started
 // and now never will, or MayHaveRun if it is running, in which case the caller
-// stops it and then calls Done. The decisions are for requests that get the
-// freed slot.
+// stops it and then calls Done. It also returns MayHaveRun for a request that the
+// Queue no longer holds. The decisions are for requests that get the freed slot.
 func (q *Queue) Cancel(now time.Time, id ID) (verdict.Verdict, []Decision) {
 	t, ok := q.tickets[id]
 	if !ok {
-		// Already refused or finished; it cannot start in either case.
+		// Already refused or finished. It can no longer start, but it may have run.
 		return verdict.MayHaveRun, nil
 	}
 	switch t.state {
@@ -292,15 +292,15 @@
 	}
 }
 
-// Done frees the slot of a request that ran. service is its service time, or 0
+// Done frees the slot of a request that ran. serviceTime is its service time, or 0
 // to leave it out of the moving average.
-func (q *Queue) Done(now time.Time, id ID, service time.Duration) []Decision {
+func (q *Queue) Done(now time.Time, id ID, serviceTime time.Duration) []Decision {
 	t, ok := q.tickets[id]
 	if !ok || t.state != running {
 		return nil
 	}
-	if service > 0 {
-		q.service += time.Duration(serviceWeight * float64(service-q.service))
+	if serviceTime > 0 {
+		q.serviceTime += time.Duration(serviceTimeWeight * float64(serviceTime-q.serviceTime))
 	}
 	q.free(t)
 	return q.fill(now, nil)
@@ -322,7 +322,7 @@
 		for _, t := range q.ranks[i].expired(now) {
 			q.ranks[i].remove(t)
 			q.queued--
-			out = append(out, q.refuse(t, verdict.ReasonDeadline, q.service))
+			out = append(out, q.refuse(t, verdict.ReasonDeadline, q.serviceTime))
 		}
 	}
 	return out
@@ -333,7 +333,7 @@
 	for q.busy < q.cfg.Slots && q.queued > 0 {
 		t := q.popNext(now)
 		if now.Add(t.ExpectedService).After(t.Deadline) {
-			out = append(out, q.refuse(t, verdict.ReasonDeadline, q.service))
+			out = append(out, q.refuse(t, verdict.ReasonDeadline, q.serviceTime))
 			continue
 		}
 		out = append(out, q.assignSlot(now, t))
--- a/internal/core/admit/admit_test.go
+++ b/internal/core/admit/admit_test.go
@@ -116,7 +116,7 @@
 
 func TestRequestThatCannotMeetDeadlineIsRefusedOnArrival(t *testing.T) {
 	q := newTestQueue(1)
-	q.service = time.Second
+	q.serviceTime = time.Second
 	q.Offer(base, request(1, 0))
 	late := request(2, 0)
 	late.Deadline = base.Add(1500 * time.Millisecond)
@@ -159,8 +159,8 @@
 func TestTeamPriorityOutranksRoutePriority(t *testing.T) {
 	now := time.Unix(0, 0)
 	q := NewQueue(Config{Slots: 1, QueuePerSlot: 8, GrantLife: time.Second})
-	offer := func(id ID, priority, within uint8) {
-		q.Offer(now, Request{ID: id, Priority: priority, SubPriority: within, Deadline: now.Add(time.Minute), ExpectedService: time.Millisecond})
+	offer := func(id ID, priority, subPriority uint8) {
+		q.Offer(now, Request{ID: id, Priority: priority, SubPriority: subPriority, Deadline: now.Add(time.Minute), ExpectedService: time.Millisecond})
 	}
 	offer(1, 0, 0)
 	offer(2, 2, 1)
--- a/internal/core/admit/load_test.go
+++ b/internal/core/admit/load_test.go
@@ -105,12 +105,12 @@
 	assert.Assert(t, byObjective.refusedInQueue < byObjective.refusedOnArrival)
 }
 
-func TestLateRequestIsRefusedUnlessInsisting(t *testing.T) {
+func TestLateRequestIsRefusedUnlessAllowLate(t *testing.T) {
 	q := NewQueue(Config{Slots: 1, QueuePerSlot: 4, GrantLife: time.Second})
 	r := Request{ID: 1, Deadline: base.Add(10 * time.Second), Objective: base.Add(time.Second), ExpectedService: 900 * time.Millisecond}
 	assert.Equal(t, q.Offer(base, r)[0].Action, Start)
 	r.ID = 2
-	q.service = 900 * time.Millisecond
+	q.serviceTime = 900 * time.Millisecond
 	d := q.Offer(base, r)[0]
 	assert.Equal(t, d.Action, Refuse)
 	assert.Assert(t, d.RetryAfter > 0)
@@ -153,7 +153,7 @@
 // this kind, and a refused call fails the request that made it.
 func TestShortRequestWithNearObjectiveIsQueuedAheadOfLongOnes(t *testing.T) {
 	q := NewQueue(Config{Slots: 4, QueuePerSlot: 8, GrantLife: time.Second})
-	q.service = 400 * time.Millisecond
+	q.serviceTime = 400 * time.Millisecond
 	for id := range ID(12) {
 		q.Offer(base, Request{
 			ID: id + 1, ExpectedService: 400 * time.Millisecond,
--- a/internal/core/admit/wait.go
+++ b/internal/core/admit/wait.go
@@ -46,7 +46,7 @@
 // is free plus the expected service times of the requests that run before it, divided
 // by the number of slots.
 func (q *Queue) waitBehind(now time.Time, newcomer *ticket) time.Duration {
-	ahead := q.service
+	ahead := q.serviceTime
 	for rank := newcomer.rank(); rank < rankCount; rank++ {
 		q.ranks[rank].each(func(t *ticket) {
 			if rank > newcomer.rank() || t.precedes(now, newcomer) {
