--- a/internal/core/quota/account.go
+++ b/internal/core/quota/account.go
@@ -18,7 +18,8 @@
 	// applies after a start, until a host that has been running longer reports the real
 	// one.
 	used, assumed bucket
-	// reserved is the level at which callers that were told to retry will arrive.
+	// reserved is the level including the refused requests that were told when to retry.
+	// Each refusal raises it by one, so that the retries do not all arrive at once.
 	reserved bucket
 	// standalone counts what this host admitted against its own share. successorUsed
 	// counts what it granted in place of an unresponsive home, against the share of the
@@ -31,9 +32,9 @@
 	homes [2]string
 	epoch uint64
 
-	// count is the number of requests this host admitted without a query, less those
-	// that did not run. confirmed is the part of it that the home confirmedBy has
-	// acknowledged.
+	// count is the number of requests this host admitted without a query, plus those that
+	// other hosts reported to it instead of to the home, less those that did not run.
+	// confirmed is the part of it that the home confirmedBy has acknowledged.
 	count, confirmed int64
 	confirmedBy      string
 	// seq numbers the usage reports sent; confirmedSeq is the last one acknowledged.
@@ -62,9 +63,10 @@
 // reporter is the usage that one host has reported.
 type reporter struct {
 	incarnation uint64
-	seq         uint32
-	count, base int64
-	reportedAt  time.Time
+	// seq, count and confirmed are those of the host's last report.
+	seq              uint32
+	count, confirmed int64
+	reportedAt       time.Time
 	// granted holds the IDs of the host's latest granted queries.
 	granted [grantsKept]uint32
 }
@@ -106,9 +108,10 @@
 	return rate*(1+n.cfg.ExtraRateFraction) + n.cfg.ExtraRate
 }
 
-// portion returns the rate and capacity of hosts that hold the given part of the whole.
-func (a *account) portion(part float64) (rate, capacity float64) {
-	return a.node.withExtra(a.limit.Rate) * part, max((a.limit.Burst+a.node.cfg.ExtraBurst)*part, 1)
+// limitsForShare returns the rate and capacity of hosts that hold the given share of the
+// limit.
+func (a *account) limitsForShare(share float64) (rate, capacity float64) {
+	return a.node.withExtra(a.limit.Rate) * share, max((a.limit.Burst+a.node.cfg.ExtraBurst)*share, 1)
 }
 
 // ownShare is this host's share of each limit.
@@ -157,7 +160,7 @@
 
 // admitStandalone admits a request within this host's own share of the rate.
 func (a *account) admitStandalone(now time.Time) (bool, time.Duration) {
-	rate, capacity := a.portion(a.node.ownShare())
+	rate, capacity := a.limitsForShare(a.node.ownShare())
 	level := a.standalone.now(now, rate)
 	if level+1 <= capacity {
 		return true, 0
@@ -175,8 +178,8 @@
 			requesting++
 		}
 	}
-	part := successorFraction * min(float64(requesting)/float64(a.node.knownHosts), 1)
-	rate, capacity := a.portion(part)
+	share := successorFraction * min(float64(requesting)/float64(a.node.knownHosts), 1)
+	rate, capacity := a.limitsForShare(share)
 	if now.Sub(a.lastAsSuccessor) > requestingPeriod {
 		// The share starts at the same relative usage as the whole.
 		a.successorUsed.raise(now, rate, a.level(now)/a.capacity()*capacity)
@@ -197,7 +200,7 @@
 // starts at the same relative usage as the whole.
 func (a *account) enterStandalone(now time.Time) {
 	if !now.Before(a.standaloneUntil) {
-		rate, capacity := a.portion(a.node.ownShare())
+		rate, capacity := a.limitsForShare(a.node.ownShare())
 		a.standalone.raise(now, rate, a.level(now)/a.capacity()*capacity)
 	}
 	a.standaloneUntil = now.Add(standalonePeriod)
@@ -206,7 +209,7 @@
 // recordAdmitted counts a request admitted by this host.
 func (a *account) recordAdmitted(now time.Time) {
 	a.admitted++
-	rate, _ := a.portion(a.node.ownShare())
+	rate, _ := a.limitsForShare(a.node.ownShare())
 	a.standalone.add(now, rate, 1)
 }
 
--- a/internal/core/quota/admit.go
+++ b/internal/core/quota/admit.go
@@ -29,20 +29,20 @@
 	case n.isHome(a):
 		ok, wait := n.admitAsHome(now, a)
 		n.checkNearLimit(now, a)
-		return a.verdict(now, ok, wait)
+		return a.recordDecision(now, ok, wait)
 	case now.Before(a.refusedUntil):
-		return a.verdict(now, false, a.refusalWait)
+		return a.recordDecision(now, false, a.refusalWait)
 	case now.Before(a.standaloneUntil):
 		ok, wait := a.admitStandalone(now)
 		if ok {
 			n.admitUnconfirmed(now, a)
 		}
-		return a.verdict(now, ok, wait)
+		return a.recordDecision(now, ok, wait)
 	case n.mustQuery(now, a):
 		return Verdict{Decision: Pending, QueryID: n.sendQuery(now, a)}
 	default:
 		n.admitUnconfirmed(now, a)
-		return a.verdict(now, true, 0)
+		return a.recordDecision(now, true, 0)
 	}
 }
 
@@ -61,7 +61,8 @@
 // inStartup reports whether this host started less than startupPeriod ago.
 func (n *Node) inStartup(now time.Time) bool { return now.Sub(n.started) < startupPeriod }
 
-func (a *account) verdict(now time.Time, ok bool, wait time.Duration) Verdict {
+// recordDecision counts a decision on a request of this host and returns it as a Verdict.
+func (a *account) recordDecision(now time.Time, ok bool, wait time.Duration) Verdict {
 	if !ok {
 		a.refused++
 		return Verdict{Decision: Refused, Wait: wait}
@@ -71,10 +72,12 @@
 }
 
 // mustQuery reports whether the home must be queried before a request is admitted: this
-// host may lack knowledge, the team is near its limit, or too many requests that this
-// host admitted are not yet confirmed by the home.
+// host has just started and may have missed a near-limit notice, the team is near its
+// limit, or too many requests that this host admitted are not yet confirmed by the home.
 func (n *Node) mustQuery(now time.Time, a *account) bool {
 	unconfirmed := float64(a.count - a.confirmed)
+	// All hosts together may have at most the usage up to nearLimitEnter unconfirmed, but
+	// each of them at least one request.
 	maxUnconfirmed := max(1, nearLimitEnter*a.capacity()/float64(max(len(n.hosts), 1)))
 	if a.level(now) < nearLimitExit*a.capacity() {
 		maxUnconfirmed = max(maxUnconfirmed, maxUnconfirmedFarFromLimit)
--- a/internal/core/quota/home.go
+++ b/internal/core/quota/home.go
@@ -64,13 +64,13 @@
 		return 0
 	}
 	added := u.Count - r.count
-	if r.seq == 0 || !u.ConfirmedByReceiver && u.Confirmed != r.base {
+	if r.seq == 0 || !u.ConfirmedByReceiver && u.Confirmed != r.confirmed {
 		// The host has reported to another home in the meantime and carries that home's
 		// level.
 		a.mergeLevel(now, float64(u.Level), u.Known)
 		added = u.Count - u.Confirmed
 	}
-	r.seq, r.count, r.base, r.reportedAt = u.Seq, u.Count, u.Confirmed, now
+	r.seq, r.count, r.confirmed, r.reportedAt = u.Seq, u.Count, u.Confirmed, now
 	return added
 }
 
--- a/internal/core/quota/quota.go
+++ b/internal/core/quota/quota.go
@@ -41,8 +41,8 @@
 	Incarnation uint64
 	// ExtraBurst is the number of requests a team may use beyond its burst. ExtraRate
 	// (requests per second) and ExtraRateFraction (a fraction of the rate) are added to
-	// its rate. Together they are the permitted excess over the limit that is not needed
-	// to cover what hosts do not know of each other.
+	// its rate. Hosts admit some requests beyond the limit because they learn late of what
+	// the others admitted; these values are what then remains of the permitted excess.
 	ExtraBurst, ExtraRate, ExtraRateFraction float64
 	// Limit returns a team's limit, or false if it has none.
 	Limit func(team string) (Limit, bool)
--- a/internal/core/quota/strategies_test.go
+++ b/internal/core/quota/strategies_test.go
@@ -27,7 +27,7 @@
 
 // Compares the enforcement strategies of the design note: a large team sends seven times
 // its limit for 6.5 s among forty medium ones at their usual load.
-func TestWaysOfKeepingARate(t *testing.T) {
+func TestEnforcementStrategies(t *testing.T) {
 	for _, hosts := range []int{6, 91, 354, 1600} {
 		for _, st := range strategies {
 			limits := map[string]Limit{"hot": large}
