--- a/internal/core/once/attempt.go
+++ b/internal/core/once/attempt.go
@@ -2,6 +2,15 @@
 // the front's side of an attempt, the idempotency-key table kept by a shard's
 // owner, and the leases that give an owner its authority. The package does no
 // I/O, and callers pass in the time.
+//
+// A request passes from the front, the proxy at the caller, to the guard, the proxy
+// at the instance that runs it. A service's idempotency keys are divided into
+// shards. The service's shard map names the owner of each shard, which is a host,
+// and numbers each assignment by an epoch. The front claims the key at the owner
+// before the request runs. The owner needs the lease of its epoch from a majority of
+// the guards in the map, which are up to maxGuards hosts. A guard that runs a request
+// checks the epoch of the claim. At a planned change of owner, the old owner hands
+// its table over to the next.
 package once
 
 import "github.com/radishhoist/radishhoist/verdict"
--- a/internal/core/once/owner.go
+++ b/internal/core/once/owner.go
@@ -207,7 +207,7 @@
 	if !ok || s.frozen {
 		return false
 	}
-	s.table.Done(now, d)
+	s.table.RecordResult(now, d)
 	return true
 }
 
--- a/internal/core/once/table.go
+++ b/internal/core/once/table.go
@@ -86,7 +86,8 @@
 	entries map[string]*keyEntry
 	bytes   int
 	// completeSince is the wall time up to which keys may be missing from this table.
-	// opaqueFrom is the time from which keys without a timestamp are accepted.
+	// opaqueFrom is the time from which opaque keys, those without a timestamp, are
+	// accepted.
 	completeSince int64
 	opaqueFrom    time.Time
 	active        bool
@@ -163,9 +164,9 @@
 	}
 }
 
-// Done records the result of a claimed request. The key of a request that did
+// RecordResult records the result of a claimed request. The key of a request that did
 // not run is released.
-func (t *Table) Done(now time.Time, d *msg.KeyResult) {
+func (t *Table) RecordResult(now time.Time, d *msg.KeyResult) {
 	e, ok := t.entries[d.Key]
 	if !ok || e.requestID != d.RequestID || e.state == keyFinished {
 		return
@@ -203,7 +204,7 @@
 
 // Export returns the entries for the next owner, together with the limits of
 // what the table knows: since in Unix milliseconds, and opaqueMS, the time in
-// milliseconds until keys without a timestamp are accepted.
+// milliseconds until opaque keys are accepted.
 func (t *Table) Export(now time.Time) (entries []msg.KeyEntry, since, opaqueMS int64) {
 	for key, e := range t.entries {
 		entries = append(entries, msg.KeyEntry{
