--- a/internal/guard/call.go
+++ b/internal/guard/call.go
@@ -43,16 +43,19 @@
 	x.inst.start(started, x.waiter, m)
 	run := x.guard.retryBudgets.begin(started, x.inst.service, x.retryReserved, m.Idempotent, x.hints)
 	if !x.retryReserved {
-		x.nestedRetryChance = run.retryPart
+		// Without a reservation this is a first attempt, but it may be a call made by
+		// a retried run.
+		x.nestedRetryChance = run.retryFraction
 	}
 	x.retryReserved = false
 	defer x.guard.retryBudgets.end(run)
 	res, failure := x.exchangeHTTP(ctx, m, started)
-	res.service = time.Since(started)
+	res.serviceTime = time.Since(started)
 	if failure != nil && ctx.Err() != nil {
 		res.failed, res.aborted = false, true
 	}
 	if failure != nil {
+		// On success, relayBody has recorded the outcome.
 		x.inst.recordOutcome(time.Now(), res)
 	}
 	switch {
--- a/internal/guard/counters.go
+++ b/internal/guard/counters.go
@@ -11,9 +11,9 @@
 // counters holds the guard's metrics, in a set of its own so that several guards can
 // run in one process.
 type counters struct {
-	set     *metrics.Set
-	queue   *metrics.Histogram
-	service *metrics.Histogram
+	set         *metrics.Set
+	queue       *metrics.Histogram
+	serviceTime *metrics.Histogram
 	// terminated counts the instances whose port was found to refuse connections.
 	terminated *metrics.Counter
 }
@@ -21,10 +21,10 @@
 func newCounters() counters {
 	set := metrics.NewSet()
 	return counters{
-		set:        set,
-		queue:      set.NewHistogram("radishhoist_queue_seconds"),
-		service:    set.NewHistogram("radishhoist_service_seconds"),
-		terminated: set.NewCounter("radishhoist_instances_ended_total"),
+		set:         set,
+		queue:       set.NewHistogram("radishhoist_queue_seconds"),
+		serviceTime: set.NewHistogram("radishhoist_service_seconds"),
+		terminated:  set.NewCounter("radishhoist_instances_ended_total"),
 	}
 }
 
@@ -47,7 +47,7 @@
 	case r.aborted:
 		outcome = "cut"
 	default:
-		c.service.Update(r.service.Seconds())
+		c.serviceTime.Update(r.serviceTime.Seconds())
 	}
 	c.set.GetOrCreateCounter(`radishhoist_instance_ended_total{outcome="` + outcome + `"}`).Inc()
 }
--- a/internal/guard/pace.go
+++ b/internal/guard/pace.go
@@ -12,10 +12,11 @@
 
 // result describes how a request that ran has ended.
 type result struct {
-	service time.Duration
+	serviceTime time.Duration
 	// failed reports that the request counts against the instance.
 	failed bool
-	// shed reports that the instance refused the request, which did not run.
+	// shed reports that the instance refused the request, or that the guard ended it
+	// before it was sent. It counts neither as a failure nor in the service time.
 	shed bool
 	// aborted reports that the request was aborted from outside before it ended.
 	aborted bool
@@ -29,13 +30,13 @@
 // finish frees the slot and updates the instance's health with the result.
 func (i *instance) finish(now time.Time, id admit.ID, r result) {
 	i.mu.Lock()
-	ratio := i.waiters[id].latencyRatio(r.service)
+	ratio := i.waiters[id].latencyRatio(r.serviceTime)
 	delete(i.waiters, id)
-	service := r.service
+	serviceTime := r.serviceTime
 	if r.failed || r.shed || r.aborted {
-		service = 0
+		serviceTime = 0
 	}
-	i.deliver(i.queue.Done(now, id, service))
+	i.deliver(i.queue.Done(now, id, serviceTime))
 	i.lastEnded = now
 	if r.failed {
 		i.counts.Failed++
@@ -67,11 +68,11 @@
 
 // latencyRatio returns the ratio of a service time to the expected duration, in units
 // of latencyRatioUnit; 0 if the front gave no expected duration.
-func (w *waiter) latencyRatio(service time.Duration) time.Duration {
+func (w *waiter) latencyRatio(serviceTime time.Duration) time.Duration {
 	if w == nil || w.expected <= 0 {
 		return 0
 	}
-	return time.Duration(float64(service) / float64(w.expected) * float64(latencyRatioUnit))
+	return time.Duration(float64(serviceTime) / float64(w.expected) * float64(latencyRatioUnit))
 }
 
 // observe adds the sample sent with a request to the reference.
--- a/internal/guard/repeats.go
+++ b/internal/guard/repeats.go
@@ -35,9 +35,9 @@
 	byService map[string]*serviceBudget
 	// runs counts the runs in progress on this host, retryableRuns those of work
 	// that may be retried, and retryParts the sum of their retry fractions.
-	runs          int
-	retryableRuns int
-	retryParts    int
+	runs           int
+	retryableRuns  int
+	retryFractions int
 	// overdrawnAt is when a call made by one of this host's runs last found the
 	// retry budget of the called service empty.
 	overdrawnAt time.Time
@@ -145,8 +145,8 @@
 
 // activeRun is one run in progress.
 type activeRun struct {
-	// retryPart is the fraction of the run that counts as a retry, in thousandths.
-	retryPart uint16
+	// retryFraction is the fraction of the run that counts as a retry, in thousandths.
+	retryFraction uint16
 	// retryable reports that the run may be retried or is itself a retry.
 	retryable bool
 }
@@ -162,10 +162,10 @@
 	switch {
 	case !ok:
 	case reserved:
-		run.retryPart = msg.Thousandths
+		run.retryFraction = msg.Thousandths
 		k.budget.UseHeld(now)
 	default:
-		run.retryPart = k.recordFirstAttempt(now, hints)
+		run.retryFraction = k.recordFirstAttempt(now, hints)
 	}
 	run.retryable = idempotent || reserved
 	r.countRun(run, 1)
@@ -180,13 +180,13 @@
 		k.budget.AddRequest(now, 0)
 		return 0
 	}
-	part := min(hints.NestedRetryChance, msg.Thousandths)
+	fraction := min(hints.NestedRetryChance, msg.Thousandths)
 	if k.origins.IsCallRoute(hints.Route) {
-		k.budget.AddCall(now, float64(part)/msg.Thousandths)
+		k.budget.AddCall(now, float64(fraction)/msg.Thousandths)
 	} else {
-		k.budget.AddRequest(now, float64(part)/msg.Thousandths)
+		k.budget.AddRequest(now, float64(fraction)/msg.Thousandths)
 	}
-	return part
+	return fraction
 }
 
 // end removes a finished run from the counts.
@@ -201,7 +201,7 @@
 	r.runs += n
 	if run.retryable {
 		r.retryableRuns += n
-		r.retryParts += n * int(run.retryPart)
+		r.retryFractions += n * int(run.retryFraction)
 	}
 }
 
@@ -228,7 +228,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.retryableRuns > 0 {
-		nestedRetryChance = uint16(r.retryParts / r.retryableRuns)
+		nestedRetryChance = uint16(r.retryFractions / r.retryableRuns)
 	}
 	return nestedRetryChance, r.runs == 0
 }
--- a/internal/guard/repeats_test.go
+++ b/internal/guard/repeats_test.go
@@ -174,7 +174,7 @@
 	nestedRetryChance, idle := g.CallOrigin()
 	assert.Assert(t, idle)
 	assert.Equal(t, nestedRetryChance, uint16(0))
-	assert.Equal(t, g.retryBudgets.begin(now, "s", false, true, msg.AdmissionHints{Route: 1, OriginIdle: true}).retryPart, uint16(0))
+	assert.Equal(t, g.retryBudgets.begin(now, "s", false, true, msg.AdmissionHints{Route: 1, OriginIdle: true}).retryFraction, uint16(0))
 	g.retryBudgets.begin(now, "s", false, false, msg.AdmissionHints{Route: 1, OriginIdle: true})
 	assert.Assert(t, g.retryBudgets.reserve(now, "s", msg.AdmissionHints{}))
 	repeat := g.retryBudgets.begin(now, "s", true, true, msg.AdmissionHints{Repeat: true, Route: 1})
@@ -183,10 +183,10 @@
 	assert.Assert(t, !idle)
 
 	before := g.retryBudgets.remaining(now, "s")
-	assert.Equal(t, g.retryBudgets.begin(now, "s", false, true, msg.AdmissionHints{Route: 2, NestedRetryChance: msg.Thousandths}).retryPart, uint16(msg.Thousandths))
+	assert.Equal(t, g.retryBudgets.begin(now, "s", false, true, msg.AdmissionHints{Route: 2, NestedRetryChance: msg.Thousandths}).retryFraction, uint16(msg.Thousandths))
 	assert.Equal(t, g.retryBudgets.remaining(now, "s"), before-1)
 	g.retryBudgets.begin(now, "s", false, true, msg.AdmissionHints{Route: 1, OriginIdle: true})
-	assert.Equal(t, g.retryBudgets.begin(now, "s", false, true, msg.AdmissionHints{Route: 1, NestedRetryChance: msg.Thousandths}).retryPart, uint16(0), "callers use route 1")
+	assert.Equal(t, g.retryBudgets.begin(now, "s", false, true, msg.AdmissionHints{Route: 1, NestedRetryChance: msg.Thousandths}).retryFraction, uint16(0), "callers use route 1")
 	g.retryBudgets.end(repeat)
 }
 
