--- a/internal/front/attempt.go
+++ b/internal/front/attempt.go
@@ -52,9 +52,9 @@
 type attemptOptions struct {
 	// allowLate asks for a place in the queue even if the answer will miss the objective.
 	allowLate bool
-	// repeat says that the request may have reached an instance before, so that the attempt
-	// draws on the retry budget. hedge says that another attempt is still running.
-	repeat, hedge bool
+	// usesRetryBudget says that the request may have reached an instance before, so that the
+	// attempt draws on the retry budget. hedge says that another attempt is still running.
+	usesRetryBudget, hedge bool
 }
 
 // claimTask is a claim in progress at the key's owner. answer is set once done is closed.
--- a/internal/front/choose.go
+++ b/internal/front/choose.go
@@ -16,7 +16,8 @@
 // pick is a chosen target.
 type pick struct {
 	target *target
-	// sample is sent to the guard with the request.
+	// sample is a latency of another instance. It is sent to the guard with the request,
+	// for comparison with the latency of this one.
 	sample msg.Sample
 	// entry describes the choice in the request log.
 	entry attemptEntry
@@ -24,10 +25,13 @@
 	options attemptOptions
 }
 
-// choose picks a target that is not in tried and counts the request as pending there. If
-// repeat is set, only targets whose guard may have retry budget left are considered. It
-// returns false if no target is left.
-func (f *Front) choose(req *request, tried []*target, repeat bool, rng *rand.Rand) (pick, bool) {
+// choose picks a target that is not in tried and counts the request as pending there. A
+// request suspected of crashing instances goes to the instance designated for it. Any other
+// may be used for a trial, and otherwise goes to a usable target. If there is none, an
+// ejected target or an excluded path serves as a fallback. If usesRetryBudget is set, only
+// targets whose guard may have retry budget left are considered, and there is no fallback.
+// It returns false if no target is left.
+func (f *Front) choose(req *request, tried []*target, usesRetryBudget bool, rng *rand.Rand) (pick, bool) {
 	st := req.state
 	now := time.Now()
 	st.mu.Lock()
@@ -38,11 +42,11 @@
 	var t *target
 	var why string
 	if v := f.guard.CrashAssessment(req.fingerprint); v.Crashes > 0 {
-		t, why = st.pickForSuspect(now, req.fingerprint, &v, tried, repeat), whySuspect
+		t, why = st.pickForSuspect(now, req.fingerprint, &v, tried, usesRetryBudget), whySuspect
 	} else if t, why = st.pickTrial(now, req, tried, rng, f.paths); t == nil {
-		t, why = st.pickUsable(now, req, tried, repeat, rng, f.paths, f.cfg), whyCost
+		t, why = st.pickUsable(now, req, tried, usesRetryBudget, rng, f.paths, f.cfg), whyCost
 	}
-	if t == nil && !repeat {
+	if t == nil && !usesRetryBudget {
 		t, why = st.pickFallback(tried), whyFallback
 	}
 	if t == nil {
@@ -55,13 +59,13 @@
 // pickTrial occasionally sends an idempotent request over an excluded path or to an ejected
 // instance, and any eligible request to an instance whose guard asks for a trial.
 func (st *serviceState) pickTrial(now time.Time, req *request, tried []*target, rng *rand.Rand, p *paths) (*target, string) {
-	sets := &st.candidates
+	candidates := &st.candidates
 	if len(tried) > 0 {
 		return nil, ""
 	}
 	retryable := req.idempotent && st.retryBudgetLeft(now)
 	if retryable {
-		for _, i := range sets.unreachable {
+		for _, i := range candidates.unreachable {
 			if p.tryAcquireTrial(now, st.targets[i].Host.Name) {
 				return st.targets[i], whyPath
 			}
@@ -71,11 +75,11 @@
 		t.observed.load.WantsTrial = false
 		return t, whyTrial
 	}
-	share := trialShare * float64(len(sets.ejected)) / float64(max(len(st.targets), 1))
-	if !retryable || len(sets.ejected) == 0 || rng.Float64() >= share {
+	share := trialShare * float64(len(candidates.ejected)) / float64(max(len(st.targets), 1))
+	if !retryable || len(candidates.ejected) == 0 || rng.Float64() >= share {
 		return nil, ""
 	}
-	return st.targets[sets.ejected[rng.IntN(len(sets.ejected))]], whyTrial
+	return st.targets[candidates.ejected[rng.IntN(len(candidates.ejected))]], whyTrial
 }
 
 const (
@@ -85,9 +89,9 @@
 	// trialWaitNonIdempotent is how long a guard must have asked for a trial before a
 	// non-idempotent request may be used, so that idempotent ones are used first.
 	trialWaitNonIdempotent = 300 * time.Millisecond
-	// trialWishMaxAge is how long a guard's request for a trial is valid. A guard that
+	// wantsTrialMaxAge is how long a guard's request for a trial is valid. A guard that
 	// still wants one has repeated it by then.
-	trialWishMaxAge = 300 * time.Millisecond
+	wantsTrialMaxAge = 300 * time.Millisecond
 	// trialEstimateJitter is the random part added to failure estimates when choosing a
 	// trial target, so that fronts with the same information do not all choose the same
 	// one.
@@ -96,8 +100,8 @@
 
 // trialCandidate returns a target whose guard asks for a trial, or nil. It prefers the
 // target with the lowest failure estimate, because trials are few and failing instances ask
-// for them too. retryable says that the request can be retried if the trial fails. Few
-// fronts learn of a guard's wish, and each sends one request for it.
+// for them too. retryable says that the request can be retried if the trial fails. A guard
+// asks only a few fronts, and each sends one request for it.
 func (st *serviceState) trialCandidate(now time.Time, idempotent, retryable bool, rng *rand.Rand, p *paths) *target {
 	var best *target
 	lowest := 0.0
@@ -116,7 +120,7 @@
 // wantsTrial reports whether the guard is known to want a trial request. Old information
 // does not count: the guard may have got its request since and told other fronts so.
 func (o *observations) wantsTrial(now time.Time) bool {
-	return o.load.WantsTrial && now.Sub(o.loadAt) <= trialWishMaxAge
+	return o.load.WantsTrial && now.Sub(o.loadAt) <= wantsTrialMaxAge
 }
 
 // eligibleForTrial reports whether a request may be used for a trial here. A retryable
@@ -133,12 +137,12 @@
 }
 
 // pickUsable picks the usable target with the lowest cost in a random sample.
-func (st *serviceState) pickUsable(now time.Time, req *request, tried []*target, repeat bool, rng *rand.Rand, p *paths, cfg Config) *target {
+func (st *serviceState) pickUsable(now time.Time, req *request, tried []*target, usesRetryBudget bool, rng *rand.Rand, p *paths, cfg Config) *target {
 	usable, local := st.candidates.usable, st.candidates.local
 	if len(tried) > 0 {
 		usable, local = st.untried(usable, tried), st.untried(local, tried)
 	}
-	if repeat {
+	if usesRetryBudget {
 		withBudget := func(t *target) bool { return t.observed.retryBudgetLeft(now) }
 		usable, local = st.filter(usable, withBudget), st.filter(local, withBudget)
 	}
--- a/internal/front/cost_test.go
+++ b/internal/front/cost_test.go
@@ -100,13 +100,13 @@
 }
 
 // A guard's request for a trial expires, because another front may have sent one since.
-func TestTrialWishExpires(t *testing.T) {
+func TestWantsTrialExpires(t *testing.T) {
 	now := time.Unix(1000, 0)
 	o := &observations{}
 	o.updateLoad(now, msg.Load{Slots: 4, WantsTrial: true})
-	assert.Assert(t, o.wantsTrial(now.Add(trialWishMaxAge)))
-	assert.Assert(t, !o.wantsTrial(now.Add(trialWishMaxAge+1)))
-	later := now.Add(2 * trialWishMaxAge)
+	assert.Assert(t, o.wantsTrial(now.Add(wantsTrialMaxAge)))
+	assert.Assert(t, !o.wantsTrial(now.Add(wantsTrialMaxAge+1)))
+	later := now.Add(2 * wantsTrialMaxAge)
 	o.updateLoad(later, msg.Load{Slots: 4, WantsTrial: true})
 	assert.Assert(t, !o.eligibleForTrial(later, false, false), "it has only just asked again")
 	o.updateLoad(later, msg.Load{Slots: 4})
--- a/internal/front/run.go
+++ b/internal/front/run.go
@@ -76,10 +76,10 @@
 		e.addFailure(guard.BlockedRefusal(time.Now(), e.req.fingerprint, &v))
 		return pick{}, false
 	}
-	options := attemptOptions{repeat: e.reachedInstance || hedge, hedge: hedge, allowLate: len(e.failures) >= onTimeAttempts}
-	p, ok := e.front.choose(e.req, e.tried, options.repeat, e.rng)
+	options := attemptOptions{usesRetryBudget: e.reachedInstance || hedge, hedge: hedge, allowLate: len(e.failures) >= onTimeAttempts}
+	p, ok := e.front.choose(e.req, e.tried, options.usesRetryBudget, e.rng)
 	if !ok {
-		e.noteBudgetExhausted(options.repeat)
+		e.noteBudgetExhausted(options.usesRetryBudget)
 		return pick{}, false
 	}
 	if p.entry.Why == whyTrial || p.entry.Why == whyPath {
@@ -93,8 +93,8 @@
 
 // noteBudgetExhausted records that the retry budget did not allow an attempt. The caller
 // must hold e.mu or have exclusive access.
-func (e *execution) noteBudgetExhausted(repeat bool) {
-	if !repeat || e.summary.budgetExhausted || e.done {
+func (e *execution) noteBudgetExhausted(usesRetryBudget bool) {
+	if !usesRetryBudget || e.summary.budgetExhausted || e.done {
 		return
 	}
 	e.summary.budgetExhausted = true
--- a/internal/front/send.go
+++ b/internal/front/send.go
@@ -40,7 +40,7 @@
 		UsedMS:      uint32(max(time.Since(a.req.arrived).Milliseconds(), 0)),
 		ExpectedMS:  uint32(a.req.state.expectedServiceTimeAt(a.req, a.target).Milliseconds()),
 		AllowLate:   a.options.allowLate,
-		Repeat:      a.options.repeat, Hedge: a.options.hedge,
+		Repeat:      a.options.usesRetryBudget, Hedge: a.options.hedge,
 		NestedRetryChance: a.req.nestedRetryChance, OriginIdle: a.req.originIdle, Route: uint32(xxhash.Sum64String(a.req.route.Name)),
 		Fingerprint: uint64(a.req.fingerprint),
 	}
--- a/internal/front/service.go
+++ b/internal/front/service.go
@@ -60,11 +60,12 @@
 	latencyRatio float64
 }
 
-// candidateSets divides the targets of a service as decided by the floor rule.
+// candidateSets divides the targets of a service as decided by eject.Apply, which leaves out
+// suspect targets without taking the service below its capacity floor.
 type candidateSets struct {
 	result eject.Result
 	// usable and local are the indexes of the targets to choose from, in all data centres
-	// and in this one. ejected are those excluded by the floor rule.
+	// and in this one. ejected are those that eject.Apply left out.
 	usable, local, ejected []int
 	// unreachable are targets whose path is excluded.
 	unreachable []int
@@ -127,7 +128,7 @@
 // a change of the directory.
 const candidateMaxAge = 250 * time.Millisecond
 
-// refreshCandidates applies the floor rule. The caller must hold st.mu.
+// refreshCandidates computes the candidate sets. The caller must hold st.mu.
 func (st *serviceState) refreshCandidates(now time.Time, svc *directory.Service, p *paths, cfg Config) {
 	members := make([]eject.Member, len(st.targets))
 	for i, t := range st.targets {
--- a/internal/front/status.go
+++ b/internal/front/status.go
@@ -48,7 +48,7 @@
 	Queued          int `json:"queued"`
 }
 
-// Status returns every service with the result of the floor rule.
+// Status returns the capacity of every service and how each of its targets is used.
 func (f *Front) Status() []ServiceStatus {
 	view := f.view.Load()
 	out := []ServiceStatus{}
--- a/internal/front/suspect.go
+++ b/internal/front/suspect.go
@@ -61,12 +61,12 @@
 // pickForSuspect chooses the target of a suspected request among the instances that it may
 // reach. The choice depends only on the request's fingerprint and the instances' names, so
 // that all hosts agree. The caller must hold st.mu.
-func (st *serviceState) pickForSuspect(now time.Time, fingerprint crash.Fingerprint, v *crash.Assessment, tried []*target, repeat bool) *target {
+func (st *serviceState) pickForSuspect(now time.Time, fingerprint crash.Fingerprint, v *crash.Assessment, tried []*target, usesRetryBudget bool) *target {
 	var best *target
 	lowest := uint64(0)
 	for _, i := range st.untried(st.candidates.usable, tried) {
 		t := st.targets[i]
-		if v.Blocked(now, t.softwareVersion()) || repeat && !t.observed.retryBudgetLeft(now) {
+		if v.Blocked(now, t.softwareVersion()) || usesRetryBudget && !t.observed.retryBudgetLeft(now) {
 			continue
 		}
 		if rank := rendezvousRank(fingerprint, t); best == nil || rank < lowest {
