--- a/cmd/radishhoist/main.go
+++ b/cmd/radishhoist/main.go
@@ -20,7 +20,7 @@
 // adapters are those for platforms other than the project's own. The command line only
 // reads Configurations from these, so the default settings suffice for services.
 var adapters = cli.Adapters{
-	platform.Name: func(url string) objects.Store {
+	platform.AdapterName: func(url string) objects.Store {
 		return platform.NewStore(url, watchWait, settings.Default().ServiceDefaults())
 	},
 }
--- a/internal/cli/apply.go
+++ b/internal/cli/apply.go
@@ -112,12 +112,12 @@
 // is lost, the mark shows whether the stored record is this write or another operator's.
 func (a *app) write(ctx context.Context, s objects.Store, r *record.Record, ifVersion int64) error {
 	writer := operator() + " " + uuid.NewString()
-	value, err := record.MarshalBy(r.Key, r.Spec, writer)
+	value, err := record.MarshalWithWriter(r.Key, r.Spec, writer)
 	if err != nil {
 		return err
 	}
 	isOwn := func(stored []byte) bool { return record.WriterOf(stored) == writer }
-	obj, err := objects.PutSettled(ctx, s, r.Key, value, ifVersion, isOwn)
+	obj, err := objects.PutConfirmed(ctx, s, r.Key, value, ifVersion, isOwn)
 	var conflict *objects.ConflictError
 	if errors.As(err, &conflict) {
 		changes, _ := diffRecord(conflict.Current.Value, r)
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -47,7 +47,7 @@
 		missing     *objects.NotFoundError
 		unavailable *objects.UnavailableError
 		invalid     *record.InvalidError
-		tooNew      *record.TooNewError
+		tooNew      *record.SchemaTooNewError
 		usage       *InvalidError
 		unsafe      *UnsafeError
 	)
@@ -89,7 +89,7 @@
 // New builds the command line on the given streams. The adapter for the project's own
 // object API is always available; extra adds the adapters of other platforms.
 func New(in io.Reader, out io.Writer, extra Adapters) *cli.Command {
-	adapters := Adapters{settings.AdapterOwn: func(url string) objects.Store { return objects.NewClient(url, time.Minute) }}
+	adapters := Adapters{settings.DefaultAdapter: func(url string) objects.Store { return objects.NewClient(url, time.Minute) }}
 	maps.Copy(adapters, extra)
 	checkAdapter := func(name string) error {
 		if _, ok := adapters[name]; !ok {
@@ -105,7 +105,7 @@
 			"overwrites another operator's change unnoticed. Start with `radishhoist status`.",
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: "platform", Usage: "base `URL` of the platform's object API", Sources: cli.EnvVars("RADISHHOIST_PLATFORM"), Value: "http://127.0.0.1:7000"},
-			&cli.StringFlag{Name: "adapter", Usage: "`NAME` of the platform adapter, as in the daemons' settings", Sources: cli.EnvVars("RADISHHOIST_ADAPTER"), Value: settings.AdapterOwn, Validator: checkAdapter},
+			&cli.StringFlag{Name: "adapter", Usage: "`NAME` of the platform adapter, as in the daemons' settings", Sources: cli.EnvVars("RADISHHOIST_ADAPTER"), Value: settings.DefaultAdapter, Validator: checkAdapter},
 			&cli.StringFlag{Name: "admin", Usage: "admin `ADDRESS` of any daemon", Sources: cli.EnvVars("RADISHHOIST_ADMIN"), Value: "127.0.0.1:7900"},
 			&cli.StringFlag{Name: "output", Aliases: []string{"o"}, Usage: "`FORMAT`: table or json", Value: "table", Validator: checkFormat},
 		},
--- a/internal/cli/losses.go
+++ b/internal/cli/losses.go
@@ -78,7 +78,7 @@
 		line("%s\t%d\t%s (%d)", window.From.UTC().Format(time.TimeOnly), window.Lost, cause, window.Causes[cause])
 	}
 	line("\nretries of lost requests: %d sent; %d requests not retried because the retry budget was used up, %d retries refused by guards; for example %s",
-		r.Repeats.Sent, r.Repeats.Unpaid, r.Repeats.Refused, r.Repeats.Example.Request)
+		r.Retries.Sent, r.Retries.OverBudget, r.Retries.Refused, r.Retries.Example.Request)
 	line("\nSERVICE\tREFUSED AFTER WAIT\tLONGEST\tEXAMPLE")
 	for _, wait := range r.Waits {
 		line("%s\t%d\t%s\t%s", wait.Service, wait.Count, wait.Longest, wait.Example.Request)
--- a/internal/cli/status.go
+++ b/internal/cli/status.go
@@ -49,7 +49,7 @@
 func (a *app) collectStatus(ctx context.Context, cmd *cli.Command) *statusReport {
 	r := &statusReport{InForce: []*record.Status{}, Stops: []row{}}
 	var seen state.Status
-	if err := adminGet(ctx, cmd.String("admin"), state.PathStatus, nil, &seen); err != nil {
+	if err := adminGet(ctx, cmd.String("admin"), state.StatusPath, nil, &seen); err != nil {
 		r.DaemonErr = err.Error()
 	} else {
 		r.DaemonStatus = &seen
@@ -96,11 +96,11 @@
 	a.printLine("As seen by host %s (%s, %s), which has %d requests running and %d queued:", s.Host, s.DC, s.Phase, s.Running, s.Queued)
 	a.printTable("SERVICE\tPRESET\tSLOTS IN USE\tFLOOR\tSLOTS KNOWN\tTARGETS NOT IN USE", func(w *tabwriter.Writer) {
 		for _, svc := range s.Services {
-			fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%d\t%s\n", svc.Name, svc.Preset, svc.Healthy, svc.Required, svc.Known, unusedTargets(svc))
+			fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%d\t%s\n", svc.Name, svc.Preset, svc.HealthySlots, svc.RequiredSlots, svc.KnownSlots, unusedTargets(svc))
 		}
 	})
 	for _, svc := range s.Services {
-		if svc.Healthy < svc.Required {
+		if svc.HealthySlots < svc.RequiredSlots {
 			a.printLine("SERVICE %s IS BELOW ITS FLOOR: traffic is spread over its least unhealthy targets. See docs/operate/floor.md.", svc.Name)
 		}
 		for _, t := range svc.Targets {
@@ -114,7 +114,7 @@
 			a.printLine("  host %s (%s): %s", m.Host, m.DC, m.Status)
 		}
 	}
-	if s.Control.Away {
+	if s.Control.PlatformAway {
 		a.printLine("  this host gets no response from the platform and continues with the records it has")
 	}
 }
@@ -174,7 +174,7 @@
 			}
 			q := explainQuery{Method: strings.ToUpper(cmd.Args().Get(0)), URL: cmd.Args().Get(1), Team: cmd.String("team")}
 			var e front.Explanation
-			if err := adminGet(ctx, cmd.String("admin"), state.PathExplain, q, &e); err != nil {
+			if err := adminGet(ctx, cmd.String("admin"), state.ExplainPath, q, &e); err != nil {
 				return err
 			}
 			if asJSON(cmd) {
@@ -190,7 +190,7 @@
 	if e.Matched {
 		a.printLine("route      %s (version %d)", e.Route, e.Version)
 		a.printLine("service    %s", e.Service)
-		a.printLine("idempotent %t: %s", e.Idempotent, e.Because)
+		a.printLine("idempotent %t: %s", e.Idempotent, e.IdempotencyReason)
 		a.printLine("deadline   %d ms from arrival; priority %d", e.TimeoutMS, e.Priority)
 	}
 	if e.Team != "" {
@@ -224,7 +224,7 @@
 				return err
 			}
 			var dump state.Dump
-			if err := adminGet(ctx, addr, state.PathState, nil, &dump); err != nil {
+			if err := adminGet(ctx, addr, state.StatePath, nil, &dump); err != nil {
 				return err
 			}
 			return a.printJSON(dump)
--- a/internal/cli/stop.go
+++ b/internal/cli/stop.go
@@ -96,14 +96,14 @@
 // if the daemon cannot be asked.
 func checkFloor(ctx context.Context, cmd *cli.Command, host, instance string) error {
 	var seen state.Status
-	if err := adminGet(ctx, cmd.String("admin"), state.PathStatus, nil, &seen); err != nil {
+	if err := adminGet(ctx, cmd.String("admin"), state.StatusPath, nil, &seen); err != nil {
 		return &UnsafeError{fmt.Sprintf("cannot check the floors: %v; select another daemon with --admin, or use --force", err)}
 	}
 	for _, svc := range seen.Services {
 		lost := usedSlots(svc, host, instance)
-		if lost > 0 && svc.Healthy-lost < svc.Required {
+		if lost > 0 && svc.HealthySlots-lost < svc.RequiredSlots {
 			return &UnsafeError{fmt.Sprintf("service %s would have %d slots in use, below its floor of %d: start instances elsewhere or wait until others recover; --force stops it anyway",
-				svc.Name, svc.Healthy-lost, svc.Required)}
+				svc.Name, svc.HealthySlots-lost, svc.RequiredSlots)}
 		}
 	}
 	return nil
@@ -134,7 +134,7 @@
 	last := ""
 	for {
 		var dump state.Dump
-		if err := adminGet(ctx, addr, state.PathState, nil, &dump); err != nil {
+		if err := adminGet(ctx, addr, state.StatePath, nil, &dump); err != nil {
 			return err
 		}
 		line, drained := drainProgress(&dump, cmd.String("instance"))
--- a/internal/cli/suspects.go
+++ b/internal/cli/suspects.go
@@ -54,7 +54,7 @@
 	Since string `json:"since"`
 	Last  string `json:"last"`
 	// Terminations has one entry for each instance start that was terminated.
-	Terminations []record.InstanceEnd `json:"instances"`
+	Terminations []record.InstanceCrash `json:"instances"`
 }
 
 // suspectList is the output of `suspects`. Problem is the error if the platform's records
@@ -69,7 +69,7 @@
 		return &InvalidError{fmt.Sprintf("unknown command %q; use `radishhoist suspects` or `radishhoist suspects clear PRINT`", cmd.Args().First())}
 	}
 	var dump state.Dump
-	if err := adminGet(ctx, cmd.String("admin"), state.PathState, nil, &dump); err != nil {
+	if err := adminGet(ctx, cmd.String("admin"), state.StatePath, nil, &dump); err != nil {
 		return err
 	}
 	var problem string
@@ -106,8 +106,8 @@
 		}
 		s := byFingerprint[obj.Name]
 		if s == nil {
-			s = &suspect{Fingerprint: obj.Name, TerminationCount: len(c.Ends)}
-			s.setTerminations(c.Ends)
+			s = &suspect{Fingerprint: obj.Name, TerminationCount: len(c.Crashes)}
+			s.setTerminations(c.Crashes)
 			byFingerprint[obj.Name] = s
 		}
 		s.Request = c.Request
@@ -121,11 +121,11 @@
 }
 
 // setTerminations fills the fields that derive from the terminations.
-func (s *suspect) setTerminations(terminations []record.InstanceEnd) {
+func (s *suspect) setTerminations(terminations []record.InstanceCrash) {
 	if len(terminations) == 0 {
 		return // The request was cleared while the list was made.
 	}
-	byTime := func(a, b record.InstanceEnd) int { return cmp.Compare(a.AtMS, b.AtMS) }
+	byTime := func(a, b record.InstanceCrash) int { return cmp.Compare(a.AtMS, b.AtMS) }
 	first, last := slices.MinFunc(terminations, byTime), slices.MaxFunc(terminations, byTime)
 	s.Service, s.Since, s.Last, s.Terminations = first.Service, formatTime(first.AtMS), formatTime(last.AtMS), terminations
 	for _, t := range terminations {
--- a/internal/cli/teams.go
+++ b/internal/cli/teams.go
@@ -79,7 +79,7 @@
 	list := teamList{Teams: []*teamUsage{}}
 	for _, name := range slices.Sorted(maps.Keys(hosts)) {
 		var dump state.Dump
-		if err := adminGet(ctx, hosts[name], state.PathState, nil, &dump); err != nil {
+		if err := adminGet(ctx, hosts[name], state.StatePath, nil, &dump); err != nil {
 			list.Unreachable = append(list.Unreachable, name)
 			continue
 		}
@@ -211,7 +211,7 @@
 func (a *app) addKey(ctx context.Context, cmd *cli.Command) error {
 	key := rand.Text()
 	err := a.changeKeys(ctx, cmd, func(t *record.Team) error {
-		t.KeyHashes = append(t.KeyHashes, record.HashKey(key).String())
+		t.KeyHashes = append(t.KeyHashes, record.HashTeamKey(key).String())
 		return nil
 	})
 	if err != nil {
@@ -224,10 +224,10 @@
 
 func (a *app) withdrawKey(ctx context.Context, cmd *cli.Command) error {
 	var key string
-	if _, err := fmt.Fscan(a.in, &key); err != nil || record.KeyFault(key) != "" {
+	if _, err := fmt.Fscan(a.in, &key); err != nil || record.TeamKeyProblem(key) != "" {
 		return &InvalidError{"expected the key to withdraw on standard input, for example: radishhoist teams key withdraw TEAM < file"}
 	}
-	hash := record.HashKey(key).String()
+	hash := record.HashTeamKey(key).String()
 	return a.changeKeys(ctx, cmd, func(t *record.Team) error {
 		kept := slices.DeleteFunc(slices.Clone(t.KeyHashes), func(h string) bool { return h == hash })
 		if len(kept) == len(t.KeyHashes) {
@@ -281,7 +281,7 @@
 	for {
 		for name, addr := range hosts {
 			var st state.Status
-			if adminGet(ctx, addr, state.PathStatus, nil, &st) == nil && st.Control.InForce >= obj.Version {
+			if adminGet(ctx, addr, state.StatusPath, nil, &st) == nil && st.Control.ActiveVersion >= obj.Version {
 				delete(hosts, name)
 			}
 		}
--- a/internal/control/pulse_test.go
+++ b/internal/control/pulse_test.go
@@ -54,11 +54,11 @@
 
 func TestASmallFleetIsToldEverythingWithOneCopyADataCentre(t *testing.T) {
 	c := withHosts(t, 7, 8, 8)
-	c.Tell(aPulse(), loadreport.ToLocal)
+	c.SendLoadReport(aPulse(), loadreport.ToLocal)
 	all, relayed := told(c)
 	assert.Equal(t, all, 7)
 	assert.Equal(t, relayed, 0)
-	c.Tell(aPulse(), loadreport.ToAll)
+	c.SendLoadReport(aPulse(), loadreport.ToAll)
 	all, relayed = told(c)
 	assert.Equal(t, all, 9)
 	assert.Equal(t, relayed, 2)
@@ -67,7 +67,7 @@
 func TestARelayedPulseIsPassedOnNearbyOnly(t *testing.T) {
 	c := withHosts(t, 7, 8)
 	heard := 0
-	c.hooks.Pulse = func(*msg.LoadReport) { heard++ }
+	c.hooks.LoadReport = func(*msg.LoadReport) { heard++ }
 	c.HandleControl(&msg.Hello{Host: "f100"}, &msg.LoadReport{Forward: true, Loads: aPulse().Loads})
 	all, relayed := told(c)
 	assert.Equal(t, heard, 1)
@@ -84,7 +84,7 @@
 func TestALargeFleetIsToldOfLoads(t *testing.T) {
 	for _, hosts := range []int{22, 60, 90} {
 		c := withHosts(t, hosts, 30)
-		c.Tell(aPulse(), loadreport.ToLocal)
+		c.SendLoadReport(aPulse(), loadreport.ToLocal)
 		all, _ := told(c)
 		assert.Assert(t, all >= min(hosts, loadreport.Burst-loadreport.ChangeReserve-1), "%d of %d", all, hosts)
 	}
@@ -97,16 +97,16 @@
 		c := withHosts(t, hosts, 20, 20)
 		begun := time.Now()
 		for range 200 {
-			c.Tell(aPulse(), loadreport.ToLocal)
+			c.SendLoadReport(aPulse(), loadreport.ToLocal)
 		}
 		loads, _ := told(c)
 		assert.Assert(t, float64(loads) <= loadreport.ChangeReserve+loadreport.MaxRate*time.Since(begun).Seconds()+1)
-		c.Tell(aPulse(), loadreport.ToAll)
+		c.SendLoadReport(aPulse(), loadreport.ToAll)
 		turned, relayed := told(c)
 		assert.Assert(t, turned >= min(hosts+2, loadreport.ChangeReserve-1))
 		assert.Equal(t, relayed, 2)
 		for range 200 {
-			c.Tell(aPulse(), loadreport.ToAll)
+			c.SendLoadReport(aPulse(), loadreport.ToAll)
 		}
 		more, _ := told(c)
 		assert.Assert(t, float64(loads+turned+more) <= loadreport.Burst+loadreport.MaxRate*time.Since(begun).Seconds()+1)
@@ -118,7 +118,7 @@
 func TestFewHostsHearOfAnIdleInstance(t *testing.T) {
 	for _, hosts := range []int{2, 7, 90} {
 		c := withHosts(t, hosts, 30)
-		c.Tell(aPulse(), loadreport.ToFew)
+		c.SendLoadReport(aPulse(), loadreport.ToFew)
 		all, relayed := told(c)
 		assert.Equal(t, all, min(hosts, 4))
 		assert.Equal(t, relayed, 0)
@@ -131,14 +131,14 @@
 	c := withHosts(t, 500, 20, 20)
 	begun := time.Now()
 	for range 200 {
-		c.Tell(aPulse(), loadreport.ToAll)
+		c.SendLoadReport(aPulse(), loadreport.ToAll)
 	}
 	told(c)
-	c.Tell(aPulse(), loadreport.ToFew)
+	c.SendLoadReport(aPulse(), loadreport.ToFew)
 	asked, _ := told(c)
 	assert.Equal(t, asked, 4)
 	for range 200 {
-		c.Tell(aPulse(), loadreport.ToFew)
+		c.SendLoadReport(aPulse(), loadreport.ToFew)
 	}
 	more, _ := told(c)
 	assert.Assert(t, float64(asked+more) <= loadreport.FewHostsMaxRate*(1+time.Since(begun).Seconds())+1)
--- a/internal/core/config/step.go
+++ b/internal/core/config/step.go
@@ -136,9 +136,9 @@
 // started and must not run requests that have crashed instances before.
 func (n *Node) pushCrashes(to string) {
 	var crashes []msg.Entry
-	n.sets[msg.SetEnds].Each(func(e msg.Entry) { crashes = append(crashes, e) })
+	n.sets[msg.SetCrashes].Each(func(e msg.Entry) { crashes = append(crashes, e) })
 	if len(crashes) > 0 {
-		n.pushValues(to, msg.SetEnds, crashes)
+		n.pushValues(to, msg.SetCrashes, crashes)
 	}
 }
 
--- a/internal/core/quota/admit.go
+++ b/internal/core/quota/admit.go
@@ -242,7 +242,7 @@
 	}
 	delete(n.queries, l.QueryID)
 	n.resolved[l.QueryID] = resolvedQuery{by: from, at: now}
-	wait := time.Duration(l.WaitMS) * time.Millisecond
+	wait := time.Duration(l.RetryAfterMS) * time.Millisecond
 	if !l.Granted {
 		a.refusalWait, a.refusedUntil = wait, now.Add(min(wait, maxRefusalCache))
 	}
--- a/internal/core/quota/home.go
+++ b/internal/core/quota/home.go
@@ -93,7 +93,7 @@
 	if ok {
 		r.granted[u.QueryID%grantsKept] = u.QueryID
 	}
-	l.Granted, l.WaitMS = ok, uint32(wait.Milliseconds())
+	l.Granted, l.RetryAfterMS = ok, uint32(wait.Milliseconds())
 }
 
 // checkNearLimit notifies all hosts when a team comes near its limit, if this host is the
--- a/internal/daemon/crash_test.go
+++ b/internal/daemon/crash_test.go
@@ -23,7 +23,7 @@
 // target.FatalPath ends it for 100 ms.
 func startCrashingTarget(t *testing.T, host *Daemon) *target.Server {
 	t.Helper()
-	s, err := target.Start(target.Config{Name: "i", Service: "s", Address: "127.0.0.1:0", Announce: host.cfg.Load().Announce, Slots: 4, DownFor: 100 * time.Millisecond})
+	s, err := target.Start(target.Config{Name: "i", Service: "s", Address: "127.0.0.1:0", Announce: host.cfg.Load().Announce, Slots: 4, Downtime: 100 * time.Millisecond})
 	assert.NilError(t, err)
 	t.Cleanup(s.Stop)
 	return s
@@ -77,29 +77,29 @@
 	i := startCrashingTarget(t, before[1])
 	for range 3 {
 		waitUntilServed(t, before[0])
-		reason, _ := getFailure(t, before[0], target.FatalPath)
+		reason, _ := getFailure(t, before[0], target.CrashPathSuffix)
 		assert.Equal(t, reason, string(verdict.ReasonTargetEnded))
 	}
 	waitUntilServed(t, before[0])
-	reason, gotVerdict := getFailure(t, before[0], target.FatalPath)
+	reason, gotVerdict := getFailure(t, before[0], target.CrashPathSuffix)
 	assert.Equal(t, reason, string(verdict.ReasonCrashesTargets))
 	assert.Equal(t, gotVerdict, verdict.NotRun.String())
 	time.Sleep(time.Second)
 	shutdown(before)
-	assert.Equal(t, len(i.Runs().Ends), 3)
+	assert.Equal(t, len(i.Runs().CrashTimes), 3)
 
 	after := startDaemons(t, platform)
 	defer shutdown(after)
 	i = startCrashingTarget(t, after[1])
 	waitUntilServed(t, after[0])
-	reason, gotVerdict = getFailure(t, after[0], target.FatalPath)
+	reason, gotVerdict = getFailure(t, after[0], target.CrashPathSuffix)
 	assert.Equal(t, reason, string(verdict.ReasonCrashesTargets))
 	assert.Equal(t, gotVerdict, verdict.NotRun.String())
-	assert.Equal(t, len(i.Runs().Ends), 0, "the blocked request must not end an instance")
+	assert.Equal(t, len(i.Runs().CrashTimes), 0, "the blocked request must not end an instance")
 
 	deleteCrasher(t, platform)
-	for end := time.Now().Add(20 * time.Second); len(i.Runs().Ends) == 0 && time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
-		reason, _ = getFailure(t, after[0], target.FatalPath)
+	for end := time.Now().Add(20 * time.Second); len(i.Runs().CrashTimes) == 0 && time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
+		reason, _ = getFailure(t, after[0], target.CrashPathSuffix)
 	}
 	assert.Equal(t, reason, string(verdict.ReasonTargetEnded), "the request must run again once its record is deleted")
 }
@@ -126,7 +126,7 @@
 	assert.Equal(t, runCLI(t, platform, daemons[0], "suspects"), "no request is suspected of ending instances\n")
 	for n := range 3 {
 		waitUntilServed(t, daemons[0])
-		reason, _ := getFailure(t, daemons[0], target.FatalPath)
+		reason, _ := getFailure(t, daemons[0], target.CrashPathSuffix)
 		assert.Equal(t, reason, string(verdict.ReasonTargetEnded))
 		if n == 0 {
 			shown := waitForSuspect(t, platform, daemons[0])
@@ -137,18 +137,18 @@
 	time.Sleep(time.Second)
 	shown := runCLI(t, platform, daemons[0], "suspects")
 	assert.Assert(t, strings.Contains(shown, " h1 "), "missing the host that observed the crashes: %s", shown)
-	assert.Assert(t, strings.Contains(shown, "stopped until") && strings.Contains(shown, "GET") && strings.Contains(shown, target.FatalPath), shown)
+	assert.Assert(t, strings.Contains(shown, "stopped until") && strings.Contains(shown, "GET") && strings.Contains(shown, target.CrashPathSuffix), shown)
 	fingerprint := strings.Fields(strings.Split(shown, "\n")[1])[0]
 	withoutPlatform := runCLI(t, "http://127.0.0.1:1", daemons[0], "suspects")
 	assert.Assert(t, strings.Contains(withoutPlatform, "records are missing") && strings.Contains(withoutPlatform, fingerprint), withoutPlatform)
 
 	shown = runCLI(t, platform, daemons[0], "suspects", "clear", fingerprint)
 	assert.Assert(t, strings.Contains(shown, "is removed"), shown)
-	before := len(i.Runs().Ends)
-	for end := time.Now().Add(20 * time.Second); len(i.Runs().Ends) == before && time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
-		getFailure(t, daemons[0], target.FatalPath)
+	before := len(i.Runs().CrashTimes)
+	for end := time.Now().Add(20 * time.Second); len(i.Runs().CrashTimes) == before && time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
+		getFailure(t, daemons[0], target.CrashPathSuffix)
 	}
-	assert.Equal(t, len(i.Runs().Ends), before+1, "the request must run again once it is cleared")
+	assert.Equal(t, len(i.Runs().CrashTimes), before+1, "the request must run again once it is cleared")
 }
 
 // crashPropagationTimeout is the time in which a crash becomes known to all hosts of a
@@ -223,7 +223,7 @@
 // fatalRequest returns a request to a front for target.FatalPath, with the given Host header.
 func fatalRequest(t *testing.T, front *Daemon, host string) *http.Request {
 	t.Helper()
-	req, err := http.NewRequest(http.MethodGet, "http://"+front.cfg.Load().Callers+target.FatalPath, nil)
+	req, err := http.NewRequest(http.MethodGet, "http://"+front.cfg.Load().Callers+target.CrashPathSuffix, nil)
 	assert.NilError(t, err)
 	req.Host = host
 	return req
@@ -246,7 +246,7 @@
 	reason, gotVerdict := sendFailing(t, fatalRequest(t, daemons[0], "10.0.0.9"))
 	assert.Equal(t, reason, string(verdict.ReasonCrashesTargets))
 	assert.Equal(t, gotVerdict, verdict.NotRun.String())
-	assert.Equal(t, len(i.Runs().Ends), 3)
+	assert.Equal(t, len(i.Runs().CrashTimes), 3)
 }
 
 // Non-idempotent requests without a key, with a key, and with a body too large to buffer:
@@ -257,9 +257,9 @@
 	defer shutdown(daemons)
 	i := startCrashingTarget(t, daemons[1])
 	for name, body := range map[string]string{"plain": "x", "keyed": "y", "large": strings.Repeat("z", 1<<20)} {
-		before := len(i.Runs().Ends)
+		before := len(i.Runs().CrashTimes)
 		post := func(body string) *http.Request {
-			req, err := http.NewRequest(http.MethodPost, "http://"+daemons[0].cfg.Load().Callers+target.FatalPath, strings.NewReader(body))
+			req, err := http.NewRequest(http.MethodPost, "http://"+daemons[0].cfg.Load().Callers+target.CrashPathSuffix, strings.NewReader(body))
 			assert.NilError(t, err)
 			if name == "keyed" {
 				req.Header.Set("Idempotency-Key", newIdempotencyKey(t))
@@ -276,7 +276,7 @@
 		reason, gotVerdict := sendFailing(t, post(body))
 		assert.Check(t, reason == string(verdict.ReasonCrashesTargets), "%s: %s", name, reason)
 		assert.Check(t, gotVerdict == verdict.NotRun.String(), "%s: %s", name, gotVerdict)
-		assert.Check(t, len(i.Runs().Ends) == before+3, "%s: %d", name, len(i.Runs().Ends)-before)
+		assert.Check(t, len(i.Runs().CrashTimes) == before+3, "%s: %d", name, len(i.Runs().CrashTimes)-before)
 		reason, _ = sendFailing(t, post(body+"other"))
 		assert.Check(t, reason == string(verdict.ReasonTargetEnded), "%s, another body: %s", name, reason)
 	}
--- a/internal/daemon/drain.go
+++ b/internal/daemon/drain.go
@@ -55,7 +55,7 @@
 	// Keys are handed over just before the fleet is notified, because a frozen shard
 	// takes no keys while its owner still counts as alive.
 	d.keys.HandOver(accepting)
-	d.control.Leave(true)
+	d.control.SetLeaving(true)
 	d.guard.Drain()
 	<-accepting.Done()
 	d.front.RefuseRequests()
--- a/internal/daemon/reload.go
+++ b/internal/daemon/reload.go
@@ -15,10 +15,10 @@
 // without a signal. No setting is urgent enough to need a shorter interval.
 const reloadInterval = 5 * time.Second
 
-// Follow reloads the settings file on each signal, and when its content has changed
+// WatchSettings reloads the settings file on each signal, and when its content has changed
 // at a reload interval, until the context ends. After each reload it calls onReload
 // with the settings in effect.
-func (d *Daemon) Follow(ctx context.Context, path string, signals <-chan os.Signal, onReload func(*settings.Config)) {
+func (d *Daemon) WatchSettings(ctx context.Context, path string, signals <-chan os.Signal, onReload func(*settings.Config)) {
 	ticker := time.NewTicker(reloadInterval)
 	defer ticker.Stop()
 	previous, err := os.ReadFile(path)
--- a/internal/e2e/cli_test.go
+++ b/internal/e2e/cli_test.go
@@ -48,7 +48,7 @@
 	assert.Assert(t, strings.Contains(after, `"percent": 70`), after)
 
 	// The answer to this write is lost after it has taken effect.
-	assert.NilError(t, w.SetPlatformFaults(platformd.Faults{LoseAnswers: 1}))
+	assert.NilError(t, w.SetPlatformFaults(platformd.Faults{DropResponses: 1}))
 	out, err = w.cli("apply", "-f", writeFile(t, strings.Replace(after, `"percent": 70`, `"percent": 65`, 1)))
 	assert.NilError(t, err, out)
 	assert.Assert(t, strings.Contains(out, "is written"), out)
--- a/internal/e2e/fleet_test.go
+++ b/internal/e2e/fleet_test.go
@@ -82,7 +82,7 @@
 		assert.NilError(t, err)
 		w.targets = append(w.targets, tg)
 	}
-	assert.NilError(t, f.UntilServing(patience, map[string]int{"plans": hosts}))
+	assert.NilError(t, f.WaitUntilServing(patience, map[string]int{"plans": hosts}))
 	return w
 }
 
@@ -170,7 +170,7 @@
 	route := &record.Route{PathPrefix: "/plans", Service: "plans", TimeoutMS: 30000}
 	assert.NilError(t, w.Put(context.Background(), record.Key{Kind: record.KindRoute, Name: "plans"}, route))
 	for _, h := range w.Hosts {
-		assert.NilError(t, w.Until(patience, "the longer deadline on "+h.Name, func() bool {
+		assert.NilError(t, w.WaitFor(patience, "the longer deadline on "+h.Name, func() bool {
 			out, err := w.cliAt(h, "explain", "POST", "http://x/plans/7")
 			return err == nil && strings.Contains(out, "30000 ms")
 		}))
@@ -184,7 +184,7 @@
 			replies[i] = call(http.MethodPost, "http://"+w.Hosts[1+i%2].Callers()+"/plans/7", fmt.Sprintf("m%d", i), "book")
 		}()
 	}
-	assert.NilError(t, w.Until(patience, "requests on the target", func() bool {
+	assert.NilError(t, w.WaitFor(patience, "requests on the target", func() bool {
 		r, err := w.targets[0].Runs()
 		return err == nil && r.Total > 0
 	}))
@@ -272,7 +272,7 @@
 	seeds := fmt.Sprintf("[peers]\nseeds = %s:%d", w.Hosts[0].IP, lab.PeerPort)
 	_, err := w.StartHost("late", "dc1", "127.0.35.40", seeds)
 	assert.NilError(t, err)
-	assert.NilError(t, w.UntilServing(patience, map[string]int{"plans": 3}))
+	assert.NilError(t, w.WaitUntilServing(patience, map[string]int{"plans": 3}))
 	r = call(http.MethodGet, "http://127.0.35.40:18080/plans/7", "m", "")
 	assert.Equal(t, r.status, http.StatusOK)
 
@@ -280,13 +280,13 @@
 	route := &record.Route{PathPrefix: "/late", Service: "plans"}
 	assert.NilError(t, w.Put(context.Background(), record.Key{Kind: record.KindRoute, Name: "late"}, route))
 	for _, h := range w.Hosts {
-		assert.NilError(t, w.Until(patience, "the new route on "+h.Name, func() bool {
+		assert.NilError(t, w.WaitFor(patience, "the new route on "+h.Name, func() bool {
 			return call(http.MethodGet, "http://"+h.Callers()+"/late/1", "m", "").status == http.StatusOK
 		}))
 	}
 	assert.NilError(t, w.Delete(context.Background(), record.Key{Kind: record.KindRoute, Name: "late"}))
 	for _, h := range w.Hosts {
-		assert.NilError(t, w.Until(patience, "the route gone on "+h.Name, func() bool {
+		assert.NilError(t, w.WaitFor(patience, "the route gone on "+h.Name, func() bool {
 			return call(http.MethodGet, "http://"+h.Callers()+"/late/1", "m", "").status == http.StatusNotFound
 		}))
 	}
@@ -302,7 +302,7 @@
 	assert.NilError(t, err, out)
 	assert.Assert(t, strings.Contains(out, "drained"), out)
 	for _, h := range w.Hosts {
-		assert.NilError(t, w.Until(patience, h.Name+" to leave the stopped host out", func() bool {
+		assert.NilError(t, w.WaitFor(patience, h.Name+" to leave the stopped host out", func() bool {
 			s, err := h.Status()
 			return err == nil && !usesHost(s.Services[0].Targets, "h2")
 		}))
@@ -322,5 +322,5 @@
 
 	_, err = w.cli("stop", "--undo", "h2")
 	assert.NilError(t, err)
-	assert.NilError(t, w.UntilServing(patience, map[string]int{"plans": 4}))
+	assert.NilError(t, w.WaitUntilServing(patience, map[string]int{"plans": 4}))
 }
--- a/internal/e2e/keys_test.go
+++ b/internal/e2e/keys_test.go
@@ -81,7 +81,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			w := start(t, c.net, 5, 5*time.Millisecond)
 			assert.Assert(t, w.ownerOf() == nil, "shards are owned before any key was used")
-			assert.NilError(t, w.Until(patience, "fresh keys to be taken on every shard", func() bool {
+			assert.NilError(t, w.WaitFor(patience, "fresh keys to be taken on every shard", func() bool {
 				for i := range 16 {
 					if len(w.bookOnce(uuid.Must(uuid.NewV7()).String(), "", i)) == 0 {
 						return false
@@ -90,7 +90,7 @@
 				return true
 			}))
 			var owner *lab.Host
-			assert.NilError(t, w.Until(patience, "an owner with authority", func() bool {
+			assert.NilError(t, w.WaitFor(patience, "an owner with authority", func() bool {
 				owner = w.ownerOf()
 				return owner != nil
 			}))
@@ -131,7 +131,7 @@
 	for _, b := range []target.Behaviour{
 		{Mode: target.Truncate, Share: 1}, {Mode: target.Swap, Share: 1}, {Mode: target.Errors, Share: 1},
 	} {
-		assert.NilError(t, w.targets[0].Set(b))
+		assert.NilError(t, w.targets[0].SetBehaviour(b))
 		for i := range 40 {
 			mark := fmt.Sprintf("%s%d", b.Mode, i)
 			r := call(http.MethodGet, "http://"+w.Hosts[i%4].Callers()+"/plans/7?size=5000", mark, "")
@@ -143,9 +143,9 @@
 		}
 	}
 	// An answer too large to keep that breaks off must not look whole.
-	assert.NilError(t, w.targets[0].Set(target.Behaviour{Mode: target.Good}))
+	assert.NilError(t, w.targets[0].SetBehaviour(target.Behaviour{Mode: target.Good}))
 	for _, tg := range w.targets {
-		assert.NilError(t, tg.Set(target.Behaviour{Mode: target.Truncate, Share: 1}))
+		assert.NilError(t, tg.SetBehaviour(target.Behaviour{Mode: target.Truncate, Share: 1}))
 	}
 	r := call(http.MethodGet, "http://"+w.Hosts[0].Callers()+"/plans/7?size=4000000", "big", "")
 	assert.Assert(t, r.err != nil || r.status >= http.StatusInternalServerError, "a broken answer looked whole: %d bytes", len(r.body))
--- a/internal/e2e/leftover_test.go
+++ b/internal/e2e/leftover_test.go
@@ -128,7 +128,7 @@
 	defer func() { _ = l.Close() }()
 	_, err = first.StartHost("h1", "dc1", "127.0.46.11", "")
 	assert.NilError(t, err)
-	err = first.UntilServing(patience, nil)
+	err = first.WaitUntilServing(patience, nil)
 	assert.ErrorContains(t, err, "h1 ended early")
 	assert.ErrorContains(t, err, "another process has this port")
 }
--- a/internal/e2e/shapes_test.go
+++ b/internal/e2e/shapes_test.go
@@ -26,7 +26,7 @@
 	// of the services in turn.
 	hosts, dcs, perHost, slots int
 	services                   []string
-	split                      []record.Part
+	split                      []record.WeightedService
 	serviceTime                time.Duration
 	maxAttempts                int
 	retryPercent               int
@@ -40,13 +40,13 @@
 var shapes = []shape{
 	{
 		name: "many data centres, one slot", net: 61, hosts: 10, dcs: 5, perHost: 1, slots: 1,
-		services: []string{"a", "b"}, split: []record.Part{{Service: "a", Weight: 70}, {Service: "b", Weight: 30}},
+		services: []string{"a", "b"}, split: []record.WeightedService{{Service: "a", Weight: 70}, {Service: "b", Weight: 30}},
 		serviceTime: 30 * time.Millisecond, maxAttempts: 3, retryPercent: 30, reserve: 4, window: 2 * time.Second,
 		requests: 600, pause: 10 * time.Millisecond,
 	},
 	{
 		name: "one data centre, many slots", net: 62, hosts: 3, dcs: 1, perHost: 3, slots: 32,
-		services: []string{"a"}, split: []record.Part{{Service: "a", Weight: 1}},
+		services: []string{"a"}, split: []record.WeightedService{{Service: "a", Weight: 1}},
 		serviceTime: 150 * time.Millisecond, maxAttempts: 2, retryPercent: 5, reserve: 12, window: 4 * time.Second,
 		requests: 800, pause: 7 * time.Millisecond,
 	},
@@ -62,7 +62,7 @@
 			w := s.start(t)
 			for i, tg := range w.targets {
 				if i%3 == 0 {
-					assert.NilError(t, tg.Set(target.Behaviour{Mode: target.Errors, Share: 0.8}))
+					assert.NilError(t, tg.SetBehaviour(target.Behaviour{Mode: target.Errors, Share: 0.8}))
 				}
 			}
 			// A keeper of a budget has no reserve in its first window.
@@ -100,7 +100,7 @@
 	for i := range s.hosts {
 		want[s.services[i%len(s.services)]] = s.hosts / len(s.services) * s.perHost
 	}
-	assert.NilError(t, f.UntilServing(patience, want))
+	assert.NilError(t, f.WaitUntilServing(patience, want))
 	return w
 }
 
--- a/internal/experiment/report.go
+++ b/internal/experiment/report.go
@@ -15,20 +15,20 @@
 	First uint64
 	// NoiseHours is the length of the noise run, in instance-hours; 0 for none.
 	NoiseHours float64
-	// Large adds the target size.
-	Large bool
-	// OursOnly leaves the baselines out.
-	OursOnly bool
+	// TargetSize adds the target size.
+	TargetSize bool
+	// WithoutBaselines leaves the baselines out.
+	WithoutBaselines bool
 }
 
-// HeldOut is the first of the seeds that are kept for reporting.
-const HeldOut = 1_000_000
+// FirstHeldOutSeed is the first of the seeds that are kept for reporting.
+const FirstHeldOutSeed = 1_000_000
 
 // Report runs the cases and writes a Markdown table.
 func Report(out io.Writer, o Options) []Result {
 	var all []Result
 	policies := Policies()
-	if o.OursOnly {
+	if o.WithoutBaselines {
 		policies = policies[:1]
 	}
 	for _, site := range []Site{Bureau, Registry} {
@@ -43,7 +43,7 @@
 			}
 		}
 	}
-	if o.Large {
+	if o.TargetSize {
 		fmt.Fprintf(out, "\n### %s, 1,600 fronts, 40 %% load, 2 runs a row\n\n%s\n", Target.Name, tableHead)
 		for _, fault := range []Fault{NoFault, Slow5, Errors, Stuck} {
 			r := Case(Target, "radishhoist", fault, 0.4, o.First, 2)
--- a/internal/fleetsim/budget_test.go
+++ b/internal/fleetsim/budget_test.go
@@ -32,7 +32,7 @@
 // within the guards' budgets. Callers sent 515 requests in 10 s and running requests sent some
 // 250 calls. The service got 164 retries, where 161 were allowed: a fifth of the callers'
 // requests plus 58. The guards enforced four fifths of 213, not of 161.
-func TestCallsEarnNoRepeats(t *testing.T) {
+func TestCallsAddNothingToRetryBudget(t *testing.T) {
 	for seed, r := range simulate(t, *seeds, sharedServiceScenario) {
 		checkRetryLimit(t, seed, sharedServiceScenario(0), r)
 	}
--- a/internal/fleetsim/crash_test.go
+++ b/internal/fleetsim/crash_test.go
@@ -94,7 +94,7 @@
 
 // The number of crashes per request is limited for any fleet size and for idempotent and other
 // requests, and no other request is stopped.
-func TestWhatCrashingRequestsCost(t *testing.T) {
+func TestCrashingRequestCrashesFewInstances(t *testing.T) {
 	const largest = "354 hosts"
 	cases := map[string]func(uint64) Scenario{
 		"24 hosts, idempotent": func(seed uint64) Scenario {
@@ -172,7 +172,7 @@
 // After the first crash, other hosts sent the request to whichever instance suited each best,
 // like any other request, until two more crashes had been reported. At 20 requests a second, up
 // to 7 of 8 instances crashed. Up to 5 crash when all hosts send a suspect to the same instance.
-func TestACrashingRequestThatIsSentOftenEndsFew(t *testing.T) {
+func TestFrequentCrashingRequestCrashesFewInstances(t *testing.T) {
 	for seed, r := range simulate(t, 10**seeds, crashingRequestAtRate(20)) {
 		c := r.CrashingRequests["/status/fatal0"]
 		t.Logf("seed %d: %d crashes, served %.3f", seed, len(c.Crashes), r.Total.Served())
@@ -199,7 +199,7 @@
 
 // During a partition each side learns of crashes on its own, and all hosts know of them after
 // it. The limit of crashes applies to both sides together, and no other request is stopped.
-func TestACrashingRequestBesideACut(t *testing.T) {
+func TestCrashingRequestDuringPartition(t *testing.T) {
 	scenario := func(seed uint64) Scenario {
 		s := shortRegistry(seed)
 		s.CrashingRequests = []CrashingRequest{crashingRequest("status", 0)}
@@ -223,7 +223,7 @@
 
 // A request that crashes only the old version of a service is served by the new one, at the
 // latest a minute after its last crash and without further crashes.
-func TestTheNewVersionServesWhatEndsTheOld(t *testing.T) {
+func TestNewVersionServesRequestThatCrashesOld(t *testing.T) {
 	const (
 		stopDuration = time.Minute // for software that the request has not crashed
 		slack        = 5 * time.Second
@@ -255,7 +255,7 @@
 
 // Instances that terminate for other reasons, at once or one after the other, do not cause any
 // request to be stopped, not even one whose path runs on each of them.
-func TestLossesStopNoRequest(t *testing.T) {
+func TestInstanceLossesStopNoRequest(t *testing.T) {
 	for _, sharedPath := range []bool{false, true} {
 		scenario := func(seed uint64) Scenario {
 			s := shortRegistry(seed)
@@ -298,7 +298,7 @@
 // In the failure, at the time of the loss one guard of eight had observed a completed run, and
 // none of those with a lost instance had. Three crashes named the request, and the clearance
 // arrived 1.6 ms after it had been stopped.
-func TestAPopularRequestOutlivesALoss(t *testing.T) {
+func TestPopularRequestSurvivesInstanceLoss(t *testing.T) {
 	for seed, r := range simulate(t, 10**seeds, sharedPathLoss) {
 		assert.Check(t, r.Total.Stopped == 0, "seed %d: %d requests stopped", seed, r.Total.Stopped)
 	}
--- a/internal/fleetsim/fleet.go
+++ b/internal/fleetsim/fleet.go
@@ -159,7 +159,7 @@
 		Dial: func(context.Context, string) (net.Conn, error) { return h.instance.connect() },
 	}, guard.Limits{AnnounceExpiry: time.Hour, RetryReserve: f.scenario.RetryReserve, RetryWindow: f.scenario.RetryWindow},
 		log, allowAllFence{}, guard.Hooks{
-			Changed: func() {}, Pulse: h.sendLoadReport,
+			Changed: func() {}, LoadReport: h.sendLoadReport,
 			Crashed: func(e crash.Crash) { h.broadcast(func(other *host) { other.guard.ApplyCrash(e) }) },
 			Cleared: func(end string, p crash.Fingerprint) {
 				h.broadcast(func(other *host) { other.guard.ApplyCleared(end, p) })
--- a/internal/fleetsim/fleet_test.go
+++ b/internal/fleetsim/fleet_test.go
@@ -105,7 +105,7 @@
 // Guards against well instances that get no requests, also when there are few requests and each
 // front learns little of each instance. While only instances under suspicion asked for requests,
 // 61 of 111 spans of the service with the most instances fell short.
-func TestNoSoundInstanceIsLeftWithoutWork(t *testing.T) {
+func TestWellInstancesGetRequests(t *testing.T) {
 	// The order of events at one instant is not determined, so that runs with the same seed
 	// differ: two seeds gave 1 to 8 underserved spans of 74 (3.9 on average in 32 runs), over a
 	// tenth in one of them. More seeds make a tenth a reliable limit.
--- a/internal/guard/serve.go
+++ b/internal/guard/serve.go
@@ -172,7 +172,7 @@
 		x.abandon()
 		return
 	}
-	grant := &msg.Grant{LifeMS: uint32(x.guard.cfg.GrantLife.Milliseconds()), Load: x.inst.load()}
+	grant := &msg.Grant{TTLMS: uint32(x.guard.cfg.GrantLife.Milliseconds()), Load: x.inst.load()}
 	if err := x.stream.Send(x.ctx, grant); err != nil {
 		x.abandon()
 		return
--- a/internal/guard/state.go
+++ b/internal/guard/state.go
@@ -64,7 +64,7 @@
 	// if it is not blocked.
 	Until string `json:"until,omitempty"`
 	// Instances lists the crashes.
-	Instances []record.InstanceEnd `json:"instances"`
+	Instances []record.InstanceCrash `json:"instances"`
 }
 
 // Suspects returns the suspected requests for the state dump.
--- a/internal/guard/suspects.go
+++ b/internal/guard/suspects.go
@@ -229,14 +229,14 @@
 	// Request is the request as this host saw it: method, host and path.
 	Request string
 	// Crashes are the crashes attributed to it.
-	Crashes []record.InstanceEnd
+	Crashes []record.InstanceCrash
 }
 
 // crashRecords converts crashes to the form in which they are stored and displayed.
-func crashRecords(crashes []crash.Crash) []record.InstanceEnd {
-	out := make([]record.InstanceEnd, 0, len(crashes))
+func crashRecords(crashes []crash.Crash) []record.InstanceCrash {
+	out := make([]record.InstanceCrash, 0, len(crashes))
 	for _, e := range crashes {
-		out = append(out, record.InstanceEnd{
+		out = append(out, record.InstanceCrash{
 			ID: e.ID, Service: e.Software.Service, Version: e.Software.Version, Host: e.Host, AtMS: e.DetectedAt.UnixMilli(),
 		})
 	}
--- a/internal/guard/suspects_test.go
+++ b/internal/guard/suspects_test.go
@@ -93,7 +93,7 @@
 	n := fleetReports{crashes: make(chan crash.Crash, 4), cleared: make(chan string, 4), blocked: make(chan BlockedRequest, 4)}
 	g := New(Config{Host: "h", QueuePerSlot: 2, GrantLife: time.Minute, TargetIdle: time.Minute}, Limits{AnnounceExpiry: time.Hour},
 		slog.New(slog.NewTextHandler(io.Discard, nil)), allowAllFence{}, Hooks{
-			Changed: func() {}, Pulse: func(*msg.LoadReport, loadreport.Reach) {},
+			Changed: func() {}, LoadReport: func(*msg.LoadReport, loadreport.Reach) {},
 			Crashed: func(e crash.Crash) { n.crashes <- e }, Cleared: func(id string, _ crash.Fingerprint) { n.cleared <- id },
 			Blocked: func(s BlockedRequest) { n.blocked <- s },
 		})
--- a/internal/lab/bench.go
+++ b/internal/lab/bench.go
@@ -74,7 +74,7 @@
 	if err != nil {
 		return "", "", err
 	}
-	err = f.UntilServing(20*time.Second, map[string]int{benchService: 1})
+	err = f.WaitUntilServing(20*time.Second, map[string]int{benchService: 1})
 	return "http://" + f.Hosts[0].Callers() + "/x", "http://" + t.Address + "/x", err
 }
 
@@ -103,12 +103,12 @@
 // conditions on the machine.
 func benchRate(ctx context.Context, out io.Writer, f *Fleet, through, direct string, rate int) error {
 	h := &histograms{byURL: make(map[string]*hdrhistogram.Histogram)}
-	cfg := LoadConfig{URLs: []string{direct, through}, Method: http.MethodGet, Rate: 2 * rate, For: time.Second}
+	cfg := LoadConfig{URLs: []string{direct, through}, Method: http.MethodGet, Rate: 2 * rate, Duration: time.Second}
 	if _, err := Load(ctx, cfg); err != nil {
 		return err
 	}
 	before := f.cpu()
-	cfg.For, cfg.Each = benchDuration, h.add
+	cfg.Duration, cfg.Each = benchDuration, h.add
 	r, err := Load(ctx, cfg)
 	if err != nil {
 		return err
--- a/internal/lab/demo.go
+++ b/internal/lab/demo.go
@@ -37,8 +37,8 @@
 type DemoConfig struct {
 	// Bin is the directory of the built programs.
 	Bin string
-	// Net is the third octet of the addresses, 127.0.Net.x.
-	Net int
+	// AddressOctet is the third octet of the addresses, 127.0.AddressOctet.x.
+	AddressOctet int
 	// Verbose prints the logs of the processes.
 	Verbose bool
 }
@@ -61,11 +61,11 @@
 	printf := func(format string, args ...any) { fmt.Fprintf(out, format+"\n", args...) }
 
 	printf("1. platform stand-in, %d daemons in %d data centres, one target stand-in beside each", demoHosts, demoDCs)
-	targets, err := startDemoFleet(ctx, f, cfg.Net)
+	targets, err := startDemoFleet(ctx, f, cfg.AddressOctet)
 	if err != nil {
 		return err
 	}
-	if err := f.UntilServing(20*time.Second, map[string]int{demoService: demoHosts}); err != nil {
+	if err := f.WaitUntilServing(20*time.Second, map[string]int{demoService: demoHosts}); err != nil {
 		return err
 	}
 	printf("   every daemon has the records and knows all %d targets", demoHosts)
@@ -83,7 +83,7 @@
 
 	gray := targets[0]
 	printf("3. target %s turns gray: five times slower, health unchanged", gray.Name)
-	if err := gray.Set(target.Behaviour{Mode: target.Slow, Factor: 5}); err != nil {
+	if err := gray.SetBehaviour(target.Behaviour{Mode: target.Slow, Factor: 5}); err != nil {
 		return err
 	}
 	during, leftOut, err := f.loadWhileGray(ctx, gray.Name)
@@ -152,7 +152,7 @@
 }
 
 func (f *Fleet) load(ctx context.Context, d time.Duration) (*Report, error) {
-	return Load(ctx, LoadConfig{URLs: f.urls("/plans/42"), Method: http.MethodGet, Rate: demoRate, For: d})
+	return Load(ctx, LoadConfig{URLs: f.urls("/plans/42"), Method: http.MethodGet, Rate: demoRate, Duration: d})
 }
 
 // loadWhileGray sends load for demoGrayDuration and returns the time until every host
@@ -192,7 +192,7 @@
 		return
 	}
 	for _, svc := range s.Services {
-		printf("   on %s, service %s: %d of %d slots in use, the floor is %d", f.Hosts[0].Name, svc.Name, svc.Healthy, svc.Known, svc.Required)
+		printf("   on %s, service %s: %d of %d slots in use, the floor is %d", f.Hosts[0].Name, svc.Name, svc.HealthySlots, svc.KnownSlots, svc.RequiredSlots)
 		for _, t := range svc.Targets {
 			printf("     %-14s %-4s %-9s %s", t.Name, t.DC, t.Use, t.Why)
 		}
--- a/internal/lab/fleet.go
+++ b/internal/lab/fleet.go
@@ -32,10 +32,10 @@
 	dir      string
 	logs     io.Writer
 	Platform string
-	// Via is the platform URL that hosts started from now on use, for example that of a
+	// PlatformURL is the platform URL that hosts started from now on use, for example that of a
 	// proxy; empty means Platform.
-	Via   string
-	Hosts []*Host
+	PlatformURL string
+	Hosts       []*Host
 
 	mu    sync.Mutex
 	procs []*Process
@@ -107,7 +107,7 @@
 			return err
 		}
 	}
-	return f.UntilServing(time.Minute, map[string]int{demoService: n})
+	return f.WaitUntilServing(time.Minute, map[string]int{demoService: n})
 }
 
 // StartPlatform starts the platform stand-in on the given address.
@@ -117,7 +117,7 @@
 	if err != nil {
 		return err
 	}
-	return f.Until(5*time.Second, "the platform stand-in", func() bool {
+	return f.WaitFor(5*time.Second, "the platform stand-in", func() bool {
 		var counts platformd.Counts
 		return getJSON(f.Platform+"/standin/counts", &counts) == nil && counts.PID == p.PID()
 	})
@@ -126,8 +126,8 @@
 // StartHost writes the settings file of a host, with extra appended, and starts its daemon.
 func (f *Fleet) StartHost(name, dc, ip string, extra string) (*Host, error) {
 	platform := f.Platform
-	if f.Via != "" {
-		platform = f.Via
+	if f.PlatformURL != "" {
+		platform = f.PlatformURL
 	}
 	h := &Host{Name: name, DC: dc, IP: ip, Config: filepath.Join(f.dir, name+".ini")}
 	text := fmt.Sprintf(`[host]
@@ -163,7 +163,7 @@
 // target that announces itself earlier retries after a second, and then counts as younger
 // and less warmed up than its peers.
 func (f *Fleet) StartTarget(h *Host, service string, index, slots int, serviceTime time.Duration) (*Target, error) {
-	if err := f.Until(startTimeout, "the announce address of "+h.Name, h.acceptsAnnouncements); err != nil {
+	if err := f.WaitFor(startTimeout, "the announce address of "+h.Name, h.acceptsAnnouncements); err != nil {
 		return nil, err
 	}
 	t := &Target{Name: fmt.Sprintf("%s-%s-%d", service, h.Name, index), Address: fmt.Sprintf("%s:%d", h.IP, firstTargetPort+len(f.processes()))}
@@ -174,7 +174,7 @@
 		return nil, err
 	}
 	t.Process = p
-	return t, f.Until(startTimeout, "target "+t.Name, func() bool {
+	return t, f.WaitFor(startTimeout, "target "+t.Name, func() bool {
 		runs, err := t.Runs()
 		return err == nil && runs.PID == p.PID()
 	})
@@ -187,8 +187,8 @@
 	Process *Process
 }
 
-// Set changes the behaviour of the stand-in.
-func (t *Target) Set(b target.Behaviour) error {
+// SetBehaviour changes the behaviour of the stand-in.
+func (t *Target) SetBehaviour(b target.Behaviour) error {
 	return putJSON("http://"+t.Address+"/standin/behaviour", b)
 }
 
@@ -231,20 +231,20 @@
 // Status returns the status that the daemon reports.
 func (h *Host) Status() (*state.Status, error) {
 	var s state.Status
-	return &s, getJSON("http://"+h.Admin()+state.PathStatus, &s)
+	return &s, getJSON("http://"+h.Admin()+state.StatusPath, &s)
 }
 
 // Dump returns the complete state that the daemon reports.
 func (h *Host) Dump() (*state.Dump, error) {
 	var d state.Dump
-	return &d, getJSON("http://"+h.Admin()+state.PathState, &d)
+	return &d, getJSON("http://"+h.Admin()+state.StatePath, &d)
 }
 
-// UntilServing waits until every host serves every service with at least the
+// WaitUntilServing waits until every host serves every service with at least the
 // given number of targets in use.
-func (f *Fleet) UntilServing(timeout time.Duration, targets map[string]int) error {
+func (f *Fleet) WaitUntilServing(timeout time.Duration, targets map[string]int) error {
 	for _, h := range f.Hosts {
-		err := f.Until(timeout, "host "+h.Name, func() bool {
+		err := f.WaitFor(timeout, "host "+h.Name, func() bool {
 			s, err := h.Status()
 			return err == nil && s.PID == h.Daemon.PID() && servesAll(s, targets)
 		})
@@ -290,9 +290,9 @@
 	return true
 }
 
-// Until polls a condition. Its errors name what it waited for. It fails at once if a
+// WaitFor polls a condition. Its errors name what it waited for. It fails at once if a
 // process of the fleet exits unexpectedly.
-func (f *Fleet) Until(timeout time.Duration, what string, condition func() bool) error {
+func (f *Fleet) WaitFor(timeout time.Duration, what string, condition func() bool) error {
 	for end := time.Now().Add(timeout); time.Now().Before(end); sleep.For(f.ctx, pollInterval) {
 		if err := f.ctx.Err(); err != nil {
 			return errors.Wrapf(err, "waiting for %s", what)
--- a/internal/lab/takeover.go
+++ b/internal/lab/takeover.go
@@ -69,7 +69,7 @@
 // waitForShardOwner waits until requests with fresh keys are answered on every shard, and
 // returns the first host that owns shards, with their number.
 func (f *Fleet) waitForShardOwner() (*Host, int, error) {
-	err := f.Until(time.Minute, "the owners of all key shards", func() bool {
+	err := f.WaitFor(time.Minute, "the owners of all key shards", func() bool {
 		for range 24 {
 			if s := f.sendFreshKey(f.Hosts[0], time.Now()); !s.answered {
 				return false
--- a/internal/mesh/ends_test.go
+++ b/internal/mesh/ends_test.go
@@ -14,7 +14,7 @@
 // encodedEnd returns the encoded report of an instance's end with four running requests.
 func encodedEnd(t *testing.T) []byte {
 	t.Helper()
-	m := msg.InstanceEnd{Service: "service-001", SoftwareVersion: "2026.12.1", AtMS: 1_700_000_000_000, Prints: []uint64{1 << 60, 1 << 61, 1 << 62, 1 << 63}}
+	m := msg.InstanceCrash{Service: "service-001", SoftwareVersion: "2026.12.1", DetectedAtMS: 1_700_000_000_000, Fingerprints: []uint64{1 << 60, 1 << 61, 1 << 62, 1 << 63}}
 	value, err := m.MarshalMsg(nil)
 	assert.NilError(t, err)
 	return value
@@ -22,7 +22,7 @@
 
 // publishEnd publishes the report of an instance's end from a host.
 func (m *Mesh) publishEnd(h *Host, name string, value []byte) {
-	h.Replica.Publish(h.replicationPeers(), msg.SetEnds, []msg.Entry{{Kind: "End", Name: name, Version: 1, Value: value}})
+	h.Replica.Publish(h.replicationPeers(), msg.SetCrashes, []msg.Entry{{Kind: "End", Name: name, Version: 1, Value: value}})
 	m.flush(h)
 }
 
@@ -30,7 +30,7 @@
 func (m *Mesh) hostsWithoutEnd(name string) int {
 	n := 0
 	for _, h := range m.Hosts {
-		if _, known := h.Replica.Set(msg.SetEnds).Get(config.Key{Kind: "End", Name: name}); h.Up && !known {
+		if _, known := h.Replica.Set(msg.SetCrashes).Get(config.Key{Kind: "End", Name: name}); h.Up && !known {
 			n++
 		}
 	}
@@ -112,7 +112,7 @@
 
 // After a partition, a data centre has the report of an end within detectionTime. A host that starts
 // gets it with the first response that names the other hosts.
-func TestWhoWasAwayLearnsOfEnds(t *testing.T) {
+func TestEndReachesPartitionedAndRestartedHosts(t *testing.T) {
 	const seeds = 8
 	for _, size := range []struct{ hosts, dcs int }{{24, 4}, {91, 4}} {
 		missing, partitioned := 0, 0
@@ -133,7 +133,7 @@
 			partitioned += size.hosts / size.dcs
 			m.Start(restarted)
 			m.Run(time.Second)
-			_, known := restarted.Replica.Set(msg.SetEnds).Get(config.Key{Kind: "End", Name: "e"})
+			_, known := restarted.Replica.Set(msg.SetCrashes).Get(config.Key{Kind: "End", Name: "e"})
 			assert.Check(t, known, "seed %d: the restarted host does not have the report", seed)
 		}
 		t.Logf("%d hosts: %d of %d without the report %v after the partition", size.hosts, missing, partitioned, detectionTime)
--- a/internal/mesh/mesh_test.go
+++ b/internal/mesh/mesh_test.go
@@ -68,7 +68,7 @@
 	return out
 }
 
-func TestRecordsNeverGoBackAndConverge(t *testing.T) {
+func TestRecordsNeverRegressAndConverge(t *testing.T) {
 	for seed := range uint64(12) {
 		m := New(Config{Hosts: 24, DCs: 3, Seed: seed, LossRate: 0.05, Instances: 2, Watchers: 2})
 		m.StartAll()
@@ -153,7 +153,7 @@
 }
 
 // recordVersionRegressions must detect a peer that forwards an older version as if it were new.
-func TestVersionCheckCatchesAPlantedFault(t *testing.T) {
+func TestVersionCheckDetectsInjectedFault(t *testing.T) {
 	m := New(Config{Hosts: 4, DCs: 1, Seed: 1, Watchers: 1})
 	m.StartAll()
 	violation := ""
@@ -174,7 +174,7 @@
 	return counts
 }
 
-func TestDeadRackIsFoundAndNobodyElse(t *testing.T) {
+func TestDeadRackIsDetectedWithoutFalsePositives(t *testing.T) {
 	m := New(Config{Hosts: 60, DCs: 3, Seed: 9, LossRate: 0.02, Instances: 2, Watchers: 2})
 	m.StartAll()
 	m.Run(10 * time.Second)
@@ -192,7 +192,7 @@
 	}
 }
 
-func TestOneWayCutsAreSeenFromEitherSide(t *testing.T) {
+func TestOneWayPartitionIsDetected(t *testing.T) {
 	for _, inbound := range []bool{false, true} {
 		m := New(Config{Hosts: 20, DCs: 2, Seed: 4, Watchers: 2})
 		m.StartAll()
@@ -218,7 +218,7 @@
 	}
 }
 
-func TestSplitRegionsJoinAgain(t *testing.T) {
+func TestPartitionedRegionsRejoin(t *testing.T) {
 	m := New(Config{Hosts: 30, DCs: 3, Seed: 8, LossRate: 0.01, Instances: 1, Watchers: 2})
 	m.StartAll()
 	m.Run(5 * time.Second)
--- a/internal/mesh/start_test.go
+++ b/internal/mesh/start_test.go
@@ -104,7 +104,7 @@
 // Messages, bytes and bytes between data centres per host, and the time until hosts knew 90 % of
 // the others, were 264, 62 KB, 23 KB and 0.5 s with 24 hosts, and 2,499, 1.2 MB, 485 KB and 0.65 s
 // with 354. They are 197, 42 KB, 9 KB and 0.7 s, and 345, 0.5 MB, 17 KB and 1.1 s, since the fix.
-func TestAStartOfAllFitsWhatAHostOwns(t *testing.T) {
+func TestStartOfAllFitsHostResources(t *testing.T) {
 	small, large := startFleet(24, 1), startFleet(354, 1)
 	maxMessages := messageCPUShare * smallestCPUShare * startPeriod.Seconds() / messageCPUTime.Seconds()
 	for _, c := range []startCost{small, large} {
@@ -125,7 +125,7 @@
 // remote hosts, learned of all others from its first call and then had nothing new to send, so that
 // two of four other data centres were not told. Until the last of 100 hosts knew it, it took up to
 // 2.45 s in ten runs, and up to 1.75 s since the fix.
-func TestAHostThatJoinsIsSoonKnownInEveryDataCentre(t *testing.T) {
+func TestJoiningHostIsSoonKnownInEveryDataCentre(t *testing.T) {
 	for seed := range uint64(10) {
 		m := New(Config{Hosts: 100, DCs: 5, Seed: seed, Watchers: 2, Instances: 1, Replica: quickReplication()})
 		m.StartAll()
--- a/internal/msg/control.go
+++ b/internal/msg/control.go
@@ -24,9 +24,9 @@
 	SetRecords SetID = iota
 	// SetHosts holds the state that each host publishes about itself.
 	SetHosts
-	// SetEnds holds the crashes of instances, with the requests that were running, and
+	// SetCrashes holds the crashes of instances, with the requests that were running, and
 	// the crashes that requests have been cleared of.
-	SetEnds
+	SetCrashes
 	// Sets is the number of replicated sets.
 	Sets
 )
@@ -134,9 +134,9 @@
 	Health    uint8
 	Evidence  uint32
 	StartedMS int64
-	// WarmLeftMS is the rest of the instance's warm-up in milliseconds. It is a duration
+	// WarmUpLeftMS is the rest of the instance's warm-up in milliseconds. It is a duration
 	// because the clocks of hosts differ.
-	WarmLeftMS uint32
+	WarmUpLeftMS uint32
 }
 
 // HostState is the state that a host publishes about itself, as its only writer.
@@ -149,26 +149,26 @@
 	Instances   []HostInstance `msg:"instances,limit=256"`
 }
 
-// InstanceEnd is a crash of an instance.
-type InstanceEnd struct {
+// InstanceCrash is a crash of an instance.
+type InstanceCrash struct {
 	Service string
 	// SoftwareVersion is the version of the instance's software.
 	SoftwareVersion string
 	// Host is the host that detected the crash.
 	Host string
-	// AtMS is the time of detection, in Unix milliseconds of that host's clock.
-	AtMS int64
-	// Prints are the fingerprints of the requests that were running, see
+	// DetectedAtMS is the time of detection, in Unix milliseconds of that host's clock.
+	DetectedAtMS int64
+	// Fingerprints are the fingerprints of the requests that were running, see
 	// crash.Fingerprint.
-	Prints []uint64 `msg:"prints,limit=256"`
+	Fingerprints []uint64 `msg:"prints,limit=256"`
 }
 
 // Report tells the host that aggregates the status of a data centre which records the
 // sender has in force.
 type Report struct {
-	Root   uint64
-	Newest int64
-	Whole  bool
+	Root     uint64
+	Newest   int64
+	Complete bool
 	// Rejected lists the records whose last valid version stays in force at the sender.
 	Rejected []ReportRejected `msg:"rejected,limit=64"`
 }
--- a/internal/msg/keys.go
+++ b/internal/msg/keys.go
@@ -22,8 +22,8 @@
 	CreatedMS int64
 }
 
-// KeyClaimed answers KeyClaim.
-type KeyClaimed struct {
+// ClaimReply answers KeyClaim.
+type ClaimReply struct {
 	// Outcome is a once.ClaimOutcome.
 	Outcome uint8
 	Epoch   uint64
@@ -102,7 +102,7 @@
 	Last bool
 }
 
-// HandoverDone answers each part of a Handover, and KeyResult.
-type HandoverDone struct {
+// HandoverReply answers each part of a Handover, and KeyResult.
+type HandoverReply struct {
 	Accepted bool
 }
--- a/internal/msg/requests.go
+++ b/internal/msg/requests.go
@@ -130,9 +130,9 @@
 
 // Grant confirms the slot that Reserve asked for.
 type Grant struct {
-	// LifeMS is how long the guard reserves the slot, by its own clock.
-	LifeMS uint32
-	Load   Load
+	// TTLMS is how long the guard reserves the slot, by its own clock.
+	TTLMS uint32
+	Load  Load
 }
 
 // Run tells a guard to run a request. With Reserved, it consumes the Grant on the same
--- a/internal/msg/requests_gen.go
+++ b/internal/msg/requests_gen.go
@@ -368,7 +368,7 @@
 	o = msgp.Require(b, z.Msgsize())
 	// array header, size 2
 	o = append(o, 0x92)
-	o = msgp.AppendUint32(o, z.LifeMS)
+	o = msgp.AppendUint32(o, z.TTLMS)
 	o, err = z.Load.MarshalMsg(o)
 	if err != nil {
 		err = msgp.WrapError(err, "Load")
@@ -389,7 +389,7 @@
 		err = msgp.ArrayError{Wanted: 2, Got: zb0001}
 		return
 	}
-	z.LifeMS, bts, err = msgp.ReadUint32Bytes(bts)
+	z.TTLMS, bts, err = msgp.ReadUint32Bytes(bts)
 	if err != nil {
 		err = msgp.WrapError(err, "LifeMS")
 		return
--- a/internal/msg/teams.go
+++ b/internal/msg/teams.go
@@ -50,9 +50,9 @@
 	NearLimitMS uint32
 	// QueryID identifies the query that is answered. If it is not Granted, WaitMS is the
 	// time until a request would be, in milliseconds.
-	QueryID uint32
-	Granted bool
-	WaitMS  uint32
+	QueryID      uint32
+	Granted      bool
+	RetryAfterMS uint32
 }
 
 // TeamNotice tells all hosts that a team is close to its limit.
--- a/internal/msg/teams_gen.go
+++ b/internal/msg/teams_gen.go
@@ -25,7 +25,7 @@
 	o = msgp.AppendUint32(o, z.NearLimitMS)
 	o = msgp.AppendUint32(o, z.QueryID)
 	o = msgp.AppendBool(o, z.Granted)
-	o = msgp.AppendUint32(o, z.WaitMS)
+	o = msgp.AppendUint32(o, z.RetryAfterMS)
 	return
 }
 
@@ -81,7 +81,7 @@
 		err = msgp.WrapError(err, "Granted")
 		return
 	}
-	z.WaitMS, bts, err = msgp.ReadUint32Bytes(bts)
+	z.RetryAfterMS, bts, err = msgp.ReadUint32Bytes(bts)
 	if err != nil {
 		err = msgp.WrapError(err, "WaitMS")
 		return
--- a/internal/soak/report.go
+++ b/internal/soak/report.go
@@ -41,10 +41,10 @@
 // maxHosts bounds the hosts of a run: their addresses, and the processes of a machine.
 const maxHosts = 90
 
-// Seeds plays seeds one after the other, from the one of cfg on, and writes a report of
+// RunSeeds plays seeds one after the other, from the one of cfg on, and writes a report of
 // each. The logs of one that broke a promise go to a directory, where one is named.
-func Seeds(ctx context.Context, out io.Writer, cfg Config, count int, logs string) error {
-	if cfg.Hosts < dcs || cfg.Hosts > maxHosts || cfg.Length < 2*calmEnd {
+func RunSeeds(ctx context.Context, out io.Writer, cfg Config, count int, logs string) error {
+	if cfg.Hosts < dcs || cfg.Hosts > maxHosts || cfg.Duration < 2*calmEnd {
 		return errors.Errorf("soak: write %d to %d hosts and a time of %s or more", dcs, maxHosts, 2*calmEnd)
 	}
 	failed := 0
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -26,10 +26,10 @@
 // Config describes one run.
 type Config struct {
 	// Bin is the directory of the built programs.
-	Bin    string
-	Seed   uint64
-	Hosts  int
-	Length time.Duration
+	Bin      string
+	Seed     uint64
+	Hosts    int
+	Duration time.Duration
 	// Net is the third number of the addresses, 127.0.Net.x, so that runs and tests do
 	// not meet.
 	Net int
@@ -92,7 +92,7 @@
 	}
 	defer func() { _ = os.RemoveAll(dir) }()
 	r := &run{cfg: cfg, fleet: lab.NewFleet(ctx, cfg.Bin, dir, cfg.Logs), lives: make([]int, cfg.Hosts)}
-	r.record = Record{Runs: make(map[string]int), Length: cfg.Length, Bound: applyWithin}
+	r.record = Record{Runs: make(map[string]int), Length: cfg.Duration, Bound: applyWithin}
 	defer r.stop()
 	if err := r.begin(ctx); err != nil {
 		return nil, err
@@ -128,7 +128,7 @@
 		}
 		n := &node{link: link}
 		r.nodes = append(r.nodes, n)
-		r.fleet.Via = "http://" + link.listener.Addr().String()
+		r.fleet.PlatformURL = "http://" + link.listener.Addr().String()
 		if n.host, err = r.fleet.StartHost(fmt.Sprintf("h%02d", i), fmt.Sprintf("dc%d", i%dcs), r.address(10+i), settings); err != nil {
 			return err
 		}
@@ -136,14 +136,14 @@
 			return err
 		}
 	}
-	return r.fleet.UntilServing(startPatience, map[string]int{service: r.cfg.Hosts})
+	return r.fleet.WaitUntilServing(startPatience, map[string]int{service: r.cfg.Hosts})
 }
 
 func (r *run) address(n int) string { return fmt.Sprintf("127.0.%d.%d", r.cfg.Net, n) }
 
 // play lets traffic, changes and faults go on for the length of the run.
 func (r *run) play(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, r.cfg.Length)
+	ctx, cancel := context.WithTimeout(ctx, r.cfg.Duration)
 	defer cancel()
 	r.start = time.Now()
 	var wg sync.WaitGroup
@@ -155,7 +155,7 @@
 	}
 	wg.Go(func() { r.change(ctx) })
 	wg.Go(func() { r.callFatal(ctx) })
-	for _, f := range Schedule(r.cfg.Seed, r.cfg.Hosts, r.cfg.Length) {
+	for _, f := range Schedule(r.cfg.Seed, r.cfg.Hosts, r.cfg.Duration) {
 		wg.Go(func() { r.inject(ctx, f) })
 	}
 	wg.Wait()
@@ -183,7 +183,7 @@
 	index := len(r.record.Faults)
 	// Until its end is known it lasts.
 	lasting := f
-	lasting.For = r.cfg.Length
+	lasting.For = r.cfg.Duration
 	r.record.Faults = append(r.record.Faults, lasting)
 	r.mu.Unlock()
 	sleep.For(ctx, over-f.At)
@@ -211,8 +211,8 @@
 		n.link.set(f.Kind)
 		return func() { n.link.set("") }
 	case TargetFails, TargetSlow, TargetCuts:
-		_ = n.target.Set(behaviours[f.Kind])
-		return func() { _ = n.target.Set(target.Behaviour{Mode: target.Good}) }
+		_ = n.target.SetBehaviour(behaviours[f.Kind])
+		return func() { _ = n.target.SetBehaviour(target.Behaviour{Mode: target.Good}) }
 	default:
 		_ = r.fleet.SetPlatformFaults(platformFaults[f.Kind])
 		return func() { _ = r.fleet.SetPlatformFaults(platformd.Faults{}) }
@@ -320,14 +320,14 @@
 func (r *run) callFatal(ctx context.Context) {
 	rng := rand.New(rand.NewPCG(r.cfg.Seed, 2))
 	client := &http.Client{Timeout: callerPatience, Transport: &http.Transport{DisableKeepAlives: true}}
-	if !sleep.For(ctx, time.Duration(fatalPart*float64(r.cfg.Length))) {
+	if !sleep.For(ctx, time.Duration(fatalPart*float64(r.cfg.Duration))) {
 		return
 	}
 	var wg sync.WaitGroup
 	for n := 0; sleep.For(ctx, time.Duration(rng.ExpFloat64()*float64(fatalPause))); n++ {
 		req := Request{Mark: fmt.Sprintf("fatal-%d", n), Host: rng.IntN(r.cfg.Hosts), Fatal: true, Idempotent: true, Sent: r.now()}
 		wg.Go(func() {
-			r.send(client, &req, "/plans"+target.FatalPath)
+			r.send(client, &req, "/plans"+target.CrashPathSuffix)
 			req.Done = r.now()
 			r.mu.Lock()
 			defer r.mu.Unlock()
@@ -373,7 +373,7 @@
 		for mark, count := range runs.ByMark {
 			r.record.Runs[mark] += count
 		}
-		for _, ms := range runs.Ends {
+		for _, ms := range runs.CrashTimes {
 			r.record.Ends = append(r.record.Ends, time.UnixMilli(ms).Sub(r.start))
 		}
 	}
--- a/internal/soak/run_test.go
+++ b/internal/soak/run_test.go
@@ -21,7 +21,7 @@
 	out, err := build.CombinedOutput()
 	assert.NilError(t, err, "%s", out)
 	logs := &logtest.Buffer{}
-	r, err := Run(context.Background(), Config{Bin: bin, Seed: 7, Hosts: 6, Length: 20 * time.Second, Net: 71, Logs: logs})
+	r, err := Run(context.Background(), Config{Bin: bin, Seed: 7, Hosts: 6, Duration: 20 * time.Second, Net: 71, Logs: logs})
 	assert.NilError(t, err)
 	var report bytes.Buffer
 	broken := r.Report(&report, 7)
--- a/verdict/verdict.go
+++ b/verdict/verdict.go
@@ -73,7 +73,7 @@
 	ReasonAnswerMismatch Reason = "answer-mismatch"
 	ReasonLinkLost       Reason = "link-lost"
 	ReasonCancelled      Reason = "cancelled"
-	ReasonKeyBusy        Reason = "key-in-progress"
+	ReasonKeyInProgress  Reason = "key-in-progress"
 	ReasonKeyReused      Reason = "key-reused"
 	ReasonKeyUnknown     Reason = "key-unknown"
 	ReasonKeyNoOwner     Reason = "key-no-owner"
