--- a/internal/control/confirm_test.go
+++ b/internal/control/confirm_test.go
@@ -15,7 +15,7 @@
 // while the platform responds, and grow while it does not.
 func TestConfirmedAgeIsAgeOfLastResponse(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := startWatcherTest(t, testAwayMax)
+		w := startWatcherTest(t, testMaxRetryInterval)
 		defer w.stop()
 		for range 50 {
 			time.Sleep(100 * time.Millisecond)
@@ -67,7 +67,7 @@
 // watches.
 func TestChangeIsAppliedImmediatelyWhilePlatformResponds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := startWatcherTest(t, testAwayMax)
+		w := startWatcherTest(t, testMaxRetryInterval)
 		defer w.stop()
 		time.Sleep(3 * time.Second)
 		for range 5 {
@@ -82,7 +82,7 @@
 // otherwise build and distribute one more than once a second.
 func TestEmptyWatchDoesNotRebuildDirectory(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := startWatcherTest(t, testAwayMax)
+		w := startWatcherTest(t, testMaxRetryInterval)
 		defer w.stop()
 		time.Sleep(3 * time.Second)
 		w.control.publish(time.Now())
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -59,7 +59,7 @@
 	// Crashed is called with the crash of an instance on any host, and Cleared with a
 	// request that did not cause a crash. They must not block.
 	Crashed func(crash.Crash)
-	Cleared func(end string, p crash.Fingerprint)
+	Cleared func(crashID string, p crash.Fingerprint)
 	// Unblocked is called with a request that an operator has unblocked. It must not block.
 	Unblocked func(p crash.Fingerprint)
 	// TeamLimiter enforces the rates of teams. It may be nil.
--- a/internal/control/crashers.go
+++ b/internal/control/crashers.go
@@ -37,10 +37,10 @@
 
 // StoreCrasher stores a blocked request in the platform, so that it stays blocked when all
 // processes of the fleet are lost. It returns without waiting for the write.
-func (c *Control) StoreCrasher(p crash.Fingerprint, request string, ends []record.InstanceCrash) {
-	value, err := record.Marshal(crasherKey(p), &record.Crasher{Request: request, Crashes: ends})
+func (c *Control) StoreCrasher(p crash.Fingerprint, request string, crashes []record.InstanceCrash) {
+	value, err := record.Marshal(crasherKey(p), &record.Crasher{Request: request, Crashes: crashes})
 	if err != nil {
-		c.logUnwritten(p, err)
+		c.logNotWritten(p, err)
 		return
 	}
 	c.pendingCrashers.mu.Lock()
@@ -106,10 +106,10 @@
 		return
 	}
 	c.pendingCrashers.loggedAt = now
-	c.logUnwritten(p, cause)
+	c.logNotWritten(p, cause)
 }
 
-func (c *Control) logUnwritten(p crash.Fingerprint, cause error) {
+func (c *Control) logNotWritten(p crash.Fingerprint, cause error) {
 	event.Log(c.log, event.RecordNotWritten, slog.String("record", crasherKey(p).String()), slog.String("cause", cause.Error()))
 }
 
--- a/internal/control/ends.go
+++ b/internal/control/crashes.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	// crashKind is the kind of a crash in msg.SetEnds, named by its ID. clearanceKind is
+	// crashKind is the kind of a crash in msg.SetCrashes, named by its ID. clearanceKind is
 	// the kind of an entry that clears a request of a crash, named by the crash ID and
 	// the fingerprint of the request.
 	crashKind, clearanceKind = "End", "Cleared"
@@ -52,7 +52,7 @@
 	c.flush(time.Now())
 }
 
-// applyCrashEntry applies an entry of msg.SetEnds. The version is the time at which the
+// applyCrashEntry applies an entry of msg.SetCrashes. The version is the time at which the
 // entry was created, so expired entries are recognized by it.
 func (c *Control) applyCrashEntry(now time.Time, e msg.Entry) {
 	if e.Deleted || crashEntryExpired(now, e) {
@@ -100,7 +100,7 @@
 	}
 }
 
-// crashEntryExpired reports whether an entry of msg.SetEnds is past the retention period.
+// crashEntryExpired reports whether an entry of msg.SetCrashes is past the retention period.
 func crashEntryExpired(now time.Time, e msg.Entry) bool {
 	return now.Sub(time.UnixMilli(e.Version)).Abs() > crash.RetentionPeriod
 }
--- a/internal/control/silent_test.go
+++ b/internal/control/silent_test.go
@@ -25,7 +25,7 @@
 		for _, phase := range []time.Duration{0, 300 * time.Millisecond, 700 * time.Millisecond} {
 			t.Run(fmt.Sprintf("no response for %s, phase %s", silence, phase), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
-					w := startWatcherTest(t, testAwayMax)
+					w := startWatcherTest(t, testMaxRetryInterval)
 					defer w.stop()
 					time.Sleep(3 * time.Second)
 					w.changeRecord()
@@ -48,7 +48,7 @@
 func TestAChangeAfterRefusalsIsInForceInTime(t *testing.T) {
 	for refused := time.Second; refused <= 20*time.Second; refused += 700 * time.Millisecond {
 		synctest.Test(t, func(t *testing.T) {
-			w := startWatcherTest(t, testAwayMax)
+			w := startWatcherTest(t, testMaxRetryInterval)
 			defer w.stop()
 			time.Sleep(3 * time.Second)
 			w.platform.SetFaults(platformd.Faults{Outage: true})
--- a/internal/control/watched_test.go
+++ b/internal/control/watched_test.go
@@ -20,9 +20,9 @@
 // Settings of a deployment in which configurations must be applied within 2 s of their
 // acknowledgement.
 const (
-	testApplyLimit = 2 * time.Second
-	testWatchWait  = time.Second
-	testAwayMax    = time.Second
+	testApplyLimit       = 2 * time.Second
+	testWatchWait        = time.Second
+	testMaxRetryInterval = time.Second
 	// testFleetMargin is the part of testApplyLimit reserved for replication from a
 	// watcher to all hosts.
 	testFleetMargin = 500 * time.Millisecond
@@ -39,7 +39,7 @@
 }
 
 // startWatcherTest starts a platform and one host that runs only the watch loop.
-func startWatcherTest(t *testing.T, awayMax time.Duration) *watcherTest {
+func startWatcherTest(t *testing.T, maxRetryInterval time.Duration) *watcherTest {
 	t.Helper()
 	w := &watcherTest{t: t, platform: platformd.NewServer(), key: record.Key{Kind: record.KindService, Name: "plans"}}
 	listener := memnet.Listen()
@@ -48,7 +48,7 @@
 	client := objects.NewClient("http://platform", testWatchWait)
 	client.SetDial(listener.Dial)
 	w.control = newControlWithStore(client, func(*directory.Directory) {})
-	w.control.cfg.MaxRetryInterval = awayMax
+	w.control.cfg.MaxRetryInterval = maxRetryInterval
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan struct{})
 	go func() {
