--- a/internal/mesh/crash_test.go
+++ b/internal/mesh/crash_test.go
@@ -11,8 +11,8 @@
 	"github.com/radishhoist/radishhoist/internal/msg"
 )
 
-// encodedEnd returns the encoded report of an instance's end with four running requests.
-func encodedEnd(t *testing.T) []byte {
+// encodedCrash returns the encoded report of an instance crash with four running requests.
+func encodedCrash(t *testing.T) []byte {
 	t.Helper()
 	m := msg.InstanceCrash{Service: "service-001", SoftwareVersion: "2026.12.1", DetectedAtMS: 1_700_000_000_000, Fingerprints: []uint64{1 << 60, 1 << 61, 1 << 62, 1 << 63}}
 	value, err := m.MarshalMsg(nil)
@@ -20,14 +20,14 @@
 	return value
 }
 
-// publishEnd publishes the report of an instance's end from a host.
-func (m *Mesh) publishEnd(h *Host, name string, value []byte) {
+// publishCrash publishes the report of an instance crash from a host.
+func (m *Mesh) publishCrash(h *Host, name string, value []byte) {
 	h.Replica.Publish(h.replicationPeers(), msg.SetCrashes, []msg.Entry{{Kind: "End", Name: name, Version: 1, Value: value}})
 	m.flush(h)
 }
 
-// hostsWithoutEnd counts the hosts that are up and have not received a report.
-func (m *Mesh) hostsWithoutEnd(name string) int {
+// hostsWithoutCrash counts the hosts that are up and have not received a report.
+func (m *Mesh) hostsWithoutCrash(name string) int {
 	n := 0
 	for _, h := range m.Hosts {
 		if _, known := h.Replica.Set(msg.SetCrashes).Get(config.Key{Kind: "End", Name: name}); h.Up && !known {
@@ -42,33 +42,33 @@
 // refuses the requests it knows of.
 const maxMissingShare = 0.01
 
-// detectionTime is the time within which the fleet learns of an end in the deployments.
+// detectionTime is the time within which the fleet learns of a crash in the deployments.
 const detectionTime = 3 * time.Second
 
-// endPropagation is the number of hosts without the reports after detectionTime, the time until all
+// crashPropagation is the number of hosts without the reports after detectionTime, the time until all
 // hosts had them, and the bytes sent per host in that time.
-type endPropagation struct {
+type crashPropagation struct {
 	missing  int
 	duration time.Duration
 	bytes    int
 }
 
-// propagateEnds publishes several reports from one host at once and waits until all hosts have them.
-func (m *Mesh) propagateEnds(t *testing.T, from *Host, ends int) endPropagation {
+// propagateCrashes publishes several reports from one host at once and waits until all hosts have them.
+func (m *Mesh) propagateCrashes(t *testing.T, from *Host, crashes int) crashPropagation {
 	t.Helper()
 	const timeout = 30 * time.Second
 	before := m.bytesSent()
-	value := encodedEnd(t)
-	for n := range ends {
-		m.publishEnd(from, fmt.Sprint("end", n), value)
+	value := encodedCrash(t)
+	for n := range crashes {
+		m.publishCrash(from, fmt.Sprint("end", n), value)
 	}
-	result := endPropagation{}
+	result := crashPropagation{}
 	for result.duration < timeout {
 		m.Run(Step)
 		result.duration += Step
 		missing := 0
-		for n := range ends {
-			missing = max(missing, m.hostsWithoutEnd(fmt.Sprint("end", n)))
+		for n := range crashes {
+			missing = max(missing, m.hostsWithoutCrash(fmt.Sprint("end", n)))
 		}
 		if result.duration == detectionTime {
 			result.missing = missing
@@ -89,7 +89,7 @@
 	return sum
 }
 
-// Nearly all hosts have the report of an end within detectionTime, for any fleet size and with 5 % of
+// Nearly all hosts have the report of a crash within detectionTime, for any fleet size and with 5 % of
 // the messages lost.
 func TestAnEndIsKnownInTime(t *testing.T) {
 	for _, size := range []struct{ hosts, dcs, seeds int }{{24, 4, 8}, {91, 4, 8}, {354, 5, 4}} {
@@ -99,7 +99,7 @@
 				m := New(Config{Hosts: size.hosts, DCs: size.dcs, Seed: uint64(seed), Watchers: 2, LossRate: loss, Replica: quickReplication()})
 				m.StartAll()
 				m.Run(2 * time.Second)
-				propagation := m.propagateEnds(t, m.Hosts[seed], 1)
+				propagation := m.propagateCrashes(t, m.Hosts[seed], 1)
 				missing += propagation.missing
 				slowest = max(slowest, propagation.duration)
 				bytes += propagation.bytes / size.seeds
@@ -110,7 +110,7 @@
 	}
 }
 
-// After a partition, a data centre has the report of an end within detectionTime. A host that starts
+// After a partition, a data centre has the report of a crash within detectionTime. A host that starts
 // gets it with the first response that names the other hosts.
 func TestEndReachesPartitionedAndRestartedHosts(t *testing.T) {
 	const seeds = 8
@@ -124,12 +124,12 @@
 			m.Stop(restarted)
 			partitionedDC := m.Hosts[0].DC
 			m.Blocked = func(from, to *Host) bool { return (from.DC == partitionedDC) != (to.DC == partitionedDC) }
-			m.publishEnd(m.Hosts[2], "e", encodedEnd(t))
+			m.publishCrash(m.Hosts[2], "e", encodedCrash(t))
 			m.Run(8 * time.Second)
-			assert.Assert(t, m.hostsWithoutEnd("e") > 0)
+			assert.Assert(t, m.hostsWithoutCrash("e") > 0)
 			m.Blocked = func(_, _ *Host) bool { return false }
 			m.Run(detectionTime)
-			missing += m.hostsWithoutEnd("e")
+			missing += m.hostsWithoutCrash("e")
 			partitioned += size.hosts / size.dcs
 			m.Start(restarted)
 			m.Run(time.Second)
@@ -144,21 +144,21 @@
 // maxControlBytesPerSecond is the limit of control traffic per host at the target size.
 const maxControlBytesPerSecond = 19 << 10
 
-// The bytes per host grow with the number of ends, not with the size of the fleet. Ten reports at once
+// The bytes per host grow with the number of crashes, not with the size of the fleet. Ten reports at once
 // stay within the limit of control traffic during detectionTime.
 func TestEndPropagationCost(t *testing.T) {
 	for _, size := range []struct{ hosts, dcs int }{{24, 4}, {354, 5}} {
-		for _, ends := range []int{0, 1, 10} {
+		for _, crashes := range []int{0, 1, 10} {
 			m := New(Config{Hosts: size.hosts, DCs: size.dcs, Seed: 1, Watchers: 2, Replica: quickReplication()})
 			m.StartAll()
 			m.Run(2 * time.Second)
-			before, value := m.bytesSent(), encodedEnd(t)
-			for n := range ends {
-				m.publishEnd(m.Hosts[n], fmt.Sprint("end", n), value)
+			before, value := m.bytesSent(), encodedCrash(t)
+			for n := range crashes {
+				m.publishCrash(m.Hosts[n], fmt.Sprint("end", n), value)
 			}
 			m.Run(detectionTime)
 			bytes := (m.bytesSent() - before) / size.hosts
-			t.Logf("%d hosts, %d ends: %d bytes per host in %v", size.hosts, ends, bytes, detectionTime)
+			t.Logf("%d hosts, %d crashes: %d bytes per host in %v", size.hosts, crashes, bytes, detectionTime)
 			assert.Check(t, bytes <= maxControlBytesPerSecond*int(detectionTime/time.Second))
 		}
 	}
