--- a/internal/fleetsim/callers.go
+++ b/internal/fleetsim/callers.go
@@ -49,7 +49,7 @@
 	o.Late += other.Late
 	o.Refused += other.Refused
 	o.Failed += other.Failed
-	o.Stopped += other.Stopped
+	o.Blocked += other.Blocked
 }
 
 // sendKind sends the callers' requests of one kind.
@@ -91,7 +91,7 @@
 	o := f.result.ByKind[k.Name]
 	o.Sent++
 	if reason == string(verdict.ReasonCrashesTargets) {
-		o.Stopped++
+		o.Blocked++
 	}
 	switch {
 	case status < http.StatusInternalServerError && took <= k.Objective:
--- a/internal/fleetsim/crash.go
+++ b/internal/fleetsim/crash.go
@@ -50,7 +50,7 @@
 }
 
 // runCrashingRequest runs a crashing request until the instance crashes, unless it has
-// terminated before for another reason.
+// crashed before for another reason.
 func (i *instance) runCrashingRequest(c CrashingRequest) {
 	f := i.host.fleet
 	stats := f.result.CrashingRequests[c.Path]
@@ -59,7 +59,7 @@
 	f.mu.Unlock()
 	incarnation := i.currentIncarnation()
 	time.Sleep(c.CrashDelay)
-	if !i.terminate(incarnation) {
+	if !i.crash(incarnation) {
 		return
 	}
 	f.mu.Lock()
@@ -73,9 +73,9 @@
 	return i.incarnation
 }
 
-// terminate terminates an incarnation of the instance and closes its connections; the instance
-// restarts after RestartDelay. It returns false if that incarnation has terminated already.
-func (i *instance) terminate(incarnation int) bool {
+// crash crashes an incarnation of the instance and closes its connections; the instance
+// restarts after RestartDelay. It returns false if that incarnation has crashed already.
+func (i *instance) crash(incarnation int) bool {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	if i.down || i.incarnation != incarnation {
@@ -89,7 +89,7 @@
 	return true
 }
 
-// loseInstances terminates instances of a service, regardless of the requests they run.
+// loseInstances crashes instances of a service, regardless of the requests they run.
 func (f *fleet) loseInstances(l InstanceLoss) {
 	left := l.Instances
 	for _, h := range f.hosts {
@@ -97,7 +97,7 @@
 			continue
 		}
 		left--
-		h.instance.terminate(h.instance.currentIncarnation())
+		h.instance.crash(h.instance.currentIncarnation())
 	}
 }
 
--- a/internal/fleetsim/crash_test.go
+++ b/internal/fleetsim/crash_test.go
@@ -31,9 +31,9 @@
 	// detectionTime is the time in which the fleet learns that a request has crashed its third
 	// instance: the limit in the deployments, for hosts that can communicate.
 	detectionTime = 3 * time.Second
-	// A request is stopped after crashesUntilStopped crashes. maxLateArrivals is how often it
+	// A request is blocked after crashesUntilBlocked crashes. maxLateArrivals is how often it
 	// may still reach an instance after detectionTime.
-	crashesUntilStopped, maxLateArrivals = 3, 3
+	crashesUntilBlocked, maxLateArrivals = 3, 3
 	// crashDelay is how long the request runs before its instance crashes.
 	crashDelay = 85 * time.Millisecond
 	// maxCrashes is the maximum number of instances crashed by one request.
@@ -59,7 +59,7 @@
 	}
 	for seed, r := range simulate(t, 2**seeds, scenario) {
 		c := r.CrashingRequests["/status/fatal"]
-		late := c.ArrivalsAfterCrash(crashesUntilStopped, detectionTime)
+		late := c.ArrivalsAfterCrash(crashesUntilBlocked, detectionTime)
 		t.Logf("seed %d: %d crashes, %d arrivals after the third was known, served %.3f", seed, len(c.Crashes), late, r.Total.Served())
 		assert.Check(t, late <= maxLateArrivals, "seed %d: %d arrivals after the third crash was known", seed, late)
 	}
@@ -93,7 +93,7 @@
 }
 
 // The number of crashes per request is limited for any fleet size and for idempotent and other
-// requests, and no other request is stopped.
+// requests, and no other request is blocked.
 func TestCrashingRequestCrashesFewInstances(t *testing.T) {
 	const largest = "354 hosts"
 	cases := map[string]func(uint64) Scenario{
@@ -144,12 +144,12 @@
 			}
 			for seed, r := range simulate(t, n, scenario) {
 				for path, c := range r.CrashingRequests {
-					late := c.ArrivalsAfterCrash(crashesUntilStopped, detectionTime)
+					late := c.ArrivalsAfterCrash(crashesUntilBlocked, detectionTime)
 					t.Logf("seed %d, %s: %d crashes, %d arrivals after the third was known, served %.3f", seed, path, len(c.Crashes), late, r.Total.Served())
 					assert.Check(t, len(c.Crashes) <= maxCrashes, "seed %d, %s: %d crashes", seed, path, len(c.Crashes))
 					assert.Check(t, late <= maxLateArrivals, "seed %d, %s: %d arrivals after the third crash was known", seed, path, late)
 				}
-				assert.Check(t, r.Total.Stopped == 0, "seed %d: %d other requests stopped", seed, r.Total.Stopped)
+				assert.Check(t, r.Total.Blocked == 0, "seed %d: %d other requests blocked", seed, r.Total.Blocked)
 			}
 		})
 	}
@@ -161,13 +161,13 @@
 		s := shortRegistry(seed)
 		s.CrashingRequests = []CrashingRequest{crashingRequest("status", 0)}
 		s.CrashingRequests[0].RatePerSecond = ratePerSecond
-		s.Duration = 8 * time.Second // stopped within the first second, with time for a request after that
+		s.Duration = 8 * time.Second // blocked within the first second, with time for a request after that
 		return s
 	}
 }
 
 // Guards against a frequently sent request crashing most instances of its service before it is
-// stopped.
+// blocked.
 //
 // After the first crash, other hosts sent the request to whichever instance suited each best,
 // like any other request, until two more crashes had been reported. At 20 requests a second, up
@@ -181,7 +181,7 @@
 }
 
 // Requests already running at the first crash cannot be known as suspects. Those sent later
-// crash fewer instances than are needed to stop the request.
+// crash fewer instances than are needed to block the request.
 func TestSuspectedRequestCrashesFewInstances(t *testing.T) {
 	const propagationTime = 10 * time.Millisecond // several hops
 	for seed, r := range simulate(t, 4**seeds, crashingRequestAtRate(50)) {
@@ -193,12 +193,12 @@
 			}
 		}
 		t.Logf("seed %d: %d crashes, %d of them after it was a suspect", seed, len(c.Crashes), lateCrashes)
-		assert.Check(t, lateCrashes < crashesUntilStopped, "seed %d: %d crashes after it was a suspect", seed, lateCrashes)
+		assert.Check(t, lateCrashes < crashesUntilBlocked, "seed %d: %d crashes after it was a suspect", seed, lateCrashes)
 	}
 }
 
 // During a partition each side learns of crashes on its own, and all hosts know of them after
-// it. The limit of crashes applies to both sides together, and no other request is stopped.
+// it. The limit of crashes applies to both sides together, and no other request is blocked.
 func TestCrashingRequestDuringPartition(t *testing.T) {
 	scenario := func(seed uint64) Scenario {
 		s := shortRegistry(seed)
@@ -217,7 +217,7 @@
 		t.Logf("seed %d: %d crashes, %d arrivals after the partition, served %.3f", seed, len(c.Crashes), after, r.Total.Served())
 		assert.Check(t, len(c.Crashes) <= maxCrashes, "seed %d: %d crashes", seed, len(c.Crashes))
 		assert.Check(t, after <= maxLateArrivals, "seed %d: %d arrivals after the partition", seed, after)
-		assert.Check(t, r.Total.Stopped == 0, "seed %d: %d other requests stopped", seed, r.Total.Stopped)
+		assert.Check(t, r.Total.Blocked == 0, "seed %d: %d other requests blocked", seed, r.Total.Blocked)
 	}
 }
 
@@ -225,8 +225,8 @@
 // latest a minute after its last crash and without further crashes.
 func TestNewVersionServesRequestThatCrashesOld(t *testing.T) {
 	const (
-		stopDuration = time.Minute // for software that the request has not crashed
-		slack        = 5 * time.Second
+		blockDuration = time.Minute // for software that the request has not crashed
+		slack         = 5 * time.Second
 	)
 	scenario := func(seed uint64) Scenario {
 		s := shortRegistry(seed)
@@ -242,19 +242,19 @@
 		c := r.CrashingRequests["/status/fatal0"]
 		late := 0
 		for _, at := range c.Successes {
-			if at > c.Crashes[len(c.Crashes)-1]+stopDuration {
+			if at > c.Crashes[len(c.Crashes)-1]+blockDuration {
 				late++
 			}
 		}
-		t.Logf("seed %d: %d crashes, served %d times, %d after the stop", seed, len(c.Crashes), len(c.Successes), late)
+		t.Logf("seed %d: %d crashes, served %d times, %d after the block", seed, len(c.Crashes), len(c.Successes), late)
 		assert.Check(t, len(c.Crashes) <= maxCrashes, "seed %d: %d crashes", seed, len(c.Crashes))
-		sent := (scenario(0).Duration - c.Crashes[len(c.Crashes)-1] - stopDuration - slack).Seconds() * scenario(0).CrashingRequests[0].RatePerSecond
-		assert.Check(t, float64(late) >= sent/2, "seed %d: served %d times after the stop, of about %.0f requests", seed, late, sent)
+		sent := (scenario(0).Duration - c.Crashes[len(c.Crashes)-1] - blockDuration - slack).Seconds() * scenario(0).CrashingRequests[0].RatePerSecond
+		assert.Check(t, float64(late) >= sent/2, "seed %d: served %d times after the block, of about %.0f requests", seed, late, sent)
 	}
 }
 
-// Instances that terminate for other reasons, at once or one after the other, do not cause any
-// request to be stopped, not even one whose path runs on each of them.
+// Instances that crash for other reasons, at once or one after the other, do not cause any
+// request to be blocked, not even one whose path runs on each of them.
 func TestInstanceLossesStopNoRequest(t *testing.T) {
 	for _, sharedPath := range []bool{false, true} {
 		scenario := func(seed uint64) Scenario {
@@ -270,7 +270,7 @@
 		}
 		for seed, r := range simulate(t, *seeds, scenario) {
 			t.Logf("shared path %t, seed %d: served %.3f", sharedPath, seed, r.Total.Served())
-			assert.Check(t, r.Total.Stopped == 0, "shared path %t, seed %d: %d requests stopped", sharedPath, seed, r.Total.Stopped)
+			assert.Check(t, r.Total.Blocked == 0, "shared path %t, seed %d: %d requests blocked", sharedPath, seed, r.Total.Blocked)
 		}
 	}
 }
@@ -292,26 +292,26 @@
 //
 // Some instances of a service that has just started have completed the request, the others are
 // lost at once during their first run of it. A success only cleared the request at the guard
-// that had observed it, and the clearance arrived one hop later than the crashes that stopped
+// that had observed it, and the clearance arrived one hop later than the crashes that blocked
 // the request, just when the lost requests were retried.
 //
 // In the failure, at the time of the loss one guard of eight had observed a completed run, and
 // none of those with a lost instance had. Three crashes named the request, and the clearance
-// arrived 1.6 ms after it had been stopped.
+// arrived 1.6 ms after it had been blocked.
 func TestPopularRequestSurvivesInstanceLoss(t *testing.T) {
 	for seed, r := range simulate(t, 10**seeds, sharedPathLoss) {
-		assert.Check(t, r.Total.Stopped == 0, "seed %d: %d requests stopped", seed, r.Total.Stopped)
+		assert.Check(t, r.Total.Blocked == 0, "seed %d: %d requests blocked", seed, r.Total.Blocked)
 	}
 }
 
-// As TestAPopularRequestOutlivesALoss, but no instance has completed the request before the loss.
+// As TestPopularRequestSurvivesInstanceLoss, but no instance has completed the request before the loss.
 //
 // Five of eight instances are lost at once while they run it for the first time; one that was not
 // lost completes it 0.3 s later. Simultaneous crashes, detected here within 1.2 ms, have one
 // cause but were counted separately. With another seed no instance was left to complete the
-// request, and it stayed stopped.
+// request, and it stayed blocked.
 func TestUncompletedPopularRequestSurvivesInstanceLoss(t *testing.T) {
 	const seedWithoutCompletion = 1045
 	r := simulate(t, 1, func(uint64) Scenario { return sharedPathLoss(seedWithoutCompletion) })[0]
-	assert.Check(t, r.Total.Stopped == 0, "%d requests stopped", r.Total.Stopped)
+	assert.Check(t, r.Total.Blocked == 0, "%d requests blocked", r.Total.Blocked)
 }
--- a/internal/fleetsim/fleet.go
+++ b/internal/fleetsim/fleet.go
@@ -47,8 +47,8 @@
 	remoteHosts [][]string
 
 	mu sync.Mutex
-	// pulseLimiter selects the recipients of load reports.
-	pulseLimiter *loadreport.Limiter
+	// reportLimiter selects the recipients of load reports.
+	reportLimiter *loadreport.Limiter
 }
 
 // fleet is the state of one simulation.
@@ -147,7 +147,7 @@
 }
 
 func (f *fleet) newHost(n int, s Service, name, version string) *host {
-	h := &host{fleet: f, name: "h" + name, dc: dcName(n % f.scenario.DCs), pulseLimiter: loadreport.New(f.newRand())}
+	h := &host{fleet: f, name: "h" + name, dc: dcName(n % f.scenario.DCs), reportLimiter: loadreport.New(f.newRand())}
 	f.byName[h.name] = h
 	stats := &InstanceStats{Service: s.Name}
 	f.result.Instances[name] = stats
@@ -161,8 +161,8 @@
 		log, allowAllFence{}, guard.Hooks{
 			Changed: func() {}, LoadReport: h.sendLoadReport,
 			Crashed: func(e crash.Crash) { h.broadcast(func(other *host) { other.guard.ApplyCrash(e) }) },
-			Cleared: func(end string, p crash.Fingerprint) {
-				h.broadcast(func(other *host) { other.guard.ApplyCleared(end, p) })
+			Cleared: func(crashID string, p crash.Fingerprint) {
+				h.broadcast(func(other *host) { other.guard.ApplyCleared(crashID, p) })
 			},
 		})
 	h.front = front.New(front.Config{
@@ -210,32 +210,32 @@
 
 // sendLoadReport distributes a load report of the guard as internal/control does: to local
 // hosts as far as the rate limit allows, and to one host of each other data centre, which
-// relays it there.
+// forwards it there.
 func (h *host) sendLoadReport(p *msg.LoadReport, to loadreport.Reach) {
 	p = h.withTrueHealth(p)
 	h.front.HandleLoadReport(p)
 	now := time.Now()
-	var relays []string
+	var forwarders []string
 	h.mu.Lock()
 	if to == loadreport.ToAll {
-		relays = h.pulseLimiter.SelectRemote(now, h.remoteHosts)
+		forwarders = h.reportLimiter.SelectRemote(now, h.remoteHosts)
 	}
-	recipients := h.pulseLimiter.SelectLocal(now, h.localHosts, to)
+	recipients := h.reportLimiter.SelectLocal(now, h.localHosts, to)
 	h.mu.Unlock()
 	h.sendTo(recipients, func(other *host) { other.front.HandleLoadReport(p) })
-	h.sendTo(relays, func(other *host) { other.relayLoadReport(p) })
+	h.sendTo(forwarders, func(other *host) { other.forwardLoadReport(p) })
 }
 
-// relayLoadReport receives a load report from another data centre and relays it to local hosts.
-func (h *host) relayLoadReport(p *msg.LoadReport) {
+// forwardLoadReport receives a load report from another data centre and forwards it to local hosts.
+func (h *host) forwardLoadReport(p *msg.LoadReport) {
 	h.front.HandleLoadReport(p)
 	h.mu.Lock()
-	recipients := h.pulseLimiter.SelectLocal(time.Now(), h.localHosts, loadreport.ToAll)
+	recipients := h.reportLimiter.SelectLocal(time.Now(), h.localHosts, loadreport.ToAll)
 	h.mu.Unlock()
 	h.sendTo(recipients, func(other *host) { other.front.HandleLoadReport(p) })
 }
 
-// broadcast delivers a message to all other hosts, each by way of one relay; to hosts behind a
+// broadcast delivers a message to all other hosts, each through one forwarding host; to hosts behind a
 // partition, with the first repair after it.
 func (h *host) broadcast(deliver func(*host)) {
 	for _, other := range h.fleet.hosts {
--- a/internal/fleetsim/instance.go
+++ b/internal/fleetsim/instance.go
@@ -46,11 +46,11 @@
 	// lastReport is the last load report of the guard, in a scenario with a health oracle.
 	lastReport msg.InstanceLoad
 	running    int
-	// incarnation counts the starts. down reports whether the instance has terminated and
+	// incarnation counts the starts. down reports whether the instance has crashed and
 	// has not restarted yet.
 	incarnation int
 	down        bool
-	// conns are the open connections, which are closed when the instance terminates.
+	// conns are the open connections, which are closed when the instance crashes.
 	conns map[net.Conn]struct{}
 }
 
--- a/internal/fleetsim/scenario.go
+++ b/internal/fleetsim/scenario.go
@@ -65,7 +65,7 @@
 // callerPath returns the path of the requests whose runs call the crashing request.
 func (c *CrashingRequest) callerPath() string { return "/" + c.CallerKind + "/calls" + c.Path }
 
-// InstanceLoss terminates some instances of a service at once.
+// InstanceLoss crashes some instances of a service at once.
 type InstanceLoss struct {
 	At      time.Duration
 	Service string
@@ -96,7 +96,7 @@
 	// name.
 	CrashingRequests []CrashingRequest
 	RestartDelay     time.Duration
-	// Losses terminate instances independently of requests.
+	// Losses crash instances independently of requests.
 	Losses []InstanceLoss
 	// Partitions separate data centres from the others.
 	Partitions []Partition
@@ -113,10 +113,10 @@
 	Seed             uint64
 }
 
-// Outcome counts the requests of one kind by their outcome. Stopped counts those refused
+// Outcome counts the requests of one kind by their outcome. Blocked counts those refused
 // because they are known to crash their targets; they are also counted by status.
 type Outcome struct {
-	Sent, InTime, Late, Refused, Failed, Stopped int
+	Sent, InTime, Late, Refused, Failed, Blocked int
 }
 
 // Served returns the share of the requests that got a complete response.
--- a/internal/fleetsim/share_test.go
+++ b/internal/fleetsim/share_test.go
@@ -59,7 +59,7 @@
 // of six instances, different ones in each run, only got trial requests at a tenth of the load: 47
 // of 7,300 requests in half a minute each.
 //
-// Two causes are fixed. Pulses that ask for requests used up the rate limit for load reports, so
+// Two causes are fixed. Reports that ask for requests used up the rate limit for load reports, so
 // that fronts kept outdated reports and missed others. And the estimate of an instance without
 // reports rose to the usual share of sickness, so that it got no requests and was never reported
 // on again. The cause of the remaining deviations is not known. Probably all fronts prefer the
