--- a/internal/daemon/crash_test.go
+++ b/internal/daemon/crash_test.go
@@ -20,7 +20,7 @@
 )
 
 // startCrashingTarget starts an instance on the daemon's host. A request to
-// target.FatalPath ends it for 100 ms.
+// target.CrashPathSuffix crashes it for 100 ms.
 func startCrashingTarget(t *testing.T, host *Daemon) *target.Server {
 	t.Helper()
 	s, err := target.Start(target.Config{Name: "i", Service: "s", Address: "127.0.0.1:0", Announce: host.cfg.Load().Announce, Slots: 4, Downtime: 100 * time.Millisecond})
@@ -95,7 +95,7 @@
 	reason, gotVerdict = getFailure(t, after[0], target.CrashPathSuffix)
 	assert.Equal(t, reason, string(verdict.ReasonCrashesTargets))
 	assert.Equal(t, gotVerdict, verdict.NotRun.String())
-	assert.Equal(t, len(i.Runs().CrashTimes), 0, "the blocked request must not end an instance")
+	assert.Equal(t, len(i.Runs().CrashTimes), 0, "the blocked request must not crash an instance")
 
 	deleteCrasher(t, platform)
 	for end := time.Now().Add(20 * time.Second); len(i.Runs().CrashTimes) == 0 && time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
@@ -220,8 +220,8 @@
 	return shards > 0
 }
 
-// fatalRequest returns a request to a front for target.FatalPath, with the given Host header.
-func fatalRequest(t *testing.T, front *Daemon, host string) *http.Request {
+// crashingRequest returns a request to a front for target.CrashPathSuffix, with the given Host header.
+func crashingRequest(t *testing.T, front *Daemon, host string) *http.Request {
 	t.Helper()
 	req, err := http.NewRequest(http.MethodGet, "http://"+front.cfg.Load().Callers+target.CrashPathSuffix, nil)
 	assert.NilError(t, err)
@@ -232,18 +232,18 @@
 // The fingerprint of a request must not include the Host header when its route matches
 // every host. Callers address each front by its own address, so in a soak one request had
 // another fingerprint at each front: each blocked it only after three crashes, and
-// eighteen instances ended for one path.
+// eighteen instances crashed for one path.
 func TestFingerprintOmitsHostHeader(t *testing.T) {
 	daemons := startDaemons(t, startPlatform(t))
 	defer shutdown(daemons)
 	i := startCrashingTarget(t, daemons[1])
 	for n := range 3 {
 		waitUntilServed(t, daemons[0])
-		reason, _ := sendFailing(t, fatalRequest(t, daemons[0], fmt.Sprintf("10.0.0.%d", n)))
+		reason, _ := sendFailing(t, crashingRequest(t, daemons[0], fmt.Sprintf("10.0.0.%d", n)))
 		assert.Equal(t, reason, string(verdict.ReasonTargetEnded))
 	}
 	waitUntilServed(t, daemons[0])
-	reason, gotVerdict := sendFailing(t, fatalRequest(t, daemons[0], "10.0.0.9"))
+	reason, gotVerdict := sendFailing(t, crashingRequest(t, daemons[0], "10.0.0.9"))
 	assert.Equal(t, reason, string(verdict.ReasonCrashesTargets))
 	assert.Equal(t, gotVerdict, verdict.NotRun.String())
 	assert.Equal(t, len(i.Runs().CrashTimes), 3)
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -110,7 +110,7 @@
 		Changed:    func() { d.control.InstancesChanged() },
 		LoadReport: d.distributeLoadReport,
 		Crashed:    func(e crash.Crash) { d.control.PublishCrash(e) },
-		Cleared:    func(end string, p crash.Fingerprint) { d.control.PublishClearance(end, p) },
+		Cleared:    func(crashID string, p crash.Fingerprint) { d.control.PublishClearance(crashID, p) },
 		Blocked:    func(s guard.BlockedRequest) { d.control.StoreCrasher(s.Fingerprint, s.Request, s.Crashes) },
 	})
 	d.teams = teams.New(teams.Config{
