--- a/internal/cli/suspects.go
+++ b/internal/cli/suspects.go
@@ -36,25 +36,25 @@
 	}
 }
 
-// suspect is a request that may terminate the instances that run it.
+// suspect is a request that may crash the instances that run it.
 type suspect struct {
 	Fingerprint string `json:"print"`
-	// StoppedUntil is when a stopped request may be tried again. It is empty for a request that
+	// BlockedUntil is when a blocked request may be tried again. It is empty for a request that
 	// is only suspected or that the daemon does not know.
-	StoppedUntil string `json:"until,omitempty"`
-	// TerminationCount counts the instance terminations that the request was involved in.
-	TerminationCount int `json:"ends"`
+	BlockedUntil string `json:"until,omitempty"`
+	// CrashCount counts the instance crashes that the request was involved in.
+	CrashCount int `json:"ends"`
 	// Request is the method, host and path, known only from the platform's record.
 	Request  string   `json:"request,omitempty"`
 	Service  string   `json:"service"`
 	Versions []string `json:"versions"`
-	// SeenBy lists the hosts that detected the terminations.
+	// SeenBy lists the hosts that detected the crashes.
 	SeenBy []string `json:"seenBy"`
-	// Since and Last are the times of the first and the latest termination.
+	// Since and Last are the times of the first and the latest crash.
 	Since string `json:"since"`
 	Last  string `json:"last"`
-	// Terminations has one entry for each instance start that was terminated.
-	Terminations []record.InstanceCrash `json:"instances"`
+	// Crashes has one entry for each incarnation of an instance that crashed.
+	Crashes []record.InstanceCrash `json:"instances"`
 }
 
 // suspectList is the output of `suspects`. Problem is the error if the platform's records
@@ -85,14 +85,14 @@
 	return nil
 }
 
-// mergeSuspects merges the platform's records of stopped requests into the suspects known to
+// mergeSuspects merges the platform's records of blocked requests into the suspects known to
 // a daemon, sorted by fingerprint. It skips records that cannot be parsed; `radishhoist list`
 // shows those.
 func mergeSuspects(fromDaemon []guard.SuspectState, stored []objects.Object) []*suspect {
 	byFingerprint := make(map[string]*suspect)
 	for _, k := range fromDaemon {
-		s := &suspect{Fingerprint: k.Fingerprint, StoppedUntil: k.Until, TerminationCount: k.Crashes}
-		s.setTerminations(k.Instances)
+		s := &suspect{Fingerprint: k.Fingerprint, BlockedUntil: k.Until, CrashCount: k.Crashes}
+		s.setCrashes(k.Instances)
 		byFingerprint[k.Fingerprint] = s
 	}
 	for _, obj := range stored {
@@ -106,8 +106,8 @@
 		}
 		s := byFingerprint[obj.Name]
 		if s == nil {
-			s = &suspect{Fingerprint: obj.Name, TerminationCount: len(c.Crashes)}
-			s.setTerminations(c.Crashes)
+			s = &suspect{Fingerprint: obj.Name, CrashCount: len(c.Crashes)}
+			s.setCrashes(c.Crashes)
 			byFingerprint[obj.Name] = s
 		}
 		s.Request = c.Request
@@ -120,17 +120,17 @@
 	return out
 }
 
-// setTerminations fills the fields that derive from the terminations.
-func (s *suspect) setTerminations(terminations []record.InstanceCrash) {
-	if len(terminations) == 0 {
+// setCrashes fills the fields that derive from the crashes.
+func (s *suspect) setCrashes(crashes []record.InstanceCrash) {
+	if len(crashes) == 0 {
 		return // The request was cleared while the list was made.
 	}
 	byTime := func(a, b record.InstanceCrash) int { return cmp.Compare(a.AtMS, b.AtMS) }
-	first, last := slices.MinFunc(terminations, byTime), slices.MaxFunc(terminations, byTime)
-	s.Service, s.Since, s.Last, s.Terminations = first.Service, formatTime(first.AtMS), formatTime(last.AtMS), terminations
-	for _, t := range terminations {
-		s.Versions = append(s.Versions, t.Version)
-		s.SeenBy = append(s.SeenBy, t.Host)
+	first, last := slices.MinFunc(crashes, byTime), slices.MaxFunc(crashes, byTime)
+	s.Service, s.Since, s.Last, s.Crashes = first.Service, formatTime(first.AtMS), formatTime(last.AtMS), crashes
+	for _, c := range crashes {
+		s.Versions = append(s.Versions, c.Version)
+		s.SeenBy = append(s.SeenBy, c.Host)
 	}
 	s.Versions, s.SeenBy = sortedUnique(s.Versions), sortedUnique(s.SeenBy)
 }
@@ -154,17 +154,17 @@
 	}
 	a.printTable("PRINT\tSTATE\tENDS\tSERVICE\tVERSIONS\tSEEN BY\tSINCE\tLAST\tREQUEST", func(w *tabwriter.Writer) {
 		for _, s := range list.Suspects {
-			fmt.Fprintf(w, "%s\t%s\t%d\t%s\t%s\t%s\t%s\t%s\t%s\n", s.Fingerprint, s.state(), s.TerminationCount, s.Service,
+			fmt.Fprintf(w, "%s\t%s\t%d\t%s\t%s\t%s\t%s\t%s\t%s\n", s.Fingerprint, s.state(), s.CrashCount, s.Service,
 				strings.Join(s.Versions, ","), strings.Join(s.SeenBy, ","), s.Since, s.Last, s.Request)
 		}
 	})
 }
 
-// state describes whether the request is stopped, for display.
+// state describes whether the request is blocked, for display.
 func (s *suspect) state() string {
 	switch {
-	case s.StoppedUntil != "":
-		return "stopped until " + s.StoppedUntil
+	case s.BlockedUntil != "":
+		return "stopped until " + s.BlockedUntil
 	case s.Request != "":
 		return "known to the platform only"
 	default:
