--- a/record/record.go
+++ b/record/record.go
@@ -41,7 +41,7 @@
 	// MaxRecordBytes is the largest record that may be written, in bytes: the platform
 	// stores values of up to 1 MB.
 	MaxRecordBytes = 1 << 20
-	// maxParsedBytes is the largest record that is read. It is larger than MaxSize
+	// maxParsedBytes is the largest record that is read. It is larger than MaxRecordBytes
 	// because a Configuration in a platform's own, more compact format grows when it
 	// is converted to a record.
 	maxParsedBytes = 16 << 20
@@ -146,7 +146,7 @@
 	f.list = append(f.list, FieldError{Field: field, Problem: wrong, Remedy: remedy})
 }
 
-// Parse decodes and validates one record. It returns a *TooNewError, an
+// Parse decodes and validates one record. It returns a *SchemaTooNewError, an
 // *InvalidError, or a plain error if the document cannot be decoded.
 func Parse(value []byte) (*Record, error) {
 	if len(value) > maxParsedBytes {
--- a/record/system.go
+++ b/record/system.go
@@ -24,8 +24,8 @@
 // ShardMap records which hosts own the idempotency keys of one service. It is
 // changed only by conditional updates, when an owner or the guards change.
 type ShardMap struct {
-	// Guards are the hosts that promise shards to their owners: an owner has
-	// authority while it holds promises from a majority of them.
+	// Guards are the hosts that lease shards to their owners: an owner has
+	// authority while it holds leases from a majority of them.
 	Guards []string `json:"guards"`
 	// PrevGuards are the guards before the last change. Until every shard's owner has had
 	// authority under both sets, an owner needs a majority of each.
@@ -39,14 +39,14 @@
 
 // Shard is the ownership of one shard.
 type Shard struct {
-	// Owner is the host that may claim keys, and Life the start time of its process
+	// Owner is the host that may claim keys, and Incarnation the start time of its process
 	// in Unix milliseconds: a restarted process has lost its key table.
 	Owner       string `json:"owner"`
 	Incarnation uint64 `json:"life"`
 	// Epoch increases by one with every change of the owner or the guards.
 	Epoch uint64 `json:"epoch"`
 	// HeldEpoch is the latest epoch in which the owner is known to have had authority
-	// under both Guards and Prev.
+	// under both Guards and PrevGuards.
 	HeldEpoch uint64 `json:"held,omitempty"`
 }
 
@@ -60,27 +60,27 @@
 }
 
 // Crasher is a request that has crashed the instances that ran it. The name of the
-// record is the fingerprint of the request (crash.Print). The system writes the record
+// record is the fingerprint of the request (crash.Fingerprint). The system writes the record
 // when it starts to refuse the request, so that this survives a restart of all
 // processes, and deletes it once the request is no longer blamed. An operator who
 // deletes it lets the request run again.
 type Crasher struct {
 	// Request is the method, host and path of the request that last crashed an instance.
 	Request string `json:"request"`
-	// Crashes are the instance ends that are attributed to the request.
+	// Crashes are the instance crashes that are attributed to the request.
 	Crashes []InstanceCrash `json:"ends"`
 }
 
-// InstanceCrash is the end of one run of an instance, from its start until it is gone.
+// InstanceCrash is the crash of one run of an instance. A run lasts from the start until the crash.
 type InstanceCrash struct {
 	// ID identifies the run of the instance in the fleet.
 	ID string `json:"id"`
 	// Service and Version are those of the instance.
 	Service string `json:"service"`
 	Version string `json:"version"`
-	// Host is the host that detected the end.
+	// Host is the host that detected the crash.
 	Host string `json:"host"`
-	// AtMS is when the end was detected, in Unix milliseconds.
+	// AtMS is when the crash was detected, in Unix milliseconds.
 	AtMS int64 `json:"atMS"`
 }
 
--- a/record/team.go
+++ b/record/team.go
@@ -13,7 +13,7 @@
 type Team struct {
 	// Office is the name of the customer that the team belongs to.
 	Office string `json:"office"`
-	// KeyHashes are the hashes of the team's keys in the form of KeyHash.String. There
+	// KeyHashes are the hashes of the team's keys in the form of TeamKeyHash.String. There
 	// may be several, so that keys can be rotated.
 	KeyHashes []string `json:"keyHashes,omitempty"`
 	// Priority overrides the route's priority: 0 to 3, higher first; nil means that
@@ -70,10 +70,10 @@
 // found by trying likely values.
 type TeamKeyHash [16]byte
 
-// hashPrefix starts the stored form of a KeyHash.
+// hashPrefix starts the stored form of a TeamKeyHash.
 const hashPrefix = "b2-"
 
-// HashTeamKey returns the hash of a team key; bytes beyond MaxKey are ignored.
+// HashTeamKey returns the hash of a team key; bytes beyond MaxTeamKeyBytes are ignored.
 func HashTeamKey(key string) TeamKeyHash {
 	var buf [MaxTeamKeyBytes]byte
 	n := copy(buf[:], key)
@@ -84,7 +84,7 @@
 // String returns the stored form of the hash.
 func (h TeamKeyHash) String() string { return hashPrefix + base64.RawURLEncoding.EncodeToString(h[:]) }
 
-// ParseTeamKeyHash is the inverse of KeyHash.String.
+// ParseTeamKeyHash is the inverse of TeamKeyHash.String.
 func ParseTeamKeyHash(s string) (TeamKeyHash, error) {
 	var h TeamKeyHash
 	raw, err := base64.RawURLEncoding.DecodeString(strings.TrimPrefix(s, hashPrefix))
