--- a/internal/settings/propagation.go
+++ b/internal/settings/propagation.go
@@ -42,10 +42,10 @@
 	// minDerived is the shortest derived timing: a host can sustain ten watches,
 	// retries or digests per second.
 	minDerived = 100 * time.Millisecond
-	// maxDerivedAwayMax is the longest derived AwayMax. During an outage of hours, two
-	// hosts of each data centre then call the platform every 2 s, which is a negligible
-	// load.
-	maxDerivedAwayMax = 2 * time.Second
+	// maxDerivedRetryInterval is the longest derived MaxRetryInterval. During an outage of hours,
+	// two hosts of each data centre then call the platform every 2 s, which is a
+	// negligible load.
+	maxDerivedRetryInterval = 2 * time.Second
 	// maxDerivedWatchWait and maxDerivedRepairInterval limit the other two. The platform
 	// holds no watch open for longer than 30 s.
 	maxDerivedWatchWait      = 25 * time.Second
@@ -61,7 +61,7 @@
 	}
 }
 
-// deriveTimings sets WatchWait, AwayMax and RepairInterval from ApplyWithin if they are
+// deriveTimings sets WatchWait, MaxRetryInterval and RepairInterval from ApplyWithin if they are
 // not configured.
 func (c *Config) deriveTimings() {
 	c.timingsConfigured = c.WatchWait != 0 || c.MaxRetryInterval != 0 || c.RepairInterval != 0
@@ -75,7 +75,7 @@
 		}
 	}
 	derive(&c.WatchWait, maxDerivedWatchWait)
-	derive(&c.MaxRetryInterval, maxDerivedAwayMax)
+	derive(&c.MaxRetryInterval, maxDerivedRetryInterval)
 	derive(&c.RepairInterval, maxDerivedRepairInterval)
 }
 
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -89,12 +89,12 @@
 	RepairInterval time.Duration
 	// WatchersPerDC is how many hosts of a data centre watch the platform.
 	WatchersPerDC int
-	// LeaseDuration is how long a guard's promise to the owner of a key shard lasts.
+	// LeaseDuration is how long a guard's lease of a key shard to its owner lasts.
 	LeaseDuration time.Duration
 	// ApplyWithin is the time within which an acknowledged record must be in force on
 	// every host.
 	ApplyWithin time.Duration
-	// timingsConfigured is set if AwayMax, WatchWait or RepairInterval is in the file.
+	// timingsConfigured is set if MaxRetryInterval, WatchWait or RepairInterval is in the file.
 	timingsConfigured bool
 	// Warnings lists problems that do not keep the daemon from starting.
 	Warnings []string
