--- a/internal/standin/target/crash.go
+++ b/internal/standin/target/crash.go
@@ -10,15 +10,15 @@
 )
 
 // CrashPathSuffix is the path suffix of requests that make the stand-in simulate a crash: it
-// closes its connections and its port refuses new ones. After Config.DownFor it listens
+// closes its connections and its port refuses new ones. After Config.Downtime it listens
 // again under another instance name and keeps its counters.
 const CrashPathSuffix = "/fatal"
 
 const (
 	// crashDelay is how long such a request runs before the crash.
 	crashDelay = 50 * time.Millisecond
-	// defaultDownFor is the default of Config.DownFor.
-	defaultDownFor = 2 * time.Second
+	// defaultDowntime is the default of Config.Downtime.
+	defaultDowntime = 2 * time.Second
 	// listenRetryInterval is the time between attempts to listen on the port again.
 	listenRetryInterval = 100 * time.Millisecond
 )
@@ -35,7 +35,7 @@
 	}
 	s.crashTimes = append(s.crashTimes, time.Now().UnixMilli())
 	s.closeServer()
-	time.AfterFunc(cmp.Or(s.cfg.Downtime, defaultDownFor), s.restart)
+	time.AfterFunc(cmp.Or(s.cfg.Downtime, defaultDowntime), s.restart)
 }
 
 // serveOn starts to serve on a listener and counts a start.
--- a/internal/standin/target/target.go
+++ b/internal/standin/target/target.go
@@ -152,7 +152,7 @@
 	ByMark     map[string]int `json:"byMark"`
 	Total      int            `json:"total"`
 	MaxRunning int            `json:"maxRunning"`
-	// CrashTimes are the times at which a request for a FatalPath crashed the stand-in, in
+	// CrashTimes are the times at which a request with CrashPathSuffix crashed the stand-in, in
 	// Unix milliseconds.
 	CrashTimes []int64 `json:"ends,omitempty"`
 	// PID is the id of the process that responds.
