--- a/internal/msg/requests.go
+++ b/internal/msg/requests.go
@@ -33,12 +33,12 @@
 	// ShedShare is the share of recent requests that the instance refused although it
 	// had a free slot, in thousandths.
 	ShedShare uint16
-	// RetryBudgetLeft is the number of repeats left in the guard's part of the service's
+	// RetryBudgetLeft is the number of retries left in the guard's part of the service's
 	// retry budget.
 	RetryBudgetLeft uint16
 	// RetryBudgetOverdrawn reports that the request may have been a call made by a
-	// repeated run while the budget here was used up: the host where the request
-	// originates repeats too many.
+	// retried run while the budget here was used up: the host where the request
+	// originates makes too many retries.
 	RetryBudgetOverdrawn bool
 	// WantsTrial reports that the guard would like to receive a request: the instance is
 	// idle, or its condition is uncertain and a repeatable request would show it.
@@ -61,7 +61,7 @@
 
 // LoadReport tells fronts about changes of load or condition at a guard's instances.
 type LoadReport struct {
-	// Forward asks the receiver to relay the report within its data centre.
+	// Forward asks the receiver to forward the report within its data centre.
 	Forward bool
 	Loads   []InstanceLoad `msg:"loads,limit=256"`
 }
@@ -100,7 +100,7 @@
 	// that it is in progress at another one.
 	Repeat, Hedge bool
 	// NestedRetryChance is the probability that the request, if it is a call, was made by
-	// a repeated run, in thousandths. The retry budget counts that fraction of it.
+	// a retried run, in thousandths. The retry budget counts that fraction of it.
 	NestedRetryChance uint16
 	// OriginIdle reports that nothing was running on the host where the request
 	// originates, and Route is a hash of the route's name. Together they show which
--- a/internal/msg/teams.go
+++ b/internal/msg/teams.go
@@ -48,7 +48,7 @@
 	// NearLimitMS is how long to query the home before each request, because the team is
 	// close to its limit, in milliseconds. It is 0 if the team is not.
 	NearLimitMS uint32
-	// QueryID identifies the query that is answered. If it is not Granted, WaitMS is the
+	// QueryID identifies the query that is answered. If it is not Granted, RetryAfterMS is the
 	// time until a request would be, in milliseconds.
 	QueryID      uint32
 	Granted      bool
@@ -61,6 +61,6 @@
 	Level float32
 	// NearLimitMS has the same meaning as in TeamLevel.
 	NearLimitMS uint32
-	// Forward asks the receiver to relay the notice within its data centre.
+	// Forward asks the receiver to forward the notice within its data centre.
 	Forward bool
 }
