--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -20,7 +20,7 @@
 	MetricsPath = "/metrics"
 )
 
-// Dump is the full state of one process, served at PathState.
+// Dump is the full state of one process, served at StatePath.
 type Dump struct {
 	Host      string                `json:"host"`
 	DC        string                `json:"dc"`
@@ -40,7 +40,7 @@
 }
 
 // Status summarizes what is in force and why (services, records and load) as seen by one
-// host, served at PathStatus.
+// host, served at StatusPath.
 type Status struct {
 	Host     string                `json:"host"`
 	DC       string                `json:"dc"`
@@ -54,7 +54,7 @@
 }
 
 // Ready reports whether the process accepts traffic and, if not, what it waits for. It
-// is served at PathReady.
+// is served at ReadyPath.
 type Ready struct {
 	Ready   bool     `json:"ready"`
 	Waiting []string `json:"waitingFor,omitempty"`
