--- a/internal/wire/liveness.go
+++ b/internal/wire/liveness.go
@@ -47,7 +47,7 @@
 	}
 }
 
-// Suspect reports whether Doubt was called and no frame has arrived since.
+// Suspect reports whether MarkSuspect was called and no frame has arrived since.
 func (c *Conn) Suspect() bool { return c.liveness.suspect.Load() }
 
 // HasReceived reports whether any frame has arrived on the connection.
