--- a/cmd/radishhoist-lab/main.go
+++ b/cmd/radishhoist-lab/main.go
@@ -156,8 +156,8 @@
 		},
 		Action: func(_ context.Context, cmd *cli.Command) error {
 			options := experiment.Options{
-				Seeds: cmd.Int("seeds"), First: uint64(cmd.Int("first")),
-				NoiseHours: cmd.Float("noise-hours"), TargetSize: cmd.Bool("large"), WithoutBaselines: cmd.Bool("ours"),
+				Seeds: cmd.Int("seeds"), FirstSeed: uint64(cmd.Int("first")),
+				NoiseInstanceHours: cmd.Float("noise-hours"), TargetSize: cmd.Bool("large"), OmitBaselines: cmd.Bool("ours"),
 			}
 			if cmd.Bool("recovery") {
 				experiment.Recovery(os.Stdout, options)
@@ -201,7 +201,7 @@
 		},
 		Action: func(ctx context.Context, cmd *cli.Command) error {
 			return soak.RunSeeds(ctx, os.Stdout, soak.Config{
-				Bin: cmd.String("bin"), Seed: uint64(cmd.Int("seed")), Hosts: cmd.Int("hosts"), Duration: cmd.Duration("for"), Net: cmd.Int("net"),
+				Bin: cmd.String("bin"), Seed: uint64(cmd.Int("seed")), Hosts: cmd.Int("hosts"), Duration: cmd.Duration("for"), NetOctet: cmd.Int("net"),
 			}, cmd.Int("seeds"), cmd.String("logs"))
 		},
 	}
--- a/internal/cli/teams.go
+++ b/internal/cli/teams.go
@@ -145,8 +145,8 @@
 	case u.Home == "":
 		u.Rate, u.Burst, u.UsedFraction, u.NearLimit = s.Rate, s.Burst, max(u.UsedFraction, used), u.NearLimit || s.NearLimit
 	}
-	if s.Passed > 0 {
-		u.Passed[host] = s.Passed
+	if s.Admitted > 0 {
+		u.Passed[host] = s.Admitted
 	}
 	if s.Refused > 0 {
 		u.Refused[host] = s.Refused
--- a/internal/control/loadreport_test.go
+++ b/internal/control/loadreport_test.go
@@ -129,7 +129,7 @@
 
 // If many estimates change, the reports of that use up the rate limit. Reports of
 // instances that request work have a separate limit and are still sent.
-func TestAsksAreHeardBesideTurnedEstimates(t *testing.T) {
+func TestTrialRequestsAreSentBesideChangedEstimates(t *testing.T) {
 	c := newControlWithHosts(t, 500, 20, 20)
 	start := time.Now()
 	for range 200 {
--- a/internal/core/once/owner.go
+++ b/internal/core/once/owner.go
@@ -199,10 +199,10 @@
 	return reply
 }
 
-// Done records the result of a claimed request. It returns false if this host
+// RecordResult records the result of a claimed request. It returns false if this host
 // does not own the shard or has handed it over; the front then retries with the
 // current owner. No authority is needed, since a result permits no execution.
-func (o *Owner) Done(now time.Time, d *msg.KeyResult) bool {
+func (o *Owner) RecordResult(now time.Time, d *msg.KeyResult) bool {
 	s, ok := o.shards[ShardID{d.Service, d.Shard}]
 	if !ok || s.frozen {
 		return false
--- a/internal/core/once/sim_test.go
+++ b/internal/core/once/sim_test.go
@@ -377,7 +377,7 @@
 		return
 	}
 	owner := s.index(f.view.Shards[c.Shard].Owner)
-	s.message(f.id, owner, func() { s.hosts[owner].owner.Done(s.now, d) })
+	s.message(f.id, owner, func() { s.hosts[owner].owner.RecordResult(s.now, d) })
 }
 
 // injectFault starts a fault on a random host.
--- a/internal/daemon/crash_test.go
+++ b/internal/daemon/crash_test.go
@@ -78,7 +78,7 @@
 	for range 3 {
 		waitUntilServed(t, before[0])
 		reason, _ := getFailure(t, before[0], target.CrashPathSuffix)
-		assert.Equal(t, reason, string(verdict.ReasonTargetEnded))
+		assert.Equal(t, reason, string(verdict.ReasonTargetCrashed))
 	}
 	waitUntilServed(t, before[0])
 	reason, gotVerdict := getFailure(t, before[0], target.CrashPathSuffix)
@@ -101,7 +101,7 @@
 	for end := time.Now().Add(20 * time.Second); len(i.Runs().CrashTimes) == 0 && time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 		reason, _ = getFailure(t, after[0], target.CrashPathSuffix)
 	}
-	assert.Equal(t, reason, string(verdict.ReasonTargetEnded), "the request must run again once its record is deleted")
+	assert.Equal(t, reason, string(verdict.ReasonTargetCrashed), "the request must run again once its record is deleted")
 }
 
 // deleteCrasher deletes the only Crasher record, as an operator would.
@@ -127,7 +127,7 @@
 	for n := range 3 {
 		waitUntilServed(t, daemons[0])
 		reason, _ := getFailure(t, daemons[0], target.CrashPathSuffix)
-		assert.Equal(t, reason, string(verdict.ReasonTargetEnded))
+		assert.Equal(t, reason, string(verdict.ReasonTargetCrashed))
 		if n == 0 {
 			shown := waitForSuspect(t, platform, daemons[0])
 			assert.Assert(t, strings.Contains(shown, " h1 "), "missing the host that observed the crash: %s", shown)
@@ -240,7 +240,7 @@
 	for n := range 3 {
 		waitUntilServed(t, daemons[0])
 		reason, _ := sendFailing(t, crashingRequest(t, daemons[0], fmt.Sprintf("10.0.0.%d", n)))
-		assert.Equal(t, reason, string(verdict.ReasonTargetEnded))
+		assert.Equal(t, reason, string(verdict.ReasonTargetCrashed))
 	}
 	waitUntilServed(t, daemons[0])
 	reason, gotVerdict := sendFailing(t, crashingRequest(t, daemons[0], "10.0.0.9"))
@@ -269,7 +269,7 @@
 		for range 3 {
 			waitForKeyShards(t, daemons)
 			reason, gotVerdict := sendFailing(t, post(body))
-			assert.Check(t, reason == string(verdict.ReasonTargetEnded), "%s: %s", name, reason)
+			assert.Check(t, reason == string(verdict.ReasonTargetCrashed), "%s: %s", name, reason)
 			assert.Check(t, gotVerdict == verdict.MayHaveRun.String(), "%s: %s", name, gotVerdict)
 		}
 		waitForKeyShards(t, daemons)
@@ -278,6 +278,6 @@
 		assert.Check(t, gotVerdict == verdict.NotRun.String(), "%s: %s", name, gotVerdict)
 		assert.Check(t, len(i.Runs().CrashTimes) == before+3, "%s: %d", name, len(i.Runs().CrashTimes)-before)
 		reason, _ = sendFailing(t, post(body+"other"))
-		assert.Check(t, reason == string(verdict.ReasonTargetEnded), "%s, another body: %s", name, reason)
+		assert.Check(t, reason == string(verdict.ReasonTargetCrashed), "%s, another body: %s", name, reason)
 	}
 }
--- a/internal/e2e/fleet_test.go
+++ b/internal/e2e/fleet_test.go
@@ -92,7 +92,7 @@
 // cliAt runs the operators' command line against one host.
 func (w *world) cliAt(h *lab.Host, args ...string) (string, error) {
 	var out bytes.Buffer
-	all := append([]string{"radishhoist", "--platform", w.Platform, "--admin", h.Admin()}, args...)
+	all := append([]string{"radishhoist", "--platform", w.Platform, "--admin", h.AdminAddress()}, args...)
 	err := cli.New(strings.NewReader(""), &out, nil).Run(context.Background(), all)
 	return out.String(), err
 }
@@ -129,7 +129,7 @@
 // targets answer the rest, each request with its own body. Requests sent one after the
 // other find a free target beside their front, which costs least
 // once the paths to other hosts are known: in one of 26 runs none crossed.
-func TestRequestCrossesHosts(t *testing.T) {
+func TestRequestsAreForwardedToOtherHosts(t *testing.T) {
 	const hosts, atOnce, size = 4, 20, 1000
 	w := start(t, 31, hosts, 100*time.Millisecond)
 	for _, h := range w.Hosts {
@@ -137,7 +137,7 @@
 		var wg sync.WaitGroup
 		for i := range replies {
 			wg.Go(func() {
-				replies[i] = call(http.MethodGet, fmt.Sprintf("http://%s/plans/7?size=%d", h.Callers(), size), markOf(h, i), "")
+				replies[i] = call(http.MethodGet, fmt.Sprintf("http://%s/plans/7?size=%d", h.CallersAddress(), size), markOf(h, i), "")
 			})
 		}
 		wg.Wait()
@@ -154,10 +154,10 @@
 		assert.Assert(t, crossed > 0, "no request of %s was answered by another host's target", h.Name)
 	}
 
-	large := call(http.MethodPost, "http://"+w.Hosts[0].Callers()+"/plans/7?size=3000000", "large", strings.Repeat("x", 1<<20))
+	large := call(http.MethodPost, "http://"+w.Hosts[0].CallersAddress()+"/plans/7?size=3000000", "large", strings.Repeat("x", 1<<20))
 	assert.NilError(t, large.err)
 	assert.Equal(t, len(large.body), 3000000)
-	none := call(http.MethodGet, "http://"+w.Hosts[0].Callers()+"/nowhere", "x", "")
+	none := call(http.MethodGet, "http://"+w.Hosts[0].CallersAddress()+"/nowhere", "x", "")
 	assert.Equal(t, none.status, http.StatusNotFound)
 	assert.Equal(t, none.verdict, verdict.NotRun.String())
 }
@@ -165,7 +165,7 @@
 // markOf tells the requests to one host apart.
 func markOf(h *lab.Host, i int) string { return fmt.Sprintf("%s-m%d", h.Name, i) }
 
-func TestTerminatedHostCutsNothingOff(t *testing.T) {
+func TestTerminatedHostDrainsRequests(t *testing.T) {
 	w := start(t, 32, 3, 600*time.Millisecond)
 	route := &record.Route{PathPrefix: "/plans", Service: "plans", TimeoutMS: 30000}
 	assert.NilError(t, w.Put(context.Background(), record.Key{Kind: record.KindRoute, Name: "plans"}, route))
@@ -181,7 +181,7 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			replies[i] = call(http.MethodPost, "http://"+w.Hosts[1+i%2].Callers()+"/plans/7", fmt.Sprintf("m%d", i), "book")
+			replies[i] = call(http.MethodPost, "http://"+w.Hosts[1+i%2].CallersAddress()+"/plans/7", fmt.Sprintf("m%d", i), "book")
 		}()
 	}
 	assert.NilError(t, w.WaitFor(patience, "requests on the target", func() bool {
@@ -219,7 +219,7 @@
 	return total
 }
 
-func TestKilledAndFrozenHostsNeverRunTwice(t *testing.T) {
+func TestKilledAndFrozenHostsRunRequestsAtMostOnce(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		net  int
@@ -236,7 +236,7 @@
 					defer wg.Done()
 					time.Sleep(time.Duration(i) * 10 * time.Millisecond)
 					mark := fmt.Sprintf("m%d", i)
-					r := call(http.MethodPost, "http://"+w.Hosts[1+i%3].Callers()+"/plans/7", mark, "book")
+					r := call(http.MethodPost, "http://"+w.Hosts[1+i%3].CallersAddress()+"/plans/7", mark, "book")
 					mu.Lock()
 					verdicts[mark] = r
 					mu.Unlock()
@@ -263,10 +263,10 @@
 	}
 }
 
-func TestPlatformAwayTrafficGoesOnAndHostsStartFromPeers(t *testing.T) {
+func TestPlatformOutageServesTrafficAndHostsStartFromPeers(t *testing.T) {
 	w := start(t, 35, 3, 2*time.Millisecond)
 	assert.NilError(t, w.SetPlatformFaults(platformd.Faults{Outage: true}))
-	r := call(http.MethodGet, "http://"+w.Hosts[0].Callers()+"/plans/7", "m", "")
+	r := call(http.MethodGet, "http://"+w.Hosts[0].CallersAddress()+"/plans/7", "m", "")
 	assert.Equal(t, r.status, http.StatusOK)
 
 	seeds := fmt.Sprintf("[peers]\nseeds = %s:%d", w.Hosts[0].IP, lab.PeerPort)
@@ -281,18 +281,18 @@
 	assert.NilError(t, w.Put(context.Background(), record.Key{Kind: record.KindRoute, Name: "late"}, route))
 	for _, h := range w.Hosts {
 		assert.NilError(t, w.WaitFor(patience, "the new route on "+h.Name, func() bool {
-			return call(http.MethodGet, "http://"+h.Callers()+"/late/1", "m", "").status == http.StatusOK
+			return call(http.MethodGet, "http://"+h.CallersAddress()+"/late/1", "m", "").status == http.StatusOK
 		}))
 	}
 	assert.NilError(t, w.Delete(context.Background(), record.Key{Kind: record.KindRoute, Name: "late"}))
 	for _, h := range w.Hosts {
 		assert.NilError(t, w.WaitFor(patience, "the route gone on "+h.Name, func() bool {
-			return call(http.MethodGet, "http://"+h.Callers()+"/late/1", "m", "").status == http.StatusNotFound
+			return call(http.MethodGet, "http://"+h.CallersAddress()+"/late/1", "m", "").status == http.StatusNotFound
 		}))
 	}
 }
 
-func TestOperatorDrainsAHost(t *testing.T) {
+func TestOperatorDrainsHost(t *testing.T) {
 	w := start(t, 36, 4, 2*time.Millisecond)
 	out, err := w.cli("status")
 	assert.NilError(t, err)
@@ -310,7 +310,7 @@
 	before, err := w.targets[1].Runs()
 	assert.NilError(t, err)
 	for i := range 60 {
-		r := call(http.MethodGet, "http://"+w.Hosts[i%4].Callers()+"/plans/7", "m", "")
+		r := call(http.MethodGet, "http://"+w.Hosts[i%4].CallersAddress()+"/plans/7", "m", "")
 		assert.Equal(t, r.status, http.StatusOK)
 	}
 	after, err := w.targets[1].Runs()
--- a/internal/e2e/keys_test.go
+++ b/internal/e2e/keys_test.go
@@ -20,7 +20,7 @@
 // where there was none.
 func (w *world) bookOnce(key, mark string, host int) string {
 	h := w.Hosts[host%len(w.Hosts)]
-	req, err := http.NewRequest(http.MethodPost, "http://"+h.Callers()+"/plans/7", strings.NewReader("seat"))
+	req, err := http.NewRequest(http.MethodPost, "http://"+h.CallersAddress()+"/plans/7", strings.NewReader("seat"))
 	if err != nil {
 		return ""
 	}
@@ -126,7 +126,7 @@
 	}
 }
 
-func TestBrokenAnswersAreReplacedOrShownBroken(t *testing.T) {
+func TestBrokenAnswersAreRetriedOrReported(t *testing.T) {
 	w := start(t, 44, 4, 2*time.Millisecond)
 	for _, b := range []target.Behaviour{
 		{Mode: target.Truncate, Share: 1}, {Mode: target.Swap, Share: 1}, {Mode: target.Errors, Share: 1},
@@ -134,7 +134,7 @@
 		assert.NilError(t, w.targets[0].SetBehaviour(b))
 		for i := range 40 {
 			mark := fmt.Sprintf("%s%d", b.Mode, i)
-			r := call(http.MethodGet, "http://"+w.Hosts[i%4].Callers()+"/plans/7?size=5000", mark, "")
+			r := call(http.MethodGet, "http://"+w.Hosts[i%4].CallersAddress()+"/plans/7?size=5000", mark, "")
 			assert.NilError(t, r.err)
 			if r.status == http.StatusOK {
 				assert.Equal(t, len(r.body), 5000, "%s", b.Mode)
@@ -147,6 +147,6 @@
 	for _, tg := range w.targets {
 		assert.NilError(t, tg.SetBehaviour(target.Behaviour{Mode: target.Truncate, Share: 1}))
 	}
-	r := call(http.MethodGet, "http://"+w.Hosts[0].Callers()+"/plans/7?size=4000000", "big", "")
+	r := call(http.MethodGet, "http://"+w.Hosts[0].CallersAddress()+"/plans/7?size=4000000", "big", "")
 	assert.Assert(t, r.err != nil || r.status >= http.StatusInternalServerError, "a broken answer looked whole: %d bytes", len(r.body))
 }
--- a/internal/e2e/leftover_test.go
+++ b/internal/e2e/leftover_test.go
@@ -25,7 +25,7 @@
 // even share. Order of events: the output of a demo before had been cut off (make demo |
 // head); the demo died of it, its platform, targets and daemons lived on, and the next demos
 // took them for their own. Cause: nothing ended the processes but the demo's own last step.
-func TestADemoThatEndsInAnyWayLeavesNoProcess(t *testing.T) {
+func TestDemoLeavesNoProcesses(t *testing.T) {
 	for i, c := range []struct {
 		name string
 		end  func(demo *os.Process, output io.Closer) error
@@ -112,7 +112,7 @@
 
 // A stand-in of another run that has the address is not taken for one's own: the fleet fails
 // at once with the name and last line of the process that could not start.
-func TestAFleetWhosePortIsTakenFailsAtOnce(t *testing.T) {
+func TestFleetFailsIfPortIsInUse(t *testing.T) {
 	first := lab.NewFleet(context.Background(), bin, t.TempDir(), &logtest.Buffer{})
 	defer first.Stop()
 	assert.NilError(t, first.StartPlatform("127.0.46.1"))
--- a/internal/e2e/shapes_test.go
+++ b/internal/e2e/shapes_test.go
@@ -56,7 +56,7 @@
 // failing most requests and a host killed in the middle: work that is not
 // idempotent runs once at most, "not run" is true, no request runs on more targets
 // than its route allows, repeats stay within the budget, and a split is kept.
-func TestPromisesHoldOnOtherShapes(t *testing.T) {
+func TestInvariantsHoldOnOtherDeployments(t *testing.T) {
 	for _, s := range shapes {
 		t.Run(s.name, func(t *testing.T) {
 			w := s.start(t)
@@ -119,7 +119,7 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			r := call(method, "http://"+w.Hosts[i%(s.hosts-1)].Callers()+"/x/1", mark, "")
+			r := call(method, "http://"+w.Hosts[i%(s.hosts-1)].CallersAddress()+"/x/1", mark, "")
 			mu.Lock()
 			defer mu.Unlock()
 			replies[mark] = r
--- a/internal/e2e/teams_test.go
+++ b/internal/e2e/teams_test.go
@@ -19,7 +19,7 @@
 // ask sends a request with a team's key to a host and gives the status.
 func ask(t *testing.T, h *lab.Host, key string) int {
 	t.Helper()
-	req, err := http.NewRequest(http.MethodGet, "http://"+h.Callers()+"/plans/1", nil)
+	req, err := http.NewRequest(http.MethodGet, "http://"+h.CallersAddress()+"/plans/1", nil)
 	assert.NilError(t, err)
 	if key != "" {
 		req.Header.Set("Authorization", "Bearer "+key)
@@ -33,14 +33,14 @@
 // cliWith is cli with something on standard input.
 func (w *world) cliWith(in string, args ...string) (string, error) {
 	var out bytes.Buffer
-	all := append([]string{"radishhoist", "--platform", w.Platform, "--admin", w.Hosts[0].Admin()}, args...)
+	all := append([]string{"radishhoist", "--platform", w.Platform, "--admin", w.Hosts[0].AdminAddress()}, args...)
 	err := cli.New(strings.NewReader(in), &out, nil).Run(context.Background(), all)
 	return out.String(), err
 }
 
 // An operator gives a team a key, sees its use over all hosts, and withdraws the key; each
 // change is confirmed in force on every host.
-func TestAnOperatorGivesATeamAKeyAndWithdrawsIt(t *testing.T) {
+func TestTeamKeyIsIssuedAndWithdrawn(t *testing.T) {
 	w := start(t, 47, 2, 2*time.Millisecond)
 	assert.Equal(t, ask(t, w.Hosts[0], ""), http.StatusOK)
 	assert.NilError(t, w.Put(context.Background(), record.Key{Kind: record.KindTeam, Name: "desk"}, &record.Team{Office: "bureau", RatePerSecond: 2, Burst: 5}))
--- a/internal/experiment/ours.go
+++ b/internal/experiment/ours.go
@@ -418,7 +418,7 @@
 	if changed {
 		o.publish(g)
 	}
-	running, queued := g.queue.Running(), g.queue.Queued()
+	running, queued := g.queue.BusySlots(), g.queue.Queued()
 	o.reply(g, c.try, func() { o.answered(c.try, took, failed, cut, running, queued) })
 }
 
--- a/internal/experiment/report.go
+++ b/internal/experiment/report.go
@@ -11,14 +11,14 @@
 type Options struct {
 	// Seeds is the number of runs a case; First the first seed. Seeds from
 	// HeldOut on are never used for tuning.
-	Seeds int
-	First uint64
-	// NoiseHours is the length of the noise run, in instance-hours; 0 for none.
-	NoiseHours float64
+	Seeds     int
+	FirstSeed uint64
+	// NoiseInstanceHours is the length of the noise run, in instance-hours; 0 for none.
+	NoiseInstanceHours float64
 	// TargetSize adds the target size.
 	TargetSize bool
-	// WithoutBaselines leaves the baselines out.
-	WithoutBaselines bool
+	// OmitBaselines leaves the baselines out.
+	OmitBaselines bool
 }
 
 // FirstHeldOutSeed is the first of the seeds that are kept for reporting.
@@ -28,7 +28,7 @@
 func Report(out io.Writer, o Options) []Result {
 	var all []Result
 	policies := Policies()
-	if o.WithoutBaselines {
+	if o.OmitBaselines {
 		policies = policies[:1]
 	}
 	for _, site := range []Site{Bureau, Registry} {
@@ -36,7 +36,7 @@
 			fmt.Fprintf(out, "\n### %s, %.0f %% load, %d runs a row\n\n%s\n", site.Name, 100*load, o.Seeds, tableHead)
 			for _, fault := range Faults {
 				for _, policy := range policies {
-					r := Case(site, policy, fault, load, o.First, o.Seeds)
+					r := Case(site, policy, fault, load, o.FirstSeed, o.Seeds)
 					all = append(all, r)
 					fmt.Fprintln(out, r.row())
 				}
@@ -46,15 +46,15 @@
 	if o.TargetSize {
 		fmt.Fprintf(out, "\n### %s, 1,600 fronts, 40 %% load, 2 runs a row\n\n%s\n", Target.Name, tableHead)
 		for _, fault := range []Fault{NoFault, Slow5, Errors, Stuck} {
-			r := Case(Target, "radishhoist", fault, 0.4, o.First, 2)
+			r := Case(Target, "radishhoist", fault, 0.4, o.FirstSeed, 2)
 			all = append(all, r)
 			fmt.Fprintln(out, r.row())
 		}
 	}
-	if o.NoiseHours > 0 {
+	if o.NoiseInstanceHours > 0 {
 		fmt.Fprintf(out, "\n### False ejections under noise\n\n")
 		for _, site := range []Site{Bureau, Registry} {
-			alarms, hours := DefaultNoise(site).Alarms(o.NoiseHours, o.First)
+			alarms, hours := DefaultNoise(site).Alarms(o.NoiseInstanceHours, o.FirstSeed)
 			fmt.Fprintf(out, "- %s: %d alarms in %.0f healthy instance-hours, %.2f per 1,000\n", site.Name, alarms, hours, 1000*float64(alarms)/hours)
 		}
 	}
@@ -69,7 +69,7 @@
 	for _, site := range []Site{Bureau, Registry} {
 		for _, load := range []float64{0.4, 0.7} {
 			for _, policy := range Policies() {
-				r := Case(site, policy, ShortSpike, load, o.First, o.Seeds)
+				r := Case(site, policy, ShortSpike, load, o.FirstSeed, o.Seeds)
 				fmt.Fprintf(out, "| %s | %.0f %% | %s | %d |\n", site.Name, 100*load, policy, r.LateFailed)
 			}
 		}
--- a/internal/fleetsim/crash_test.go
+++ b/internal/fleetsim/crash_test.go
@@ -51,7 +51,7 @@
 // In the failure, twelve instances crashed in ten seconds. One of two requests was running on
 // each of them, and no other request on more than one. Ten of the twelve crashes followed the
 // first arrival of a new call, so that a retry budget could not have prevented them.
-func TestCrashingRequestIsStopped(t *testing.T) {
+func TestCrashingRequestIsBlocked(t *testing.T) {
 	scenario := func(seed uint64) Scenario {
 		s := registry(seed)
 		s.CrashingRequests = []CrashingRequest{{Kind: "status", Path: "/status/fatal", RatePerSecond: 2, CrashDelay: crashDelay}}
@@ -255,7 +255,7 @@
 
 // Instances that crash for other reasons, at once or one after the other, do not cause any
 // request to be blocked, not even one whose path runs on each of them.
-func TestInstanceLossesStopNoRequest(t *testing.T) {
+func TestInstanceLossesBlockNoRequest(t *testing.T) {
 	for _, sharedPath := range []bool{false, true} {
 		scenario := func(seed uint64) Scenario {
 			s := shortRegistry(seed)
--- a/internal/front/attempt.go
+++ b/internal/front/attempt.go
@@ -267,7 +267,7 @@
 	fail.RetryAfterMS = int64(m.RetryAfterMS)
 	o := &outcome{fail: fail, load: m.Load}
 	switch m.Reason {
-	case verdict.ReasonTargetDown, verdict.ReasonTargetBroke, verdict.ReasonTargetEnded, verdict.ReasonAnswerMismatch:
+	case verdict.ReasonTargetDown, verdict.ReasonTargetBroke, verdict.ReasonTargetCrashed, verdict.ReasonAnswerMismatch:
 		o.targetObserved, o.failed = true, true
 	}
 	return o
--- a/internal/guard/call.go
+++ b/internal/guard/call.go
@@ -69,7 +69,7 @@
 		x.inst.markNotRun(x.waiter)
 	}
 	if mayHaveTerminated(failure) && x.inst.checkTerminated() && failure.Verdict != verdict.NotRun {
-		failure = verdict.New(failure.Verdict, verdict.ReasonTargetEnded, "the target terminated before it responded")
+		failure = verdict.New(failure.Verdict, verdict.ReasonTargetCrashed, "the target terminated before it responded")
 	}
 	if failure == nil && res.status < http.StatusBadRequest {
 		x.completed()
--- a/internal/guard/instance.go
+++ b/internal/guard/instance.go
@@ -248,7 +248,7 @@
 	defer i.mu.Unlock()
 	i.nextID++
 	r.ID = i.nextID
-	w.decisions, w.expected = make(chan admit.Decision, waiterDepth), r.ExpectedService
+	w.decisions, w.expected = make(chan admit.Decision, waiterDepth), r.ExpectedServiceTime
 	i.waiters[r.ID] = w
 	i.deliver(i.queue.Offer(now, r))
 	return r.ID
--- a/internal/guard/serve.go
+++ b/internal/guard/serve.go
@@ -100,7 +100,7 @@
 		x.refuse(refusal(verdict.ReasonRetryBudget, "this host's part of the retry budget is spent"))
 		return false
 	}
-	r.ExpectedService, r.AllowLate = time.Duration(hints.ExpectedMS)*time.Millisecond, hints.AllowLate
+	r.ExpectedServiceTime, r.AllowLate = time.Duration(hints.ExpectedMS)*time.Millisecond, hints.AllowLate
 	inst.observe(x.arrived, sample)
 	x.waiter = &waiter{fingerprint: x.fingerprint, overdueAfter: overdueAfter(hints)}
 	x.id = inst.offer(x.arrived, r, x.waiter)
@@ -239,7 +239,7 @@
 // the budget is spent. A first attempt is never refused.
 func (x *exchange) reserveRetry(hints msg.AdmissionHints) bool {
 	x.hints = hints
-	if !hints.Repeat {
+	if !hints.UsesRetryBudget {
 		return true
 	}
 	x.retryReserved = x.guard.retryBudgets.reserve(x.arrived, x.inst.service, hints)
--- a/internal/guard/state.go
+++ b/internal/guard/state.go
@@ -43,8 +43,8 @@
 	defer i.mu.Unlock()
 	return InstanceState{
 		Name: i.name, Service: i.service, Address: i.address, Version: i.version,
-		Slots: i.slots, Running: i.queue.Running(), Queued: i.queue.Queued(),
-		ServiceMS:       float64(i.queue.Service().Microseconds()) / 1000,
+		Slots: i.slots, Running: i.queue.BusySlots(), Queued: i.queue.Queued(),
+		ServiceMS:       float64(i.queue.MeanServiceTime().Microseconds()) / 1000,
 		FailureEstimate: i.failureEstimate.SickForSelection(time.Now(), i.guard.model),
 		ShedShare:       i.shedShare.At(time.Now()),
 		RetryBudgetLeft: int(i.guard.retryBudgets.remaining(time.Now(), i.service)),
--- a/internal/keys/keys.go
+++ b/internal/keys/keys.go
@@ -247,7 +247,7 @@
 	case *msg.KeyClaim:
 		return m.owner.Claim(now, now.UnixMilli(), r)
 	case *msg.KeyResult:
-		return &msg.HandoverReply{Accepted: m.owner.Done(now, r)}
+		return &msg.HandoverReply{Accepted: m.owner.RecordResult(now, r)}
 	case *msg.Handover:
 		return &msg.HandoverReply{Accepted: m.owner.Accept(now, r)}
 	default:
--- a/internal/lab/bench.go
+++ b/internal/lab/bench.go
@@ -75,7 +75,7 @@
 		return "", "", err
 	}
 	err = f.WaitUntilServing(20*time.Second, map[string]int{benchService: 1})
-	return "http://" + f.Hosts[0].Callers() + "/x", "http://" + t.Address + "/x", err
+	return "http://" + f.Hosts[0].CallersAddress() + "/x", "http://" + t.Address + "/x", err
 }
 
 // histograms records latencies by URL. It is safe for concurrent use.
@@ -176,7 +176,7 @@
 	}()
 	buf := make([]byte, 4096)
 	for range benchIdleConns {
-		c, err := net.Dial("tcp", h.Callers())
+		c, err := net.Dial("tcp", h.CallersAddress())
 		if err != nil {
 			return err
 		}
--- a/internal/lab/demo.go
+++ b/internal/lab/demo.go
@@ -146,7 +146,7 @@
 func (f *Fleet) urls(path string) []string {
 	var out []string
 	for _, h := range f.Hosts {
-		out = append(out, "http://"+h.Callers()+path)
+		out = append(out, "http://"+h.CallersAddress()+path)
 	}
 	return out
 }
--- a/internal/lab/fleet.go
+++ b/internal/lab/fleet.go
@@ -59,11 +59,11 @@
 	firstTargetPort = 18100
 )
 
-// Callers returns the address for requests of callers.
-func (h *Host) Callers() string { return fmt.Sprintf("%s:%d", h.IP, CallersPort) }
+// CallersAddress returns the address for requests of callers.
+func (h *Host) CallersAddress() string { return fmt.Sprintf("%s:%d", h.IP, CallersPort) }
 
-// Admin returns the address of the admin endpoints.
-func (h *Host) Admin() string { return fmt.Sprintf("%s:%d", h.IP, AdminPort) }
+// AdminAddress returns the address of the admin endpoints.
+func (h *Host) AdminAddress() string { return fmt.Sprintf("%s:%d", h.IP, AdminPort) }
 
 // NewFleet returns a fleet without processes. It runs programs from bin and writes
 // settings files to dir. The end of ctx ends every wait; Stop ends the processes.
@@ -144,7 +144,7 @@
 url = %s
 
 %s
-`, name, dc, h.Callers(), ip, PeerPort, ip, AnnouncePort, h.Admin(), platform, extra)
+`, name, dc, h.CallersAddress(), ip, PeerPort, ip, AnnouncePort, h.AdminAddress(), platform, extra)
 	if err := os.WriteFile(h.Config, []byte(text), 0o600); err != nil {
 		return nil, errors.Wrap(err, "write settings of "+name)
 	}
@@ -231,13 +231,13 @@
 // Status returns the status that the daemon reports.
 func (h *Host) Status() (*state.Status, error) {
 	var s state.Status
-	return &s, getJSON("http://"+h.Admin()+state.StatusPath, &s)
+	return &s, getJSON("http://"+h.AdminAddress()+state.StatusPath, &s)
 }
 
 // Dump returns the complete state that the daemon reports.
 func (h *Host) Dump() (*state.Dump, error) {
 	var d state.Dump
-	return &d, getJSON("http://"+h.Admin()+state.StatePath, &d)
+	return &d, getJSON("http://"+h.AdminAddress()+state.StatePath, &d)
 }
 
 // WaitUntilServing waits until every host serves every service with at least the
--- a/internal/lab/takeover.go
+++ b/internal/lab/takeover.go
@@ -114,7 +114,7 @@
 // sendFreshKey sends one request with a fresh key and a timeout of one second.
 func (f *Fleet) sendFreshKey(h *Host, start time.Time) keyedRequest {
 	s := keyedRequest{sentAfter: time.Since(start), reason: "no answer"}
-	req, err := http.NewRequest(http.MethodPost, "http://"+h.Callers()+"/plans/7", strings.NewReader("seat"))
+	req, err := http.NewRequest(http.MethodPost, "http://"+h.CallersAddress()+"/plans/7", strings.NewReader("seat"))
 	if err != nil {
 		return s
 	}
--- a/internal/mesh/crash_test.go
+++ b/internal/mesh/crash_test.go
@@ -91,7 +91,7 @@
 
 // Nearly all hosts have the report of a crash within detectionTime, for any fleet size and with 5 % of
 // the messages lost.
-func TestAnEndIsKnownInTime(t *testing.T) {
+func TestCrashIsKnownInTime(t *testing.T) {
 	for _, size := range []struct{ hosts, dcs, seeds int }{{24, 4, 8}, {91, 4, 8}, {354, 5, 4}} {
 		for _, loss := range []float64{0, 0.05} {
 			missing, slowest, bytes := 0, time.Duration(0), 0
@@ -112,7 +112,7 @@
 
 // After a partition, a data centre has the report of a crash within detectionTime. A host that starts
 // gets it with the first response that names the other hosts.
-func TestEndReachesPartitionedAndRestartedHosts(t *testing.T) {
+func TestCrashReachesPartitionedAndRestartedHosts(t *testing.T) {
 	const seeds = 8
 	for _, size := range []struct{ hosts, dcs int }{{24, 4}, {91, 4}} {
 		missing, partitioned := 0, 0
@@ -146,7 +146,7 @@
 
 // The bytes per host grow with the number of crashes, not with the size of the fleet. Ten reports at once
 // stay within the limit of control traffic during detectionTime.
-func TestEndPropagationCost(t *testing.T) {
+func TestCrashPropagationCost(t *testing.T) {
 	for _, size := range []struct{ hosts, dcs int }{{24, 4}, {354, 5}} {
 		for _, crashes := range []int{0, 1, 10} {
 			m := New(Config{Hosts: size.hosts, DCs: size.dcs, Seed: 1, Watchers: 2, Replica: quickReplication()})
--- a/internal/msg/requests_gen.go
+++ b/internal/msg/requests_gen.go
@@ -22,7 +22,7 @@
 	o = msgp.AppendUint32(o, z.UsedMS)
 	o = msgp.AppendUint32(o, z.ExpectedMS)
 	o = msgp.AppendBool(o, z.AllowLate)
-	o = msgp.AppendBool(o, z.Repeat)
+	o = msgp.AppendBool(o, z.UsesRetryBudget)
 	o = msgp.AppendBool(o, z.Hedge)
 	o = msgp.AppendUint16(o, z.NestedRetryChance)
 	o = msgp.AppendBool(o, z.OriginIdle)
@@ -63,9 +63,9 @@
 		err = msgp.WrapError(err, "AllowLate")
 		return
 	}
-	z.Repeat, bts, err = msgp.ReadBoolBytes(bts)
+	z.UsesRetryBudget, bts, err = msgp.ReadBoolBytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Repeat")
+		err = msgp.WrapError(err, "UsesRetryBudget")
 		return
 	}
 	z.Hedge, bts, err = msgp.ReadBoolBytes(bts)
--- a/internal/msg/teams.go
+++ b/internal/msg/teams.go
@@ -30,9 +30,9 @@
 	Known bool
 	// ConfirmedByReceiver reports whether the receiver was the one to confirm Confirmed.
 	ConfirmedByReceiver bool
-	// Relayed reports that the message was relayed by a host that received it but does
+	// Forwarded reports that the message was relayed by a host that received it but does
 	// not keep the account.
-	Relayed bool
+	Forwarded bool
 	// QueryID identifies the query of the sender, or is 0 if there is none.
 	QueryID uint32
 }
--- a/internal/soak/check_test.go
+++ b/internal/soak/check_test.go
@@ -38,12 +38,12 @@
 	}
 }
 
-func TestACalmRunBreaksNothing(t *testing.T) {
+func TestPassingRunHasNoViolations(t *testing.T) {
 	assert.Equal(t, len(calm().Check()), 0, "%v", calm().Check())
 }
 
 // Each check finds the fault that is planted for it, and no other does.
-func TestEachCheckFindsItsPlantedFault(t *testing.T) {
+func TestEachCheckFindsItsViolation(t *testing.T) {
 	for _, c := range []struct {
 		promise string
 		plant   func(*Record)
@@ -74,7 +74,7 @@
 
 // What the faults excuse breaks nothing: a change that is late within three seconds of a
 // disturbance, a connection that breaks with a kill.
-func TestFaultsExcuseWhatTheyMust(t *testing.T) {
+func TestFaultsExcuseViolations(t *testing.T) {
 	r := calm()
 	r.Acked = []Acked{{Version: 5, At: 12 * second}}
 	r.Samples = []Sample{{Host: 0, Asked: 14900 * time.Millisecond, Version: 3}}
@@ -90,7 +90,7 @@
 
 // One seed gives one schedule; faults overlap, leave the end calm, and never take more
 // than half of the processes.
-func TestSchedulesAreSeededAndBounded(t *testing.T) {
+func TestScheduleIsSeededAndBounded(t *testing.T) {
 	const hosts, length = 9, 30 * second
 	seen := make(map[Kind]int)
 	for seed := range uint64(200) {
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -30,9 +30,9 @@
 	Seed     uint64
 	Hosts    int
 	Duration time.Duration
-	// Net is the third number of the addresses, 127.0.Net.x, so that runs and tests do
+	// NetOctet is the third number of the addresses, 127.0.NetOctet.x, so that runs and tests do
 	// not meet.
-	Net int
+	NetOctet int
 	// Logs takes what the processes write.
 	Logs io.Writer
 }
@@ -139,7 +139,7 @@
 	return r.fleet.WaitUntilServing(startPatience, map[string]int{service: r.cfg.Hosts})
 }
 
-func (r *run) address(n int) string { return fmt.Sprintf("127.0.%d.%d", r.cfg.Net, n) }
+func (r *run) address(n int) string { return fmt.Sprintf("127.0.%d.%d", r.cfg.NetOctet, n) }
 
 // play lets traffic, changes and faults go on for the length of the run.
 func (r *run) play(ctx context.Context) {
@@ -344,7 +344,7 @@
 	if req.Idempotent {
 		method = http.MethodGet
 	}
-	out, err := http.NewRequest(method, "http://"+r.nodes[req.Host].host.Callers()+path, nil)
+	out, err := http.NewRequest(method, "http://"+r.nodes[req.Host].host.CallersAddress()+path, nil)
 	if err != nil {
 		panic("soak: " + err.Error())
 	}
--- a/verdict/verdict.go
+++ b/verdict/verdict.go
@@ -68,7 +68,7 @@
 	ReasonTargetShed     Reason = "target-shed"
 	ReasonRetryBudget    Reason = "retry-budget"
 	ReasonTargetBroke    Reason = "target-broke"
-	ReasonTargetEnded    Reason = "target-ended"
+	ReasonTargetCrashed  Reason = "target-ended"
 	ReasonCrashesTargets Reason = "crashes-targets"
 	ReasonAnswerMismatch Reason = "answer-mismatch"
 	ReasonLinkLost       Reason = "link-lost"
