--- a/internal/soak/check.go
+++ b/internal/soak/check.go
@@ -9,94 +9,94 @@
 	"github.com/radishhoist/radishhoist/verdict"
 )
 
-// Request is one request as its caller saw it; times count from the start of traffic.
+// Request is one request as observed by its caller. Times are relative to the start of traffic.
 type Request struct {
 	Mark string
 	Host int
 	// Idempotent requests may run more than once.
 	Idempotent bool
-	// Fatal is the request that ends the instances that run it.
+	// Fatal marks the request that crashes every instance that runs it.
 	Fatal bool
-	// Stopped says that it was refused as one that does.
+	// Stopped reports that the request was refused because it crashes its targets.
 	Stopped    bool
 	Sent, Done time.Duration
-	// Status is 0 where the connection broke.
+	// Status is the HTTP status, 0 if the connection broke.
 	Status int
-	// Verdict is the system's word on a failure, empty where a target answered.
+	// Verdict is the value of the verdict header on a failure, empty if a target answered.
 	Verdict string
-	// Own says that the answer was whole and this request's.
-	Own bool
+	// Served reports that the answer was complete and belongs to this request.
+	Served bool
 }
 
-// Acked is a change that the platform has acknowledged.
-type Acked struct {
+// AckedChange is a record change that the platform has acknowledged.
+type AckedChange struct {
 	Version int64
 	At      time.Duration
 }
 
-// Sample is what a host had in force: asked for at a time, in one life of its process.
+// Sample is the record version in force at a host, queried from one incarnation of its process.
 type Sample struct {
-	Host    int
-	Life    int
-	Asked   time.Duration
-	Version int64
+	Host        int
+	Incarnation int
+	QueriedAt   time.Duration
+	Version     int64
 }
 
-// Record is all that was seen of one run.
-type Record struct {
+// Observations are everything recorded during one run.
+type Observations struct {
 	Faults   []Fault
 	Requests []Request
-	// Runs counts the runs of each request at the instances.
+	// Runs counts how often the instances ran each request, by mark.
 	Runs map[string]int
-	// Ends are the times at which an instance ended under the fatal request.
+	// Ends are the times at which an instance crashed on the fatal request.
 	Ends    []time.Duration
-	Acked   []Acked
+	Acked   []AckedChange
 	Samples []Sample
 	Length  time.Duration
-	// Bound is the time in which a change is to be in force.
-	Bound time.Duration
+	// ApplyWithin is the time within which an acknowledged change must be in force.
+	ApplyWithin time.Duration
 }
 
-// Violation is one promise that was not kept.
+// Violation is one violated invariant.
 type Violation struct {
-	Promise string
-	At      time.Duration
-	Detail  string
+	Invariant string
+	At        time.Duration
+	Detail    string
 }
 
-// String is the violation as a report shows it.
+// String formats the violation for the report.
 func (v Violation) String() string {
-	return fmt.Sprintf("%s at %.3f s: %s", v.Promise, v.At.Seconds(), v.Detail)
+	return fmt.Sprintf("%s at %.3f s: %s", v.Invariant, v.At.Seconds(), v.Detail)
 }
 
-// The promises that are checked.
+// The invariants that are checked.
 const (
-	Once     = "work that is not idempotent runs once at most"
-	Honest   = "what is said not to have run has not run"
-	Whole    = "a caller gets the whole answer to its own request"
-	Uncut    = "a planned stop cuts nothing off"
-	InForce  = "a change is in force in time"
-	Forward  = "a process never goes back to an older version"
-	Recovers = "callers are served once the faults are over"
-	Stops    = "a request that has ended three instances reaches three more at most"
-	Innocent = "no other request is stopped for it"
+	AtMostOnce        = "a request that is not idempotent runs at most once"
+	NotRunIsTrue      = "a request reported as not run has not run"
+	CompleteAnswer    = "a successful answer is complete and belongs to its request"
+	GracefulStop      = "a graceful stop breaks no connection"
+	AppliedInTime     = "an acknowledged change is in force in time"
+	MonotonicVersion  = "a process never returns to an older version"
+	ServesAfterFaults = "requests are served after the faults have ended"
+	BoundedCrashes    = "a request that has crashed three instances crashes at most three more"
+	NoOtherStopped    = "no other request is refused as crashing its targets"
 )
 
 const (
-	// stable is how long a host and the platform must have been undisturbed for bounds
-	// of time to hold there.
-	stable = 3 * time.Second
-	// clockSlack is for the time between an acknowledgement and this process's note of
-	// it, on a busy machine.
+	// settlePeriod is the time after a fault of a host or the platform during which
+	// time bounds are not checked at that host.
+	settlePeriod = 3 * time.Second
+	// clockSlack allows for the delay between an acknowledgement and the time recorded
+	// for it on a busy machine.
 	clockSlack = 150 * time.Millisecond
-	// recovered is the part of the last requests that must be served.
-	recovered = 0.95
-	// recovery is the time after the last fault until then.
-	recovery = 5 * time.Second
+	// minServedShare is the share of requests that must be served after recoveryTime.
+	minServedShare = 0.95
+	// recoveryTime is the time allowed for recovery after the end of the last fault.
+	recoveryTime = 5 * time.Second
 )
 
-// Check gives the promises that a run has broken.
-func (r *Record) Check() []Violation {
+// Check returns the violations found in a run.
+func (r *Observations) Check() []Violation {
 	var out []Violation
 	for _, req := range r.Requests {
 		out = append(out, r.checkRequest(req)...)
@@ -106,38 +106,38 @@
 	return append(out, r.checkRecovery()...)
 }
 
-func (r *Record) checkRequest(req Request) []Violation {
+func (r *Observations) checkRequest(req Request) []Violation {
 	runs := r.Runs[req.Mark]
 	var out []Violation
-	broken := func(promise, detail string) {
-		out = append(out, Violation{promise, req.Sent, fmt.Sprintf("%s at host %d: %s; it ran %d times", req.Mark, req.Host, detail, runs)})
+	violated := func(invariant, detail string) {
+		out = append(out, Violation{invariant, req.Sent, fmt.Sprintf("%s at host %d: %s; ran %d times", req.Mark, req.Host, detail, runs)})
 	}
 	if req.Stopped && !req.Fatal {
-		broken(Innocent, fmt.Sprintf("status %d", req.Status))
+		violated(NoOtherStopped, fmt.Sprintf("status %d", req.Status))
 	}
 	success := req.Status >= http.StatusOK && req.Status < http.StatusMultipleChoices
 	refused := req.Status == http.StatusServiceUnavailable || req.Status == http.StatusTooManyRequests
 	if !req.Idempotent && runs > 1 {
-		broken(Once, fmt.Sprintf("status %d", req.Status))
+		violated(AtMostOnce, fmt.Sprintf("status %d", req.Status))
 	}
 	if (req.Verdict == verdict.NotRun.String() || refused) && runs > 0 && !req.Idempotent {
-		broken(Honest, fmt.Sprintf("status %d, %s", req.Status, req.Verdict))
+		violated(NotRunIsTrue, fmt.Sprintf("status %d, %s", req.Status, req.Verdict))
 	}
-	if success && (!req.Own || runs == 0) {
-		broken(Whole, fmt.Sprintf("status %d, own and whole: %t", req.Status, req.Own))
+	if success && (!req.Served || runs == 0) {
+		violated(CompleteAnswer, fmt.Sprintf("status %d, complete and matching: %t", req.Status, req.Served))
 	}
-	if req.Status == 0 && runs > 0 && r.stoppedAsPlanned(req) {
-		broken(Uncut, "the connection broke")
+	if req.Status == 0 && runs > 0 && r.stoppedGracefully(req) {
+		violated(GracefulStop, "the connection broke")
 	}
 	return out
 }
 
-// stoppedAsPlanned says that a request's host was stopped as planned while it was under
-// way, and that nothing else befell it.
-func (r *Record) stoppedAsPlanned(req Request) bool {
+// stoppedGracefully reports whether the request's host was terminated gracefully while the
+// request was in flight, with no other fault of its process.
+func (r *Observations) stoppedGracefully(req Request) bool {
 	planned := false
 	for _, f := range r.Faults {
-		if f.Host != req.Host || !f.Kind.ofDaemon() || f.End()+stable < req.Sent || f.At > req.Done {
+		if f.Host != req.Host || !f.Kind.affectsDaemon() || f.End()+settlePeriod < req.Sent || f.At > req.Done {
 			continue
 		}
 		if f.Kind != Terminate {
@@ -148,14 +148,14 @@
 	return planned
 }
 
-// disturbed says that something befell a host or the platform in the time in which
-// bounds do not hold.
-func (r *Record) disturbed(host int, at time.Duration) bool {
+// disturbed reports whether a fault of the host or the platform was active at a time or
+// ended less than settlePeriod before it.
+func (r *Observations) disturbed(host int, at time.Duration) bool {
 	for _, f := range r.Faults {
-		if f.Kind.ofTarget() || !f.Kind.ofPlatform() && f.Host != host {
+		if f.Kind.affectsTarget() || !f.Kind.affectsPlatform() && f.Host != host {
 			continue
 		}
-		if f.At <= at && at < f.End()+stable {
+		if f.At <= at && at < f.End()+settlePeriod {
 			return true
 		}
 	}
@@ -163,74 +163,75 @@
 }
 
 const (
-	// endsKnown is how many ends tell on a request, and endsAfter how many more may
-	// follow once hosts in touch have had stable to learn.
-	endsKnown, endsAfter = 3, 3
+	// identifyingEnds is the number of crashes after which a request counts as crashing
+	// its targets. maxLaterEnds is the number of further crashes allowed once connected
+	// hosts have had settlePeriod to learn of them.
+	identifyingEnds, maxLaterEnds = 3, 3
 )
 
-// checkEnds counts the instances that ended under the fatal request after the fleet had
-// had time to know it.
-func (r *Record) checkEnds() []Violation {
+// checkEnds bounds the number of instances that crashed on the fatal request after the
+// fleet had time to identify it.
+func (r *Observations) checkEnds() []Violation {
 	ends := slices.Sorted(slices.Values(r.Ends))
-	if len(ends) < endsKnown {
+	if len(ends) < identifyingEnds {
 		return nil
 	}
-	known := ends[endsKnown-1] + stable
+	known := ends[identifyingEnds-1] + settlePeriod
 	after := slices.DeleteFunc(ends, func(at time.Duration) bool { return at <= known })
-	if len(after) <= endsAfter {
+	if len(after) <= maxLaterEnds {
 		return nil
 	}
-	return []Violation{{Stops, after[endsAfter], fmt.Sprintf("%d instances ended later than %.3f s, %d in all", len(after), known.Seconds(), len(r.Ends))}}
+	return []Violation{{BoundedCrashes, after[maxLaterEnds], fmt.Sprintf("%d instances crashed later than %.3f s, %d in total", len(after), known.Seconds(), len(r.Ends))}}
 }
 
-func (r *Record) checkVersions() []Violation {
+func (r *Observations) checkVersions() []Violation {
 	var out []Violation
-	type life struct{ host, life int }
-	newest := make(map[life]int64)
-	late := make(map[life]int64)
+	type process struct{ host, incarnation int }
+	newest := make(map[process]int64)
+	late := make(map[process]int64)
 	for _, s := range r.Samples {
-		key := life{s.Host, s.Life}
+		key := process{s.Host, s.Incarnation}
 		if s.Version < newest[key] {
-			out = append(out, Violation{Forward, s.Asked, fmt.Sprintf("host %d has %d after %d", s.Host, s.Version, newest[key])})
+			out = append(out, Violation{MonotonicVersion, s.QueriedAt, fmt.Sprintf("host %d has version %d after version %d", s.Host, s.Version, newest[key])})
 		}
 		newest[key] = max(newest[key], s.Version)
-		due := r.due(s.Asked)
-		if s.Version < due.Version && late[key] < due.Version && !r.disturbed(s.Host, s.Asked) {
+		due := r.newestDue(s.QueriedAt)
+		if s.Version < due.Version && late[key] < due.Version && !r.disturbed(s.Host, s.QueriedAt) {
 			late[key] = due.Version
-			out = append(out, Violation{InForce, s.Asked, fmt.Sprintf("host %d has %d; %d was acknowledged at %.3f s", s.Host, s.Version, due.Version, due.At.Seconds())})
+			out = append(out, Violation{AppliedInTime, s.QueriedAt, fmt.Sprintf("host %d has version %d; version %d was acknowledged at %.3f s", s.Host, s.Version, due.Version, due.At.Seconds())})
 		}
 	}
 	return out
 }
 
-// due is the newest change that must be in force at a time.
-func (r *Record) due(at time.Duration) Acked {
-	var newest Acked
+// newestDue returns the newest change that must be in force at a time.
+func (r *Observations) newestDue(at time.Duration) AckedChange {
+	var newest AckedChange
 	for _, a := range r.Acked {
-		if a.At+r.Bound+clockSlack < at && a.Version > newest.Version {
+		if a.At+r.ApplyWithin+clockSlack < at && a.Version > newest.Version {
 			newest = a
 		}
 	}
 	return newest
 }
 
-func (r *Record) checkRecovery() []Violation {
+func (r *Observations) checkRecovery() []Violation {
 	last := time.Duration(0)
 	for _, f := range r.Faults {
 		last = max(last, f.End())
 	}
 	sent, served := 0, 0
 	for _, req := range r.Requests {
-		if req.Sent < last+recovery || req.Fatal {
+		if req.Sent < last+recoveryTime || req.Fatal {
 			continue
 		}
 		sent++
-		if req.Own {
+		if req.Served {
 			served++
 		}
 	}
-	if float64(served) >= recovered*float64(sent) && sent > 0 {
+	if float64(served) >= minServedShare*float64(sent) && sent > 0 {
 		return nil
 	}
-	return []Violation{{Recovers, last + recovery, fmt.Sprintf("%d of %d requests served", served, sent)}}
+	return []Violation{{ServesAfterFaults, last + recoveryTime, fmt.Sprintf("%d of %d requests served", served, sent)}}
 }
--- a/internal/soak/check_test.go
+++ b/internal/soak/check_test.go
@@ -11,108 +11,108 @@
 
 const second = time.Second
 
-// calm is a run in which every promise was kept: a planned stop of host 1, a silent
-// platform, and requests and changes about them.
-func calm() *Record {
-	return &Record{
-		Length: 40 * second, Bound: 2 * second,
+// passingRun is a run without violations: a graceful stop of host 1, an unresponsive
+// platform, and requests and changes before, during and after these faults.
+func passingRun() *Observations {
+	return &Observations{
+		Length: 40 * second, ApplyWithin: 2 * second,
 		Faults: []Fault{
-			{Kind: Terminate, Host: 1, At: 5 * second, For: 3 * second},
-			{Kind: PlatformSilent, At: 10 * second, For: 2 * second},
+			{Kind: Terminate, Host: 1, At: 5 * second, Length: 3 * second},
+			{Kind: PlatformSilent, At: 10 * second, Length: 2 * second},
 		},
 		Requests: []Request{
-			{Mark: "a", Sent: 4 * second, Done: 4 * second, Status: 200, Own: true},
-			{Mark: "b", Host: 1, Sent: 4900 * time.Millisecond, Done: 5100 * time.Millisecond, Status: 200, Own: true},
+			{Mark: "a", Sent: 4 * second, Done: 4 * second, Status: 200, Served: true},
+			{Mark: "b", Host: 1, Sent: 4900 * time.Millisecond, Done: 5100 * time.Millisecond, Status: 200, Served: true},
 			{Mark: "c", Sent: 6 * second, Done: 6 * second, Status: 503, Verdict: verdict.NotRun.String()},
-			{Mark: "d", Sent: 30 * second, Done: 30 * second, Status: 200, Own: true},
+			{Mark: "d", Sent: 30 * second, Done: 30 * second, Status: 200, Served: true},
 		},
 		Runs:  map[string]int{"a": 1, "b": 1, "d": 1},
 		Ends:  []time.Duration{15 * second, 16 * second, 17 * second, 19 * second, 22 * second},
-		Acked: []Acked{{Version: 3, At: 2 * second}, {Version: 4, At: 20 * second}},
+		Acked: []AckedChange{{Version: 3, At: 2 * second}, {Version: 4, At: 20 * second}},
 		Samples: []Sample{
-			{Host: 0, Asked: 3 * second, Version: 2}, {Host: 0, Asked: 5 * second, Version: 3},
-			{Host: 0, Asked: 21 * second, Version: 3}, {Host: 0, Asked: 23 * second, Version: 4},
-			// Its process was started again: it may begin with nothing.
-			{Host: 1, Life: 0, Asked: 4 * second, Version: 3}, {Host: 1, Life: 1, Asked: 9 * second, Version: 0},
+			{Host: 0, QueriedAt: 3 * second, Version: 2}, {Host: 0, QueriedAt: 5 * second, Version: 3},
+			{Host: 0, QueriedAt: 21 * second, Version: 3}, {Host: 0, QueriedAt: 23 * second, Version: 4},
+			// A restarted process may begin without any records.
+			{Host: 1, Incarnation: 0, QueriedAt: 4 * second, Version: 3}, {Host: 1, Incarnation: 1, QueriedAt: 9 * second, Version: 0},
 		},
 	}
 }
 
-func TestACalmRunBreaksNothing(t *testing.T) {
-	assert.Equal(t, len(calm().Check()), 0, "%v", calm().Check())
+func TestPassingRunHasNoViolations(t *testing.T) {
+	assert.Equal(t, len(passingRun().Check()), 0, "%v", passingRun().Check())
 }
 
-// Each check finds the fault that is planted for it, and no other does.
-func TestEachCheckFindsItsPlantedFault(t *testing.T) {
+// Each check reports the violation injected for it, and no other check does.
+func TestEachCheckFindsItsViolation(t *testing.T) {
 	for _, c := range []struct {
-		promise string
-		plant   func(*Record)
+		invariant string
+		inject    func(*Observations)
 	}{
-		{Once, func(r *Record) { r.Runs["a"] = 2 }},
-		{Honest, func(r *Record) { r.Runs["c"] = 1 }},
-		{Honest, func(r *Record) { r.Requests[2].Verdict, r.Runs["c"] = "", 1 }},
-		{Whole, func(r *Record) { r.Requests[0].Own = false }},
-		{Whole, func(r *Record) { delete(r.Runs, "a") }},
-		{Uncut, func(r *Record) { r.Requests[1].Status, r.Requests[1].Own = 0, false }},
-		{InForce, func(r *Record) { r.Samples[3].Version = 3 }},
-		{Forward, func(r *Record) { r.Samples[2].Version = 2 }},
-		{Recovers, func(r *Record) { r.Requests[3].Own, r.Requests[3].Status = false, 502 }},
-		{Recovers, func(r *Record) { r.Requests = r.Requests[:3] }},
-		{Innocent, func(r *Record) { r.Requests[2].Stopped = true }},
-		{Stops, func(r *Record) { r.Ends = append(r.Ends, 25*second, 26*second, 27*second, 28*second) }},
+		{AtMostOnce, func(r *Observations) { r.Runs["a"] = 2 }},
+		{NotRunIsTrue, func(r *Observations) { r.Runs["c"] = 1 }},
+		{NotRunIsTrue, func(r *Observations) { r.Requests[2].Verdict, r.Runs["c"] = "", 1 }},
+		{CompleteAnswer, func(r *Observations) { r.Requests[0].Served = false }},
+		{CompleteAnswer, func(r *Observations) { delete(r.Runs, "a") }},
+		{GracefulStop, func(r *Observations) { r.Requests[1].Status, r.Requests[1].Served = 0, false }},
+		{AppliedInTime, func(r *Observations) { r.Samples[3].Version = 3 }},
+		{MonotonicVersion, func(r *Observations) { r.Samples[2].Version = 2 }},
+		{ServesAfterFaults, func(r *Observations) { r.Requests[3].Served, r.Requests[3].Status = false, 502 }},
+		{ServesAfterFaults, func(r *Observations) { r.Requests = r.Requests[:3] }},
+		{NoOtherStopped, func(r *Observations) { r.Requests[2].Stopped = true }},
+		{BoundedCrashes, func(r *Observations) { r.Ends = append(r.Ends, 25*second, 26*second, 27*second, 28*second) }},
 	} {
-		r := calm()
-		c.plant(r)
-		broken := r.Check()
-		assert.Assert(t, len(broken) > 0, c.promise)
-		for _, v := range broken {
-			// What is older than before is late as well.
-			assert.Assert(t, v.Promise == c.promise || c.promise == Forward && v.Promise == InForce, v.String())
+		r := passingRun()
+		c.inject(r)
+		violations := r.Check()
+		assert.Assert(t, len(violations) > 0, c.invariant)
+		for _, v := range violations {
+			// A version older than before may be late as well.
+			assert.Assert(t, v.Invariant == c.invariant || c.invariant == MonotonicVersion && v.Invariant == AppliedInTime, v.String())
 		}
 	}
 }
 
-// What the faults excuse breaks nothing: a change that is late within three seconds of a
-// disturbance, a connection that breaks with a kill.
-func TestFaultsExcuseWhatTheyMust(t *testing.T) {
-	r := calm()
-	r.Acked = []Acked{{Version: 5, At: 12 * second}}
-	r.Samples = []Sample{{Host: 0, Asked: 14900 * time.Millisecond, Version: 3}}
+// A change that is late within three seconds of a fault, or a connection that breaks when
+// its host is killed, is no violation.
+func TestFaultsExcuseViolations(t *testing.T) {
+	r := passingRun()
+	r.Acked = []AckedChange{{Version: 5, At: 12 * second}}
+	r.Samples = []Sample{{Host: 0, QueriedAt: 14900 * time.Millisecond, Version: 3}}
 	assert.Equal(t, len(r.Check()), 0, "%v", r.Check())
-	r.Samples[0].Asked = 15100 * time.Millisecond
+	r.Samples[0].QueriedAt = 15100 * time.Millisecond
 	assert.Equal(t, len(r.Check()), 1)
 
-	r = calm()
+	r = passingRun()
 	r.Faults[0].Kind = Kill
-	r.Requests[1].Status, r.Requests[1].Own = 0, false
+	r.Requests[1].Status, r.Requests[1].Served = 0, false
 	assert.Equal(t, len(r.Check()), 0, "%v", r.Check())
 }
 
-// One seed gives one schedule; faults overlap, leave the end calm, and never take more
-// than half of the processes.
-func TestSchedulesAreSeededAndBounded(t *testing.T) {
+// A seed always yields the same schedule. Faults overlap, leave the end of the run free of
+// faults, and never take down more than half of the processes at once.
+func TestScheduleIsSeededAndBounded(t *testing.T) {
 	const hosts, length = 9, 30 * second
-	seen := make(map[Kind]int)
+	seen := make(map[FaultKind]int)
 	for seed := range uint64(200) {
-		plan := Schedule(seed, hosts, length)
-		assert.DeepEqual(t, plan, Schedule(seed, hosts, length))
+		faults := Schedule(seed, hosts, length)
+		assert.DeepEqual(t, faults, Schedule(seed, hosts, length))
 		overlap := 0
-		for i, f := range plan {
+		for i, f := range faults {
 			seen[f.Kind]++
-			assert.Assert(t, f.At >= firstFault && f.End() <= length-calmEnd && f.For > 0, f.String())
-			gone := 0
-			for _, b := range plan[:i] {
+			assert.Assert(t, f.At >= firstFault && f.End() <= length-faultFreeEnd && f.Length > 0, f.String())
+			down := 0
+			for _, b := range faults[:i] {
 				if b.End() <= f.At {
 					continue
 				}
 				overlap++
-				if b.Kind.ofDaemon() && f.Kind.ofDaemon() {
-					gone++
+				if b.Kind.affectsDaemon() && f.Kind.affectsDaemon() {
+					down++
 				}
 			}
-			assert.Assert(t, gone < hosts/2)
+			assert.Assert(t, down < hosts/2)
 		}
 		assert.Assert(t, overlap > 0)
 	}
-	assert.Equal(t, len(seen), len(kinds))
+	assert.Equal(t, len(seen), len(faultKinds))
 }
--- a/internal/soak/proxy.go
+++ b/internal/soak/proxy.go
@@ -11,46 +11,46 @@
 	"github.com/radishhoist/radishhoist/internal/port"
 )
 
-// proxy stands between one host and the platform. It is the network that fails.
+// proxy forwards connections from one host to the platform and simulates network faults.
 type proxy struct {
 	listener net.Listener
-	to       string
+	upstream string
 
 	mu    sync.Mutex
-	mode  Kind
-	pairs map[*pair]struct{}
+	mode  FaultKind
+	conns map[*proxyConn]struct{}
 }
 
-// pair is one connection through a proxy.
-type pair struct {
-	proxy      *proxy
-	near, far  net.Conn
-	closeOnce  sync.Once
-	mu         sync.Mutex
-	silentFrom bool
+// proxyConn is one proxied connection.
+type proxyConn struct {
+	proxy            *proxy
+	client, upstream net.Conn
+	closeOnce        sync.Once
+	mu               sync.Mutex
+	silenced         bool
 }
 
-// slowBy is what a slow proxy adds to each piece that goes through.
-const slowBy = 250 * time.Millisecond
+// slowDelay is the delay that CutSlow adds to each chunk forwarded.
+const slowDelay = 250 * time.Millisecond
 
-// startProxy listens on an address for connections to another.
-func startProxy(address, to string) (*proxy, error) {
+// startProxy listens on an address and forwards its connections to upstream.
+func startProxy(address, upstream string) (*proxy, error) {
 	l, err := port.Listen("a proxy", address)
 	if err != nil {
 		return nil, err
 	}
-	p := &proxy{listener: l, to: to, pairs: make(map[*pair]struct{})}
+	p := &proxy{listener: l, upstream: upstream, conns: make(map[*proxyConn]struct{})}
 	go p.accept()
 	return p, nil
 }
 
-// set changes what the proxy does, "" for nothing. Connections that a silent proxy has
-// held stay dead.
-func (p *proxy) set(mode Kind) {
+// setMode sets the network fault to simulate, "" for none. Connections that existed under
+// CutSilent stay silent.
+func (p *proxy) setMode(mode FaultKind) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.mode = mode
-	for c := range p.pairs {
+	for c := range p.conns {
 		switch mode {
 		case CutSilent:
 			c.silence()
@@ -60,7 +60,7 @@
 	}
 }
 
-func (p *proxy) current() Kind {
+func (p *proxy) currentMode() FaultKind {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.mode
@@ -70,52 +70,52 @@
 	_ = p.listener.Close()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for c := range p.pairs {
+	for c := range p.conns {
 		go c.reset()
 	}
 }
 
 func (p *proxy) accept() {
 	for {
-		near, err := p.listener.Accept()
+		client, err := p.listener.Accept()
 		if err != nil {
 			return
 		}
-		go p.carry(near)
+		go p.forward(client)
 	}
 }
 
-func (p *proxy) carry(near net.Conn) {
-	mode := p.current()
-	c := &pair{proxy: p, near: near}
+func (p *proxy) forward(client net.Conn) {
+	mode := p.currentMode()
+	c := &proxyConn{proxy: p, client: client}
 	if mode == CutReset {
 		c.reset()
 		return
 	}
-	far, err := net.Dial("tcp", p.to)
+	upstream, err := net.Dial("tcp", p.upstream)
 	if err != nil {
 		c.reset()
 		return
 	}
-	c.far, c.silentFrom = far, mode == CutSilent
+	c.upstream, c.silenced = upstream, mode == CutSilent
 	p.mu.Lock()
-	p.pairs[c] = struct{}{}
+	p.conns[c] = struct{}{}
 	p.mu.Unlock()
-	go c.copy(far, near)
-	c.copy(near, far)
+	go c.copy(upstream, client)
+	c.copy(client, upstream)
 	p.mu.Lock()
-	delete(p.pairs, c)
+	delete(p.conns, c)
 	p.mu.Unlock()
 }
 
-// copy carries one direction.
-func (c *pair) copy(to, from net.Conn) {
+// copy forwards one direction of the connection.
+func (c *proxyConn) copy(to, from net.Conn) {
 	buf := make([]byte, 16<<10)
 	for {
 		n, err := from.Read(buf)
 		if n > 0 && !c.silent() {
-			if c.proxy.current() == CutSlow {
-				time.Sleep(slowBy)
+			if c.proxy.currentMode() == CutSlow {
+				time.Sleep(slowDelay)
 			}
 			if _, werr := to.Write(buf[:n]); werr != nil {
 				err = werr
@@ -123,38 +123,38 @@
 		}
 		if err != nil {
 			if !errors.Is(err, io.EOF) || !c.silent() {
-				c.shut()
+				c.close()
 			}
 			return
 		}
 	}
 }
 
-func (c *pair) silence() {
+func (c *proxyConn) silence() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.silentFrom = true
+	c.silenced = true
 }
 
-func (c *pair) silent() bool {
+func (c *proxyConn) silent() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.silentFrom
+	return c.silenced
 }
 
-// reset breaks the connection off without a goodbye.
-func (c *pair) reset() {
-	if tcp, ok := c.near.(*net.TCPConn); ok {
+// reset closes the connection with a TCP reset.
+func (c *proxyConn) reset() {
+	if tcp, ok := c.client.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
 	}
-	c.shut()
+	c.close()
 }
 
-func (c *pair) shut() {
+func (c *proxyConn) close() {
 	c.closeOnce.Do(func() {
-		_ = c.near.Close()
-		if c.far != nil {
-			_ = c.far.Close()
+		_ = c.client.Close()
+		if c.upstream != nil {
+			_ = c.upstream.Close()
 		}
 	})
 }
--- a/internal/soak/report.go
+++ b/internal/soak/report.go
@@ -12,68 +12,68 @@
 	"github.com/radishhoist/radishhoist/internal/logtest"
 )
 
-// mostShown bounds the violations that a report lists.
-const mostShown = 20
+// maxListed limits the violations listed in a report.
+const maxListed = 20
 
-// Report writes what a run was and which promises it broke.
-func (r *Record) Report(out io.Writer, seed uint64) []Violation {
-	broken := r.Check()
+// Report writes a summary of the run and its violations, and returns the violations.
+func (r *Observations) Report(out io.Writer, seed uint64) []Violation {
+	violations := r.Check()
 	served := 0
 	for _, req := range r.Requests {
-		if req.Own {
+		if req.Served {
 			served++
 		}
 	}
-	fmt.Fprintf(out, "seed %d: %d faults, %d of %d requests served, %d changes acknowledged, %d looks at hosts, %d instances ended: %d promises broken\n",
-		seed, len(r.Faults), served, len(r.Requests), len(r.Acked), len(r.Samples), len(r.Ends), len(broken))
-	if len(broken) == 0 {
+	fmt.Fprintf(out, "seed %d: %d faults, %d of %d requests served, %d changes acknowledged, %d version samples, %d instances crashed: %d violations\n",
+		seed, len(r.Faults), served, len(r.Requests), len(r.Acked), len(r.Samples), len(r.Ends), len(violations))
+	if len(violations) == 0 {
 		return nil
 	}
-	for _, v := range broken[:min(len(broken), mostShown)] {
+	for _, v := range violations[:min(len(violations), maxListed)] {
 		fmt.Fprintln(out, "  "+v.String())
 	}
 	for _, f := range r.Faults {
 		fmt.Fprintln(out, "    "+f.String())
 	}
-	return broken
+	return violations
 }
 
-// maxHosts bounds the hosts of a run: their addresses, and the processes of a machine.
+// maxHosts limits the hosts of a run to the addresses and processes that one machine offers.
 const maxHosts = 90
 
-// Seeds plays seeds one after the other, from the one of cfg on, and writes a report of
-// each. The logs of one that broke a promise go to a directory, where one is named.
-func Seeds(ctx context.Context, out io.Writer, cfg Config, count int, logs string) error {
-	if cfg.Hosts < dcs || cfg.Hosts > maxHosts || cfg.Length < 2*calmEnd {
-		return errors.Errorf("soak: write %d to %d hosts and a time of %s or more", dcs, maxHosts, 2*calmEnd)
+// Seeds runs count consecutive seeds, starting at cfg.Seed, and writes a report of each.
+// The logs of seeds with violations are saved in logDir, unless it is empty.
+func Seeds(ctx context.Context, out io.Writer, cfg Config, count int, logDir string) error {
+	if cfg.Hosts < dcs || cfg.Hosts > maxHosts || cfg.Length < 2*faultFreeEnd {
+		return errors.Errorf("soak: hosts must be between %d and %d, and the run time at least %s", dcs, maxHosts, 2*faultFreeEnd)
 	}
 	failed := 0
 	for ; count > 0 && ctx.Err() == nil; count-- {
-		kept := &logtest.Buffer{}
-		cfg.Logs = kept
+		buffer := &logtest.Buffer{}
+		cfg.Logs = buffer
 		r, err := Run(ctx, cfg)
 		if err != nil {
 			return err
 		}
 		if len(r.Report(out, cfg.Seed)) > 0 {
 			failed++
-			if err := save(kept, logs, cfg.Seed); err != nil {
+			if err := saveLogs(buffer, logDir, cfg.Seed); err != nil {
 				return err
 			}
 		}
 		cfg.Seed++
 	}
 	if failed > 0 {
-		return errors.Errorf("%d seeds broke a promise", failed)
+		return errors.Errorf("soak: %d seeds with violations", failed)
 	}
 	return ctx.Err()
 }
 
-// save writes the logs of a seed to a directory, where one is named.
-func save(logs *logtest.Buffer, dir string, seed uint64) error {
+// saveLogs writes the logs of a seed to a directory, unless it is empty.
+func saveLogs(logs *logtest.Buffer, dir string, seed uint64) error {
 	if dir == "" {
 		return nil
 	}
 	path := filepath.Join(dir, fmt.Sprintf("soak-%d.log", seed))
-	return errors.Wrap(os.WriteFile(path, []byte(logs.String()), 0o644), "logs of a soak")
+	return errors.Wrap(os.WriteFile(path, []byte(logs.String()), 0o644), "save soak logs")
 }
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -30,10 +30,10 @@
 	Seed   uint64
 	Hosts  int
 	Length time.Duration
-	// Net is the third number of the addresses, 127.0.Net.x, so that runs and tests do
-	// not meet.
+	// Net is the third octet of the addresses, 127.0.Net.x, so that concurrent runs and
+	// tests do not collide.
 	Net int
-	// Logs takes what the processes write.
+	// Logs receives the output of the processes.
 	Logs io.Writer
 }
 
@@ -42,21 +42,19 @@
 	slots       = 4
 	serviceTime = 20 * time.Millisecond
 	dcs         = 3
-	// callers is how many callers each host has, and callPause their pause between two
-	// requests: some 20 requests a second and host.
-	callers   = 2
-	callPause = 80 * time.Millisecond
-	// callerPatience is how long a caller waits.
-	callerPatience = 8 * time.Second
-	// samplePause is the time between two looks at what a host has in force.
-	samplePause = 100 * time.Millisecond
-	// changePause is the time between two changes.
-	changePause = 700 * time.Millisecond
-	// stopPatience bounds the wait for a planned stop.
-	stopPatience = 10 * time.Second
-	// startPatience bounds the start of the fleet.
-	startPatience = time.Minute
-	// applyWithin and drainTimeout are what the daemons are told.
+	// callers is the number of callers per host and callInterval the pause between two
+	// requests of a caller: about 20 requests per second and host.
+	callers       = 2
+	callInterval  = 80 * time.Millisecond
+	callerTimeout = 8 * time.Second
+	// sampleInterval is the time between two queries of the version in force at a host.
+	sampleInterval = 100 * time.Millisecond
+	changeInterval = 700 * time.Millisecond
+	// stopTimeout limits the wait for a graceful stop.
+	stopTimeout = 10 * time.Second
+	// startTimeout limits the wait for the fleet to serve.
+	startTimeout = time.Minute
+	// applyWithin and drainTimeout are settings of the daemons.
 	applyWithin  = 2 * time.Second
 	drainTimeout = 5 * time.Second
 )
@@ -66,42 +64,43 @@
 	host   *lab.Host
 	target *lab.Target
 	link   *proxy
-	// process is held by a fault of the daemon until it runs again: a stop may take
-	// longer than planned, and the next fault must not meet the process in between.
-	process sync.Mutex
+	// processMu is held from the start of a daemon fault until the daemon runs again: a
+	// stop may take longer than scheduled, and the next fault must not hit the process
+	// in between.
+	processMu sync.Mutex
 }
 
-// run is a run under way.
+// run is the state of a run in progress.
 type run struct {
-	cfg   Config
-	fleet *lab.Fleet
-	nodes []*node
-	start time.Time
+	cfg       Config
+	fleet     *lab.Fleet
+	nodes     []*node
+	startTime time.Time
 
 	mu sync.Mutex
-	// lives counts the starts of each host's process.
-	lives  []int
-	record Record
+	// incarnations counts the restarts of each host's process.
+	incarnations []int
+	observed     Observations
 }
 
-// Run plays one seed and gives what was seen.
-func Run(ctx context.Context, cfg Config) (*Record, error) {
+// Run runs one seed and returns the observations.
+func Run(ctx context.Context, cfg Config) (*Observations, error) {
 	dir, err := os.MkdirTemp("", "radishhoist-soak")
 	if err != nil {
-		return nil, errors.Wrap(err, "settings of a soak")
+		return nil, errors.Wrap(err, "create soak settings directory")
 	}
 	defer func() { _ = os.RemoveAll(dir) }()
-	r := &run{cfg: cfg, fleet: lab.NewFleet(ctx, cfg.Bin, dir, cfg.Logs), lives: make([]int, cfg.Hosts)}
-	r.record = Record{Runs: make(map[string]int), Length: cfg.Length, Bound: applyWithin}
+	r := &run{cfg: cfg, fleet: lab.NewFleet(ctx, cfg.Bin, dir, cfg.Logs), incarnations: make([]int, cfg.Hosts)}
+	r.observed = Observations{Runs: make(map[string]int), Length: cfg.Length, ApplyWithin: applyWithin}
 	defer r.stop()
-	if err := r.begin(ctx); err != nil {
+	if err := r.startFleet(ctx); err != nil {
 		return nil, err
 	}
-	r.play(ctx)
+	r.runTraffic(ctx)
 	if ctx.Err() != nil {
-		return nil, errors.Wrap(ctx.Err(), "the run was broken off")
+		return nil, errors.Wrap(ctx.Err(), "soak run cancelled")
 	}
-	return &r.record, r.countRuns()
+	return &r.observed, r.collectRuns()
 }
 
 func (r *run) stop() {
@@ -111,8 +110,8 @@
 	}
 }
 
-// begin starts the platform and the fleet, and waits until all serve.
-func (r *run) begin(ctx context.Context) error {
+// startFleet starts the platform and the hosts and waits until all of them serve.
+func (r *run) startFleet(ctx context.Context) error {
 	if err := r.fleet.StartPlatform(r.address(1)); err != nil {
 		return err
 	}
@@ -136,65 +135,65 @@
 			return err
 		}
 	}
-	return r.fleet.UntilServing(startPatience, map[string]int{service: r.cfg.Hosts})
+	return r.fleet.UntilServing(startTimeout, map[string]int{service: r.cfg.Hosts})
 }
 
 func (r *run) address(n int) string { return fmt.Sprintf("127.0.%d.%d", r.cfg.Net, n) }
 
-// play lets traffic, changes and faults go on for the length of the run.
-func (r *run) play(ctx context.Context) {
+// runTraffic runs traffic, changes and faults for the length of the run.
+func (r *run) runTraffic(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, r.cfg.Length)
 	defer cancel()
-	r.start = time.Now()
+	r.startTime = time.Now()
 	var wg sync.WaitGroup
 	for i := range r.nodes {
 		for c := range callers {
-			wg.Go(func() { r.call(ctx, i, c) })
+			wg.Go(func() { r.sendRequests(ctx, i, c) })
 		}
-		wg.Go(func() { r.sample(ctx, i) })
+		wg.Go(func() { r.sampleVersions(ctx, i) })
 	}
-	wg.Go(func() { r.change(ctx) })
-	wg.Go(func() { r.callFatal(ctx) })
+	wg.Go(func() { r.writeChanges(ctx) })
+	wg.Go(func() { r.sendFatalRequests(ctx) })
 	for _, f := range Schedule(r.cfg.Seed, r.cfg.Hosts, r.cfg.Length) {
 		wg.Go(func() { r.inject(ctx, f) })
 	}
 	wg.Wait()
 }
 
-func (r *run) now() time.Duration { return time.Since(r.start) }
+func (r *run) elapsed() time.Duration { return time.Since(r.startTime) }
 
-// inject brings a fault about, and its end, and notes when both were.
+// inject starts and ends a fault and records the actual times.
 func (r *run) inject(ctx context.Context, f Fault) {
-	over := f.End()
-	if !sleep.For(ctx, f.At-r.now()) {
+	endAt := f.End()
+	if !sleep.For(ctx, f.At-r.elapsed()) {
 		return
 	}
-	if f.Kind.ofDaemon() {
+	if f.Kind.affectsDaemon() {
 		n := r.nodes[f.Host]
-		n.process.Lock()
-		defer n.process.Unlock()
+		n.processMu.Lock()
+		defer n.processMu.Unlock()
 	}
-	f.At = r.now()
-	if f.At >= over {
-		return // the fault before has taken its whole time
+	f.At = r.elapsed()
+	if f.At >= endAt {
+		return // the previous fault lasted beyond the end of this one
 	}
-	end := r.begins(f)
+	end := r.applyFault(f)
 	r.mu.Lock()
-	index := len(r.record.Faults)
-	// Until its end is known it lasts.
+	index := len(r.observed.Faults)
+	// The fault counts as active until its actual end is recorded.
 	lasting := f
-	lasting.For = r.cfg.Length
-	r.record.Faults = append(r.record.Faults, lasting)
+	lasting.Length = r.cfg.Length
+	r.observed.Faults = append(r.observed.Faults, lasting)
 	r.mu.Unlock()
-	sleep.For(ctx, over-f.At)
+	sleep.For(ctx, endAt-f.At)
 	end()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.record.Faults[index].For = r.now() - f.At
+	r.observed.Faults[index].Length = r.elapsed() - f.At
 }
 
-// begins brings a fault about and gives what ends it.
-func (r *run) begins(f Fault) (end func()) {
+// applyFault starts a fault and returns the function that ends it.
+func (r *run) applyFault(f Fault) (end func()) {
 	n := r.nodes[f.Host]
 	switch f.Kind {
 	case Kill, Terminate:
@@ -203,13 +202,13 @@
 			sig = syscall.SIGTERM
 		}
 		_ = n.host.Daemon.Signal(sig)
-		return func() { r.startAgain(f.Host) }
+		return func() { r.restart(f.Host) }
 	case Pause:
 		_ = n.host.Daemon.Signal(syscall.SIGSTOP)
 		return func() { _ = n.host.Daemon.Signal(syscall.SIGCONT) }
 	case CutSilent, CutReset, CutSlow:
-		n.link.set(f.Kind)
-		return func() { n.link.set("") }
+		n.link.setMode(f.Kind)
+		return func() { n.link.setMode("") }
 	case TargetFails, TargetSlow, TargetCuts:
 		_ = n.target.Set(behaviours[f.Kind])
 		return func() { _ = n.target.Set(target.Behaviour{Mode: target.Good}) }
@@ -219,61 +218,62 @@
 	}
 }
 
-var behaviours = map[Kind]target.Behaviour{
+var behaviours = map[FaultKind]target.Behaviour{
 	TargetFails: {Mode: target.Errors, Share: 0.8},
 	TargetSlow:  {Mode: target.Slow, Factor: 20},
 	TargetCuts:  {Mode: target.Truncate, Share: 0.5},
 }
 
-var platformFaults = map[Kind]platformd.Faults{
+var platformFaults = map[FaultKind]platformd.Faults{
 	PlatformSilent:  {Silent: true},
 	PlatformRefuses: {Outage: true},
 	PlatformSlow:    {SlowMS: 200},
 }
 
-// startAgain starts a host's daemon again, once it has ended.
-func (r *run) startAgain(host int) {
+// restart starts a host's daemon again once the old process has exited, killing that process
+// if it does not exit in time.
+func (r *run) restart(host int) {
 	h := r.nodes[host].host
-	if ended, _ := h.Daemon.Wait(stopPatience); !ended {
+	if ended, _ := h.Daemon.Wait(stopTimeout); !ended {
 		_ = h.Daemon.Signal(syscall.SIGKILL)
-		_, _ = h.Daemon.Wait(stopPatience)
+		_, _ = h.Daemon.Wait(stopTimeout)
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.lives[host]++
+	r.incarnations[host]++
 	if err := r.fleet.Restart(h); err != nil {
 		fmt.Fprintln(r.cfg.Logs, "soak:", err)
 	}
 }
 
-func (r *run) life(host int) int {
+func (r *run) incarnation(host int) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.lives[host]
+	return r.incarnations[host]
 }
 
-// sample looks at what a host has in force, again and again. A look in which the
-// process was started again counts for nothing.
-func (r *run) sample(ctx context.Context, host int) {
-	for sleep.For(ctx, samplePause) {
-		life, asked := r.life(host), r.now()
+// sampleVersions polls the version in force at a host. Samples during which the process was
+// restarted are discarded.
+func (r *run) sampleVersions(ctx context.Context, host int) {
+	for sleep.For(ctx, sampleInterval) {
+		incarnation, queriedAt := r.incarnation(host), r.elapsed()
 		status, err := r.nodes[host].host.Status()
-		if err != nil || r.life(host) != life {
+		if err != nil || r.incarnation(host) != incarnation {
 			continue
 		}
 		r.mu.Lock()
-		r.record.Samples = append(r.record.Samples, Sample{Host: host, Life: life, Asked: asked, Version: status.Control.Newest})
+		r.observed.Samples = append(r.observed.Samples, Sample{Host: host, Incarnation: incarnation, QueriedAt: queriedAt, Version: status.Control.Newest})
 		r.mu.Unlock()
 	}
 }
 
-// change writes one record after the other, past the proxies, as an operator elsewhere
-// would. What was not acknowledged binds nobody.
-func (r *run) change(ctx context.Context) {
+// writeChanges repeatedly writes a record directly to the platform, bypassing the proxies.
+// Only acknowledged changes have to be in force in time.
+func (r *run) writeChanges(ctx context.Context) {
 	client := objects.NewClient(r.fleet.Platform, time.Second)
 	defer client.Close()
 	key := record.Key{Kind: record.KindTeam, Name: "soak"}
-	for n := 1; sleep.For(ctx, changePause); n++ {
+	for n := 1; sleep.For(ctx, changeInterval); n++ {
 		value, err := record.Marshal(key, &record.Team{Office: "soak", RatePerSecond: float64(1000 + n)})
 		if err != nil {
 			panic("soak: " + err.Error())
@@ -288,57 +288,56 @@
 			continue
 		}
 		r.mu.Lock()
-		r.record.Acked = append(r.record.Acked, Acked{Version: written.Version, At: r.now()})
+		r.observed.Acked = append(r.observed.Acked, AckedChange{Version: written.Version, At: r.elapsed()})
 		r.mu.Unlock()
 	}
 }
 
-// call sends one request after the other over a connection that is kept for as long as
-// the host keeps it.
-func (r *run) call(ctx context.Context, host, caller int) {
-	client := &http.Client{Timeout: callerPatience, Transport: &http.Transport{MaxIdleConnsPerHost: 1}}
+// sendRequests sends one request after the other over a persistent connection.
+func (r *run) sendRequests(ctx context.Context, host, caller int) {
+	client := &http.Client{Timeout: callerTimeout, Transport: &http.Transport{MaxIdleConnsPerHost: 1}}
 	defer client.CloseIdleConnections()
-	for n := 0; sleep.For(ctx, callPause); n++ {
-		req := Request{Mark: fmt.Sprintf("h%d-c%d-%d", host, caller, n), Host: host, Idempotent: n%2 == 0, Sent: r.now()}
+	for n := 0; sleep.For(ctx, callInterval); n++ {
+		req := Request{Mark: fmt.Sprintf("h%d-c%d-%d", host, caller, n), Host: host, Idempotent: n%2 == 0, Sent: r.elapsed()}
 		r.send(client, &req, "/plans/7")
-		req.Done = r.now()
+		req.Done = r.elapsed()
 		r.mu.Lock()
-		r.record.Requests = append(r.record.Requests, req)
+		r.observed.Requests = append(r.observed.Requests, req)
 		r.mu.Unlock()
 	}
 }
 
 const (
-	// fatalPause is the mean pause between two sends of the request that ends its
-	// instances, and fatalPart the part of the run at whose begin it comes first.
-	fatalPause = 300 * time.Millisecond
-	fatalPart  = 0.15
+	// meanFatalInterval is the mean time between two sends of the fatal request, and
+	// fatalStartShare the share of the run before the first one.
+	meanFatalInterval = 300 * time.Millisecond
+	fatalStartShare   = 0.15
 )
 
-// callFatal sends the request that ends the instances that run it, again and again, from
-// one host after the other.
-func (r *run) callFatal(ctx context.Context) {
+// sendFatalRequests repeatedly sends the request that crashes the instances that run it,
+// each time to a random host.
+func (r *run) sendFatalRequests(ctx context.Context) {
 	rng := rand.New(rand.NewPCG(r.cfg.Seed, 2))
-	client := &http.Client{Timeout: callerPatience, Transport: &http.Transport{DisableKeepAlives: true}}
-	if !sleep.For(ctx, time.Duration(fatalPart*float64(r.cfg.Length))) {
+	client := &http.Client{Timeout: callerTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
+	if !sleep.For(ctx, time.Duration(fatalStartShare*float64(r.cfg.Length))) {
 		return
 	}
 	var wg sync.WaitGroup
-	for n := 0; sleep.For(ctx, time.Duration(rng.ExpFloat64()*float64(fatalPause))); n++ {
-		req := Request{Mark: fmt.Sprintf("fatal-%d", n), Host: rng.IntN(r.cfg.Hosts), Fatal: true, Idempotent: true, Sent: r.now()}
+	for n := 0; sleep.For(ctx, time.Duration(rng.ExpFloat64()*float64(meanFatalInterval))); n++ {
+		req := Request{Mark: fmt.Sprintf("fatal-%d", n), Host: rng.IntN(r.cfg.Hosts), Fatal: true, Idempotent: true, Sent: r.elapsed()}
 		wg.Go(func() {
 			r.send(client, &req, "/plans"+target.FatalPath)
-			req.Done = r.now()
+			req.Done = r.elapsed()
 			r.mu.Lock()
 			defer r.mu.Unlock()
-			r.record.Requests = append(r.record.Requests, req)
+			r.observed.Requests = append(r.observed.Requests, req)
 		})
 	}
 	wg.Wait()
 }
 
-// send makes one request and notes its answer. It is not cut short by the end of the
-// run.
+// send sends one request and records its answer. It does not take the context of the run, so
+// that the end of the run does not cancel it.
 func (r *run) send(client *http.Client, req *Request, path string) {
 	method := http.MethodPost
 	if req.Idempotent {
@@ -360,21 +359,21 @@
 	}
 	req.Status, req.Verdict = resp.StatusCode, resp.Header.Get(verdict.Header)
 	req.Stopped = strings.Contains(string(body), string(verdict.ReasonCrashesTargets))
-	req.Own = resp.StatusCode == http.StatusOK && strings.Contains(string(body), "mark="+req.Mark+" ")
+	req.Served = resp.StatusCode == http.StatusOK && strings.Contains(string(body), "mark="+req.Mark+" ")
 }
 
-// countRuns adds up the runs of each request at the instances.
-func (r *run) countRuns() error {
+// collectRuns adds up the runs of each request over all instances.
+func (r *run) collectRuns() error {
 	for _, n := range r.nodes {
 		runs, err := n.target.Runs()
 		if err != nil {
-			return errors.Wrapf(err, "runs of %s", n.target.Name)
+			return errors.Wrapf(err, "get runs of %s", n.target.Name)
 		}
 		for mark, count := range runs.ByMark {
-			r.record.Runs[mark] += count
+			r.observed.Runs[mark] += count
 		}
 		for _, ms := range runs.Ends {
-			r.record.Ends = append(r.record.Ends, time.UnixMilli(ms).Sub(r.start))
+			r.observed.Ends = append(r.observed.Ends, time.UnixMilli(ms).Sub(r.startTime))
 		}
 	}
 	return nil
--- a/internal/soak/run_test.go
+++ b/internal/soak/run_test.go
@@ -14,8 +14,8 @@
 	"github.com/radishhoist/radishhoist/internal/logtest"
 )
 
-// A short run of a seed that has every class of fault: the long runs are started by hand.
-func TestAShortSoakKeepsThePromises(t *testing.T) {
+// A short run of a seed with every class of fault. Long runs are started manually.
+func TestShortSoakHasNoViolations(t *testing.T) {
 	bin := t.TempDir()
 	build := exec.Command("go", "build", "-o", bin, "../../cmd/...")
 	out, err := build.CombinedOutput()
@@ -24,12 +24,12 @@
 	r, err := Run(context.Background(), Config{Bin: bin, Seed: 7, Hosts: 6, Length: 20 * time.Second, Net: 71, Logs: logs})
 	assert.NilError(t, err)
 	var report bytes.Buffer
-	broken := r.Report(&report, 7)
+	violations := r.Report(&report, 7)
 	t.Log(report.String())
-	if len(broken) > 0 {
+	if len(violations) > 0 {
 		path := filepath.Join(os.TempDir(), "radishhoist-soak-7.log")
 		assert.NilError(t, os.WriteFile(path, []byte(logs.String()), 0o600))
-		t.Fatalf("%d promises broken; the processes' logs are in %s", len(broken), path)
+		t.Fatalf("%d violations; the logs of the processes are in %s", len(violations), path)
 	}
 	assert.Assert(t, len(r.Faults) > 5 && len(r.Acked) > 5 && len(r.Samples) > 100 && len(r.Requests) > 500)
 }
--- a/internal/soak/schedule.go
+++ b/internal/soak/schedule.go
@@ -1,9 +1,9 @@
-// Package soak runs real programs as separate processes on loopback addresses under a
-// seeded schedule of faults that come from outside them, and checks the promises from
-// what callers, instances and operators see.
+// Package soak runs the real programs as separate processes on loopback addresses, injects
+// faults from outside by a seeded schedule, and checks invariants on what callers, instances
+// and operators observe.
 //
-// One seed gives one schedule. What happens within it depends on the machine: a seed
-// that failed is played again, and kept as a case once its cause is known.
+// A seed determines the schedule, but the interleaving of a run depends on the machine: rerun
+// a seed that failed, and add a regression test once the cause is known.
 package soak
 
 import (
@@ -13,136 +13,141 @@
 	"time"
 )
 
-// Kind is what a fault does.
-type Kind string
+// FaultKind is the kind of a fault.
+type FaultKind string
 
 // The kinds of fault.
 const (
-	// Kill ends a daemon at once and starts it again at the fault's end.
-	Kill Kind = "kill"
-	// Terminate stops a daemon as planned, with the time it needs, and starts it again.
-	Terminate Kind = "terminate"
-	// Pause stops a daemon in its tracks until the fault's end.
-	Pause Kind = "pause"
-	// CutSilent lets nothing through between a host and the platform, without a word;
-	// connections of that time stay dead.
-	CutSilent Kind = "cut-silent"
-	// CutReset resets a host's connections to the platform, new ones too.
-	CutReset Kind = "cut-reset"
-	// CutSlow delays what goes between a host and the platform.
-	CutSlow Kind = "cut-slow"
-	// PlatformSilent, PlatformRefuses and PlatformSlow befall the platform itself.
-	PlatformSilent  Kind = "platform-silent"
-	PlatformRefuses Kind = "platform-refuses"
-	PlatformSlow    Kind = "platform-slow"
-	// TargetFails, TargetSlow and TargetCuts befall the instance of a host.
-	TargetFails Kind = "target-fails"
-	TargetSlow  Kind = "target-slow"
-	TargetCuts  Kind = "target-cuts"
+	// Kill sends SIGKILL to a daemon and restarts it at the end of the fault.
+	Kill FaultKind = "kill"
+	// Terminate sends SIGTERM to a daemon, which then drains, and restarts it at the end of
+	// the fault.
+	Terminate FaultKind = "terminate"
+	// Pause suspends a daemon with SIGSTOP until the end of the fault.
+	Pause FaultKind = "pause"
+	// CutSilent drops all data between a host and the platform without closing the
+	// connections; connections open at that time stay silent.
+	CutSilent FaultKind = "cut-silent"
+	// CutReset resets a host's connections to the platform, including new ones.
+	CutReset FaultKind = "cut-reset"
+	// CutSlow delays all data between a host and the platform.
+	CutSlow FaultKind = "cut-slow"
+	// PlatformSilent, PlatformRefuses and PlatformSlow are faults of the platform itself.
+	PlatformSilent  FaultKind = "platform-silent"
+	PlatformRefuses FaultKind = "platform-refuses"
+	PlatformSlow    FaultKind = "platform-slow"
+	// TargetFails, TargetSlow and TargetCuts are faults of a host's instance.
+	TargetFails FaultKind = "target-fails"
+	TargetSlow  FaultKind = "target-slow"
+	TargetCuts  FaultKind = "target-cuts"
 )
 
-var kinds = []Kind{
+var faultKinds = []FaultKind{
 	Kill, Terminate, Pause, CutSilent, CutReset, CutSlow, PlatformSilent, PlatformRefuses, PlatformSlow,
 	TargetFails, TargetSlow, TargetCuts,
 }
 
-// ofPlatform says that a fault befalls no single host.
-func (k Kind) ofPlatform() bool {
+// affectsPlatform reports whether the fault affects the platform rather than one host.
+func (k FaultKind) affectsPlatform() bool {
 	return k == PlatformSilent || k == PlatformRefuses || k == PlatformSlow
 }
 
-// ofTarget says that a fault befalls an instance, which disturbs no daemon.
-func (k Kind) ofTarget() bool { return k == TargetFails || k == TargetSlow || k == TargetCuts }
+// affectsTarget reports whether the fault affects an instance, leaving the daemons undisturbed.
+func (k FaultKind) affectsTarget() bool {
+	return k == TargetFails || k == TargetSlow || k == TargetCuts
+}
 
-// ofDaemon says that a fault befalls the process of a host.
-func (k Kind) ofDaemon() bool { return k == Kill || k == Terminate || k == Pause }
+// affectsDaemon reports whether the fault affects the daemon process of a host.
+func (k FaultKind) affectsDaemon() bool { return k == Kill || k == Terminate || k == Pause }
 
-// Fault is one fault of a schedule; times count from the start of traffic.
+// Fault is one fault of a schedule. Times are relative to the start of traffic.
 type Fault struct {
-	Kind Kind
-	// Host is the number of the host, of no meaning for faults of the platform.
-	Host    int
-	At, For time.Duration
+	Kind FaultKind
+	// Host is the index of the host, unused for platform faults.
+	Host       int
+	At, Length time.Duration
 }
 
-// End is when the fault is over.
-func (f Fault) End() time.Duration { return f.At + f.For }
+// End returns the time at which the fault ends.
+func (f Fault) End() time.Duration { return f.At + f.Length }
 
-// String is the fault as a report shows it.
+// String formats the fault for the report.
 func (f Fault) String() string {
 	where := fmt.Sprintf("host %d", f.Host)
-	if f.Kind.ofPlatform() {
+	if f.Kind.affectsPlatform() {
 		where = "platform"
 	}
-	return fmt.Sprintf("%6.2f s  %s for %.2f s, %s", f.At.Seconds(), f.Kind, f.For.Seconds(), where)
+	return fmt.Sprintf("%6.2f s  %s for %.2f s, %s", f.At.Seconds(), f.Kind, f.Length.Seconds(), where)
 }
 
 const (
-	// firstFault leaves the fleet time to serve calmly.
+	// firstFault is the time of the first fault, so that the fleet first serves undisturbed.
 	firstFault = time.Second
-	// calmEnd is the time without faults at the end, in which the fleet must serve.
-	calmEnd = 8 * time.Second
-	// gapMost bounds the time between the begins of two faults: they overlap.
-	gapMost = 1200 * time.Millisecond
-	// faultLeast and faultMost bound the length of one.
-	faultLeast = 300 * time.Millisecond
-	faultMost  = 5 * time.Second
+	// faultFreeEnd is the time without faults at the end of a run, in which the fleet must
+	// recover and serve.
+	faultFreeEnd = 8 * time.Second
+	// maxFaultGap limits the time between the starts of two faults; it is below
+	// maxFaultLength, so that faults overlap.
+	maxFaultGap    = 1200 * time.Millisecond
+	minFaultLength = 300 * time.Millisecond
+	maxFaultLength = 5 * time.Second
 )
 
-// Schedule draws the faults of a seed. At most one fault at a time befalls one host's
-// process, one its link, one its instance, and one the platform; more than half of the
-// processes are never gone at once.
+// Schedule generates the faults of a seed. At any time there is at most one fault each of a
+// host's process, its link and its instance, and one of the platform. More than half of the
+// processes are never down at once.
 func Schedule(seed uint64, hosts int, length time.Duration) []Fault {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	var out []Fault
-	for at := firstFault; ; at += time.Duration(rng.Int64N(int64(gapMost))) {
-		f := Fault{Kind: kinds[rng.IntN(len(kinds))], Host: rng.IntN(hosts), At: at}
-		f.For = faultLeast + time.Duration(rng.Int64N(int64(faultMost-faultLeast)))
-		if f.At >= length-calmEnd-faultLeast {
+	for at := firstFault; ; at += time.Duration(rng.Int64N(int64(maxFaultGap))) {
+		f := Fault{Kind: faultKinds[rng.IntN(len(faultKinds))], Host: rng.IntN(hosts), At: at}
+		f.Length = minFaultLength + time.Duration(rng.Int64N(int64(maxFaultLength-minFaultLength)))
+		if f.At >= length-faultFreeEnd-minFaultLength {
 			return out
 		}
-		f.For = min(f.For, length-calmEnd-f.At)
+		f.Length = min(f.Length, length-faultFreeEnd-f.At)
 		if fits(out, f, hosts) {
 			out = append(out, f)
 		}
 	}
 }
 
-// fits says that a fault can be laid beside those before it.
+// fits reports whether a fault may be scheduled in addition to the earlier ones.
 func fits(before []Fault, f Fault, hosts int) bool {
-	gone := 0
+	down := 0
 	for _, b := range before {
-		if b.End()+b.settling() < f.At {
+		if b.End()+b.cooldown() < f.At {
 			continue
 		}
-		if b.Kind.ofDaemon() {
-			gone++
+		if b.Kind.affectsDaemon() {
+			down++
 		}
-		if b.class() == f.class() && (f.Kind.ofPlatform() || b.Host == f.Host) {
+		if b.class() == f.class() && (f.Kind.affectsPlatform() || b.Host == f.Host) {
 			return false
 		}
 	}
-	return !f.Kind.ofDaemon() || gone < hosts/2
+	return !f.Kind.affectsDaemon() || down < hosts/2
 }
 
 const (
-	// restarting is what a process takes until the next fault may befall it.
-	restarting = time.Second
-	// judging is the time after a fault of the platform in which a change can be found
-	// late: bounds hold again after stable. With the next fault a second later the
-	// platform was disturbed nearly all the time, which excused all hosts.
-	judging = stable + 3*time.Second
+	// restartCooldown is the least time between two faults of the same process, link or
+	// instance, which a process needs to restart.
+	restartCooldown = time.Second
+	// platformCooldown is the least time between two platform faults. It leaves 3 s after
+	// settlePeriod in which late changes are detected. With a cooldown of 1 s the platform
+	// was disturbed nearly all the time, which excused all hosts.
+	platformCooldown = settlePeriod + 3*time.Second
 )
 
-// settling is the time after a fault until the next of its class may come.
-func (f Fault) settling() time.Duration {
-	if f.Kind.ofPlatform() {
-		return judging
+// cooldown is the least time between the end of a fault and the next fault of its class.
+func (f Fault) cooldown() time.Duration {
+	if f.Kind.affectsPlatform() {
+		return platformCooldown
 	}
-	return restarting
+	return restartCooldown
 }
 
-// class is what a fault befalls.
+// class identifies the component that the fault affects: platform, instance, process or link.
 func (f Fault) class() int {
-	return slices.Index([]bool{f.Kind.ofPlatform(), f.Kind.ofTarget(), f.Kind.ofDaemon(), true}, true)
+	return slices.Index([]bool{f.Kind.affectsPlatform(), f.Kind.affectsTarget(), f.Kind.affectsDaemon(), true}, true)
 }
