--- a/internal/experiment/baseline.go
+++ b/internal/experiment/baseline.go
@@ -4,139 +4,140 @@
 	"time"
 )
 
-// Baseline is one of the simple policies to compare with. Fronts call
-// instances directly; an instance queues without bound.
+// Baseline is a simple policy for comparison. Fronts call instances directly, and the queue
+// of an instance is unbounded.
 type Baseline struct {
 	Name string
-	// Consecutive ejects after that many failures in a row, 0 for never.
-	Consecutive int
-	// SlowFactor ejects where a target's mean exceeds that factor times the
-	// mean of all, 0 for never.
+	// ConsecutiveFailures is the number of failures in a row that ejects an instance, 0 for
+	// never.
+	ConsecutiveFailures int
+	// SlowFactor ejects an instance whose mean service time exceeds the mean of the other
+	// instances by this factor, 0 for never.
 	SlowFactor float64
-	// Cap bounds the share of instances that may be out, 0 for no bound.
-	Cap float64
+	// MaxEjectedShare limits the share of instances ejected at once, 0 for no limit.
+	MaxEjectedShare float64
 }
 
-// Baselines are the policies measured beside ours.
+// Baselines are the policies compared with radishhoist.
 var Baselines = []Baseline{
 	{Name: "round robin"},
-	{Name: "5 errors in a row", Consecutive: 5},
-	{Name: "5 errors, cap 10%", Consecutive: 5, Cap: 0.1},
+	{Name: "5 errors in a row", ConsecutiveFailures: 5},
+	{Name: "5 errors, cap 10%", ConsecutiveFailures: 5, MaxEjectedShare: 0.1},
 	{Name: "latency over 3x", SlowFactor: 3},
-	{Name: "latency 3x, cap 10%", SlowFactor: 3, Cap: 0.1},
+	{Name: "latency 3x, cap 10%", SlowFactor: 3, MaxEjectedShare: 0.1},
 }
 
-// ejectFor is how long a baseline leaves an instance out.
-const ejectFor = 30 * time.Second
+// ejectionTime is the time for which a baseline ejects an instance.
+const ejectionTime = 30 * time.Second
 
-type baseline struct {
-	*world
-	policy Baseline
-	insts  []*plainInstance
-	fronts []*plainFront
+type baselineSim struct {
+	*simulation
+	policy    Baseline
+	instances []*baselineInstance
+	fronts    []*baselineFront
 }
 
-type plainInstance struct {
+type baselineInstance struct {
 	busy  int
-	queue []*plainTry
+	queue []*baselineAttempt
 }
 
-type plainFront struct {
+type baselineFront struct {
 	index int
 	next  int
-	stats []plainStat
+	stats []targetStats
 }
 
-type plainStat struct {
-	failures int
-	mean     time.Duration
-	outUntil time.Duration
+type targetStats struct {
+	failures     int
+	mean         time.Duration
+	ejectedUntil time.Duration
 }
 
-type plainTry struct {
-	front    *plainFront
-	instance int
-	arrived  time.Duration
-	retry    bool
-	idem     bool
-	over     bool
+type baselineAttempt struct {
+	front      *baselineFront
+	instance   int
+	arrived    time.Duration
+	retry      bool
+	idempotent bool
+	finished   bool
 }
 
-func newBaseline(w *world, p Baseline) *baseline {
-	b := &baseline{world: w, policy: p}
-	for range w.site.Instances {
-		b.insts = append(b.insts, &plainInstance{})
+func newBaselineSim(sim *simulation, p Baseline) *baselineSim {
+	b := &baselineSim{simulation: sim, policy: p}
+	for range sim.site.Instances {
+		b.instances = append(b.instances, &baselineInstance{})
 	}
-	for i := range w.site.Fronts {
-		b.fronts = append(b.fronts, &plainFront{index: i, next: w.rng.IntN(w.site.Instances), stats: make([]plainStat, w.site.Instances)})
+	for i := range sim.site.Fronts {
+		b.fronts = append(b.fronts, &baselineFront{index: i, next: sim.rng.IntN(sim.site.Instances), stats: make([]targetStats, sim.site.Instances)})
 	}
 	return b
 }
 
-func (b *baseline) send() {
-	b.m.fresh++
+func (b *baselineSim) send() {
+	b.m.requests++
 	f := b.fronts[b.rng.IntN(len(b.fronts))]
-	b.try(&plainTry{front: f, arrived: b.now, idem: b.rng.Float64() < idempotentShare})
+	b.sendAttempt(&baselineAttempt{front: f, arrived: b.now, idempotent: b.rng.Float64() < idempotentShare})
 }
 
-// try sends to the next target in turn that is not out.
-func (b *baseline) try(t *plainTry) {
+// sendAttempt sends to the next instance in turn that is not ejected.
+func (b *baselineSim) sendAttempt(t *baselineAttempt) {
 	f := t.front
 	t.instance = f.next
-	for range b.insts {
+	for range b.instances {
 		t.instance = f.next
-		f.next = (f.next + 1) % len(b.insts)
-		if b.now >= f.stats[t.instance].outUntil {
+		f.next = (f.next + 1) % len(b.instances)
+		if b.now >= f.stats[t.instance].ejectedUntil {
 			break
 		}
 	}
-	b.after(b.path(f.index, t.instance), func() { b.arrive(t) })
-	b.after(max(deadline-(b.now-t.arrived), 0), func() { b.end(t, false, deadline) })
+	b.schedule(b.path(f.index, t.instance), func() { b.arrive(t) })
+	b.schedule(max(deadline-(b.now-t.arrived), 0), func() { b.finish(t, false, deadline) })
 }
 
-func (b *baseline) arrive(t *plainTry) {
-	inst := b.insts[t.instance]
+func (b *baselineSim) arrive(t *baselineAttempt) {
+	inst := b.instances[t.instance]
 	inst.queue = append(inst.queue, t)
-	b.fill(t.instance)
+	b.startQueued(t.instance)
 }
 
-func (b *baseline) fill(i int) {
-	inst := b.insts[i]
+func (b *baselineSim) startQueued(i int) {
+	inst := b.instances[i]
 	for inst.busy < b.site.Slots && len(inst.queue) > 0 {
 		t := inst.queue[0]
 		inst.queue = inst.queue[1:]
 		inst.busy++
-		b.worked(i)
+		b.countStart(i)
 		took := b.serviceTime(i)
 		if b.stuck(i) {
 			took = time.Hour
 		}
 		failed := b.fails(i)
-		b.after(took, func() {
+		b.schedule(took, func() {
 			inst.busy--
 			if !b.cut(i) {
-				b.after(b.path(t.front.index, i), func() { b.end(t, !failed, took) })
+				b.schedule(b.path(t.front.index, i), func() { b.finish(t, !failed, took) })
 			}
-			b.fill(i)
+			b.startQueued(i)
 		})
 	}
 }
 
-// end is an answer, a failure or the deadline at the front.
-func (b *baseline) end(t *plainTry, ok bool, took time.Duration) {
-	if t.over {
+// finish handles an answer, a failure or the deadline at the front.
+func (b *baselineSim) finish(t *baselineAttempt, ok bool, took time.Duration) {
+	if t.finished {
 		return
 	}
-	t.over = true
-	b.judge(t.front, t.instance, ok, took)
-	if !ok && t.idem && !t.retry && b.now-t.arrived < deadline {
-		b.try(&plainTry{front: t.front, arrived: t.arrived, retry: true, idem: true})
+	t.finished = true
+	b.recordOutcome(t.front, t.instance, ok, took)
+	if !ok && t.idempotent && !t.retry && b.now-t.arrived < deadline {
+		b.sendAttempt(&baselineAttempt{front: t.front, arrived: t.arrived, retry: true, idempotent: true})
 		return
 	}
-	b.done(t.arrived, ok)
+	b.countAnswer(t.arrived, ok)
 }
 
-func (b *baseline) judge(f *plainFront, i int, ok bool, took time.Duration) {
+func (b *baselineSim) recordOutcome(f *baselineFront, i int, ok bool, took time.Duration) {
 	s := &f.stats[i]
 	if ok {
 		s.failures = 0
@@ -147,7 +148,7 @@
 		s.mean = took
 	}
 	s.mean += (took - s.mean) / 5
-	bad := b.policy.Consecutive > 0 && s.failures >= b.policy.Consecutive
+	bad := b.policy.ConsecutiveFailures > 0 && s.failures >= b.policy.ConsecutiveFailures
 	if b.policy.SlowFactor > 0 {
 		var sum time.Duration
 		n := 0
@@ -159,40 +160,41 @@
 		}
 		bad = bad || n > 0 && float64(s.mean) > b.policy.SlowFactor*float64(sum)/float64(n)
 	}
-	if !bad || b.now < s.outUntil || b.overCap(f) {
+	if !bad || b.now < s.ejectedUntil || b.exceedsCap(f) {
 		return
 	}
-	s.outUntil, s.failures, s.mean = b.now+ejectFor, 0, 0
-	if i != 0 || b.now < FaultAt || !b.fault.gray() && b.fault != Flapping && b.fault != SlowPath {
-		b.m.falseOut++
+	s.ejectedUntil, s.failures, s.mean = b.now+ejectionTime, 0, 0
+	if i != 0 || b.now < FaultStart || !b.fault.isGray() && b.fault != Flapping && b.fault != SlowPath {
+		b.m.falseEjections++
 	}
-	b.measure(f)
+	b.measureMargin(f)
 }
 
-func (b *baseline) overCap(f *plainFront) bool {
-	if b.policy.Cap == 0 {
+func (b *baselineSim) exceedsCap(f *baselineFront) bool {
+	if b.policy.MaxEjectedShare == 0 {
 		return false
 	}
-	out := 1
+	ejected := 1
 	for k := range f.stats {
-		if b.now < f.stats[k].outUntil {
-			out++
+		if b.now < f.stats[k].ejectedUntil {
+			ejected++
 		}
 	}
-	return float64(out) > max(b.policy.Cap*float64(len(f.stats)), 1)
+	return float64(ejected) > max(b.policy.MaxEjectedShare*float64(len(f.stats)), 1)
 }
 
-// measure counts ejections that take a front below the floor.
-func (b *baseline) measure(f *plainFront) {
+// measureMargin updates the least margin over the floor and counts ejections that take a
+// front's capacity below it.
+func (b *baselineSim) measureMargin(f *baselineFront) {
 	left := 0
 	for k := range f.stats {
-		if b.now >= f.stats[k].outUntil {
+		if b.now >= f.stats[k].ejectedUntil {
 			left += b.site.Slots
 		}
 	}
 	required := (b.site.Instances*b.site.Slots*b.site.Floor.Percent + 99) / 100
 	if left < required {
-		b.m.floorBreaks++
+		b.m.floorViolations++
 	}
-	b.m.unionMargin = min(b.m.unionMargin, left-required)
+	b.m.minMargin = min(b.m.minMargin, left-required)
 }
--- a/internal/experiment/report.go
+++ b/internal/experiment/report.go
@@ -7,24 +7,24 @@
 	"time"
 )
 
-// Options choose what a report runs.
+// Options select what a report runs.
 type Options struct {
-	// Seeds is the number of runs a case; First the first seed. Seeds from
-	// HeldOut on are never used for tuning.
+	// Seeds is the number of runs per case, First the first seed. Seeds from HeldOut on
+	// are reserved for reporting.
 	Seeds int
 	First uint64
-	// NoiseHours is the length of the noise run, in instance-hours; 0 for none.
+	// NoiseHours is the length of the noise run in instance-hours, 0 for none.
 	NoiseHours float64
-	// Large adds the target size.
+	// Large adds LargeSite.
 	Large bool
-	// OursOnly leaves the baselines out.
+	// OursOnly omits the baselines.
 	OursOnly bool
 }
 
-// HeldOut is the first of the seeds that are kept for reporting.
+// HeldOut is the first seed reserved for reporting; only lower seeds may be used for tuning.
 const HeldOut = 1_000_000
 
-// Report runs the cases and writes a Markdown table.
+// Report runs the cases, writes Markdown tables and returns the results.
 func Report(out io.Writer, o Options) []Result {
 	var all []Result
 	policies := Policies()
@@ -36,7 +36,7 @@
 			fmt.Fprintf(out, "\n### %s, %.0f %% load, %d runs a row\n\n%s\n", site.Name, 100*load, o.Seeds, tableHead)
 			for _, fault := range Faults {
 				for _, policy := range policies {
-					r := Case(site, policy, fault, load, o.First, o.Seeds)
+					r := RunCase(site, policy, fault, load, o.First, o.Seeds)
 					all = append(all, r)
 					fmt.Fprintln(out, r.row())
 				}
@@ -44,9 +44,9 @@
 		}
 	}
 	if o.Large {
-		fmt.Fprintf(out, "\n### %s, 1,600 fronts, 40 %% load, 2 runs a row\n\n%s\n", Target.Name, tableHead)
+		fmt.Fprintf(out, "\n### %s, 1,600 fronts, 40 %% load, 2 runs a row\n\n%s\n", LargeSite.Name, tableHead)
 		for _, fault := range []Fault{NoFault, Slow5, Errors, Stuck} {
-			r := Case(Target, "radishhoist", fault, 0.4, o.First, 2)
+			r := RunCase(LargeSite, "radishhoist", fault, 0.4, o.First, 2)
 			all = append(all, r)
 			fmt.Fprintln(out, r.row())
 		}
@@ -54,59 +54,57 @@
 	if o.NoiseHours > 0 {
 		fmt.Fprintf(out, "\n### False ejections under noise\n\n")
 		for _, site := range []Site{Bureau, Registry} {
-			alarms, hours := DefaultNoise(site).Alarms(o.NoiseHours, o.First)
+			alarms, hours := DefaultNoise(site).CountAlarms(o.NoiseHours, o.First)
 			fmt.Fprintf(out, "- %s: %d alarms in %.0f healthy instance-hours, %.2f per 1,000\n", site.Name, alarms, hours, 1000*float64(alarms)/hours)
 		}
 	}
 	return all
 }
 
-// Recovery runs the short spike alone and lists the failures in the last ten
-// seconds of the runs, long after it: a policy that recovers by itself has
-// none.
+// Recovery runs only the short spike and writes the failures in the last ten seconds of the
+// runs, long after the spike. A policy that recovers without intervention has none.
 func Recovery(out io.Writer, o Options) {
 	fmt.Fprintf(out, "| site | load | policy | failed in the last ten seconds, %d runs |\n|---|---|---|---|\n", o.Seeds)
 	for _, site := range []Site{Bureau, Registry} {
 		for _, load := range []float64{0.4, 0.7} {
 			for _, policy := range Policies() {
-				r := Case(site, policy, ShortSpike, load, o.First, o.Seeds)
-				fmt.Fprintf(out, "| %s | %.0f %% | %s | %d |\n", site.Name, 100*load, policy, r.LateFailed)
+				r := RunCase(site, policy, ShortSpike, load, o.First, o.Seeds)
+				fmt.Fprintf(out, "| %s | %.0f %% | %s | %d |\n", site.Name, 100*load, policy, r.TailFailures)
 			}
 		}
 	}
 }
 
-const tableHead = `| fault | policy | detection p50 / p99 | false ejections per instance-hour | failed % | late % | p99 | works per request | least margin over the floor, slots | below floor by ejecting |
+const tableHead = `| fault | policy | detection p50 / p99 | false ejections per instance-hour | failed % | late % | p99 | executions per request | least margin over the floor, slots | ejections below the floor |
 |---|---|---|---|---|---|---|---|---|---|`
 
 func (r Result) row() string {
 	found := "-"
-	if r.Fault.gray() {
+	if r.Fault.isGray() {
 		found = fmt.Sprintf("%s / %s", r.DetectP50, r.DetectP99)
 	}
 	margin := "-"
-	if r.Margin < 1<<30 {
-		margin = fmt.Sprint(r.Margin)
+	if r.MinMargin < 1<<30 {
+		margin = fmt.Sprint(r.MinMargin)
 	}
 	return fmt.Sprintf("| %s | %s | %s | %.2f | %.3f | %.3f | %s | %.3f | %s | %d |",
-		r.Fault, r.Policy, found, r.FalseOut, r.FailedPct, r.LatePct, r.P99.Round(time.Millisecond), r.Works, margin, r.FloorBreaks)
+		r.Fault, r.Policy, found, r.FalseEjections, r.FailedPct, r.LatePct, r.P99.Round(time.Millisecond), r.StartsPerRequest, margin, r.FloorViolations)
 }
 
-// SVG draws the detection time and the p99 of each policy under a slow target,
-// as bars.
+// SVG draws a bar chart of the detection time and the p99 of each policy with one slow target.
 func SVG(results []Result) string {
 	var b strings.Builder
 	const width, barHeight, left = 900, 16, 230
 	var rows []Result
 	for _, r := range results {
-		if r.Fault == Slow5 && r.Load == 0.4 && r.Site != Target.Name {
+		if r.Fault == Slow5 && r.Load == 0.4 && r.Site != LargeSite.Name {
 			rows = append(rows, r)
 		}
 	}
 	height := 60 + len(rows)*2*(barHeight+4) + 20
 	fmt.Fprintf(&b, `<svg xmlns="http://www.w3.org/2000/svg" width="%d" height="%d" font-family="sans-serif" font-size="12">`+"\n", width, height)
 	b.WriteString(`<rect width="100%" height="100%" fill="white"/>` + "\n")
-	b.WriteString(`<text x="10" y="20" font-size="14">One target five times slower, 40 % load: time to leave it out (dark, s, 30 = never) and p99 of answers (light, ms)</text>` + "\n")
+	b.WriteString(`<text x="10" y="20" font-size="14">One target five times slower, 40 % load: time until it is ejected (dark, s, 30 = never) and p99 of answers (light, ms)</text>` + "\n")
 	y := 45
 	for _, r := range rows {
 		fmt.Fprintf(&b, `<text x="10" y="%d">%s: %s</text>`+"\n", y+12, r.Site, r.Policy)
--- a/internal/experiment/run.go
+++ b/internal/experiment/run.go
@@ -11,30 +11,30 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Result sums up the runs of one policy in one case.
+// Result summarizes the runs of one policy in one case.
 type Result struct {
 	Site, Policy string
 	Fault        Fault
 	Load         float64
 	Runs         int
-	// DetectP50 and DetectP99 are over the runs.
+	// DetectP50 and DetectP99 are percentiles of the detection time over the runs.
 	DetectP50, DetectP99 time.Duration
-	// FalseOut is healthy instances put out, per healthy instance-hour.
-	FalseOut float64
-	// FailedPct and LatePct are of the fresh requests.
+	// FalseEjections is the number of ejections of healthy instances per instance-hour.
+	FalseEjections float64
+	// FailedPct and LatePct are percentages of the requests, not counting retries.
 	FailedPct, LatePct float64
-	// P99 is the latency of answers once the fault has begun.
+	// P99 is the latency of requests that arrived after the fault began.
 	P99 time.Duration
-	// Margin is the least capacity beyond the floor, in slots.
-	Margin      int
-	FloorBreaks int
-	// Works is the work begun per fresh request.
-	Works float64
-	// LateFailed is failures in the last ten seconds.
-	LateFailed int
+	// MinMargin is the least capacity above the floor, in slots.
+	MinMargin       int
+	FloorViolations int
+	// StartsPerRequest is the number of executions started per request.
+	StartsPerRequest float64
+	// TailFailures is the number of failures in the last ten seconds of the runs.
+	TailFailures int
 }
 
-// Policies lists ours and the baselines.
+// Policies lists radishhoist and the baselines.
 func Policies() []string {
 	out := []string{"radishhoist"}
 	for _, b := range Baselines {
@@ -43,67 +43,67 @@
 	return out
 }
 
-// runOne is one run of one policy.
-func runOne(site Site, policy string, fault Fault, load float64, seed uint64) *world {
-	w := &world{site: site, fault: fault, load: load, rng: rand.New(rand.NewPCG(seed, 11)), m: newMetrics()}
+// runOne runs one policy with one seed.
+func runOne(site Site, policy string, fault Fault, load float64, seed uint64) *simulation {
+	sim := &simulation{site: site, fault: fault, load: load, rng: rand.New(rand.NewPCG(seed, 11)), m: newMetrics()}
 	var send func()
 	if policy == "radishhoist" {
-		send = newOurs(w).send
+		send = newRadishhoistSim(sim).send
 	} else {
 		i := slices.IndexFunc(Baselines, func(b Baseline) bool { return b.Name == policy })
-		send = newBaseline(w, Baselines[i]).send
+		send = newBaselineSim(sim, Baselines[i]).send
 	}
-	w.arrivals(send)
-	w.run(RunFor + deadline)
-	return w
+	sim.arrivals(send)
+	sim.run(RunLength + deadline)
+	return sim
 }
 
-// Case runs one policy in one case over seeds first to first+n-1.
-func Case(site Site, policy string, fault Fault, load float64, first uint64, n int) Result {
-	worlds := make([]*world, n)
+// RunCase runs one policy in one case with the seeds first to first+n-1.
+func RunCase(site Site, policy string, fault Fault, load float64, first uint64, n int) Result {
+	sims := make([]*simulation, n)
 	var wg sync.WaitGroup
-	slots := make(chan struct{}, runtime.NumCPU())
-	for i := range worlds {
+	workers := make(chan struct{}, runtime.NumCPU())
+	for i := range sims {
 		wg.Add(1)
-		slots <- struct{}{}
+		workers <- struct{}{}
 		go func() {
 			defer wg.Done()
-			worlds[i] = runOne(site, policy, fault, load, first+uint64(i))
-			<-slots
+			sims[i] = runOne(site, policy, fault, load, first+uint64(i))
+			<-workers
 		}()
 	}
 	wg.Wait()
-	return sum(site, policy, fault, load, worlds)
+	return summarize(site, policy, fault, load, sims)
 }
 
-func sum(site Site, policy string, fault Fault, load float64, worlds []*world) Result {
-	r := Result{Site: site.Name, Policy: policy, Fault: fault, Load: load, Runs: len(worlds), Margin: math.MaxInt}
-	after := hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)
-	var detect []time.Duration
-	fresh, works, failed, late, falseOut := 0, 0, 0, 0, 0.0
-	for _, w := range worlds {
-		fresh += w.m.fresh
-		works += w.m.works
-		failed += w.m.failed
-		late += w.m.late
-		out := float64(w.m.falseOut)
+func summarize(site Site, policy string, fault Fault, load float64, sims []*simulation) Result {
+	r := Result{Site: site.Name, Policy: policy, Fault: fault, Load: load, Runs: len(sims), MinMargin: math.MaxInt}
+	latencyAfterFault := hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)
+	var detectionTimes []time.Duration
+	requests, starts, failed, late, falseEjections := 0, 0, 0, 0, 0.0
+	for _, sim := range sims {
+		requests += sim.m.requests
+		starts += sim.m.starts
+		failed += sim.m.failed
+		late += sim.m.late
+		ejections := float64(sim.m.falseEjections)
 		if policy != "radishhoist" {
-			// Each front ejects for itself; all of them together count as one.
-			out /= float64(site.Fronts)
+			// Each front ejects independently; an ejection by all fronts counts as one.
+			ejections /= float64(site.Fronts)
 		}
-		falseOut += out
-		after.Merge(w.m.after)
-		detect = append(detect, w.detection())
-		r.Margin = min(r.Margin, w.m.unionMargin)
-		r.FloorBreaks += w.m.floorBreaks
-		r.LateFailed += w.m.lateFailed
+		falseEjections += ejections
+		latencyAfterFault.Merge(sim.m.latencyAfterFault)
+		detectionTimes = append(detectionTimes, sim.detection())
+		r.MinMargin = min(r.MinMargin, sim.m.minMargin)
+		r.FloorViolations += sim.m.floorViolations
+		r.TailFailures += sim.m.tailFailures
 	}
-	slices.Sort(detect)
-	r.DetectP50, r.DetectP99 = detect[len(detect)/2], detect[len(detect)*99/100]
-	hours := float64(len(worlds)) * float64(site.Instances) * RunFor.Hours()
-	r.FalseOut = falseOut / hours
-	r.FailedPct, r.LatePct = 100*float64(failed)/float64(fresh), 100*float64(late)/float64(fresh)
-	r.P99 = time.Duration(after.ValueAtQuantile(99)) * time.Microsecond
-	r.Works = float64(works) / float64(fresh)
+	slices.Sort(detectionTimes)
+	r.DetectP50, r.DetectP99 = detectionTimes[len(detectionTimes)/2], detectionTimes[len(detectionTimes)*99/100]
+	hours := float64(len(sims)) * float64(site.Instances) * RunLength.Hours()
+	r.FalseEjections = falseEjections / hours
+	r.FailedPct, r.LatePct = 100*float64(failed)/float64(requests), 100*float64(late)/float64(requests)
+	r.P99 = time.Duration(latencyAfterFault.ValueAtQuantile(99)) * time.Microsecond
+	r.StartsPerRequest = float64(starts) / float64(requests)
 	return r
 }
--- a/internal/experiment/scenario.go
+++ b/internal/experiment/scenario.go
@@ -1,7 +1,7 @@
-// Package experiment measures detection, ejection, choice and admission in
-// virtual time: the real cores with small fakes for targets and paths, beside
-// named baselines. It is no cluster simulator: one service, its instances, and
-// the fronts that call it.
+// Package experiment measures detection, ejection, load balancing and admission in virtual
+// time and compares them with named baselines. It runs the real core packages with simple
+// fakes for targets and network paths. It simulates one service, its instances and the fronts
+// that call it, not a whole cluster.
 package experiment
 
 import (
@@ -11,53 +11,54 @@
 	"github.com/radishhoist/radishhoist/record"
 )
 
-// Site is the shape of one service at one office.
+// Site describes the size and timing of one service at one office.
 type Site struct {
 	Name      string
 	Instances int
 	Slots     int
 	DCs       int
 	Fronts    int
-	// OneWay is the delay between data centres, Near within one.
-	OneWay, Near time.Duration
-	// Service is the median service time, Spread the standard deviation of
-	// its logarithm.
-	Service time.Duration
-	Spread  float64
-	Params  detect.Params
-	Floor   record.Floor
+	// RemoteDelay is the one-way delay between data centres, LocalDelay within one.
+	RemoteDelay, LocalDelay time.Duration
+	// MedianService is the median service time, LogStdDev the standard deviation of its
+	// logarithm.
+	MedianService time.Duration
+	LogStdDev     float64
+	Params        detect.Params
+	Floor         record.Floor
 }
 
-// The sites: today's offices, and one service at the target size.
+// The sites: the two present offices, and one service at the largest intended size.
 var (
 	Bureau = Site{
 		Name: "Bureau", Instances: 9, Slots: 7, DCs: 3, Fronts: 24,
-		OneWay: time.Millisecond, Near: 250 * time.Microsecond,
-		Service: 60 * time.Millisecond, Spread: 0.5,
+		RemoteDelay: time.Millisecond, LocalDelay: 250 * time.Microsecond,
+		MedianService: 60 * time.Millisecond, LogStdDev: 0.5,
 		Params: detect.Quick(), Floor: record.Floor{Percent: 70},
 	}
 	Registry = Site{
 		Name: "Registry", Instances: 8, Slots: 4, DCs: 4, Fronts: 24,
-		OneWay: 1500 * time.Microsecond, Near: 250 * time.Microsecond,
-		Service: 60 * time.Millisecond, Spread: 0.5,
+		RemoteDelay: 1500 * time.Microsecond, LocalDelay: 250 * time.Microsecond,
+		MedianService: 60 * time.Millisecond, LogStdDev: 0.5,
 		Params: detect.Careful(), Floor: record.Floor{Percent: 75},
 	}
-	Target = Site{
+	LargeSite = Site{
 		Name: "Target size", Instances: 38, Slots: 6, DCs: 11, Fronts: 1600,
-		OneWay: 1500 * time.Microsecond, Near: 250 * time.Microsecond,
-		Service: 200 * time.Millisecond, Spread: 0.5,
+		RemoteDelay: 1500 * time.Microsecond, LocalDelay: 250 * time.Microsecond,
+		MedianService: 200 * time.Millisecond, LogStdDev: 0.5,
 		Params: detect.Careful(), Floor: record.Floor{Percent: 75},
 	}
 )
 
-// Capacity is the requests a second that the site's slots can run.
+// Capacity returns the requests per second that the site's slots can run.
 func (s Site) Capacity() float64 {
-	// The mean of a log-normal time is above its median.
-	mean := s.Service.Seconds() * (1 + s.Spread*s.Spread/2)
+	// The mean of a log-normal distribution is exp(σ²/2) times its median; 1+σ²/2
+	// approximates the factor.
+	mean := s.MedianService.Seconds() * (1 + s.LogStdDev*s.LogStdDev/2)
 	return float64(s.Instances*s.Slots) / mean
 }
 
-// Fault is what goes wrong with instance 0 (or with all) from FaultAt on.
+// Fault is a fault of instance 0, or an overload of all instances, from FaultStart on.
 type Fault string
 
 // The faults.
@@ -74,11 +75,11 @@
 	ShortSpike Fault = "spike 2x, 5 s"
 )
 
-// Faults lists all of them.
 var Faults = []Fault{NoFault, Slow5, Slow3, Errors, Stuck, Flapping, OneWayCut, SlowPath, Overload, ShortSpike}
 
-// gray says that one instance is to be found and left out.
-func (f Fault) gray() bool {
+// isGray reports whether the fault is a gray failure of one instance, which is to be detected
+// and ejected.
+func (f Fault) isGray() bool {
 	switch f {
 	case Slow5, Slow3, Errors, Stuck, OneWayCut:
 		return true
@@ -88,34 +89,33 @@
 }
 
 const (
-	// FaultAt is when the fault begins, RunFor the length of a run.
-	FaultAt = 15 * time.Second
-	RunFor  = 45 * time.Second
-	// deadline is each request's.
+	// FaultStart is the time at which the fault begins, RunLength the length of a run.
+	FaultStart = 15 * time.Second
+	RunLength  = 45 * time.Second
+	// deadline is the time allowed for a request, measured from its arrival.
 	deadline = 2 * time.Second
-	// idempotentShare is the share of requests that may be repeated.
+	// idempotentShare is the share of requests that are idempotent and may be retried.
 	idempotentShare = 0.9
-	// flapPeriod is the length of each good and bad time of Flapping.
-	flapPeriod = 4 * time.Second
-	// spikeFor is the length of ShortSpike.
-	spikeFor = 5 * time.Second
+	// flapPeriod is the length of each slow and each normal phase of Flapping.
+	flapPeriod  = 4 * time.Second
+	spikeLength = 5 * time.Second
 )
 
-// rate is the arrival rate at a time, as a share of capacity.
+// rate returns the arrival rate at a time, as a share of capacity.
 func (f Fault) rate(load float64, at time.Duration) float64 {
 	switch {
-	case f == Overload && at >= FaultAt:
+	case f == Overload && at >= FaultStart:
 		return 1.3
-	case f == ShortSpike && at >= FaultAt && at < FaultAt+spikeFor:
+	case f == ShortSpike && at >= FaultStart && at < FaultStart+spikeLength:
 		return 2
 	default:
 		return load
 	}
 }
 
-// slowdown is the factor on an instance's service time.
+// slowdown returns the factor applied to an instance's service time.
 func (f Fault) slowdown(instance int, at time.Duration) float64 {
-	if instance != 0 || at < FaultAt {
+	if instance != 0 || at < FaultStart {
 		return 1
 	}
 	switch f {
@@ -124,7 +124,7 @@
 	case Slow3:
 		return 3
 	case Flapping:
-		if (at-FaultAt)/flapPeriod%2 == 0 {
+		if (at-FaultStart)/flapPeriod%2 == 0 {
 			return 5
 		}
 	}
--- a/internal/experiment/world.go
+++ b/internal/experiment/world.go
@@ -9,11 +9,11 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// event is one thing that happens.
+// event is a scheduled action.
 type event struct {
-	at  time.Duration
-	seq uint64
-	do  func()
+	at     time.Duration
+	seq    uint64
+	action func()
 }
 
 type eventQueue []event
@@ -34,11 +34,11 @@
 	return e
 }
 
-// epoch turns virtual time into the time.Time that the cores take.
+// epoch is the start of virtual time, for the packages under test that take a time.Time.
 var epoch = time.Unix(1_000_000, 0)
 
-// world is one run.
-type world struct {
+// simulation is the state of one run in virtual time.
+type simulation struct {
 	site  Site
 	fault Fault
 	load  float64
@@ -49,143 +49,145 @@
 	m     metrics
 }
 
-func (w *world) time() time.Time { return epoch.Add(w.now) }
+func (sim *simulation) virtualTime() time.Time { return epoch.Add(sim.now) }
 
-func (w *world) after(d time.Duration, do func()) {
-	w.seq++
-	heap.Push(&w.queue, event{w.now + d, w.seq, do})
+func (sim *simulation) schedule(d time.Duration, action func()) {
+	sim.seq++
+	heap.Push(&sim.queue, event{sim.now + d, sim.seq, action})
 }
 
-func (w *world) run(until time.Duration) {
-	for len(w.queue) > 0 && w.queue[0].at <= until {
-		e := heap.Pop(&w.queue).(event)
-		w.now = e.at
-		e.do()
+func (sim *simulation) run(until time.Duration) {
+	for len(sim.queue) > 0 && sim.queue[0].at <= until {
+		e := heap.Pop(&sim.queue).(event)
+		sim.now = e.at
+		e.action()
 	}
 }
 
-// arrivals makes requests come at random, at the rate of the moment.
-func (w *world) arrivals(send func()) {
-	rate := w.fault.rate(w.load, w.now) * w.site.Capacity()
-	w.after(time.Duration(w.rng.ExpFloat64()/rate*float64(time.Second)), func() {
-		if w.now < RunFor {
+// arrivals generates Poisson arrivals at the current rate.
+func (sim *simulation) arrivals(send func()) {
+	rate := sim.fault.rate(sim.load, sim.now) * sim.site.Capacity()
+	sim.schedule(time.Duration(sim.rng.ExpFloat64()/rate*float64(time.Second)), func() {
+		if sim.now < RunLength {
 			send()
-			w.arrivals(send)
+			sim.arrivals(send)
 		}
 	})
 }
 
-// serviceTime draws the true service time of an instance now.
-func (w *world) serviceTime(instance int) time.Duration {
-	s := w.site.Service.Seconds() * math.Exp(w.site.Spread*w.rng.NormFloat64())
-	return time.Duration(s * w.fault.slowdown(instance, w.now) * float64(time.Second))
+// serviceTime draws a service time of an instance at the current time.
+func (sim *simulation) serviceTime(instance int) time.Duration {
+	s := sim.site.MedianService.Seconds() * math.Exp(sim.site.LogStdDev*sim.rng.NormFloat64())
+	return time.Duration(s * sim.fault.slowdown(instance, sim.now) * float64(time.Second))
 }
 
-// fails says that an instance's answer to a request is an error.
-func (w *world) fails(instance int) bool {
-	return w.fault == Errors && instance == 0 && w.now >= FaultAt && w.rng.IntN(2) == 0
+// fails draws whether an instance answers a request with an error.
+func (sim *simulation) fails(instance int) bool {
+	return sim.fault == Errors && instance == 0 && sim.now >= FaultStart && sim.rng.IntN(2) == 0
 }
 
-// stuck says that an instance takes a request and never answers.
-func (w *world) stuck(instance int) bool {
-	return w.fault == Stuck && instance == 0 && w.now >= FaultAt
+// stuck reports whether an instance accepts requests and never answers.
+func (sim *simulation) stuck(instance int) bool {
+	return sim.fault == Stuck && instance == 0 && sim.now >= FaultStart
 }
 
-// cut says that nothing of an instance's host reaches others.
-func (w *world) cut(instance int) bool {
-	return w.fault == OneWayCut && instance == 0 && w.now >= FaultAt
+// cut reports whether nothing sent by an instance's host reaches other hosts.
+func (sim *simulation) cut(instance int) bool {
+	return sim.fault == OneWayCut && instance == 0 && sim.now >= FaultStart
 }
 
-// path is the one-way delay between a front and an instance.
-func (w *world) path(front, instance int) time.Duration {
-	d := w.site.OneWay
-	if front%w.site.DCs == instance%w.site.DCs {
-		d = w.site.Near
+// path returns the one-way delay between a front and an instance.
+func (sim *simulation) path(front, instance int) time.Duration {
+	d := sim.site.RemoteDelay
+	if front%sim.site.DCs == instance%sim.site.DCs {
+		d = sim.site.LocalDelay
 	}
-	if w.fault == SlowPath && instance == 0 && w.now >= FaultAt {
+	if sim.fault == SlowPath && instance == 0 && sim.now >= FaultStart {
 		d += 100 * time.Millisecond
 	}
 	return d
 }
 
-// metrics are one run's results.
+// metrics are the results of one run.
 type metrics struct {
-	fresh, works, failed, late int
-	latency                    *hdrhistogram.Histogram
-	// after are the latencies once the fault has begun.
-	after *hdrhistogram.Histogram
-	// toGray and toAll count the works by tenth of a second.
-	toGray, toAll []int
-	// falseOut counts healthy instances that were put out, each episode.
-	falseOut int
-	// floorBreaks counts choices whose ejections went below the floor;
-	// unionMargin is the least capacity beyond the floor, in slots, when an
-	// instance counts as out as soon as any front leaves it out.
-	floorBreaks int
-	unionMargin int
-	// lateFailed counts failures in the last ten seconds, long after a spike.
-	lateFailed int
+	requests, starts, failed, late int
+	latency                        *hdrhistogram.Histogram
+	// latencyAfterFault has the latencies of requests that arrived after FaultStart.
+	latencyAfterFault *hdrhistogram.Histogram
+	// grayStarts and allStarts count the executions started at instance 0 and at all
+	// instances, by bucketWidth.
+	grayStarts, allStarts []int
+	// falseEjections counts ejections of healthy instances, once per episode.
+	falseEjections int
+	// floorViolations counts ejections that reduced capacity below the floor.
+	// minMargin is the least capacity above the floor, in slots. In the radishhoist
+	// policy an instance counts as ejected as soon as any front ejects it; in a baseline
+	// the margin is that of a single front.
+	floorViolations int
+	minMargin       int
+	// tailFailures counts failures in the last ten seconds, long after a spike.
+	tailFailures int
 }
 
 func newMetrics() metrics {
 	return metrics{
-		latency: hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3),
-		after:   hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3),
-		toGray:  make([]int, RunFor/tenth+1), toAll: make([]int, RunFor/tenth+1),
-		unionMargin: math.MaxInt,
+		latency:           hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3),
+		latencyAfterFault: hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3),
+		grayStarts:        make([]int, RunLength/bucketWidth+1), allStarts: make([]int, RunLength/bucketWidth+1),
+		minMargin: math.MaxInt,
 	}
 }
 
-const tenth = 100 * time.Millisecond
+const bucketWidth = 100 * time.Millisecond
 
-// worked counts one request that an instance began.
-func (w *world) worked(instance int) {
-	w.m.works++
-	if i := int(w.now / tenth); i < len(w.m.toAll) {
-		w.m.toAll[i]++
+// countStart counts a request whose execution an instance started.
+func (sim *simulation) countStart(instance int) {
+	sim.m.starts++
+	if i := int(sim.now / bucketWidth); i < len(sim.m.allStarts) {
+		sim.m.allStarts[i]++
 		if instance == 0 {
-			w.m.toGray[i]++
+			sim.m.grayStarts[i]++
 		}
 	}
 }
 
-// done counts one answer to a caller.
-func (w *world) done(arrived time.Duration, ok bool) {
-	took := w.now - arrived
+// countAnswer counts an answer or failure returned to a caller.
+func (sim *simulation) countAnswer(arrived time.Duration, ok bool) {
+	took := sim.now - arrived
 	switch {
 	case !ok:
-		w.m.failed++
-		if w.now > RunFor-10*time.Second {
-			w.m.lateFailed++
+		sim.m.failed++
+		if sim.now > RunLength-10*time.Second {
+			sim.m.tailFailures++
 		}
 	case took > deadline:
-		w.m.late++
+		sim.m.late++
 	}
 	if !ok {
 		return
 	}
-	_ = w.m.latency.RecordValue(max(took.Microseconds(), 1))
-	if arrived >= FaultAt {
-		_ = w.m.after.RecordValue(max(took.Microseconds(), 1))
+	_ = sim.m.latency.RecordValue(max(took.Microseconds(), 1))
+	if arrived >= FaultStart {
+		_ = sim.m.latencyAfterFault.RecordValue(max(took.Microseconds(), 1))
 	}
 }
 
-// detection is how long after the fault the gray instance still got more than
-// a fifth of its fair share, over windows of two seconds; RunFor-FaultAt where
-// it never stopped.
-func (w *world) detection() time.Duration {
+// detection returns the time from the start of the fault until the faulty instance gets less
+// than a fifth of its fair share of executions in a window of two seconds, or
+// RunLength-FaultStart if it never does.
+func (sim *simulation) detection() time.Duration {
 	const window = 20
-	fair := 1 / float64(w.site.Instances)
-	first := int(FaultAt / tenth)
-	for i := first; i+window < len(w.m.toAll); i++ {
+	fairShare := 1 / float64(sim.site.Instances)
+	first := int(FaultStart / bucketWidth)
+	for i := first; i+window < len(sim.m.allStarts); i++ {
 		gray, all := 0, 0
 		for k := i; k < i+window; k++ {
-			gray += w.m.toGray[k]
-			all += w.m.toAll[k]
+			gray += sim.m.grayStarts[k]
+			all += sim.m.allStarts[k]
 		}
-		if all > 0 && float64(gray)/float64(all) < 0.2*fair {
-			return time.Duration(i-first) * tenth
+		if all > 0 && float64(gray)/float64(all) < 0.2*fairShare {
+			return time.Duration(i-first) * bucketWidth
 		}
 	}
-	return RunFor - FaultAt
+	return RunLength - FaultStart
 }
