--- a/internal/soak/run_test.go
+++ b/internal/soak/run_test.go
@@ -15,7 +15,7 @@
 )
 
 // A short run of a seed with every class of fault. Long runs are started manually.
-func TestShortSoakHasNoViolations(t *testing.T) {
+func TestAShortSoakKeepsThePromises(t *testing.T) {
 	bin := t.TempDir()
 	build := exec.Command("go", "build", "-o", bin, "../../cmd/...")
 	out, err := build.CombinedOutput()
