--- a/internal/e2e/cli_test.go
+++ b/internal/e2e/cli_test.go
@@ -33,29 +33,29 @@
 }
 
 func TestTwoOperatorsNeverOverwriteUnseen(t *testing.T) {
-	w := start(t, 37, 2, 2*time.Millisecond)
-	mine, err := w.cli("get", "service", "plans")
+	fleet := startFleet(t, 37, 2, 2*time.Millisecond)
+	mine, err := fleet.cli("get", "service", "plans")
 	assert.NilError(t, err)
 	theirs := strings.Replace(mine, `"percent": 60`, `"percent": 70`, 1)
-	_, err = w.cli("apply", "-f", writeFile(t, theirs))
+	_, err = fleet.cli("apply", "-f", writeFile(t, theirs))
 	assert.NilError(t, err)
 
-	out, err := w.cli("apply", "-f", writeFile(t, strings.Replace(mine, `"percent": 60`, `"percent": 50`, 1)))
+	out, err := fleet.cli("apply", "-f", writeFile(t, strings.Replace(mine, `"percent": 60`, `"percent": 50`, 1)))
 	assert.Equal(t, cli.ExitCode(err), cli.ExitConflict)
 	assert.Assert(t, strings.Contains(out, "theirs: 70") && strings.Contains(out, "yours: 50"), out)
-	after, err := w.cli("get", "service", "plans")
+	after, err := fleet.cli("get", "service", "plans")
 	assert.NilError(t, err)
 	assert.Assert(t, strings.Contains(after, `"percent": 70`), after)
 
 	// The answer to this write is lost after it has taken effect.
-	assert.NilError(t, w.SetPlatformFaults(platformd.Faults{LoseAnswers: 1}))
-	out, err = w.cli("apply", "-f", writeFile(t, strings.Replace(after, `"percent": 70`, `"percent": 65`, 1)))
+	assert.NilError(t, fleet.SetPlatformFaults(platformd.Faults{LoseAnswers: 1}))
+	out, err = fleet.cli("apply", "-f", writeFile(t, strings.Replace(after, `"percent": 70`, `"percent": 65`, 1)))
 	assert.NilError(t, err, out)
 	assert.Assert(t, strings.Contains(out, "is written"), out)
 }
 
 func TestCommandLine(t *testing.T) {
-	w := start(t, 38, 2, 2*time.Millisecond)
+	fleet := startFleet(t, 38, 2, 2*time.Millisecond)
 	cases := []struct {
 		name string
 		args []string
@@ -72,15 +72,15 @@
 		{"delete used service", []string{"delete", "service", "plans"}, cli.ExitUnsafe, ""},
 		{"stop without reason", []string{"stop", "--force", "h1"}, cli.ExitInvalid, ""},
 		{"stop unknown host", []string{"stop", "--reason", "x", "h99"}, cli.ExitNotFound, ""},
-		{"send", []string{"send", "GET", "http://" + w.Hosts[0].Callers() + "/plans/7"}, cli.ExitOK, "answered whole"},
-		{"send fails", []string{"send", "GET", "http://" + w.Hosts[0].Callers() + "/none"}, cli.ExitFailed, "not-run"},
+		{"send", []string{"send", "GET", "http://" + fleet.Hosts[0].Callers() + "/plans/7"}, cli.ExitOK, "answered whole"},
+		{"send fails", []string{"send", "GET", "http://" + fleet.Hosts[0].Callers() + "/none"}, cli.ExitFailed, "not-run"},
 		{"bad record", []string{"apply", "-f", writeFile(t, `{"kind":"Service","name":"x","schemaVersion":2,"spec":{"office":"o","preset":"fast","floor":{"percent":200}}}`)}, cli.ExitInvalid, ""},
 		{"too new record", []string{"apply", "-f", writeFile(t, `{"kind":"Route","name":"x","schemaVersion":9,"spec":{}}`)}, cli.ExitInvalid, ""},
 		{"old schema", []string{"apply", "--dry-run", "-f", writeFile(t, `{"kind":"Service","name":"x","schemaVersion":1,"spec":{"office":"o","preset":"quick","floorPercent":50}}`)}, cli.ExitOK, "dry run"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			out, err := w.cli(c.args...)
+			out, err := fleet.cli(c.args...)
 			assert.Equal(t, cli.ExitCode(err), c.code, "%s %v", out, err)
 			assert.Assert(t, strings.Contains(out, c.want), out)
 		})
--- a/internal/e2e/fleet_test.go
+++ b/internal/e2e/fleet_test.go
@@ -25,8 +25,8 @@
 	"github.com/radishhoist/radishhoist/verdict"
 )
 
-// patience bounds every wait; it is far above what the steps take.
-const patience = 60 * time.Second
+// waitTimeout limits every wait; the steps normally take far less.
+const waitTimeout = 60 * time.Second
 
 var bin string
 
@@ -46,14 +46,14 @@
 	os.Exit(code)
 }
 
-// world is one fleet under test.
-type world struct {
+// testFleet is one fleet under test.
+type testFleet struct {
 	*lab.Fleet
 	t       *testing.T
 	targets []*lab.Target
 }
 
-// newFleet starts a platform at 127.0.net.1 and ends the whole fleet with the test.
+// newFleet starts a platform at 127.0.net.1 and stops the whole fleet at the end of the test.
 func newFleet(t *testing.T, net int) *lab.Fleet {
 	t.Helper()
 	logs := &logtest.Buffer{}
@@ -68,36 +68,38 @@
 	return f
 }
 
-// start runs a platform and hosts, each with one target of service "plans",
-// on 127.0.net.x.
-func start(t *testing.T, net, hosts int, serviceTime time.Duration) *world {
+// startFleet starts a platform and hosts on 127.0.net.x, each with one target of the service
+// "plans", and waits until all of them serve.
+func startFleet(t *testing.T, net, hosts int, serviceTime time.Duration) *testFleet {
 	t.Helper()
 	f := newFleet(t, net)
 	assert.NilError(t, f.PutDemoRecords(context.Background()))
-	w := &world{Fleet: f, t: t}
+	fleet := &testFleet{Fleet: f, t: t}
 	for i := range hosts {
 		h, err := f.StartHost(fmt.Sprintf("h%d", i+1), fmt.Sprintf("dc%d", i%2+1), fmt.Sprintf("127.0.%d.%d", net, 11+i), "")
 		assert.NilError(t, err)
 		tg, err := f.StartTarget(h, "plans", 1, 4, serviceTime)
 		assert.NilError(t, err)
-		w.targets = append(w.targets, tg)
+		fleet.targets = append(fleet.targets, tg)
 	}
-	assert.NilError(t, f.UntilServing(patience, map[string]int{"plans": hosts}))
-	return w
+	assert.NilError(t, f.UntilServing(waitTimeout, map[string]int{"plans": hosts}))
+	return fleet
 }
 
-// cli runs the operators' command line against the first host.
-func (w *world) cli(args ...string) (string, error) { return w.cliAt(w.Hosts[0], args...) }
+// cli runs the operator command line against the first host.
+func (fleet *testFleet) cli(args ...string) (string, error) {
+	return fleet.cliAt(fleet.Hosts[0], args...)
+}
 
-// cliAt runs the operators' command line against one host.
-func (w *world) cliAt(h *lab.Host, args ...string) (string, error) {
+// cliAt runs the operator command line against the given host.
+func (fleet *testFleet) cliAt(h *lab.Host, args ...string) (string, error) {
 	var out bytes.Buffer
-	all := append([]string{"radishhoist", "--platform", w.Platform, "--admin", h.Admin()}, args...)
+	all := append([]string{"radishhoist", "--platform", fleet.Platform, "--admin", h.Admin()}, args...)
 	err := cli.New(strings.NewReader(""), &out, nil).Run(context.Background(), all)
 	return out.String(), err
 }
 
-type reply struct {
+type response struct {
 	status  int
 	verdict string
 	target  string
@@ -105,108 +107,108 @@
 	err     error
 }
 
-func call(method, url, mark string, body string) reply {
+func sendRequest(method, url, mark string, body string) response {
 	req, err := http.NewRequest(method, url, strings.NewReader(body))
 	if err != nil {
-		return reply{err: err}
+		return response{err: err}
 	}
 	req.Header.Set(target.MarkHeader, mark)
-	client := &http.Client{Timeout: patience, Transport: &http.Transport{DisableKeepAlives: true}}
+	client := &http.Client{Timeout: waitTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 	return do(client, req)
 }
 
-func do(client *http.Client, req *http.Request) reply {
+func do(client *http.Client, req *http.Request) response {
 	resp, err := client.Do(req)
 	if err != nil {
-		return reply{err: err}
+		return response{err: err}
 	}
 	defer func() { _ = resp.Body.Close() }()
 	got, err := io.ReadAll(resp.Body)
-	return reply{resp.StatusCode, resp.Header.Get(verdict.Header), resp.Header.Get("Radishhoist-Target"), string(got), err}
+	return response{resp.StatusCode, resp.Header.Get(verdict.Header), resp.Header.Get("Radishhoist-Target"), string(got), err}
 }
 
-// More requests come to one host at once than its own target has slots: the others'
-// targets answer the rest, each request with its own body. Requests sent one after the
-// other find a free target beside their front, which costs least
-// once the paths to other hosts are known: in one of 26 runs none crossed.
+// A host that receives more concurrent requests than its own target has slots forwards the
+// rest to targets on other hosts, and each request gets its own answer. The requests are
+// concurrent because sequential ones find the local target free, which has the lowest cost
+// once the paths to other hosts are known: in 1 of 26 runs none was forwarded.
 func TestRequestCrossesHosts(t *testing.T) {
 	const hosts, atOnce, size = 4, 20, 1000
-	w := start(t, 31, hosts, 100*time.Millisecond)
-	for _, h := range w.Hosts {
-		replies := make([]reply, atOnce)
+	fleet := startFleet(t, 31, hosts, 100*time.Millisecond)
+	for _, h := range fleet.Hosts {
+		responses := make([]response, atOnce)
 		var wg sync.WaitGroup
-		for i := range replies {
+		for i := range responses {
 			wg.Go(func() {
-				replies[i] = call(http.MethodGet, fmt.Sprintf("http://%s/plans/7?size=%d", h.Callers(), size), markOf(h, i), "")
+				responses[i] = sendRequest(http.MethodGet, fmt.Sprintf("http://%s/plans/7?size=%d", h.Callers(), size), markOf(h, i), "")
 			})
 		}
 		wg.Wait()
-		crossed := 0
-		for i, r := range replies {
+		forwarded := 0
+		for i, r := range responses {
 			assert.NilError(t, r.err)
 			assert.Equal(t, r.status, http.StatusOK)
 			assert.Assert(t, strings.Contains(r.body, "mark="+markOf(h, i)+" "), r.body)
 			assert.Equal(t, len(r.body), size)
 			if !strings.Contains(r.target, "-"+h.Name+"-") {
-				crossed++
+				forwarded++
 			}
 		}
-		assert.Assert(t, crossed > 0, "no request of %s was answered by another host's target", h.Name)
+		assert.Assert(t, forwarded > 0, "no request of %s was answered by a target on another host", h.Name)
 	}
 
-	large := call(http.MethodPost, "http://"+w.Hosts[0].Callers()+"/plans/7?size=3000000", "large", strings.Repeat("x", 1<<20))
+	large := sendRequest(http.MethodPost, "http://"+fleet.Hosts[0].Callers()+"/plans/7?size=3000000", "large", strings.Repeat("x", 1<<20))
 	assert.NilError(t, large.err)
 	assert.Equal(t, len(large.body), 3000000)
-	none := call(http.MethodGet, "http://"+w.Hosts[0].Callers()+"/nowhere", "x", "")
+	none := sendRequest(http.MethodGet, "http://"+fleet.Hosts[0].Callers()+"/nowhere", "x", "")
 	assert.Equal(t, none.status, http.StatusNotFound)
 	assert.Equal(t, none.verdict, verdict.NotRun.String())
 }
 
-// markOf tells the requests to one host apart.
+// markOf returns the mark of the i-th request to a host.
 func markOf(h *lab.Host, i int) string { return fmt.Sprintf("%s-m%d", h.Name, i) }
 
 func TestTerminatedHostCutsNothingOff(t *testing.T) {
-	w := start(t, 32, 3, 600*time.Millisecond)
+	fleet := startFleet(t, 32, 3, 600*time.Millisecond)
 	route := &record.Route{PathPrefix: "/plans", Service: "plans", TimeoutMS: 30000}
-	assert.NilError(t, w.Put(context.Background(), record.Key{Kind: record.KindRoute, Name: "plans"}, route))
-	for _, h := range w.Hosts {
-		assert.NilError(t, w.Until(patience, "the longer deadline on "+h.Name, func() bool {
-			out, err := w.cliAt(h, "explain", "POST", "http://x/plans/7")
+	assert.NilError(t, fleet.Put(context.Background(), record.Key{Kind: record.KindRoute, Name: "plans"}, route))
+	for _, h := range fleet.Hosts {
+		assert.NilError(t, fleet.Until(waitTimeout, "the longer deadline on "+h.Name, func() bool {
+			out, err := fleet.cliAt(h, "explain", "POST", "http://x/plans/7")
 			return err == nil && strings.Contains(out, "30000 ms")
 		}))
 	}
 	var wg sync.WaitGroup
-	replies := make([]reply, 24)
-	for i := range replies {
+	responses := make([]response, 24)
+	for i := range responses {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			replies[i] = call(http.MethodPost, "http://"+w.Hosts[1+i%2].Callers()+"/plans/7", fmt.Sprintf("m%d", i), "book")
+			responses[i] = sendRequest(http.MethodPost, "http://"+fleet.Hosts[1+i%2].Callers()+"/plans/7", fmt.Sprintf("m%d", i), "book")
 		}()
 	}
-	assert.NilError(t, w.Until(patience, "requests on the target", func() bool {
-		r, err := w.targets[0].Runs()
+	assert.NilError(t, fleet.Until(waitTimeout, "requests on the target", func() bool {
+		r, err := fleet.targets[0].Runs()
 		return err == nil && r.Total > 0
 	}))
-	assert.NilError(t, w.Hosts[0].Daemon.Signal(syscall.SIGTERM))
-	ended, err := w.Hosts[0].Daemon.Wait(patience)
+	assert.NilError(t, fleet.Hosts[0].Daemon.Signal(syscall.SIGTERM))
+	ended, err := fleet.Hosts[0].Daemon.Wait(waitTimeout)
 	assert.Assert(t, ended)
 	assert.NilError(t, err)
 	wg.Wait()
-	for i, r := range replies {
+	for i, r := range responses {
 		assert.NilError(t, r.err)
 		if r.status != http.StatusOK {
 			assert.Equal(t, r.verdict, verdict.NotRun.String(), "request %d: %+v", i, r)
 		}
 	}
-	assertAtMostOnce(t, w)
+	assertAtMostOnce(t, fleet)
 }
 
-// assertAtMostOnce checks that no mark ran twice over all targets.
-func assertAtMostOnce(t *testing.T, w *world) map[string]int {
+// assertAtMostOnce checks that no mark ran twice over all targets and returns the runs by mark.
+func assertAtMostOnce(t *testing.T, fleet *testFleet) map[string]int {
 	t.Helper()
 	total := map[string]int{}
-	for _, tg := range w.targets {
+	for _, tg := range fleet.targets {
 		r, err := tg.Runs()
 		assert.NilError(t, err)
 		for mark, n := range r.ByMark {
@@ -226,9 +228,9 @@
 		sig  syscall.Signal
 	}{{"killed", 33, syscall.SIGKILL}, {"frozen", 34, syscall.SIGSTOP}} {
 		t.Run(c.name, func(t *testing.T) {
-			w := start(t, c.net, 4, 20*time.Millisecond)
+			fleet := startFleet(t, c.net, 4, 20*time.Millisecond)
 			var mu sync.Mutex
-			verdicts := map[string]reply{}
+			responses := map[string]response{}
 			var wg sync.WaitGroup
 			for i := range 160 {
 				wg.Add(1)
@@ -236,26 +238,26 @@
 					defer wg.Done()
 					time.Sleep(time.Duration(i) * 10 * time.Millisecond)
 					mark := fmt.Sprintf("m%d", i)
-					r := call(http.MethodPost, "http://"+w.Hosts[1+i%3].Callers()+"/plans/7", mark, "book")
+					r := sendRequest(http.MethodPost, "http://"+fleet.Hosts[1+i%3].Callers()+"/plans/7", mark, "book")
 					mu.Lock()
-					verdicts[mark] = r
+					responses[mark] = r
 					mu.Unlock()
 				}()
 				if i == 60 {
-					assert.NilError(t, w.Hosts[0].Daemon.Signal(c.sig))
+					assert.NilError(t, fleet.Hosts[0].Daemon.Signal(c.sig))
 				}
 			}
 			wg.Wait()
-			ran := assertAtMostOnce(t, w)
+			ran := assertAtMostOnce(t, fleet)
 			answered := 0
-			for mark, r := range verdicts {
+			for mark, r := range responses {
 				assert.NilError(t, r.err)
 				switch {
 				case r.status == http.StatusOK:
 					answered++
 					assert.Equal(t, ran[mark], 1, mark)
 				case r.verdict == verdict.NotRun.String():
-					assert.Equal(t, ran[mark], 0, "%s was told not-run and ran: %+v", mark, r)
+					assert.Equal(t, ran[mark], 0, "%s was reported as not run but ran: %+v", mark, r)
 				}
 			}
 			assert.Assert(t, answered > 80, "only %d of 160 answered", answered)
@@ -264,63 +266,63 @@
 }
 
 func TestPlatformAwayTrafficGoesOnAndHostsStartFromPeers(t *testing.T) {
-	w := start(t, 35, 3, 2*time.Millisecond)
-	assert.NilError(t, w.SetPlatformFaults(platformd.Faults{Outage: true}))
-	r := call(http.MethodGet, "http://"+w.Hosts[0].Callers()+"/plans/7", "m", "")
+	fleet := startFleet(t, 35, 3, 2*time.Millisecond)
+	assert.NilError(t, fleet.SetPlatformFaults(platformd.Faults{Outage: true}))
+	r := sendRequest(http.MethodGet, "http://"+fleet.Hosts[0].Callers()+"/plans/7", "m", "")
 	assert.Equal(t, r.status, http.StatusOK)
 
-	seeds := fmt.Sprintf("[peers]\nseeds = %s:%d", w.Hosts[0].IP, lab.PeerPort)
-	_, err := w.StartHost("late", "dc1", "127.0.35.40", seeds)
+	seeds := fmt.Sprintf("[peers]\nseeds = %s:%d", fleet.Hosts[0].IP, lab.PeerPort)
+	_, err := fleet.StartHost("late", "dc1", "127.0.35.40", seeds)
 	assert.NilError(t, err)
-	assert.NilError(t, w.UntilServing(patience, map[string]int{"plans": 3}))
-	r = call(http.MethodGet, "http://127.0.35.40:18080/plans/7", "m", "")
+	assert.NilError(t, fleet.UntilServing(waitTimeout, map[string]int{"plans": 3}))
+	r = sendRequest(http.MethodGet, "http://127.0.35.40:18080/plans/7", "m", "")
 	assert.Equal(t, r.status, http.StatusOK)
 
-	assert.NilError(t, w.SetPlatformFaults(platformd.Faults{}))
+	assert.NilError(t, fleet.SetPlatformFaults(platformd.Faults{}))
 	route := &record.Route{PathPrefix: "/late", Service: "plans"}
-	assert.NilError(t, w.Put(context.Background(), record.Key{Kind: record.KindRoute, Name: "late"}, route))
-	for _, h := range w.Hosts {
-		assert.NilError(t, w.Until(patience, "the new route on "+h.Name, func() bool {
-			return call(http.MethodGet, "http://"+h.Callers()+"/late/1", "m", "").status == http.StatusOK
+	assert.NilError(t, fleet.Put(context.Background(), record.Key{Kind: record.KindRoute, Name: "late"}, route))
+	for _, h := range fleet.Hosts {
+		assert.NilError(t, fleet.Until(waitTimeout, "the new route on "+h.Name, func() bool {
+			return sendRequest(http.MethodGet, "http://"+h.Callers()+"/late/1", "m", "").status == http.StatusOK
 		}))
 	}
-	assert.NilError(t, w.Delete(context.Background(), record.Key{Kind: record.KindRoute, Name: "late"}))
-	for _, h := range w.Hosts {
-		assert.NilError(t, w.Until(patience, "the route gone on "+h.Name, func() bool {
-			return call(http.MethodGet, "http://"+h.Callers()+"/late/1", "m", "").status == http.StatusNotFound
+	assert.NilError(t, fleet.Delete(context.Background(), record.Key{Kind: record.KindRoute, Name: "late"}))
+	for _, h := range fleet.Hosts {
+		assert.NilError(t, fleet.Until(waitTimeout, "the route gone on "+h.Name, func() bool {
+			return sendRequest(http.MethodGet, "http://"+h.Callers()+"/late/1", "m", "").status == http.StatusNotFound
 		}))
 	}
 }
 
 func TestOperatorDrainsAHost(t *testing.T) {
-	w := start(t, 36, 4, 2*time.Millisecond)
-	out, err := w.cli("status")
+	fleet := startFleet(t, 36, 4, 2*time.Millisecond)
+	out, err := fleet.cli("status")
 	assert.NilError(t, err)
 	assert.Assert(t, strings.Contains(out, "plans"), out)
 
-	out, err = w.cli("stop", "--reason", "disk swap", "--wait", "h2")
+	out, err = fleet.cli("stop", "--reason", "disk swap", "--wait", "h2")
 	assert.NilError(t, err, out)
 	assert.Assert(t, strings.Contains(out, "drained"), out)
-	for _, h := range w.Hosts {
-		assert.NilError(t, w.Until(patience, h.Name+" to leave the stopped host out", func() bool {
+	for _, h := range fleet.Hosts {
+		assert.NilError(t, fleet.Until(waitTimeout, h.Name+" to stop using the stopped host", func() bool {
 			s, err := h.Status()
 			return err == nil && !usesHost(s.Services[0].Targets, "h2")
 		}))
 	}
-	before, err := w.targets[1].Runs()
+	before, err := fleet.targets[1].Runs()
 	assert.NilError(t, err)
 	for i := range 60 {
-		r := call(http.MethodGet, "http://"+w.Hosts[i%4].Callers()+"/plans/7", "m", "")
+		r := sendRequest(http.MethodGet, "http://"+fleet.Hosts[i%4].Callers()+"/plans/7", "m", "")
 		assert.Equal(t, r.status, http.StatusOK)
 	}
-	after, err := w.targets[1].Runs()
+	after, err := fleet.targets[1].Runs()
 	assert.NilError(t, err)
-	assert.Equal(t, after.Total, before.Total, "a stopped host's target got new work")
+	assert.Equal(t, after.Total, before.Total, "a stopped host's target received new requests")
 
-	out, err = w.cli("stop", "--reason", "one too many", "h3")
+	out, err = fleet.cli("stop", "--reason", "one too many", "h3")
 	assert.Equal(t, cli.ExitCode(err), cli.ExitUnsafe, out)
 
-	_, err = w.cli("stop", "--undo", "h2")
+	_, err = fleet.cli("stop", "--undo", "h2")
 	assert.NilError(t, err)
-	assert.NilError(t, w.UntilServing(patience, map[string]int{"plans": 4}))
+	assert.NilError(t, fleet.UntilServing(waitTimeout, map[string]int{"plans": 4}))
 }
--- a/internal/e2e/keys_test.go
+++ b/internal/e2e/keys_test.go
@@ -16,10 +16,10 @@
 	"github.com/radishhoist/radishhoist/internal/standin/target"
 )
 
-// bookOnce sends a keyed booking through one host; it gives the answer, or ""
-// where there was none.
-func (w *world) bookOnce(key, mark string, host int) string {
-	h := w.Hosts[host%len(w.Hosts)]
+// bookOnce sends a booking with an idempotency key through one host and returns the answer,
+// or "" if there was none.
+func (fleet *testFleet) bookOnce(key, mark string, host int) string {
+	h := fleet.Hosts[host%len(fleet.Hosts)]
 	req, err := http.NewRequest(http.MethodPost, "http://"+h.Callers()+"/plans/7", strings.NewReader("seat"))
 	if err != nil {
 		return ""
@@ -34,11 +34,11 @@
 	return r.body
 }
 
-// book sends a keyed booking, again and again through any host, until it has
-// two answers or the tries are over.
-func (w *world) book(key, mark string, first int) (answers []string) {
+// book repeats a booking with an idempotency key through one host after the other until it
+// has two answers or 12 attempts were made.
+func (fleet *testFleet) book(key, mark string, first int) (answers []string) {
 	for try := range 12 {
-		if a := w.bookOnce(key, mark, first+try); a != "" {
+		if a := fleet.bookOnce(key, mark, first+try); a != "" {
 			answers = append(answers, a)
 		}
 		if len(answers) == 2 {
@@ -49,9 +49,9 @@
 	return answers
 }
 
-// ownerOf finds a host that has authority over shards of the service.
-func (w *world) ownerOf() *lab.Host {
-	for _, h := range w.Hosts {
+// shardOwner returns a host that has authority over shards of the service, nil if there is none.
+func (fleet *testFleet) shardOwner() *lab.Host {
+	for _, h := range fleet.Hosts {
 		dump, err := h.Dump()
 		if err != nil {
 			continue
@@ -70,28 +70,28 @@
 		name string
 		net  int
 		sig  syscall.Signal
-		// least is how many must be answered: the keys of a dead owner are
-		// refused, those of a drained one are handed over.
-		least int
+		// minAnswered is the number of bookings that must be answered: keys of a dead
+		// owner are refused, those of a drained owner are handed over.
+		minAnswered int
 	}{
 		{"owner killed", 41, syscall.SIGKILL, 20},
 		{"owner frozen", 42, syscall.SIGSTOP, 20},
 		{"owner drained", 43, syscall.SIGTERM, 60},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			w := start(t, c.net, 5, 5*time.Millisecond)
-			assert.Assert(t, w.ownerOf() == nil, "shards are owned before any key was used")
-			assert.NilError(t, w.Until(patience, "fresh keys to be taken on every shard", func() bool {
+			fleet := startFleet(t, c.net, 5, 5*time.Millisecond)
+			assert.Assert(t, fleet.shardOwner() == nil, "shards are owned before the first key was used")
+			assert.NilError(t, fleet.Until(waitTimeout, "new keys to be accepted on every shard", func() bool {
 				for i := range 16 {
-					if len(w.bookOnce(uuid.Must(uuid.NewV7()).String(), "", i)) == 0 {
+					if len(fleet.bookOnce(uuid.Must(uuid.NewV7()).String(), "", i)) == 0 {
 						return false
 					}
 				}
 				return true
 			}))
 			var owner *lab.Host
-			assert.NilError(t, w.Until(patience, "an owner with authority", func() bool {
-				owner = w.ownerOf()
+			assert.NilError(t, fleet.Until(waitTimeout, "an owner with authority", func() bool {
+				owner = fleet.shardOwner()
 				return owner != nil
 			}))
 			var wg sync.WaitGroup
@@ -101,14 +101,14 @@
 				go func() {
 					defer wg.Done()
 					time.Sleep(time.Duration(i) * 20 * time.Millisecond)
-					answers[i] = w.book(uuid.Must(uuid.NewV7()).String(), fmt.Sprintf("m%d", i), i)
+					answers[i] = fleet.book(uuid.Must(uuid.NewV7()).String(), fmt.Sprintf("m%d", i), i)
 				}()
 				if i == len(answers)/2 {
 					assert.NilError(t, owner.Daemon.Signal(c.sig))
 				}
 			}
 			wg.Wait()
-			ran := assertAtMostOnce(t, w)
+			ran := assertAtMostOnce(t, fleet)
 			answered := 0
 			for i, a := range answers {
 				if len(a) == 0 {
@@ -117,24 +117,24 @@
 				answered++
 				assert.Equal(t, ran[fmt.Sprintf("m%d", i)], 1)
 				if len(a) == 2 {
-					assert.Equal(t, a[0], a[1], "a repeat got another answer")
+					assert.Equal(t, a[0], a[1], "a repeated booking got a different answer")
 				}
 			}
-			assert.Assert(t, answered >= c.least, "only %d of %d were answered", answered, len(answers))
+			assert.Assert(t, answered >= c.minAnswered, "only %d of %d were answered", answered, len(answers))
 			t.Logf("%d of %d answered", answered, len(answers))
 		})
 	}
 }
 
 func TestBrokenAnswersAreReplacedOrShownBroken(t *testing.T) {
-	w := start(t, 44, 4, 2*time.Millisecond)
+	fleet := startFleet(t, 44, 4, 2*time.Millisecond)
 	for _, b := range []target.Behaviour{
 		{Mode: target.Truncate, Share: 1}, {Mode: target.Swap, Share: 1}, {Mode: target.Errors, Share: 1},
 	} {
-		assert.NilError(t, w.targets[0].Set(b))
+		assert.NilError(t, fleet.targets[0].Set(b))
 		for i := range 40 {
 			mark := fmt.Sprintf("%s%d", b.Mode, i)
-			r := call(http.MethodGet, "http://"+w.Hosts[i%4].Callers()+"/plans/7?size=5000", mark, "")
+			r := sendRequest(http.MethodGet, "http://"+fleet.Hosts[i%4].Callers()+"/plans/7?size=5000", mark, "")
 			assert.NilError(t, r.err)
 			if r.status == http.StatusOK {
 				assert.Equal(t, len(r.body), 5000, "%s", b.Mode)
@@ -142,11 +142,11 @@
 			}
 		}
 	}
-	// An answer too large to keep that breaks off must not look whole.
-	assert.NilError(t, w.targets[0].Set(target.Behaviour{Mode: target.Good}))
-	for _, tg := range w.targets {
+	// An answer that is too large to buffer and breaks off must not look complete.
+	assert.NilError(t, fleet.targets[0].Set(target.Behaviour{Mode: target.Good}))
+	for _, tg := range fleet.targets {
 		assert.NilError(t, tg.Set(target.Behaviour{Mode: target.Truncate, Share: 1}))
 	}
-	r := call(http.MethodGet, "http://"+w.Hosts[0].Callers()+"/plans/7?size=4000000", "big", "")
-	assert.Assert(t, r.err != nil || r.status >= http.StatusInternalServerError, "a broken answer looked whole: %d bytes", len(r.body))
+	r := sendRequest(http.MethodGet, "http://"+fleet.Hosts[0].Callers()+"/plans/7?size=4000000", "big", "")
+	assert.Assert(t, r.err != nil || r.status >= http.StatusInternalServerError, "a truncated answer looked complete: %d bytes", len(r.body))
 }
--- a/internal/e2e/leftover_test.go
+++ b/internal/e2e/leftover_test.go
@@ -21,10 +21,10 @@
 	"github.com/radishhoist/radishhoist/internal/logtest"
 )
 
-// What a newcomer saw: eight demos in a row said that a good target answered a tenth of its
-// even share. Order of events: the output of a demo before had been cut off (make demo |
-// head); the demo died of it, its platform, targets and daemons lived on, and the next demos
-// took them for their own. Cause: nothing ended the processes but the demo's own last step.
+// Guards against processes that outlive their demo. Only the last step of the demo used to
+// stop them: a demo whose output was closed (make demo | head) died before it, its platform,
+// targets and daemons kept running, and later demos used them as their own. Eight demos in a
+// row then reported that a good target answered a tenth of its even share.
 func TestADemoThatEndsInAnyWayLeavesNoProcess(t *testing.T) {
 	for i, c := range []struct {
 		name string
@@ -32,8 +32,8 @@
 	}{
 		{"its output is closed", func(_ *os.Process, output io.Closer) error { return output.Close() }},
 		{"an interrupt", func(demo *os.Process, _ io.Closer) error { return demo.Signal(syscall.SIGINT) }},
-		{"a request to stop", func(demo *os.Process, _ io.Closer) error { return demo.Signal(syscall.SIGTERM) }},
-		{"its terminal goes", func(demo *os.Process, _ io.Closer) error { return demo.Signal(syscall.SIGHUP) }},
+		{"a termination signal", func(demo *os.Process, _ io.Closer) error { return demo.Signal(syscall.SIGTERM) }},
+		{"its terminal is closed", func(demo *os.Process, _ io.Closer) error { return demo.Signal(syscall.SIGHUP) }},
 		{"it is killed", func(demo *os.Process, _ io.Closer) error { return demo.Kill() }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -42,19 +42,19 @@
 			assert.NilError(t, c.end(demo.cmd.Process, demo.output))
 			_ = demo.cmd.Wait()
 			for _, pid := range children {
-				ends(t, pid)
+				waitForExit(t, pid)
 			}
 		})
 	}
 }
 
-type demoRun struct {
+type demoProcess struct {
 	cmd    *exec.Cmd
 	output io.ReadCloser
 }
 
-// startDemo starts a demo and waits until some of its processes run.
-func startDemo(t *testing.T, network int) (*demoRun, []int) {
+// startDemo starts a demo and waits until at least three of its processes run.
+func startDemo(t *testing.T, network int) (*demoProcess, []int) {
 	t.Helper()
 	cmd := exec.Command(filepath.Join(bin, "radishhoist-lab"), "demo", "--bin", bin, "--net", strconv.Itoa(network))
 	cmd.Env = append(os.Environ(), "TMPDIR="+t.TempDir())
@@ -65,14 +65,14 @@
 	_, err = bufio.NewReader(output).ReadString('\n')
 	assert.NilError(t, err)
 	var children []int
-	for end := time.Now().Add(patience); len(children) < 3; time.Sleep(10 * time.Millisecond) {
+	for end := time.Now().Add(waitTimeout); len(children) < 3; time.Sleep(10 * time.Millisecond) {
 		assert.Assert(t, time.Now().Before(end), "the demo started %d processes", len(children))
 		children = childrenOf(t, cmd.Process.Pid)
 	}
-	return &demoRun{cmd: cmd, output: output}, children
+	return &demoProcess{cmd: cmd, output: output}, children
 }
 
-// childrenOf lists the processes whose parent is a process.
+// childrenOf returns the child processes of a process.
 func childrenOf(t *testing.T, parent int) []int {
 	t.Helper()
 	files, err := filepath.Glob("/proc/[0-9]*/stat")
@@ -81,16 +81,16 @@
 	for _, file := range files {
 		pid, err := strconv.Atoi(filepath.Base(filepath.Dir(file)))
 		assert.NilError(t, err)
-		if fields := statOf(pid); len(fields) > 1 && fields[1] == strconv.Itoa(parent) {
+		if fields := procStat(pid); len(fields) > 1 && fields[1] == strconv.Itoa(parent) {
 			out = append(out, pid)
 		}
 	}
 	return out
 }
 
-// statOf gives a process's state and what follows it in its line of /proc, nil where it is
-// gone.
-func statOf(pid int) []string {
+// procStat returns the fields of /proc/PID/stat from the process state on, nil if the process
+// does not exist.
+func procStat(pid int) []string {
 	line, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		return nil
@@ -98,20 +98,21 @@
 	return strings.Fields(string(line[strings.LastIndexByte(string(line), ')')+1:]))
 }
 
-// ends waits until a process is gone, or waits only for its parent to hear of it.
-func ends(t *testing.T, pid int) {
+// waitForExit waits until a process does not exist or is a zombie. On time-out it kills the
+// process and fails the test.
+func waitForExit(t *testing.T, pid int) {
 	t.Helper()
-	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
-		if fields := statOf(pid); len(fields) == 0 || fields[0] == "Z" {
+	for end := time.Now().Add(waitTimeout); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
+		if fields := procStat(pid); len(fields) == 0 || fields[0] == "Z" {
 			return
 		}
 	}
 	_ = syscall.Kill(pid, syscall.SIGKILL)
-	t.Errorf("process %d still ran", pid)
+	t.Errorf("process %d is still running", pid)
 }
 
-// A stand-in of another run that has the address is not taken for one's own: the fleet fails
-// at once with the name and last line of the process that could not start.
+// A fleet does not use a process of another run that occupies its address: it fails
+// immediately with the name and the last output line of the process that could not start.
 func TestAFleetWhosePortIsTakenFailsAtOnce(t *testing.T) {
 	first := lab.NewFleet(context.Background(), bin, t.TempDir(), &logtest.Buffer{})
 	defer first.Stop()
@@ -128,7 +129,7 @@
 	defer func() { _ = l.Close() }()
 	_, err = first.StartHost("h1", "dc1", "127.0.46.11", "")
 	assert.NilError(t, err)
-	err = first.UntilServing(patience, nil)
+	err = first.UntilServing(waitTimeout, nil)
 	assert.ErrorContains(t, err, "h1 ended early")
 	assert.ErrorContains(t, err, "another process has this port")
 }
--- a/internal/e2e/teams_test.go
+++ b/internal/e2e/teams_test.go
@@ -16,8 +16,8 @@
 	"github.com/radishhoist/radishhoist/record"
 )
 
-// ask sends a request with a team's key to a host and gives the status.
-func ask(t *testing.T, h *lab.Host, key string) int {
+// statusWithKey sends a request with a team's key, if any, to a host and returns the status.
+func statusWithKey(t *testing.T, h *lab.Host, key string) int {
 	t.Helper()
 	req, err := http.NewRequest(http.MethodGet, "http://"+h.Callers()+"/plans/1", nil)
 	assert.NilError(t, err)
@@ -30,36 +30,36 @@
 	return resp.StatusCode
 }
 
-// cliWith is cli with something on standard input.
-func (w *world) cliWith(in string, args ...string) (string, error) {
+// cliWithInput runs the command line against the first host with text on standard input.
+func (fleet *testFleet) cliWithInput(in string, args ...string) (string, error) {
 	var out bytes.Buffer
-	all := append([]string{"radishhoist", "--platform", w.Platform, "--admin", w.Hosts[0].Admin()}, args...)
+	all := append([]string{"radishhoist", "--platform", fleet.Platform, "--admin", fleet.Hosts[0].Admin()}, args...)
 	err := cli.New(strings.NewReader(in), &out, nil).Run(context.Background(), all)
 	return out.String(), err
 }
 
-// An operator gives a team a key, sees its use over all hosts, and withdraws the key; each
-// change is confirmed in force on every host.
+// An operator issues a key to a team, sees its use over all hosts, and withdraws the key. Each
+// change is confirmed as in force on every host.
 func TestAnOperatorGivesATeamAKeyAndWithdrawsIt(t *testing.T) {
-	w := start(t, 47, 2, 2*time.Millisecond)
-	assert.Equal(t, ask(t, w.Hosts[0], ""), http.StatusOK)
-	assert.NilError(t, w.Put(context.Background(), record.Key{Kind: record.KindTeam, Name: "desk"}, &record.Team{Office: "bureau", RatePerSecond: 2, Burst: 5}))
-	_, err := w.cli("teams", "key", "add", "nobody")
+	fleet := startFleet(t, 47, 2, 2*time.Millisecond)
+	assert.Equal(t, statusWithKey(t, fleet.Hosts[0], ""), http.StatusOK)
+	assert.NilError(t, fleet.Put(context.Background(), record.Key{Kind: record.KindTeam, Name: "desk"}, &record.Team{Office: "bureau", RatePerSecond: 2, Burst: 5}))
+	_, err := fleet.cli("teams", "key", "add", "nobody")
 	assert.Equal(t, cli.ExitCode(err), cli.ExitNotFound)
 
-	out, err := w.cli("teams", "key", "add", "desk")
+	out, err := fleet.cli("teams", "key", "add", "desk")
 	assert.NilError(t, err, out)
 	assert.Assert(t, strings.Contains(out, "in force on every host"), out)
 	key := regexp.MustCompile(`(?m)^key (\S+)$`).FindStringSubmatch(out)
 	assert.Assert(t, key != nil, out)
-	for _, h := range w.Hosts {
-		assert.Equal(t, ask(t, h, ""), http.StatusUnauthorized)
-		assert.Equal(t, ask(t, h, "guess"), http.StatusUnauthorized)
+	for _, h := range fleet.Hosts {
+		assert.Equal(t, statusWithKey(t, h, ""), http.StatusUnauthorized)
+		assert.Equal(t, statusWithKey(t, h, "guess"), http.StatusUnauthorized)
 	}
 	passed, refused := 0, 0
 	for range 40 {
-		for _, h := range w.Hosts {
-			switch ask(t, h, key[1]) {
+		for _, h := range fleet.Hosts {
+			switch statusWithKey(t, h, key[1]) {
 			case http.StatusOK:
 				passed++
 			case http.StatusTooManyRequests:
@@ -68,20 +68,20 @@
 		}
 	}
 	assert.Assert(t, passed > 0 && refused > 40, "%d passed, %d refused", passed, refused)
-	out, err = w.cli("teams")
+	out, err = fleet.cli("teams")
 	assert.NilError(t, err)
 	assert.Assert(t, regexp.MustCompile(`desk +2/s +5 `).MatchString(out), out)
-	assert.Assert(t, !strings.Contains(out, key[1]), "the list tells the key")
-	dump, err := w.cli("get", "team", "desk")
+	assert.Assert(t, !strings.Contains(out, key[1]), "the list reveals the key")
+	dump, err := fleet.cli("get", "team", "desk")
 	assert.NilError(t, err)
-	assert.Assert(t, !strings.Contains(dump, key[1]), "the record tells the key")
+	assert.Assert(t, !strings.Contains(dump, key[1]), "the record reveals the key")
 
-	_, err = w.cliWith("another", "teams", "key", "withdraw", "desk")
+	_, err = fleet.cliWithInput("another", "teams", "key", "withdraw", "desk")
 	assert.Equal(t, cli.ExitCode(err), cli.ExitInvalid)
-	out, err = w.cliWith(key[1]+"\n", "teams", "key", "withdraw", "desk")
+	out, err = fleet.cliWithInput(key[1]+"\n", "teams", "key", "withdraw", "desk")
 	assert.NilError(t, err, out)
-	// The last key of all teams is gone: nobody shows one any more.
-	for _, h := range w.Hosts {
-		assert.Equal(t, ask(t, h, ""), http.StatusOK)
+	// No team has a key any more, so requests without a key are accepted again.
+	for _, h := range fleet.Hosts {
+		assert.Equal(t, statusWithKey(t, h, ""), http.StatusOK)
 	}
 }
