--- a/cmd/radishhoist-lab/main.go
+++ b/cmd/radishhoist-lab/main.go
@@ -97,7 +97,7 @@
 			&cli.BoolFlag{Name: "verbose", Usage: "show the processes' logs"},
 		},
 		Action: func(ctx context.Context, cmd *cli.Command) error {
-			return lab.Demo(ctx, os.Stdout, lab.DemoConfig{Bin: cmd.String("bin"), Net: cmd.Int("net"), Verbose: cmd.Bool("verbose")})
+			return lab.Demo(ctx, os.Stdout, lab.DemoConfig{Bin: cmd.String("bin"), AddressOctet: cmd.Int("net"), Verbose: cmd.Bool("verbose")})
 		},
 	}
 }
@@ -116,7 +116,7 @@
 		Action: func(ctx context.Context, cmd *cli.Command) error {
 			r, err := lab.Load(ctx, lab.LoadConfig{
 				URLs: cmd.StringSlice("to"), Method: cmd.String("method"),
-				Rate: cmd.Int("rate"), For: cmd.Duration("for"), Body: cmd.Int("body"),
+				Rate: cmd.Int("rate"), Duration: cmd.Duration("for"), BodyBytes: cmd.Int("body"),
 			})
 			if err != nil {
 				return err
@@ -147,7 +147,7 @@
 		Usage: "measure detection, ejection and load control in virtual time beside baselines",
 		Flags: []cli.Flag{
 			&cli.IntFlag{Name: "seeds", Value: 10, Usage: "runs a case"},
-			&cli.IntFlag{Name: "first", Value: experiment.HeldOut, Usage: "first seed; the default ones are never used for tuning"},
+			&cli.IntFlag{Name: "first", Value: experiment.FirstHeldOutSeed, Usage: "first seed; the default ones are never used for tuning"},
 			&cli.FloatFlag{Name: "noise-hours", Value: 2000, Usage: "length of the noise run in instance-hours"},
 			&cli.BoolFlag{Name: "recovery", Usage: "only list the failures that are left long after a spike"},
 			&cli.BoolFlag{Name: "ours", Usage: "leave the baselines out"},
@@ -156,8 +156,8 @@
 		},
 		Action: func(_ context.Context, cmd *cli.Command) error {
 			options := experiment.Options{
-				Seeds: cmd.Int("seeds"), First: uint64(cmd.Int("first")),
-				NoiseHours: cmd.Float("noise-hours"), Large: cmd.Bool("large"), OursOnly: cmd.Bool("ours"),
+				Seeds: cmd.Int("seeds"), FirstSeed: uint64(cmd.Int("first")),
+				NoiseInstanceHours: cmd.Float("noise-hours"), TargetSize: cmd.Bool("large"), OmitBaselines: cmd.Bool("ours"),
 			}
 			if cmd.Bool("recovery") {
 				experiment.Recovery(os.Stdout, options)
@@ -200,8 +200,8 @@
 			&cli.StringFlag{Name: "logs", Usage: "`DIRECTORY` for the logs of seeds that break a promise"},
 		},
 		Action: func(ctx context.Context, cmd *cli.Command) error {
-			return soak.Seeds(ctx, os.Stdout, soak.Config{
-				Bin: cmd.String("bin"), Seed: uint64(cmd.Int("seed")), Hosts: cmd.Int("hosts"), Length: cmd.Duration("for"), Net: cmd.Int("net"),
+			return soak.RunSeeds(ctx, os.Stdout, soak.Config{
+				Bin: cmd.String("bin"), Seed: uint64(cmd.Int("seed")), Hosts: cmd.Int("hosts"), Duration: cmd.Duration("for"), NetOctet: cmd.Int("net"),
 			}, cmd.Int("seeds"), cmd.String("logs"))
 		},
 	}
--- a/cmd/radishhoist/main.go
+++ b/cmd/radishhoist/main.go
@@ -20,7 +20,7 @@
 // adapters are the platforms beside the product's own. Configurations are only
 // read there, so that services need no defaults of their own.
 var adapters = cli.Adapters{
-	platform.Name: func(url string) objects.Store {
+	platform.AdapterName: func(url string) objects.Store {
 		return platform.NewStore(url, watchWait, settings.Default().ServiceDefaults())
 	},
 }
--- a/cmd/radishhoistd/main.go
+++ b/cmd/radishhoistd/main.go
@@ -20,7 +20,7 @@
 )
 
 func main() {
-	settings.Adapters = append(settings.Adapters, platform.Name)
+	settings.Adapters = append(settings.Adapters, platform.AdapterName)
 	cmd := &cli.Command{
 		Name:  "radishhoistd",
 		Usage: "proxy daemon of one target host: front, guard and control",
@@ -61,15 +61,15 @@
 }
 
 // ports picks what speaks to the platform that the settings name.
-func ports(cfg *settings.Config) daemon.Ports {
-	if cfg.Adapter == platform.Name {
-		return daemon.Ports{
-			Store:   platform.NewStore(cfg.Platform, cfg.WatchWait, cfg.ServiceDefaults()),
-			Dialect: platform.Headers(),
-			Needs:   []record.Key{platform.ConfigurationKey},
+func ports(cfg *settings.Config) daemon.PlatformAdapter {
+	if cfg.Adapter == platform.AdapterName {
+		return daemon.PlatformAdapter{
+			Store:           platform.NewStore(cfg.Platform, cfg.WatchWait, cfg.ServiceDefaults()),
+			Dialect:         platform.Headers(),
+			RequiredRecords: []record.Key{platform.ConfigurationKey},
 		}
 	}
-	return daemon.OwnPorts(cfg)
+	return daemon.OwnAdapter(cfg)
 }
 
 func serve(path string, cfg *settings.Config) error {
@@ -89,7 +89,7 @@
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
 	ctx, cancel := context.WithCancel(context.Background())
-	go d.Follow(ctx, path, hangups, func(cfg *settings.Config) {
+	go d.WatchSettings(ctx, path, hangups, func(cfg *settings.Config) {
 		limitMemory(cfg.MemoryMB)
 		setLevel(level, cfg.LogLevel)
 	})
--- a/internal/cli/apply.go
+++ b/internal/cli/apply.go
@@ -110,12 +110,12 @@
 // can be told from another operator's write.
 func (a *app) write(ctx context.Context, s objects.Store, r *record.Record, ifVersion int64) error {
 	writer := operator() + " " + uuid.NewString()
-	value, err := record.MarshalBy(r.Key, r.Spec, writer)
+	value, err := record.MarshalWithWriter(r.Key, r.Spec, writer)
 	if err != nil {
 		return err
 	}
 	mine := func(stored []byte) bool { return record.WriterOf(stored) == writer }
-	obj, err := objects.PutSettled(ctx, s, r.Key, value, ifVersion, mine)
+	obj, err := objects.PutConfirmed(ctx, s, r.Key, value, ifVersion, mine)
 	var conflict *objects.ConflictError
 	if errors.As(err, &conflict) {
 		changes, _ := diffRecord(conflict.Current.Value, r)
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -48,7 +48,7 @@
 		missing     *objects.NotFoundError
 		unavailable *objects.UnavailableError
 		invalid     *record.InvalidError
-		tooNew      *record.TooNewError
+		tooNew      *record.SchemaTooNewError
 		usage       *InvalidError
 		unsafe      *UnsafeError
 	)
@@ -89,7 +89,7 @@
 // New builds the command line with its streams. The own dialect is always
 // there; others adds those of other platforms.
 func New(in io.Reader, out io.Writer, others Adapters) *cli.Command {
-	stores := Adapters{settings.AdapterOwn: func(url string) objects.Store { return objects.NewClient(url, time.Minute) }}
+	stores := Adapters{settings.DefaultAdapter: func(url string) objects.Store { return objects.NewClient(url, time.Minute) }}
 	maps.Copy(stores, others)
 	checkAdapter := func(name string) error {
 		if _, ok := stores[name]; !ok {
@@ -105,7 +105,7 @@
 			"overwrites another operator's change unseen. Start with `radishhoist status`.",
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: "platform", Usage: "base `URL` of the platform's object API", Sources: cli.EnvVars("RADISHHOIST_PLATFORM"), Value: "http://127.0.0.1:7000"},
-			&cli.StringFlag{Name: "adapter", Usage: "dialect of the platform, as the daemons' settings `NAME` it", Sources: cli.EnvVars("RADISHHOIST_ADAPTER"), Value: settings.AdapterOwn, Validator: checkAdapter},
+			&cli.StringFlag{Name: "adapter", Usage: "dialect of the platform, as the daemons' settings `NAME` it", Sources: cli.EnvVars("RADISHHOIST_ADAPTER"), Value: settings.DefaultAdapter, Validator: checkAdapter},
 			&cli.StringFlag{Name: "admin", Usage: "admin `ADDRESS` of any daemon", Sources: cli.EnvVars("RADISHHOIST_ADMIN"), Value: "127.0.0.1:7900"},
 			&cli.StringFlag{Name: "output", Aliases: []string{"o"}, Usage: "`FORMAT`: table or json", Value: "table", Validator: checkFormat},
 		},
--- a/internal/cli/losses.go
+++ b/internal/cli/losses.go
@@ -78,7 +78,7 @@
 		line("%s\t%d\t%s (%d)", window.From.UTC().Format(time.TimeOnly), window.Lost, cause, window.Causes[cause])
 	}
 	line("\nrepeats of lost requests: %d sent; %d requests found none left, guards refused %d times; for example %s",
-		r.Repeats.Sent, r.Repeats.Unpaid, r.Repeats.Refused, r.Repeats.Example.Request)
+		r.Retries.Sent, r.Retries.OverBudget, r.Retries.Refused, r.Retries.Example.Request)
 	line("\nSERVICE\tWAITED AND REFUSED\tLONGEST\tEXAMPLE")
 	for _, wait := range r.Waits {
 		line("%s\t%d\t%s\t%s", wait.Service, wait.Count, wait.Longest, wait.Example.Request)
--- a/internal/cli/records.go
+++ b/internal/cli/records.go
@@ -27,7 +27,7 @@
 			if err != nil {
 				return err
 			}
-			text, err := record.Edit(obj.Value, obj.Version)
+			text, err := record.MarshalForEdit(obj.Value, obj.Version)
 			if err != nil {
 				return err
 			}
@@ -105,7 +105,7 @@
 	case *record.Status:
 		return fmt.Sprintf("%d hosts, summed by %s", s.Hosts, s.Writer)
 	case *record.Crasher:
-		return fmt.Sprintf("%s, ended %d instances of %s", s.Request, len(s.Ends), s.Ends[0].Service)
+		return fmt.Sprintf("%s, ended %d instances of %s", s.Request, len(s.Crashes), s.Crashes[0].Service)
 	case *record.ShardMap:
 		return fmt.Sprintf("%d shards, %d guards", len(s.Shards), len(s.Guards))
 	default:
--- a/internal/cli/status.go
+++ b/internal/cli/status.go
@@ -48,7 +48,7 @@
 func (a *app) gather(ctx context.Context, cmd *cli.Command) *statusReport {
 	r := &statusReport{InForce: []*record.Status{}, Stops: []row{}}
 	var seen state.Status
-	if err := adminGet(ctx, cmd.String("admin"), state.PathStatus, nil, &seen); err != nil {
+	if err := adminGet(ctx, cmd.String("admin"), state.StatusPath, nil, &seen); err != nil {
 		r.DaemonErr = err.Error()
 	} else {
 		r.Seen = &seen
@@ -95,11 +95,11 @@
 	a.say("As host %s (%s, %s) sees it; %d requests run on it, %d wait:", s.Host, s.DC, s.Phase, s.Running, s.Queued)
 	a.table("SERVICE\tPRESET\tSLOTS IN USE\tFLOOR\tSLOTS KNOWN\tNOT IN USE", func(w *tabwriter.Writer) {
 		for _, svc := range s.Services {
-			fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%d\t%s\n", svc.Name, svc.Preset, svc.Healthy, svc.Required, svc.Known, notUsed(svc))
+			fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%d\t%s\n", svc.Name, svc.Preset, svc.HealthySlots, svc.RequiredSlots, svc.KnownSlots, notUsed(svc))
 		}
 	})
 	for _, svc := range s.Services {
-		if svc.Healthy < svc.Required {
+		if svc.HealthySlots < svc.RequiredSlots {
 			a.say("SERVICE %s IS BELOW ITS FLOOR: traffic spreads over the least bad. See docs/operate/floor.md.", svc.Name)
 		}
 		for _, t := range svc.Targets {
@@ -113,7 +113,7 @@
 			a.say("  host %s (%s): %s", m.Host, m.DC, m.Status)
 		}
 	}
-	if s.Control.Away {
+	if s.Control.PlatformAway {
 		a.say("  this host has no answer from the platform and goes on with the records it has")
 	}
 }
@@ -173,7 +173,7 @@
 			}
 			q := explainQuery{Method: strings.ToUpper(cmd.Args().Get(0)), URL: cmd.Args().Get(1), Team: cmd.String("team")}
 			var e front.Explanation
-			if err := adminGet(ctx, cmd.String("admin"), state.PathExplain, q, &e); err != nil {
+			if err := adminGet(ctx, cmd.String("admin"), state.ExplainPath, q, &e); err != nil {
 				return err
 			}
 			if asJSON(cmd) {
@@ -189,7 +189,7 @@
 	if e.Matched {
 		a.say("route      %s (version %d)", e.Route, e.Version)
 		a.say("service    %s", e.Service)
-		a.say("idempotent %t: %s", e.Idempotent, e.Because)
+		a.say("idempotent %t: %s", e.Idempotent, e.IdempotencyReason)
 		a.say("deadline   %d ms from arrival; priority %d", e.TimeoutMS, e.Priority)
 	}
 	if e.Team != "" {
@@ -223,7 +223,7 @@
 				return err
 			}
 			var dump state.Dump
-			if err := adminGet(ctx, addr, state.PathState, nil, &dump); err != nil {
+			if err := adminGet(ctx, addr, state.StatePath, nil, &dump); err != nil {
 				return err
 			}
 			return a.json(dump)
--- a/internal/cli/stop.go
+++ b/internal/cli/stop.go
@@ -95,14 +95,14 @@
 // checkFloor refuses a stop that would leave a service below its floor.
 func checkFloor(ctx context.Context, cmd *cli.Command, host, instance string) error {
 	var seen state.Status
-	if err := adminGet(ctx, cmd.String("admin"), state.PathStatus, nil, &seen); err != nil {
+	if err := adminGet(ctx, cmd.String("admin"), state.StatusPath, nil, &seen); err != nil {
 		return &UnsafeError{fmt.Sprintf("cannot tell whether the floors would hold: %v; name a daemon with --admin, or add --force", err)}
 	}
 	for _, svc := range seen.Services {
 		lost := usedSlots(svc, host, instance)
-		if lost > 0 && svc.Healthy-lost < svc.Required {
+		if lost > 0 && svc.HealthySlots-lost < svc.RequiredSlots {
 			return &UnsafeError{fmt.Sprintf("service %s would have %d slots in use, its floor is %d: start instances elsewhere or wait for others to come back first; --force stops all the same",
-				svc.Name, svc.Healthy-lost, svc.Required)}
+				svc.Name, svc.HealthySlots-lost, svc.RequiredSlots)}
 		}
 	}
 	return nil
@@ -133,7 +133,7 @@
 	last := ""
 	for {
 		var dump state.Dump
-		if err := adminGet(ctx, addr, state.PathState, nil, &dump); err != nil {
+		if err := adminGet(ctx, addr, state.StatePath, nil, &dump); err != nil {
 			return err
 		}
 		line, drained := drainLine(&dump, cmd.String("instance"))
--- a/internal/cli/suspects.go
+++ b/internal/cli/suspects.go
@@ -54,7 +54,7 @@
 	Since string `json:"since"`
 	Last  string `json:"last"`
 	// Instances are the ends of the starts that ended.
-	Instances []record.InstanceEnd `json:"instances"`
+	Instances []record.InstanceCrash `json:"instances"`
 }
 
 // suspectList is the answer of the command. Problem says why the records are missing.
@@ -68,7 +68,7 @@
 		return &InvalidError{fmt.Sprintf("%q is no command; write `radishhoist suspects` or `radishhoist suspects clear PRINT`", cmd.Args().First())}
 	}
 	var dump state.Dump
-	if err := adminGet(ctx, cmd.String("admin"), state.PathState, nil, &dump); err != nil {
+	if err := adminGet(ctx, cmd.String("admin"), state.StatePath, nil, &dump); err != nil {
 		return err
 	}
 	var problem string
@@ -104,8 +104,8 @@
 		}
 		s := byPrint[obj.Name]
 		if s == nil {
-			s = &suspect{Print: obj.Name, Ends: len(c.Ends)}
-			s.tell(c.Ends)
+			s = &suspect{Print: obj.Name, Ends: len(c.Crashes)}
+			s.tell(c.Crashes)
 			byPrint[obj.Name] = s
 		}
 		s.Request = c.Request
@@ -119,11 +119,11 @@
 }
 
 // tell adds what is known of the ends that it has part in.
-func (s *suspect) tell(ends []record.InstanceEnd) {
+func (s *suspect) tell(ends []record.InstanceCrash) {
 	if len(ends) == 0 {
 		return // cleared while it was listed
 	}
-	byTime := func(a, b record.InstanceEnd) int { return cmp.Compare(a.AtMS, b.AtMS) }
+	byTime := func(a, b record.InstanceCrash) int { return cmp.Compare(a.AtMS, b.AtMS) }
 	first, last := slices.MinFunc(ends, byTime), slices.MaxFunc(ends, byTime)
 	s.Service, s.Since, s.Last, s.Instances = first.Service, stamp(first.AtMS), stamp(last.AtMS), ends
 	for _, e := range ends {
--- a/internal/cli/teams.go
+++ b/internal/cli/teams.go
@@ -77,7 +77,7 @@
 	list := teamList{Teams: []*teamUse{}}
 	for _, name := range slices.Sorted(maps.Keys(hosts)) {
 		var dump state.Dump
-		if err := adminGet(ctx, hosts[name], state.PathState, nil, &dump); err != nil {
+		if err := adminGet(ctx, hosts[name], state.StatePath, nil, &dump); err != nil {
 			list.Silent = append(list.Silent, name)
 			continue
 		}
@@ -141,8 +141,8 @@
 	case u.Home == "":
 		u.Rate, u.Burst, u.Used, u.Close = s.Rate, s.Burst, max(u.Used, used), u.Close || s.NearLimit
 	}
-	if s.Passed > 0 {
-		u.Passed[host] = s.Passed
+	if s.Admitted > 0 {
+		u.Passed[host] = s.Admitted
 	}
 	if s.Refused > 0 {
 		u.Refused[host] = s.Refused
@@ -207,7 +207,7 @@
 func (a *app) addKey(ctx context.Context, cmd *cli.Command) error {
 	key := rand.Text()
 	err := a.changeKeys(ctx, cmd, func(t *record.Team) error {
-		t.KeyHashes = append(t.KeyHashes, record.HashKey(key).String())
+		t.KeyHashes = append(t.KeyHashes, record.HashTeamKey(key).String())
 		return nil
 	})
 	if err != nil {
@@ -220,10 +220,10 @@
 
 func (a *app) withdrawKey(ctx context.Context, cmd *cli.Command) error {
 	var key string
-	if _, err := fmt.Fscan(a.in, &key); err != nil || record.KeyFault(key) != "" {
+	if _, err := fmt.Fscan(a.in, &key); err != nil || record.TeamKeyProblem(key) != "" {
 		return &InvalidError{"write the key to withdraw on standard input, for example: radishhoist teams key withdraw TEAM < file"}
 	}
-	hash := record.HashKey(key).String()
+	hash := record.HashTeamKey(key).String()
 	return a.changeKeys(ctx, cmd, func(t *record.Team) error {
 		kept := slices.DeleteFunc(slices.Clone(t.KeyHashes), func(h string) bool { return h == hash })
 		if len(kept) == len(t.KeyHashes) {
@@ -277,7 +277,7 @@
 	for {
 		for name, addr := range hosts {
 			var st state.Status
-			if adminGet(ctx, addr, state.PathStatus, nil, &st) == nil && st.Control.InForce >= obj.Version {
+			if adminGet(ctx, addr, state.StatusPath, nil, &st) == nil && st.Control.ActiveVersion >= obj.Version {
 				delete(hosts, name)
 			}
 		}
--- a/internal/cli/trace_test.go
+++ b/internal/cli/trace_test.go
@@ -22,7 +22,7 @@
 	return out.String(), err
 }
 
-func TestTraceShowsTheWayOfOneRequest(t *testing.T) {
+func TestTraceShowsPathOfOneRequest(t *testing.T) {
 	out, err := trace("r1")
 	assert.NilError(t, err)
 	for _, want := range []string{
@@ -36,7 +36,7 @@
 	assert.Assert(t, strings.Contains(out, "200 request failed  r1.7"), "a call of the request's own is not shown")
 }
 
-func TestTraceSaysWhatIsMissing(t *testing.T) {
+func TestTraceReportsMissingInput(t *testing.T) {
 	_, err := trace("r9")
 	assert.ErrorContains(t, err, "no line about request r9")
 	_, err = trace()
@@ -45,7 +45,7 @@
 	assert.ErrorContains(t, err, "open a log")
 }
 
-func TestAnUnknownAdapterIsNamed(t *testing.T) {
+func TestUnknownAdapterIsReported(t *testing.T) {
 	var out bytes.Buffer
 	err := New(strings.NewReader(""), &out, nil).Run(context.Background(), []string{"radishhoist", "--adapter", "other", "list"})
 	assert.ErrorContains(t, err, `"other" is not an adapter; write one of [own]`)
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -39,10 +39,10 @@
 	Replica config.Config
 	// WatchersPerDC is how many hosts of a data centre watch the platform.
 	WatchersPerDC int
-	// Needs are the records without which this host serves nothing.
-	Needs []record.Key
-	// AwayMax is the longest pause between calls to a platform that is away.
-	AwayMax time.Duration
+	// RequiredRecords are the records without which this host serves nothing.
+	RequiredRecords []record.Key
+	// MaxRetryInterval is the longest pause between calls to a platform that is away.
+	MaxRetryInterval time.Duration
 	// StatusInterval is the least time between two written summaries.
 	StatusInterval time.Duration
 }
@@ -53,20 +53,20 @@
 	Directory func(*directory.Directory)
 	// Instances lists this host's own instances.
 	Instances func() []directory.Instance
-	// Pulse is called with what other hosts' guards tell of their instances. It
+	// LoadReport is called with what other hosts' guards tell of their instances. It
 	// must not block.
-	Pulse func(*msg.LoadReport)
-	// Ended is called with the ends of instances anywhere, and Cleared with what
+	LoadReport func(*msg.LoadReport)
+	// Crashed is called with the ends of instances anywhere, and Cleared with what
 	// requests were cleared of. They must not block.
-	Ended   func(crash.Crash)
+	Crashed func(crash.Crash)
 	Cleared func(end string, p crash.Fingerprint)
-	// Lifted is called with a request that may run again by an operator's word. It must
+	// Unblocked is called with a request that may run again by an operator's word. It must
 	// not block.
-	Lifted func(p crash.Fingerprint)
-	// Teams holds teams to their rates; nil where nothing does.
-	Teams Teams
-	// Synced is called once the shard maps were read from the platform.
-	Synced func()
+	Unblocked func(p crash.Fingerprint)
+	// TeamLimiter holds teams to their rates; nil where nothing does.
+	TeamLimiter Teams
+	// ShardMapsRead is called once the shard maps were read from the platform.
+	ShardMapsRead func()
 }
 
 // Control is one host's control role. It is safe for concurrent use.
@@ -172,8 +172,8 @@
 	SendLossy(ctx context.Context, addr string, m msg.Message) error
 }
 
-// SetPeers sets the ways to the other hosts, before Run.
-func (c *Control) SetPeers(p Peers) { c.pool = p }
+// SetSender sets the ways to the other hosts, before Run.
+func (c *Control) SetSender(p Peers) { c.pool = p }
 
 // Listen opens the membership socket, before Run.
 func (c *Control) Listen() error {
@@ -267,17 +267,17 @@
 	c.selfDue = true
 }
 
-// Inject brings an object into force that this host has just written or read,
+// ApplyObject brings an object into force that this host has just written or read,
 // without waiting for a watcher to see it.
-func (c *Control) Inject(obj objects.Object) {
+func (c *Control) ApplyObject(obj objects.Object) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.replica.Publish(c.peers(), msg.SetRecords, toEntries([]objects.Object{obj}))
 	c.flush(time.Now())
 }
 
-// Leave tells the fleet that this host takes no new work, or takes it again.
-func (c *Control) Leave(leaving bool) {
+// SetLeaving tells the fleet that this host takes no new work, or takes it again.
+func (c *Control) SetLeaving(leaving bool) {
 	c.mu.Lock()
 	if c.leaving != leaving {
 		c.leaving = leaving
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -32,13 +32,13 @@
 // newOver makes a Control over a store, with no sockets.
 func newOver(store objects.Store, directory func(*directory.Directory)) *Control {
 	return New(Config{
-		Host: "a", DC: "dc", Peer: "127.0.0.1:0", Incarnation: 1, AwayMax: 2 * time.Second,
+		Host: "a", DC: "dc", Peer: "127.0.0.1:0", Incarnation: 1, MaxRetryInterval: 2 * time.Second,
 		Member: member.DefaultConfig("a"), Replica: config.DefaultConfig(), WatchersPerDC: 1,
 	}, Hooks{
-		Directory: directory,
-		Instances: noInstances,
-		Synced:    func() {},
-		Pulse:     func(*msg.LoadReport) {},
+		Directory:     directory,
+		Instances:     noInstances,
+		ShardMapsRead: func() {},
+		LoadReport:    func(*msg.LoadReport) {},
 	}, store, slog.New(slog.NewTextHandler(io.Discard, nil)))
 }
 
@@ -76,11 +76,11 @@
 	now := time.Now()
 	c.tick(now)
 	assert.Assert(t, len(*seen) > 0)
-	assert.Assert(t, !(*seen)[len(*seen)-1].Whole)
+	assert.Assert(t, !(*seen)[len(*seen)-1].Complete)
 
 	c.HandleControl(from, &msg.Snapshot{Set: msg.SetRecords, Entries: []msg.Entry{entry}, Last: true, Complete: true})
 	c.tick(now.Add(tickInterval))
-	assert.Assert(t, (*seen)[len(*seen)-1].Whole, "the set is whole, and the directory in force does not say so")
+	assert.Assert(t, (*seen)[len(*seen)-1].Complete, "the set is whole, and the directory in force does not say so")
 }
 
 func TestRecordsOfHostsGoneForGoodAreRemoved(t *testing.T) {
@@ -109,13 +109,13 @@
 	key := record.Key{Kind: record.KindCrasher, Name: print.String()}
 	s := &record.Crasher{Request: "GET /status"}
 	for _, id := range []string{"a", "b", "c"} {
-		s.Ends = append(s.Ends, record.InstanceEnd{ID: id, Service: "desk", AtMS: now.UnixMilli()})
+		s.Crashes = append(s.Crashes, record.InstanceCrash{ID: id, Service: "desk", AtMS: now.UnixMilli()})
 	}
 	c.records.inForce[key] = &record.Record{Key: key, Version: 3, Spec: s}
 	assert.Equal(t, len(c.forgottenCrashers(now)), 0)
-	c.TellCleared("a", print+1)
+	c.PublishClearance("a", print+1)
 	assert.Equal(t, len(c.forgottenCrashers(now)), 0, "another request was cleared")
-	c.TellCleared("a", print)
+	c.PublishClearance("a", print)
 	assert.DeepEqual(t, c.forgottenCrashers(now), map[record.Key]int64{key: 3})
 }
 
--- a/internal/control/crashers.go
+++ b/internal/control/crashers.go
@@ -34,10 +34,10 @@
 	toldAt time.Time
 }
 
-// Keep has a stopped request kept in the platform, so that a loss of all processes does
+// StoreCrasher has a stopped request kept in the platform, so that a loss of all processes does
 // not forget it. It does not wait for that.
-func (c *Control) Keep(p crash.Fingerprint, request string, ends []record.InstanceEnd) {
-	value, err := record.Marshal(crasherKey(p), &record.Crasher{Request: request, Ends: ends})
+func (c *Control) StoreCrasher(p crash.Fingerprint, request string, ends []record.InstanceCrash) {
+	value, err := record.Marshal(crasherKey(p), &record.Crasher{Request: request, Crashes: ends})
 	if err != nil {
 		c.logUnkept(p, err)
 		return
@@ -111,7 +111,7 @@
 }
 
 func (c *Control) logUnkept(p crash.Fingerprint, cause error) {
-	event.Log(c.log, event.RecordUnwritten, slog.String("record", crasherKey(p).String()), slog.String("cause", cause.Error()))
+	event.Log(c.log, event.RecordNotWritten, slog.String("record", crasherKey(p).String()), slog.String("cause", cause.Error()))
 }
 
 // applyCrasher takes a stopped request from the platform, or that it may run again. The
@@ -126,7 +126,7 @@
 		return
 	}
 	if e.Deleted {
-		c.hooks.Lifted(p)
+		c.hooks.Unblocked(p)
 		c.clearEnds(p)
 		return
 	}
@@ -134,11 +134,11 @@
 	if !ok {
 		return // refused, with a line of its own
 	}
-	for _, end := range r.Spec.(*record.Crasher).Ends {
+	for _, end := range r.Spec.(*record.Crasher).Crashes {
 		if time.Since(time.UnixMilli(end.AtMS)) > crash.RetentionPeriod {
 			continue
 		}
-		c.hooks.Ended(crash.Crash{
+		c.hooks.Crashed(crash.Crash{
 			ID: end.ID, Software: crash.Software{Service: end.Service, Version: end.Version},
 			Host: end.Host, DetectedAt: time.UnixMilli(end.AtMS), Fingerprints: []crash.Fingerprint{p},
 		})
@@ -149,7 +149,7 @@
 // that do so write the same, so that it spreads once. The caller holds the lock.
 func (c *Control) clearEnds(p crash.Fingerprint) {
 	var cleared []msg.Entry
-	c.replica.Set(msg.SetEnds).Each(func(e msg.Entry) {
+	c.replica.Set(msg.SetCrashes).Each(func(e msg.Entry) {
 		if e.Kind != endKind {
 			return
 		}
@@ -157,7 +157,7 @@
 			cleared = append(cleared, clearedEntry(e.Name, p, e.Version))
 		}
 	})
-	c.replica.Publish(c.peers(), msg.SetEnds, cleared)
+	c.replica.Publish(c.peers(), msg.SetCrashes, cleared)
 }
 
 func clearedEntry(end string, p crash.Fingerprint, version int64) msg.Entry {
@@ -167,7 +167,7 @@
 // endVersion is the version of an end, now for one that is not known here. The caller
 // holds the lock.
 func (c *Control) endVersion(end string, now time.Time) int64 {
-	if e, ok := c.replica.Set(msg.SetEnds).Get(config.Key{Kind: endKind, Name: end}); ok {
+	if e, ok := c.replica.Set(msg.SetCrashes).Get(config.Key{Kind: endKind, Name: end}); ok {
 		return e.Version
 	}
 	return now.UnixMilli()
@@ -186,8 +186,8 @@
 		if !ok {
 			continue
 		}
-		last := slices.MaxFunc(s.Ends, func(x, y record.InstanceEnd) int { return int(x.AtMS - y.AtMS) })
-		if now.Sub(time.UnixMilli(last.AtMS)) > crash.RetentionPeriod || c.blamed(key.Name, s.Ends) < crash.BlockAfterIncidents {
+		last := slices.MaxFunc(s.Crashes, func(x, y record.InstanceCrash) int { return int(x.AtMS - y.AtMS) })
+		if now.Sub(time.UnixMilli(last.AtMS)) > crash.RetentionPeriod || c.blamed(key.Name, s.Crashes) < crash.BlockAfterIncidents {
 			out[key] = r.Version
 		}
 	}
@@ -196,10 +196,10 @@
 
 // blamed counts the ends that a request, named by its print, has not been cleared of. The
 // caller holds the lock.
-func (c *Control) blamed(print string, ends []record.InstanceEnd) int {
+func (c *Control) blamed(print string, ends []record.InstanceCrash) int {
 	n := 0
 	for _, e := range ends {
-		if _, cleared := c.replica.Set(msg.SetEnds).Get(config.Key{Kind: clearedKind, Name: e.ID + printStart + print}); !cleared {
+		if _, cleared := c.replica.Set(msg.SetCrashes).Get(config.Key{Kind: clearedKind, Name: e.ID + printStart + print}); !cleared {
 			n++
 		}
 	}
--- a/internal/control/ends.go
+++ b/internal/control/ends.go
@@ -21,13 +21,13 @@
 	endsSweep = time.Minute
 )
 
-// TellEnd tells all hosts of the end of an instance.
-func (c *Control) TellEnd(e crash.Crash) {
-	m := msg.InstanceEnd{Service: e.Software.Service, SoftwareVersion: e.Software.Version, Host: e.Host, AtMS: e.DetectedAt.UnixMilli()}
+// PublishCrash tells all hosts of the end of an instance.
+func (c *Control) PublishCrash(e crash.Crash) {
+	m := msg.InstanceCrash{Service: e.Software.Service, SoftwareVersion: e.Software.Version, Host: e.Host, DetectedAtMS: e.DetectedAt.UnixMilli()}
 	for _, p := range e.Fingerprints {
-		m.Prints = append(m.Prints, uint64(p))
+		m.Fingerprints = append(m.Fingerprints, uint64(p))
 	}
-	entry := msg.Entry{Kind: endKind, Name: e.ID, Version: m.AtMS}
+	entry := msg.Entry{Kind: endKind, Name: e.ID, Version: m.DetectedAtMS}
 	var err error
 	if entry.Value, err = m.MarshalMsg(nil); err != nil {
 		c.refuseEnd(e.DetectedAt, entry, err)
@@ -36,8 +36,8 @@
 	c.tellEnds(entry)
 }
 
-// TellCleared tells all hosts that a request had no part in an end.
-func (c *Control) TellCleared(end string, p crash.Fingerprint) {
+// PublishClearance tells all hosts that a request had no part in an end.
+func (c *Control) PublishClearance(end string, p crash.Fingerprint) {
 	c.mu.Lock()
 	version := c.endVersion(end, time.Now())
 	c.mu.Unlock()
@@ -47,7 +47,7 @@
 func (c *Control) tellEnds(e msg.Entry) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.replica.Publish(c.peers(), msg.SetEnds, []msg.Entry{e})
+	c.replica.Publish(c.peers(), msg.SetCrashes, []msg.Entry{e})
 	c.flush(time.Now())
 }
 
@@ -62,7 +62,7 @@
 	case endKind:
 		var end crash.Crash
 		if end, err = readEnd(e); err == nil {
-			c.hooks.Ended(end)
+			c.hooks.Crashed(end)
 		}
 	case clearedKind:
 		var p crash.Fingerprint
@@ -77,15 +77,15 @@
 }
 
 func readEnd(e msg.Entry) (crash.Crash, error) {
-	var m msg.InstanceEnd
+	var m msg.InstanceCrash
 	if _, err := m.UnmarshalMsg(e.Value); err != nil {
 		return crash.Crash{}, err
 	}
 	end := crash.Crash{
 		ID: e.Name, Software: crash.Software{Service: m.Service, Version: m.SoftwareVersion},
-		Host: m.Host, DetectedAt: time.UnixMilli(m.AtMS),
+		Host: m.Host, DetectedAt: time.UnixMilli(m.DetectedAtMS),
 	}
-	for _, p := range m.Prints {
+	for _, p := range m.Fingerprints {
 		end.Fingerprints = append(end.Fingerprints, crash.Fingerprint(p))
 	}
 	return end, nil
@@ -110,7 +110,7 @@
 		return
 	}
 	c.endsSwept = now
-	set := c.replica.Set(msg.SetEnds)
+	set := c.replica.Set(msg.SetCrashes)
 	var old []config.Key
 	set.Each(func(e msg.Entry) {
 		if oldEnd(now, e) {
--- a/internal/control/ends_test.go
+++ b/internal/control/ends_test.go
@@ -22,7 +22,7 @@
 // What a peer sends as an end or a clearing is read or refused, whatever its bytes, and
 // what is read names an end.
 func FuzzEnds(f *testing.F) {
-	m := msg.InstanceEnd{Service: "desk", SoftwareVersion: "1", AtMS: 1, Prints: []uint64{7}}
+	m := msg.InstanceCrash{Service: "desk", SoftwareVersion: "1", DetectedAtMS: 1, Fingerprints: []uint64{7}}
 	whole, err := m.MarshalMsg(nil)
 	assert.NilError(f, err)
 	f.Add(endKind, "i@1", whole)
@@ -35,7 +35,7 @@
 		book := crash.NewTracker()
 		now := time.Now()
 		c := newOver(awayStore{}, func(*directory.Directory) {})
-		c.hooks.Ended = func(e crash.Crash) {
+		c.hooks.Crashed = func(e crash.Crash) {
 			assert.Equal(t, e.ID, name)
 			book.Add(now, e)
 		}
@@ -79,7 +79,7 @@
 	c := newOver(store, func(*directory.Directory) {})
 	c.log = slog.New(slog.NewTextHandler(&lines, nil))
 	for p := range crash.Fingerprint(3) {
-		c.Keep(p+1, "GET /status", []record.InstanceEnd{{ID: "i@1", AtMS: 1000}})
+		c.StoreCrasher(p+1, "GET /status", []record.InstanceCrash{{ID: "i@1", AtMS: 1000}})
 	}
 	told := func() int { return strings.Count(lines.String(), "403 Forbidden") }
 	now := time.Now()
--- a/internal/control/hosts.go
+++ b/internal/control/hosts.go
@@ -32,7 +32,7 @@
 		case msg.SetRecords:
 			c.records.apply(c.log, a.Entry, a.From)
 			c.applyCrasher(a.Entry)
-		case msg.SetEnds:
+		case msg.SetCrashes:
 			c.applyEnd(now, a.Entry)
 			continue
 		}
@@ -76,12 +76,12 @@
 	return msg.HostInstance{
 		Name: i.Name, Service: i.Service, Slots: uint32(i.Slots), Conns: uint32(i.Conns), Version: i.Version,
 		State: uint8(i.State), Health: uint8(i.Health), Evidence: i.Evidence, StartedMS: i.StartedMS,
-		WarmLeftMS: uint32(i.WarmUpLeft.Milliseconds()),
+		WarmUpLeftMS: uint32(i.WarmUpLeft.Milliseconds()),
 	}
 }
 
 func fromWire(now time.Time, i msg.HostInstance) directory.Instance {
-	left := time.Duration(i.WarmLeftMS) * time.Millisecond
+	left := time.Duration(i.WarmUpLeftMS) * time.Millisecond
 	return directory.Instance{
 		Name: i.Name, Service: i.Service, Slots: int(i.Slots), Conns: int(i.Conns), Version: i.Version,
 		State: directory.InstanceState(i.State), Health: detect.Health(i.Health), Evidence: i.Evidence, StartedMS: i.StartedMS,
@@ -94,7 +94,7 @@
 func (c *Control) rebuild(now time.Time) *directory.Directory {
 	c.forgetDead(now)
 	whole := c.whole()
-	becameWhole := whole != c.dir.Whole
+	becameWhole := whole != c.dir.Complete
 	recordsChanged := c.records.dirty || becameWhole
 	hostsDue := c.dirty && now.Sub(c.builtAt) >= hostsPause
 	if !recordsChanged && !hostsDue {
@@ -104,7 +104,7 @@
 	if recordsChanged {
 		c.records.dirty = false
 		if becameWhole {
-			event.Log(c.log, event.SetLoaded, slog.Int("records", c.replica.Set(msg.SetRecords).Len()),
+			event.Log(c.log, event.RecordSetLoaded, slog.Int("records", c.replica.Set(msg.SetRecords).Len()),
 				slog.Int64("newest", c.replica.Set(msg.SetRecords).Newest()))
 		}
 		c.compiled = c.compiled.Recompile(c.records.list(), whole)
@@ -126,7 +126,7 @@
 // serve: until then it cannot tell a request without a route from one whose
 // route it has not heard of. The caller holds the lock.
 func (c *Control) whole() bool {
-	for _, key := range c.cfg.Needs {
+	for _, key := range c.cfg.RequiredRecords {
 		if _, ok := c.records.inForce[key]; !ok {
 			return false
 		}
--- a/internal/control/join.go
+++ b/internal/control/join.go
@@ -25,7 +25,7 @@
 	c.takeWhole(page, began)
 	c.publish(time.Now())
 	// The maps are in force here now; only then may the guard promise.
-	c.hooks.Synced()
+	c.hooks.ShardMapsRead()
 	return page.Revision, nil
 }
 
@@ -49,7 +49,7 @@
 		// An earlier try whose answer was lost, or an earlier life at the same place.
 		return nil
 	}
-	_, err = objects.PutSettled(ctx, c.store, key, value, conflict.Current.Version, mine)
+	_, err = objects.PutConfirmed(ctx, c.store, key, value, conflict.Current.Version, mine)
 	return err
 }
 
--- a/internal/control/pulse.go
+++ b/internal/control/pulse.go
@@ -7,9 +7,9 @@
 	"github.com/radishhoist/radishhoist/internal/msg"
 )
 
-// Tell passes a pulse of this host's guard to fronts. Each other data centre gets one
+// SendLoadReport passes a pulse of this host's guard to fronts. Each other data centre gets one
 // copy, which is passed on there. Where the rate does not suffice for all, some are told.
-func (c *Control) Tell(p *msg.LoadReport, to pulse.Reach) {
+func (c *Control) SendLoadReport(p *msg.LoadReport, to pulse.Reach) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
@@ -32,7 +32,7 @@
 
 // takePulse hands a pulse of another host on.
 func (c *Control) takePulse(p *msg.LoadReport) {
-	c.hooks.Pulse(p)
+	c.hooks.LoadReport(p)
 	if p.Forward {
 		near, _ := c.members.Live()
 		c.tellAll(c.pulses.SelectLocal(time.Now(), near, pulse.ToAll), &msg.LoadReport{Loads: p.Loads})
--- a/internal/control/pulse_test.go
+++ b/internal/control/pulse_test.go
@@ -54,11 +54,11 @@
 
 func TestASmallFleetIsToldEverythingWithOneCopyADataCentre(t *testing.T) {
 	c := withHosts(t, 7, 8, 8)
-	c.Tell(aPulse(), pulse.ToLocal)
+	c.SendLoadReport(aPulse(), pulse.ToLocal)
 	all, relayed := told(c)
 	assert.Equal(t, all, 7)
 	assert.Equal(t, relayed, 0)
-	c.Tell(aPulse(), pulse.ToAll)
+	c.SendLoadReport(aPulse(), pulse.ToAll)
 	all, relayed = told(c)
 	assert.Equal(t, all, 9)
 	assert.Equal(t, relayed, 2)
@@ -67,7 +67,7 @@
 func TestARelayedPulseIsPassedOnNearbyOnly(t *testing.T) {
 	c := withHosts(t, 7, 8)
 	heard := 0
-	c.hooks.Pulse = func(*msg.LoadReport) { heard++ }
+	c.hooks.LoadReport = func(*msg.LoadReport) { heard++ }
 	c.HandleControl(&msg.Hello{Host: "f100"}, &msg.LoadReport{Forward: true, Loads: aPulse().Loads})
 	all, relayed := told(c)
 	assert.Equal(t, heard, 1)
@@ -84,7 +84,7 @@
 func TestALargeFleetIsToldOfLoads(t *testing.T) {
 	for _, hosts := range []int{22, 60, 90} {
 		c := withHosts(t, hosts, 30)
-		c.Tell(aPulse(), pulse.ToLocal)
+		c.SendLoadReport(aPulse(), pulse.ToLocal)
 		all, _ := told(c)
 		assert.Assert(t, all >= min(hosts, pulse.Burst-pulse.ChangeReserve-1), "%d of %d", all, hosts)
 	}
@@ -97,16 +97,16 @@
 		c := withHosts(t, hosts, 20, 20)
 		begun := time.Now()
 		for range 200 {
-			c.Tell(aPulse(), pulse.ToLocal)
+			c.SendLoadReport(aPulse(), pulse.ToLocal)
 		}
 		loads, _ := told(c)
 		assert.Assert(t, float64(loads) <= pulse.ChangeReserve+pulse.MaxRate*time.Since(begun).Seconds()+1)
-		c.Tell(aPulse(), pulse.ToAll)
+		c.SendLoadReport(aPulse(), pulse.ToAll)
 		turned, relayed := told(c)
 		assert.Assert(t, turned >= min(hosts+2, pulse.ChangeReserve-1))
 		assert.Equal(t, relayed, 2)
 		for range 200 {
-			c.Tell(aPulse(), pulse.ToAll)
+			c.SendLoadReport(aPulse(), pulse.ToAll)
 		}
 		more, _ := told(c)
 		assert.Assert(t, float64(loads+turned+more) <= pulse.Burst+pulse.MaxRate*time.Since(begun).Seconds()+1)
@@ -118,7 +118,7 @@
 func TestFewHostsHearOfAnIdleInstance(t *testing.T) {
 	for _, hosts := range []int{2, 7, 90} {
 		c := withHosts(t, hosts, 30)
-		c.Tell(aPulse(), pulse.ToFew)
+		c.SendLoadReport(aPulse(), pulse.ToFew)
 		all, relayed := told(c)
 		assert.Equal(t, all, min(hosts, 4))
 		assert.Equal(t, relayed, 0)
@@ -127,18 +127,18 @@
 
 // Where many instances turn, what is told of that uses up the rate. Those that ask for a
 // request are heard all the same, within a rate of their own.
-func TestAsksAreHeardBesideTurnedEstimates(t *testing.T) {
+func TestTrialRequestsAreSentBesideChangedEstimates(t *testing.T) {
 	c := withHosts(t, 500, 20, 20)
 	begun := time.Now()
 	for range 200 {
-		c.Tell(aPulse(), pulse.ToAll)
+		c.SendLoadReport(aPulse(), pulse.ToAll)
 	}
 	told(c)
-	c.Tell(aPulse(), pulse.ToFew)
+	c.SendLoadReport(aPulse(), pulse.ToFew)
 	asked, _ := told(c)
 	assert.Equal(t, asked, 4)
 	for range 200 {
-		c.Tell(aPulse(), pulse.ToFew)
+		c.SendLoadReport(aPulse(), pulse.ToFew)
 	}
 	more, _ := told(c)
 	assert.Assert(t, float64(asked+more) <= pulse.FewHostsMaxRate*(1+time.Since(begun).Seconds())+1)
--- a/internal/control/records.go
+++ b/internal/control/records.go
@@ -47,8 +47,8 @@
 		r, err = record.Parse(value)
 	}
 	if err == nil && r.Key != key {
-		err = &record.InvalidError{Key: key, Faults: []record.Fault{{
-			Field: "name", Wrong: "the document is " + r.Key.String(), Remedy: "write it under its own kind and name",
+		err = &record.InvalidError{Key: key, FieldErrors: []record.FieldError{{
+			Field: "name", Problem: "the document is " + r.Key.String(), Remedy: "write it under its own kind and name",
 		}}}
 	}
 	if err != nil {
--- a/internal/control/send_test.go
+++ b/internal/control/send_test.go
@@ -50,7 +50,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := newOver(awayStore{}, nil)
 		peers := &stuckPeers{stuck: "10.0.0.0:1", sent: make(map[string]time.Time)}
-		c.SetPeers(peers)
+		c.SetSender(peers)
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		c.outboxes.start(ctx)
--- a/internal/control/silent_test.go
+++ b/internal/control/silent_test.go
@@ -62,7 +62,7 @@
 			w.platform.SetFaults(platformd.Faults{})
 			w.change()
 			late := w.late()
-			assert.Assert(t, late <= w.control.cfg.AwayMax+watchPause, "refused for %s: in force %s after", refused, late)
+			assert.Assert(t, late <= w.control.cfg.MaxRetryInterval+watchPause, "refused for %s: in force %s after", refused, late)
 		})
 	}
 }
@@ -81,7 +81,7 @@
 		w.platform.SetFaults(platformd.Faults{})
 		time.Sleep(time.Minute)
 		w.platform.SetFaults(platformd.Faults{Outage: true})
-		for !w.control.State().Away {
+		for !w.control.State().PlatformAway {
 			time.Sleep(time.Millisecond)
 		}
 		// One call was refused; the next is not.
--- a/internal/control/status.go
+++ b/internal/control/status.go
@@ -43,7 +43,7 @@
 	}
 	c.reported = now
 	set := c.replica.Set(msg.SetRecords)
-	r := &msg.Report{Root: set.Root(), Newest: set.Newest(), Whole: c.replica.Complete()}
+	r := &msg.Report{Root: set.Root(), Newest: set.Newest(), Complete: c.replica.Complete()}
 	for _, rejected := range c.records.rejected {
 		if len(r.Rejected) < maxBehind {
 			r.Rejected = append(r.Rejected, rejected)
@@ -85,7 +85,7 @@
 	}
 	near, _ := c.members.Live()
 	s := &record.Status{DC: c.cfg.DC, Writer: c.cfg.Host, AtMS: now.UnixMilli(), Hosts: len(near) + 1}
-	byRoot := make(map[uint64]*record.InForce)
+	byRoot := make(map[uint64]*record.HostsInForce)
 	hostsOf := make(map[uint64][]string)
 	rejected := make(map[string]record.Rejected)
 	for host, r := range c.reports {
@@ -95,7 +95,7 @@
 		}
 		f, ok := byRoot[r.Root]
 		if !ok {
-			f = &record.InForce{Root: fmt.Sprintf("%016x", r.Root)}
+			f = &record.HostsInForce{Root: fmt.Sprintf("%016x", r.Root)}
 			byRoot[r.Root] = f
 		}
 		f.Hosts++
@@ -114,8 +114,8 @@
 }
 
 // ranked puts the newest set first and names the hosts that have another.
-func ranked(byRoot map[uint64]*record.InForce, hostsOf map[uint64][]string) []record.InForce {
-	var out []record.InForce
+func ranked(byRoot map[uint64]*record.HostsInForce, hostsOf map[uint64][]string) []record.HostsInForce {
+	var out []record.HostsInForce
 	for root, f := range byRoot {
 		hosts := hostsOf[root]
 		sort.Strings(hosts)
@@ -175,24 +175,24 @@
 
 // State is the control part of the state dump.
 type State struct {
-	Version int64  `json:"version"`
-	Leaving bool   `json:"leaving"`
-	Whole   bool   `json:"whole"`
-	Records int    `json:"records"`
-	Root    string `json:"root"`
-	Newest  int64  `json:"newest"`
-	// InForce is the newest version that requests are served by; Newest may be a moment
+	Version  int64  `json:"version"`
+	Leaving  bool   `json:"leaving"`
+	Complete bool   `json:"whole"`
+	Records  int    `json:"records"`
+	Root     string `json:"root"`
+	Newest   int64  `json:"newest"`
+	// ActiveVersion is the newest version that requests are served by; Newest may be a moment
 	// ahead of it.
-	InForce  int64 `json:"inForce"`
-	Watching bool  `json:"watching"`
-	Away     bool  `json:"platformAway"`
-	Isolated bool  `json:"isolated"`
+	ActiveVersion int64 `json:"inForce"`
+	Watching      bool  `json:"watching"`
+	PlatformAway  bool  `json:"platformAway"`
+	Isolated      bool  `json:"isolated"`
 	// Confirmed says since when the records in force are known to be current, and from whom.
-	Confirmed []Confirmation       `json:"confirmed"`
-	Rejected  []msg.ReportRejected `json:"rejected"`
-	Members   []MemberState        `json:"members"`
-	Traffic   Traffic              `json:"traffic"`
-	Instances int                  `json:"instancesKnown"`
+	Confirmed      []Confirmation       `json:"confirmed"`
+	Rejected       []msg.ReportRejected `json:"rejected"`
+	Members        []MemberState        `json:"members"`
+	Traffic        Traffic              `json:"traffic"`
+	InstancesKnown int                  `json:"instancesKnown"`
 }
 
 // MemberState is one host as this one sees it.
@@ -210,9 +210,9 @@
 	defer c.mu.Unlock()
 	set := c.replica.Set(msg.SetRecords)
 	s := State{
-		Version: c.version, Leaving: c.leaving, Whole: c.replica.Complete(),
-		Records: set.Len(), Root: fmt.Sprintf("%016x", set.Root()), Newest: set.Newest(), InForce: c.inForce,
-		Watching: c.watching, Away: len(c.away) > 0, Isolated: c.members.Isolated(),
+		Version: c.version, Leaving: c.leaving, Complete: c.replica.Complete(),
+		Records: set.Len(), Root: fmt.Sprintf("%016x", set.Root()), Newest: set.Newest(), ActiveVersion: c.inForce,
+		Watching: c.watching, PlatformAway: len(c.away) > 0, Isolated: c.members.Isolated(),
 		Confirmed: c.confirmed.state(time.Now()),
 		Rejected:  []msg.ReportRejected{}, Members: []MemberState{}, Traffic: c.traffic,
 	}
@@ -226,7 +226,7 @@
 		})
 	}
 	for _, h := range c.hosts {
-		s.Instances += len(h.Instances)
+		s.InstancesKnown += len(h.Instances)
 	}
 	return s
 }
--- a/internal/control/take.go
+++ b/internal/control/take.go
@@ -14,7 +14,7 @@
 // tellUnread logs the objects that another writer has left in the platform and
 // that cannot be read, up to a rate.
 func (c *Control) tellUnread(page objects.Page) {
-	for _, err := range page.Unread {
+	for _, err := range page.Undecodable {
 		if leftOut, ok := c.unreadLines.Allow(time.Now()); ok {
 			event.Log(c.log, event.RecordRefused, slog.String("cause", err.Error()), slog.Uint64("linesLeftOut", leftOut))
 		}
--- a/internal/control/teams.go
+++ b/internal/control/teams.go
@@ -34,8 +34,8 @@
 	deadCounts = 20 * time.Second
 )
 
-// SendTeams sends a datagram about teams to a host; it may vanish.
-func (c *Control) SendTeams(to string, p *msg.TeamPacket) {
+// SendTeamPacket sends a datagram about teams to a host; it may vanish.
+func (c *Control) SendTeamPacket(to string, p *msg.TeamPacket) {
 	buf, err := p.MarshalMsg([]byte{teamMark})
 	if err != nil {
 		return
@@ -61,22 +61,22 @@
 		return false
 	}
 	var p msg.TeamPacket
-	if _, err := p.UnmarshalMsg(buf[1:]); err == nil && c.hooks.Teams != nil {
-		c.hooks.Teams.Receive(&p)
+	if _, err := p.UnmarshalMsg(buf[1:]); err == nil && c.hooks.TeamLimiter != nil {
+		c.hooks.TeamLimiter.Receive(&p)
 	}
 	return true
 }
 
 // tickTeams drives the teams' rates.
 func (c *Control) tickTeams(now time.Time, hostsChanged bool) {
-	if c.hooks.Teams == nil {
+	if c.hooks.TeamLimiter == nil {
 		return
 	}
 	if hostsChanged || now.Sub(c.hostsTold) >= hostsAgain {
 		c.hostsTold = now
-		c.hooks.Teams.SetHosts(c.sharers(now))
+		c.hooks.TeamLimiter.SetHosts(c.sharers(now))
 	}
-	c.hooks.Teams.Tick()
+	c.hooks.TeamLimiter.Tick()
 }
 
 // sharers lists the hosts that keep teams' accounts, and counts those that share
--- a/internal/control/watch.go
+++ b/internal/control/watch.go
@@ -53,7 +53,7 @@
 // joinFleet joins the fleet, however often the platform fails it; false where the context
 // ended before.
 func (c *Control) joinFleet(ctx context.Context) (int64, bool) {
-	pace := pacer{max: c.cfg.AwayMax}
+	pace := pacer{max: c.cfg.MaxRetryInterval}
 	for ctx.Err() == nil {
 		began := time.Now()
 		revision, err := c.join(ctx)
@@ -97,7 +97,7 @@
 // followFeed keeps one feed's records up to date. After a failed call it goes on
 // from where it was: what the platform still keeps needs no list.
 func (c *Control) followFeed(ctx context.Context, feed objects.Feed, p *position) {
-	pace := pacer{max: c.cfg.AwayMax}
+	pace := pacer{max: c.cfg.MaxRetryInterval}
 	for ctx.Err() == nil && c.ranksAsWatcher() {
 		began := time.Now()
 		err := c.advance(ctx, feed, p, began)
--- a/internal/control/watched_test.go
+++ b/internal/control/watched_test.go
@@ -48,7 +48,7 @@
 	client := objects.NewClient("http://platform", testWatchWait)
 	client.SetDial(listener.Dial)
 	w.control = newOver(client, func(*directory.Directory) {})
-	w.control.cfg.AwayMax = awayMax
+	w.control.cfg.MaxRetryInterval = awayMax
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan struct{})
 	go func() {
--- a/internal/core/admit/admit.go
+++ b/internal/core/admit/admit.go
@@ -33,8 +33,8 @@
 	// Objective is the latency objective as a point in time: an answer by then has
 	// its full value. The zero value means the deadline.
 	Objective time.Time
-	// ExpectedService is the expected service time, 0 if the front does not know it.
-	ExpectedService time.Duration
+	// ExpectedServiceTime is the expected service time, 0 if the front does not know it.
+	ExpectedServiceTime time.Duration
 	// AllowLate queues the request even if it is expected to miss its objective. A
 	// front sets it when it has no better instance to try.
 	AllowLate bool
@@ -129,15 +129,15 @@
 	return &Queue{cfg: cfg, tickets: make(map[ID]*ticket), service: initialService}
 }
 
-// Running returns the number of slots in use, by running requests or by grants.
-func (q *Queue) Running() int { return q.busy }
+// BusySlots returns the number of slots in use, by running requests or by grants.
+func (q *Queue) BusySlots() int { return q.busy }
 
 // Queued returns the number of waiting requests.
 func (q *Queue) Queued() int { return q.queued }
 
-// Waiting returns, per priority, the sum of the expected service times of the
+// QueuedWork returns, per priority, the sum of the expected service times of the
 // waiting requests.
-func (q *Queue) Waiting() [Priorities]time.Duration {
+func (q *Queue) QueuedWork() [Priorities]time.Duration {
 	var out [Priorities]time.Duration
 	for rank := range q.ranks {
 		out[rank/Priorities] += q.ranks[rank].work
@@ -145,8 +145,8 @@
 	return out
 }
 
-// Service returns the moving average of the service time.
-func (q *Queue) Service() time.Duration { return q.service }
+// MeanServiceTime returns the moving average of the service time.
+func (q *Queue) MeanServiceTime() time.Duration { return q.service }
 
 // Ticket describes a request held by the Queue, for state dumps and tests.
 type Ticket struct {
@@ -212,8 +212,8 @@
 	if r.Objective.IsZero() {
 		r.Objective = r.Deadline
 	}
-	if r.ExpectedService <= 0 {
-		r.ExpectedService = q.service
+	if r.ExpectedServiceTime <= 0 {
+		r.ExpectedServiceTime = q.service
 	}
 	t := &ticket{Request: r}
 	if q.busy < q.cfg.Slots && q.queued == 0 {
@@ -221,7 +221,7 @@
 		return []Decision{q.assignSlot(now, t)}
 	}
 	wait := q.expectedWait(now, t)
-	end := now.Add(wait + r.ExpectedService)
+	end := now.Add(wait + r.ExpectedServiceTime)
 	missesDeadline := end.After(r.Deadline)
 	// Without Insist the front can still try another instance, so a late request is
 	// refused at once. With Insist, late requests are limited to one per slot: any
@@ -332,7 +332,7 @@
 func (q *Queue) fill(now time.Time, out []Decision) []Decision {
 	for q.busy < q.cfg.Slots && q.queued > 0 {
 		t := q.popNext(now)
-		if now.Add(t.ExpectedService).After(t.Deadline) {
+		if now.Add(t.ExpectedServiceTime).After(t.Deadline) {
 			out = append(out, q.refuse(t, verdict.ReasonDeadline, q.service))
 			continue
 		}
--- a/internal/core/admit/admit_test.go
+++ b/internal/core/admit/admit_test.go
@@ -71,11 +71,11 @@
 			default:
 				record(q.Tick(now))
 			}
-			assert.Assert(t, q.Running() <= q.cfg.Slots && len(running) <= q.cfg.Slots)
+			assert.Assert(t, q.BusySlots() <= q.cfg.Slots && len(running) <= q.cfg.Slots)
 			assert.Assert(t, q.Queued() <= q.cfg.Slots*q.cfg.QueuePerSlot)
-			for p, work := range q.Waiting() {
+			for p, work := range q.QueuedWork() {
 				var sum time.Duration
-				q.ranks[p].each(func(t *ticket) { sum += t.ExpectedService })
+				q.ranks[p].each(func(t *ticket) { sum += t.ExpectedServiceTime })
 				assert.Equal(t, work, sum)
 			}
 		}
@@ -90,7 +90,7 @@
 	// The process was suspended, so no Tick has expired the grant.
 	d := q.Run(base.Add(2*time.Second), 1)
 	assert.Equal(t, d.Action, Refuse)
-	assert.Equal(t, q.Running(), 0)
+	assert.Equal(t, q.BusySlots(), 0)
 }
 
 func TestFloodOfOneTeamDoesNotStarveOthers(t *testing.T) {
@@ -149,7 +149,7 @@
 	assert.Equal(t, revoked[0].ID, ID(2))
 	assert.Equal(t, revoked[0].Action, Refuse)
 	assert.Equal(t, q.Run(now, 2).Action, Refuse)
-	assert.Equal(t, q.Running(), 1)
+	assert.Equal(t, q.BusySlots(), 1)
 	assert.Equal(t, q.Queued(), 1)
 }
 
@@ -160,7 +160,7 @@
 	now := time.Unix(0, 0)
 	q := NewQueue(Config{Slots: 1, QueuePerSlot: 8, GrantLife: time.Second})
 	offer := func(id ID, priority, within uint8) {
-		q.Offer(now, Request{ID: id, Priority: priority, SubPriority: within, Deadline: now.Add(time.Minute), ExpectedService: time.Millisecond})
+		q.Offer(now, Request{ID: id, Priority: priority, SubPriority: within, Deadline: now.Add(time.Minute), ExpectedServiceTime: time.Millisecond})
 	}
 	offer(1, 0, 0)
 	offer(2, 2, 1)
--- a/internal/core/admit/fair.go
+++ b/internal/core/admit/fair.go
@@ -21,7 +21,7 @@
 	c := t.Class % Classes
 	rq.classes[c] = append(rq.classes[c], t)
 	rq.count++
-	rq.work += t.ExpectedService
+	rq.work += t.ExpectedServiceTime
 }
 
 // pop removes and returns an eligible request from the next class, in round-robin
@@ -45,7 +45,7 @@
 		t := rq.classes[c][first]
 		rq.classes[c] = append(rq.classes[c][:first:first], rq.classes[c][first+1:]...)
 		rq.count--
-		rq.work -= t.ExpectedService
+		rq.work -= t.ExpectedServiceTime
 		rq.nextClass = c + 1
 		return t
 	}
@@ -70,7 +70,7 @@
 		if other == t {
 			rq.classes[c] = append(rq.classes[c][:i:i], rq.classes[c][i+1:]...)
 			rq.count--
-			rq.work -= t.ExpectedService
+			rq.work -= t.ExpectedServiceTime
 			return
 		}
 	}
@@ -81,7 +81,7 @@
 func (rq *rankQueue) expired(now time.Time) []*ticket {
 	var out []*ticket
 	rq.each(func(t *ticket) {
-		if now.Add(t.ExpectedService).After(t.Deadline) || t.pastObjective(now) {
+		if now.Add(t.ExpectedServiceTime).After(t.Deadline) || t.pastObjective(now) {
 			out = append(out, t)
 		}
 	})
--- a/internal/core/admit/load_test.go
+++ b/internal/core/admit/load_test.go
@@ -74,7 +74,7 @@
 		now = now.Add(time.Duration(rng.ExpFloat64() / rate * float64(time.Second)))
 		heap.Push(&events, event{now, func(now time.Time) {
 			out.sent++
-			r := Request{ID: ID(out.sent), Deadline: now.Add(8 * time.Second), ExpectedService: 400 * time.Millisecond, AllowLate: true}
+			r := Request{ID: ID(out.sent), Deadline: now.Add(8 * time.Second), ExpectedServiceTime: 400 * time.Millisecond, AllowLate: true}
 			if byObjective {
 				r.Objective = now.Add(1500 * time.Millisecond)
 			}
@@ -107,7 +107,7 @@
 
 func TestLateRequestIsRefusedUnlessInsisting(t *testing.T) {
 	q := NewQueue(Config{Slots: 1, QueuePerSlot: 4, GrantLife: time.Second})
-	r := Request{ID: 1, Deadline: base.Add(10 * time.Second), Objective: base.Add(time.Second), ExpectedService: 900 * time.Millisecond}
+	r := Request{ID: 1, Deadline: base.Add(10 * time.Second), Objective: base.Add(time.Second), ExpectedServiceTime: 900 * time.Millisecond}
 	assert.Equal(t, q.Offer(base, r)[0].Action, Start)
 	r.ID = 2
 	q.service = 900 * time.Millisecond
@@ -124,7 +124,7 @@
 	q := NewQueue(Config{Slots: 1, QueuePerSlot: 4, GrantLife: time.Second})
 	offer := func(id ID, priority uint8, objective time.Duration) {
 		q.Offer(base, Request{
-			ID: id, Priority: priority, AllowLate: true, ExpectedService: 100 * time.Millisecond,
+			ID: id, Priority: priority, AllowLate: true, ExpectedServiceTime: 100 * time.Millisecond,
 			Deadline: base.Add(20 * time.Second), Objective: base.Add(objective),
 		})
 	}
@@ -156,16 +156,16 @@
 	q.service = 400 * time.Millisecond
 	for id := range ID(12) {
 		q.Offer(base, Request{
-			ID: id + 1, ExpectedService: 400 * time.Millisecond,
+			ID: id + 1, ExpectedServiceTime: 400 * time.Millisecond,
 			Deadline: base.Add(8 * time.Second), Objective: base.Add(1500 * time.Millisecond),
 		})
 	}
 	assert.Equal(t, q.Queued(), 8)
-	call := Request{ID: 20, ExpectedService: 80 * time.Millisecond, Deadline: base.Add(1200 * time.Millisecond), Objective: base.Add(300 * time.Millisecond)}
+	call := Request{ID: 20, ExpectedServiceTime: 80 * time.Millisecond, Deadline: base.Add(1200 * time.Millisecond), Objective: base.Add(300 * time.Millisecond)}
 	assert.Equal(t, q.Offer(base, call)[0].Action, Wait)
 	assert.Equal(t, q.Done(base.Add(100*time.Millisecond), 1, 400*time.Millisecond)[0].ID, call.ID)
 
-	long := Request{ID: 21, ExpectedService: 400 * time.Millisecond, Deadline: base.Add(8 * time.Second), Objective: base.Add(1100 * time.Millisecond)}
+	long := Request{ID: 21, ExpectedServiceTime: 400 * time.Millisecond, Deadline: base.Add(8 * time.Second), Objective: base.Add(1100 * time.Millisecond)}
 	urgent := long
 	urgent.ID, urgent.Priority, urgent.Objective = 22, 1, base.Add(1500*time.Millisecond)
 	assert.Equal(t, q.Offer(base, long)[0].Action, Wait, "it runs before the requests with an objective of 1500 ms")
@@ -209,7 +209,7 @@
 		if now.Sub(base)%(2*tick) == 0 {
 			next++
 			arrived[next] = now
-			record(now, q.Offer(now, Request{ID: next, Objective: now.Add(objective), Deadline: now.Add(8 * time.Second), ExpectedService: service, AllowLate: true}))
+			record(now, q.Offer(now, Request{ID: next, Objective: now.Add(objective), Deadline: now.Add(8 * time.Second), ExpectedServiceTime: service, AllowLate: true}))
 		}
 		record(now, q.Tick(now))
 	}
--- a/internal/core/admit/wait.go
+++ b/internal/core/admit/wait.go
@@ -4,7 +4,7 @@
 
 // meetsObjective reports whether the request meets its objective if it starts now.
 func (t *ticket) meetsObjective(now time.Time) bool {
-	return !now.Add(t.ExpectedService).After(t.Objective)
+	return !now.Add(t.ExpectedServiceTime).After(t.Objective)
 }
 
 // pastObjective reports whether the request's objective has passed. Such a request
@@ -35,7 +35,7 @@
 // although they would be next.
 func (q *Queue) expectedWait(now time.Time, t *ticket) time.Duration {
 	wait := q.waitBehind(now, t)
-	t.late = now.Add(wait + t.ExpectedService).After(t.Objective)
+	t.late = now.Add(wait + t.ExpectedServiceTime).After(t.Objective)
 	if t.late {
 		wait = q.waitBehind(now, t)
 	}
@@ -50,7 +50,7 @@
 	for rank := newcomer.rank(); rank < rankCount; rank++ {
 		q.ranks[rank].each(func(t *ticket) {
 			if rank > newcomer.rank() || t.precedes(now, newcomer) {
-				ahead += t.ExpectedService
+				ahead += t.ExpectedServiceTime
 			}
 		})
 	}
--- a/internal/core/config/ends_test.go
+++ b/internal/core/config/ends_test.go
@@ -28,17 +28,17 @@
 		}
 		return sets
 	}
-	assert.Assert(t, !digests()[msg.SetEnds])
+	assert.Assert(t, !digests()[msg.SetCrashes])
 	n.Step(peers, "starter", &msg.Pull{Set: msg.SetHosts, All: true})
 	out, _ := n.Take()
 	assert.Equal(t, len(out), 1)
 
-	n.Publish(peers, msg.SetEnds, []msg.Entry{{Kind: "End", Name: "i", Version: 1}})
+	n.Publish(peers, msg.SetCrashes, []msg.Entry{{Kind: "End", Name: "i", Version: 1}})
 	n.Take()
-	assert.Assert(t, digests()[msg.SetEnds])
+	assert.Assert(t, digests()[msg.SetCrashes])
 	n.Step(peers, "starter", &msg.Pull{Set: msg.SetHosts, All: true})
 	out, _ = n.Take()
 	assert.Equal(t, len(out), 2)
 	rumor, ok := out[1].Msg.(*msg.Rumor)
-	assert.Assert(t, ok && rumor.Set == msg.SetEnds && len(rumor.Entries) == 1)
+	assert.Assert(t, ok && rumor.Set == msg.SetCrashes && len(rumor.Entries) == 1)
 }
--- a/internal/core/config/node.go
+++ b/internal/core/config/node.go
@@ -108,7 +108,7 @@
 	}
 	// The sets of hosts and ends need no complete snapshot at the start: repair fills
 	// them.
-	n.complete[msg.SetHosts], n.complete[msg.SetEnds] = true, true
+	n.complete[msg.SetHosts], n.complete[msg.SetCrashes] = true, true
 	return n
 }
 
@@ -181,7 +181,7 @@
 		n.flushRelays(peers)
 		return
 	}
-	if set == msg.SetEnds {
+	if set == msg.SetCrashes {
 		n.scheduleResend(from, updates)
 	}
 	for _, to := range n.pushPeers(peers, from) {
@@ -288,7 +288,7 @@
 		return
 	}
 	for id, s := range n.sets {
-		if msg.SetID(id) == msg.SetEnds && len(s.entries) == 0 {
+		if msg.SetID(id) == msg.SetCrashes && len(s.entries) == 0 {
 			continue // there are none on most days, and a peer that has some opens a repair
 		}
 		n.send(to, &msg.Digest{Set: msg.SetID(id), Root: s.Root(), Complete: n.complete[id]})
--- a/internal/core/config/resend.go
+++ b/internal/core/config/resend.go
@@ -31,7 +31,7 @@
 		r := n.resends[0]
 		n.resends = n.resends[1:]
 		for _, to := range n.pushPeers(peers, r.from) {
-			n.push(to, msg.SetEnds, r.entries)
+			n.push(to, msg.SetCrashes, r.entries)
 		}
 	}
 }
--- a/internal/core/config/step.go
+++ b/internal/core/config/step.go
@@ -136,9 +136,9 @@
 // started and must not run again the requests that have ended instances before.
 func (n *Node) pushEnds(to string) {
 	var ends []msg.Entry
-	n.sets[msg.SetEnds].Each(func(e msg.Entry) { ends = append(ends, e) })
+	n.sets[msg.SetCrashes].Each(func(e msg.Entry) { ends = append(ends, e) })
 	if len(ends) > 0 {
-		n.pushValues(to, msg.SetEnds, ends)
+		n.pushValues(to, msg.SetCrashes, ends)
 	}
 }
 
--- a/internal/core/directory/directory.go
+++ b/internal/core/directory/directory.go
@@ -99,8 +99,8 @@
 	Limits record.Limits
 	// Configurations holds the versions of the Configuration records in force, by name.
 	Configurations map[string]int64
-	// Whole reports whether the record set is complete, so that traffic may be served.
-	Whole bool
+	// Complete reports whether the record set is complete, so that traffic may be served.
+	Complete bool
 }
 
 // ShardMap is a shard map with the version of its record.
@@ -119,7 +119,7 @@
 		Routes: records.routes, Teams: records.teams, Keys: records.keys, RequireKeys: records.requireKeys, Stops: records.stops, Maps: records.maps,
 		Services: make(map[string]*Service, len(records.services)),
 		Hosts:    make(map[string]*Host, len(hosts)),
-		Whole:    records.whole,
+		Complete: records.whole,
 		Limits:   records.limits,
 
 		Configurations: records.configurations,
--- a/internal/core/once/owner.go
+++ b/internal/core/once/owner.go
@@ -100,10 +100,10 @@
 // evaluated against the new set, keeping the leases already held; the table is
 // kept.
 func (o *Owner) changeGuards(s *ownedShard, m *record.ShardMap) {
-	if slices.Equal(s.authority.guards, m.Guards) && slices.Equal(s.authority.prev, m.Prev) {
+	if slices.Equal(s.authority.guards, m.Guards) && slices.Equal(s.authority.prev, m.PrevGuards) {
 		return
 	}
-	fresh := NewAuthority(s.authority.Epoch(), m.Guards, m.Prev)
+	fresh := NewAuthority(s.authority.Epoch(), m.Guards, m.PrevGuards)
 	fresh.until = s.authority.until
 	s.authority = fresh
 	s.nextRenewal = time.Time{}
@@ -113,7 +113,7 @@
 // preceding epoch keeps its table: no other host can have had authority in
 // between, since epochs are consecutive and each has one owner.
 func (o *Owner) takeOver(now time.Time, id ShardID, epoch uint64, m *record.ShardMap, have *ownedShard) *ownedShard {
-	s := &ownedShard{authority: NewAuthority(epoch, m.Guards, m.Prev)}
+	s := &ownedShard{authority: NewAuthority(epoch, m.Guards, m.PrevGuards)}
 	in, ok := o.incoming[handoverKey{id, epoch}]
 	switch {
 	case have != nil && have.authority.Epoch()+1 == epoch:
@@ -184,14 +184,14 @@
 
 // Claim decides whether a keyed request may run. now must have been read after
 // the last blocking operation, since authority may have expired meanwhile.
-func (o *Owner) Claim(now time.Time, wallMS int64, c *msg.KeyClaim) *msg.KeyClaimed {
+func (o *Owner) Claim(now time.Time, wallMS int64, c *msg.KeyClaim) *msg.ClaimReply {
 	s, ok := o.shards[ShardID{c.Service, c.Shard}]
 	if !ok || s.frozen || !s.authority.Held(now) {
-		return &msg.KeyClaimed{Outcome: uint8(ClaimRefused), RetryAfterMS: uint32(o.leaseDuration.Milliseconds() / 2)}
+		return &msg.ClaimReply{Outcome: uint8(ClaimRefused), RetryAfterMS: uint32(o.leaseDuration.Milliseconds() / 2)}
 	}
 	s.table.Activate(now, wallMS)
 	outcome, replay := s.table.Claim(now, wallMS, c)
-	reply := &msg.KeyClaimed{}
+	reply := &msg.ClaimReply{}
 	if replay != nil {
 		reply = replay
 	}
@@ -199,10 +199,10 @@
 	return reply
 }
 
-// Done records the result of a claimed request. It returns false if this host
+// RecordResult records the result of a claimed request. It returns false if this host
 // does not own the shard or has handed it over; the front then retries with the
 // current owner. No authority is needed, since a result permits no execution.
-func (o *Owner) Done(now time.Time, d *msg.KeyResult) bool {
+func (o *Owner) RecordResult(now time.Time, d *msg.KeyResult) bool {
 	s, ok := o.shards[ShardID{d.Service, d.Shard}]
 	if !ok || s.frozen {
 		return false
--- a/internal/core/once/placement.go
+++ b/internal/core/once/placement.go
@@ -101,7 +101,7 @@
 	default:
 		return false
 	}
-	m.Prev = previous
+	m.PrevGuards = previous
 	for i := range m.Shards {
 		m.Shards[i].Epoch++
 	}
@@ -113,7 +113,7 @@
 // still be valid.
 func allHeld(m *record.ShardMap) bool {
 	for _, s := range m.Shards {
-		if s.Held != s.Epoch {
+		if s.HeldEpoch != s.Epoch {
 			return false
 		}
 	}
@@ -125,14 +125,14 @@
 // depends on this record.
 func ConfirmHeld(self string, m *record.ShardMap, held map[uint32]uint64) *record.ShardMap {
 	next := editOwned(self, m, func(i uint32, s *record.Shard) bool {
-		if s.Held == s.Epoch || held[i] != s.Epoch {
+		if s.HeldEpoch == s.Epoch || held[i] != s.Epoch {
 			return false
 		}
-		s.Held = s.Epoch
+		s.HeldEpoch = s.Epoch
 		return true
 	})
 	if next != nil && allHeld(next) {
-		next.Prev = nil
+		next.PrevGuards = nil
 	}
 	return next
 }
@@ -266,6 +266,6 @@
 
 func cloneMap(m *record.ShardMap) *record.ShardMap {
 	return &record.ShardMap{
-		Guards: slices.Clone(m.Guards), Prev: slices.Clone(m.Prev), Shards: slices.Clone(m.Shards),
+		Guards: slices.Clone(m.Guards), PrevGuards: slices.Clone(m.PrevGuards), Shards: slices.Clone(m.Shards),
 	}
 }
--- a/internal/core/once/sim_test.go
+++ b/internal/core/once/sim_test.go
@@ -347,7 +347,7 @@
 	s.at(8*time.Second, -1, func() { settle(keyOutput{outcome: once.ClaimMayHaveRun, lost: true}) })
 }
 
-func (s *sim) claimed(f *simHost, c *msg.KeyClaim, r *msg.KeyClaimed, settle func(keyOutput)) {
+func (s *sim) claimed(f *simHost, c *msg.KeyClaim, r *msg.ClaimReply, settle func(keyOutput)) {
 	outcome := once.ClaimOutcome(r.Outcome)
 	if outcome != once.ClaimRun {
 		settle(keyOutput{outcome: outcome, answer: string(r.Body)})
@@ -377,7 +377,7 @@
 		return
 	}
 	owner := s.index(f.view.Shards[c.Shard].Owner)
-	s.message(f.id, owner, func() { s.hosts[owner].owner.Done(s.now, d) })
+	s.message(f.id, owner, func() { s.hosts[owner].owner.RecordResult(s.now, d) })
 }
 
 // injectFault starts a fault on a random host.
--- a/internal/core/once/table.go
+++ b/internal/core/once/table.go
@@ -116,7 +116,7 @@
 
 // Claim decides whether a keyed request may run. Repeating the claim of a
 // request that holds the key returns ClaimRun again.
-func (t *Table) Claim(now time.Time, wallMS int64, c *msg.KeyClaim) (ClaimOutcome, *msg.KeyClaimed) {
+func (t *Table) Claim(now time.Time, wallMS int64, c *msg.KeyClaim) (ClaimOutcome, *msg.ClaimReply) {
 	e, known := t.entries[c.Key]
 	if !known {
 		outcome := t.admitNew(now, wallMS, c)
@@ -139,7 +139,7 @@
 	case !e.stored:
 		return ClaimResponseNotStored, nil
 	default:
-		return ClaimReplay, &msg.KeyClaimed{Status: e.status, Header: e.header, Body: e.body}
+		return ClaimReplay, &msg.ClaimReply{Status: e.status, Header: e.header, Body: e.body}
 	}
 }
 
--- a/internal/core/quota/admit.go
+++ b/internal/core/quota/admit.go
@@ -23,7 +23,7 @@
 }
 
 // Admit decides on a request of a team, or queries the team's home.
-func (n *Node) Admit(now time.Time, team string, limit Limit) Verdict {
+func (n *Node) Admit(now time.Time, team string, limit Limit) Result {
 	a := n.account(now, team, limit)
 	switch {
 	case n.isHome(a):
@@ -39,7 +39,7 @@
 		}
 		return a.verdict(now, ok, wait)
 	case n.mustQuery(now, a):
-		return Verdict{Decision: Pending, QueryID: n.sendQuery(now, a)}
+		return Result{Decision: Pending, QueryID: n.sendQuery(now, a)}
 	default:
 		n.admitUnconfirmed(now, a)
 		return a.verdict(now, true, 0)
@@ -61,13 +61,13 @@
 // inStartup reports whether this host started less than startupPeriod ago.
 func (n *Node) inStartup(now time.Time) bool { return now.Sub(n.started) < startupPeriod }
 
-func (a *account) verdict(now time.Time, ok bool, wait time.Duration) Verdict {
+func (a *account) verdict(now time.Time, ok bool, wait time.Duration) Result {
 	if !ok {
 		a.refused++
-		return Verdict{Decision: Refused, Wait: wait}
+		return Result{Decision: Refused, Wait: wait}
 	}
 	a.recordAdmitted(now)
-	return Verdict{Decision: Admitted}
+	return Result{Decision: Admitted}
 }
 
 // mustQuery reports whether the home must be queried before a request is admitted: this
@@ -118,7 +118,7 @@
 	p.Usages = append(p.Usages, msg.TeamUsage{
 		Team: a.team, Seq: a.seq, Count: a.count, Confirmed: a.confirmed,
 		Level: float32(max(a.used.now(now, a.rate())-float64(a.count-a.confirmed), 0)), Known: a.isKnown(now),
-		ConfirmedByReceiver: a.confirmedBy == to, Relayed: n.isRelay(a), QueryID: queryID,
+		ConfirmedByReceiver: a.confirmedBy == to, Forwarded: n.isRelay(a), QueryID: queryID,
 	})
 	if a.count != a.confirmed && a.unconfirmedSince.IsZero() {
 		a.unconfirmedSince = now
@@ -239,7 +239,7 @@
 	}
 	delete(n.queries, l.QueryID)
 	n.resolved[l.QueryID] = resolvedQuery{by: from, at: now}
-	wait := time.Duration(l.WaitMS) * time.Millisecond
+	wait := time.Duration(l.RetryAfterMS) * time.Millisecond
 	if !l.Granted {
 		a.refusalWait, a.refusedUntil = wait, now.Add(min(wait, maxRefusalCache))
 	}
--- a/internal/core/quota/home.go
+++ b/internal/core/quota/home.go
@@ -17,7 +17,7 @@
 	r := a.reporter(p)
 	if added := a.newRequests(now, r, u); added != 0 {
 		a.add(now, float64(added))
-		if !n.isHome(a) && !u.Relayed {
+		if !n.isHome(a) && !u.Forwarded {
 			a.count += added
 			n.unconfirmed[a.team] = a
 		}
@@ -86,14 +86,14 @@
 		admit = a.admitAsSuccessor
 	}
 	ok, wait := admit(now)
-	if ok && !n.isHome(a) && !u.Relayed {
+	if ok && !n.isHome(a) && !u.Forwarded {
 		a.count++
 		n.unconfirmed[a.team] = a
 	}
 	if ok {
 		r.granted[u.QueryID%grantsKept] = u.QueryID
 	}
-	l.Granted, l.WaitMS = ok, uint32(wait.Milliseconds())
+	l.Granted, l.RetryAfterMS = ok, uint32(wait.Milliseconds())
 }
 
 // checkNearLimit notifies all hosts when a team comes near its limit, if this host is the
--- a/internal/core/quota/quota.go
+++ b/internal/core/quota/quota.go
@@ -110,8 +110,8 @@
 	Pending
 )
 
-// Verdict is the result of Admit.
-type Verdict struct {
+// Result is the result of Admit.
+type Result struct {
 	Decision Decision
 	// Wait is the time until a retry, if refused.
 	Wait time.Duration
--- a/internal/core/quota/state.go
+++ b/internal/core/quota/state.go
@@ -21,9 +21,9 @@
 	// host enforces its own share because no home responds.
 	NearLimit  bool `json:"close"`
 	Standalone bool `json:"alone"`
-	// Passed and Refused count this host's requests since the account was created.
-	Passed  uint64 `json:"passed"`
-	Refused uint64 `json:"refused"`
+	// Admitted and Refused count this host's requests since the account was created.
+	Admitted uint64 `json:"passed"`
+	Refused  uint64 `json:"refused"`
 }
 
 // State returns the accounts of this host, sorted by team.
@@ -33,7 +33,7 @@
 		out = append(out, State{
 			Team: a.team, Rate: a.limit.Rate, Burst: a.limit.Burst, Level: a.level(now), Capacity: a.capacity(), Home: n.homes(a)[0],
 			NearLimit: now.Before(a.nearLimitUntil) || n.nearLimit[a.team] != nil, Standalone: now.Before(a.standaloneUntil),
-			Passed: a.admitted, Refused: a.refused,
+			Admitted: a.admitted, Refused: a.refused,
 		})
 	}
 	slices.SortFunc(out, func(x, y State) int { return cmp.Compare(x.Team, y.Team) })
--- a/internal/core/team/index.go
+++ b/internal/core/team/index.go
@@ -25,7 +25,7 @@
 
 // entry is the hash of one key. The entries of a shard are sorted by hash and team.
 type entry struct {
-	hash record.KeyHash
+	hash record.TeamKeyHash
 	team string
 }
 
@@ -36,15 +36,15 @@
 	return strings.Compare(e.team, other.team)
 }
 
-func shardOf(h record.KeyHash) int { return (int(h[0])<<8 | int(h[1])) % shards }
+func shardOf(h record.TeamKeyHash) int { return (int(h[0])<<8 | int(h[1])) % shards }
 
 // Of returns the team that holds a key, or false if there is none. The time of the
 // comparison depends on the bytes of the key's hash only, not on those of the key.
 func (x *Index) Of(key string) (string, bool) {
-	if x == nil || key == "" || len(key) > record.MaxKey {
+	if x == nil || key == "" || len(key) > record.MaxTeamKeyBytes {
 		return "", false
 	}
-	h := record.HashKey(key)
+	h := record.HashTeamKey(key)
 	shard := x.shards[shardOf(h)]
 	i := sort.Search(len(shard), func(i int) bool { return bytes.Compare(shard[i].hash[:], h[:]) >= 0 })
 	if i == len(shard) || subtle.ConstantTimeCompare(shard[i].hash[:], h[:]) != 1 {
@@ -98,7 +98,7 @@
 
 func (e *editor) forEach(team string, hashes []string, do func(entry)) {
 	for _, s := range hashes {
-		if h, err := record.ParseKeyHash(s); err == nil {
+		if h, err := record.ParseTeamKeyHash(s); err == nil {
 			do(entry{hash: h, team: team})
 		}
 	}
--- a/internal/core/team/index_test.go
+++ b/internal/core/team/index_test.go
@@ -14,7 +14,7 @@
 func hashes(keys ...string) []string {
 	var out []string
 	for _, k := range keys {
-		out = append(out, record.HashKey(k).String())
+		out = append(out, record.HashTeamKey(k).String())
 	}
 	return out
 }
@@ -32,7 +32,7 @@
 		want  string
 	}{
 		{first, "k1", "a"}, {first, "k3", "b"}, {second, "k1", "b"}, {second, "k2", "a"},
-		{third, "k1", "b"}, {third, "k2", ""}, {third, "k3", ""}, {third, "", ""}, {third, record.HashKey("k1").String(), ""},
+		{third, "k1", "b"}, {third, "k2", ""}, {third, "k3", ""}, {third, "", ""}, {third, record.HashTeamKey("k1").String(), ""},
 	} {
 		got, ok := c.index.Of(c.key)
 		assert.Equal(t, got, c.want, "key %s", c.key)
--- a/internal/daemon/admin.go
+++ b/internal/daemon/admin.go
@@ -17,24 +17,24 @@
 // All of it only reads.
 func (d *Daemon) adminHandler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET "+state.PathReady, d.getReady)
-	mux.HandleFunc("GET "+state.PathMetrics, func(w http.ResponseWriter, _ *http.Request) {
+	mux.HandleFunc("GET "+state.ReadyPath, d.getReady)
+	mux.HandleFunc("GET "+state.MetricsPath, func(w http.ResponseWriter, _ *http.Request) {
 		d.front.Metrics().WritePrometheus(w)
 		d.guard.Metrics().WritePrometheus(w)
 		d.budget.Metrics().WritePrometheus(w)
 		d.gauges.WritePrometheus(w)
 		metrics.WriteProcessMetrics(w)
 	})
-	mux.HandleFunc("GET "+state.PathState, func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, http.StatusOK, d.dump()) })
-	mux.HandleFunc("GET "+state.PathStatus, func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, http.StatusOK, d.status()) })
-	mux.HandleFunc("GET "+state.PathExplain, d.getExplain)
+	mux.HandleFunc("GET "+state.StatePath, func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, http.StatusOK, d.dump()) })
+	mux.HandleFunc("GET "+state.StatusPath, func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, http.StatusOK, d.status()) })
+	mux.HandleFunc("GET "+state.ExplainPath, d.getExplain)
 	return mux
 }
 
 // readyHandler serves readiness alone.
 func (d *Daemon) readyHandler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET "+state.PathReady, d.getReady)
+	mux.HandleFunc("GET "+state.ReadyPath, d.getReady)
 	return mux
 }
 
--- a/internal/daemon/bench_test.go
+++ b/internal/daemon/bench_test.go
@@ -65,9 +65,9 @@
 	tb.Helper()
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	var d *Daemon
-	porttest.Start(tb, func() (err error) {
-		cfg.Callers, cfg.Peer, cfg.Announce, cfg.Admin = porttest.Free(tb), porttest.Free(tb), porttest.Free(tb), porttest.Free(tb)
-		d, err = Start(cfg, OwnPorts(cfg), log)
+	porttest.StartOnFreePorts(tb, func() (err error) {
+		cfg.Callers, cfg.Peer, cfg.Announce, cfg.Admin = porttest.FreeAddress(tb), porttest.FreeAddress(tb), porttest.FreeAddress(tb), porttest.FreeAddress(tb)
+		d, err = Start(cfg, OwnAdapter(cfg), log)
 		return err
 	})
 	return d
@@ -87,7 +87,7 @@
 	p := &pair{front: daemons[0], host: daemons[1], target: t}
 	for end := time.Now().Add(20 * time.Second); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 		s := p.front.front.Status()
-		if len(s) == 1 && s[0].Healthy > 0 && p.host.ready.Load() {
+		if len(s) == 1 && s[0].HealthySlots > 0 && p.host.ready.Load() {
 			return p
 		}
 	}
--- a/internal/daemon/crash_test.go
+++ b/internal/daemon/crash_test.go
@@ -23,7 +23,7 @@
 // soon after.
 func startFragile(t *testing.T, host *Daemon) *target.Server {
 	t.Helper()
-	s, err := target.Start(target.Config{Name: "i", Service: "s", Address: "127.0.0.1:0", Announce: host.cfg.Load().Announce, Slots: 4, DownFor: 100 * time.Millisecond})
+	s, err := target.Start(target.Config{Name: "i", Service: "s", Address: "127.0.0.1:0", Announce: host.cfg.Load().Announce, Slots: 4, Downtime: 100 * time.Millisecond})
 	assert.NilError(t, err)
 	t.Cleanup(s.Stop)
 	return s
@@ -82,31 +82,31 @@
 	i := startFragile(t, before[1])
 	for range 3 {
 		awaitServed(t, before[0])
-		reason, _ := reasonOf(t, before[0], target.FatalPath)
-		assert.Equal(t, reason, string(verdict.ReasonTargetEnded))
+		reason, _ := reasonOf(t, before[0], target.CrashPathSuffix)
+		assert.Equal(t, reason, string(verdict.ReasonTargetCrashed))
 	}
 	awaitServed(t, before[0])
-	reason, promise := reasonOf(t, before[0], target.FatalPath)
+	reason, promise := reasonOf(t, before[0], target.CrashPathSuffix)
 	assert.Equal(t, reason, string(verdict.ReasonCrashesTargets))
 	assert.Equal(t, promise, verdict.NotRun.String())
 	time.Sleep(time.Second)
 	shutdown(before)
-	assert.Equal(t, len(i.Runs().Ends), 3)
+	assert.Equal(t, len(i.Runs().CrashTimes), 3)
 
 	after := startDaemons(t, platform)
 	defer shutdown(after)
 	i = startFragile(t, after[1])
 	awaitServed(t, after[0])
-	reason, promise = reasonOf(t, after[0], target.FatalPath)
+	reason, promise = reasonOf(t, after[0], target.CrashPathSuffix)
 	assert.Equal(t, reason, string(verdict.ReasonCrashesTargets))
 	assert.Equal(t, promise, verdict.NotRun.String())
-	assert.Equal(t, len(i.Runs().Ends), 0, "no instance ended for it")
+	assert.Equal(t, len(i.Runs().CrashTimes), 0, "no instance ended for it")
 
 	liftAll(t, platform)
-	for end := time.Now().Add(20 * time.Second); len(i.Runs().Ends) == 0 && time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
-		reason, _ = reasonOf(t, after[0], target.FatalPath)
+	for end := time.Now().Add(20 * time.Second); len(i.Runs().CrashTimes) == 0 && time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
+		reason, _ = reasonOf(t, after[0], target.CrashPathSuffix)
 	}
-	assert.Equal(t, reason, string(verdict.ReasonTargetEnded), "it runs again by an operator's word")
+	assert.Equal(t, reason, string(verdict.ReasonTargetCrashed), "it runs again by an operator's word")
 }
 
 // liftAll deletes every record of a stopped request, as an operator would.
@@ -132,8 +132,8 @@
 	assert.Equal(t, operate(t, platform, daemons[0], "suspects"), "no request is suspected of ending instances\n")
 	for n := range 3 {
 		awaitServed(t, daemons[0])
-		reason, _ := reasonOf(t, daemons[0], target.FatalPath)
-		assert.Equal(t, reason, string(verdict.ReasonTargetEnded))
+		reason, _ := reasonOf(t, daemons[0], target.CrashPathSuffix)
+		assert.Equal(t, reason, string(verdict.ReasonTargetCrashed))
 		if n == 0 {
 			shown := awaitSuspect(t, platform, daemons[0])
 			assert.Assert(t, strings.Contains(shown, " h1 "), "the host that saw it: %s", shown)
@@ -143,18 +143,18 @@
 	time.Sleep(time.Second)
 	shown := operate(t, platform, daemons[0], "suspects")
 	assert.Assert(t, strings.Contains(shown, " h1 "), "the host that saw its ends: %s", shown)
-	assert.Assert(t, strings.Contains(shown, "stopped until") && strings.Contains(shown, "GET") && strings.Contains(shown, target.FatalPath), shown)
+	assert.Assert(t, strings.Contains(shown, "stopped until") && strings.Contains(shown, "GET") && strings.Contains(shown, target.CrashPathSuffix), shown)
 	print := strings.Fields(strings.Split(shown, "\n")[1])[0]
 	away := operate(t, "http://127.0.0.1:1", daemons[0], "suspects")
 	assert.Assert(t, strings.Contains(away, "records are missing") && strings.Contains(away, print), away)
 
 	shown = operate(t, platform, daemons[0], "suspects", "clear", print)
 	assert.Assert(t, strings.Contains(shown, "is removed"), shown)
-	before := len(i.Runs().Ends)
-	for end := time.Now().Add(20 * time.Second); len(i.Runs().Ends) == before && time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
-		reasonOf(t, daemons[0], target.FatalPath)
+	before := len(i.Runs().CrashTimes)
+	for end := time.Now().Add(20 * time.Second); len(i.Runs().CrashTimes) == before && time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
+		reasonOf(t, daemons[0], target.CrashPathSuffix)
 	}
-	assert.Equal(t, len(i.Runs().Ends), before+1, "it runs again")
+	assert.Equal(t, len(i.Runs().CrashTimes), before+1, "it runs again")
 }
 
 // newsTime is how soon all hosts of a small fleet know of an end.
@@ -228,7 +228,7 @@
 // addressedTo makes the fatal request for a front, with another address in its Host header.
 func addressedTo(t *testing.T, front *Daemon, host string) *http.Request {
 	t.Helper()
-	req, err := http.NewRequest(http.MethodGet, "http://"+front.cfg.Load().Callers+target.FatalPath, nil)
+	req, err := http.NewRequest(http.MethodGet, "http://"+front.cfg.Load().Callers+target.CrashPathSuffix, nil)
 	assert.NilError(t, err)
 	req.Host = host
 	return req
@@ -252,13 +252,13 @@
 	for n := range 3 {
 		awaitServed(t, daemons[0])
 		reason, _ := failureOf(t, addressedTo(t, daemons[0], fmt.Sprintf("10.0.0.%d", n)))
-		assert.Equal(t, reason, string(verdict.ReasonTargetEnded))
+		assert.Equal(t, reason, string(verdict.ReasonTargetCrashed))
 	}
 	awaitServed(t, daemons[0])
 	reason, promise := failureOf(t, addressedTo(t, daemons[0], "10.0.0.9"))
 	assert.Equal(t, reason, string(verdict.ReasonCrashesTargets))
 	assert.Equal(t, promise, verdict.NotRun.String())
-	assert.Equal(t, len(i.Runs().Ends), 3)
+	assert.Equal(t, len(i.Runs().CrashTimes), 3)
 }
 
 // Work that cannot be repeated, with a key and without, and with a body too large to keep:
@@ -270,9 +270,9 @@
 	defer shutdown(daemons)
 	i := startFragile(t, daemons[1])
 	for name, body := range map[string]string{"plain": "x", "keyed": "y", "large": strings.Repeat("z", 1<<20)} {
-		before := len(i.Runs().Ends)
+		before := len(i.Runs().CrashTimes)
 		post := func(body string) *http.Request {
-			req, err := http.NewRequest(http.MethodPost, "http://"+daemons[0].cfg.Load().Callers+target.FatalPath, strings.NewReader(body))
+			req, err := http.NewRequest(http.MethodPost, "http://"+daemons[0].cfg.Load().Callers+target.CrashPathSuffix, strings.NewReader(body))
 			assert.NilError(t, err)
 			if name == "keyed" {
 				req.Header.Set("Idempotency-Key", newKey(t))
@@ -282,15 +282,15 @@
 		for range 3 {
 			awaitKeys(t, daemons)
 			reason, promise := failureOf(t, post(body))
-			assert.Check(t, reason == string(verdict.ReasonTargetEnded), "%s: %s", name, reason)
+			assert.Check(t, reason == string(verdict.ReasonTargetCrashed), "%s: %s", name, reason)
 			assert.Check(t, promise == verdict.MayHaveRun.String(), "%s: %s", name, promise)
 		}
 		awaitKeys(t, daemons)
 		reason, promise := failureOf(t, post(body))
 		assert.Check(t, reason == string(verdict.ReasonCrashesTargets), "%s: %s", name, reason)
 		assert.Check(t, promise == verdict.NotRun.String(), "%s: %s", name, promise)
-		assert.Check(t, len(i.Runs().Ends) == before+3, "%s: %d", name, len(i.Runs().Ends)-before)
+		assert.Check(t, len(i.Runs().CrashTimes) == before+3, "%s: %d", name, len(i.Runs().CrashTimes)-before)
 		reason, _ = failureOf(t, post(body+"other"))
-		assert.Check(t, reason == string(verdict.ReasonTargetEnded), "%s, another body: %s", name, reason)
+		assert.Check(t, reason == string(verdict.ReasonTargetCrashed), "%s, another body: %s", name, reason)
 	}
 }
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -34,19 +34,19 @@
 	"github.com/radishhoist/radishhoist/record"
 )
 
-// Ports are what a deployment's platform puts in the place of the product's own.
-type Ports struct {
+// PlatformAdapter are what a deployment's platform puts in the place of the product's own.
+type PlatformAdapter struct {
 	// Store is the platform's object API.
 	Store objects.Store
 	// Dialect names the headers of callers and targets.
 	Dialect header.Dialect
-	// Needs are the records without which nothing is served.
-	Needs []record.Key
+	// RequiredRecords are the records without which nothing is served.
+	RequiredRecords []record.Key
 }
 
-// OwnPorts speak the product's own dialect.
-func OwnPorts(cfg *settings.Config) Ports {
-	return Ports{Store: objects.NewClient(cfg.Platform, cfg.WatchWait), Dialect: header.Default()}
+// OwnAdapter speak the product's own dialect.
+func OwnAdapter(cfg *settings.Config) PlatformAdapter {
+	return PlatformAdapter{Store: objects.NewClient(cfg.Platform, cfg.WatchWait), Dialect: header.Default()}
 }
 
 // Daemon is one host's process.
@@ -55,11 +55,11 @@
 	log     *slog.Logger
 	started time.Time
 	store   objects.Store
-	budget  *objects.Budget
+	budget  *objects.RateLimitedStore
 	front   *front.Front
 	guard   *guard.Guard
 	control *control.Control
-	teams   *teams.Rates
+	teams   *teams.RateLimiter
 	keys    *keys.Manager
 	pool    *peer.Pool
 	gauges  *metrics.Set
@@ -92,39 +92,39 @@
 
 // Start opens every socket and starts the roles. On an error nothing is left
 // running.
-func Start(cfg *settings.Config, ports Ports, log *slog.Logger) (*Daemon, error) {
+func Start(cfg *settings.Config, ports PlatformAdapter, log *slog.Logger) (*Daemon, error) {
 	log = log.With(slog.String("host", cfg.Host), slog.String("dc", cfg.DC))
 	d := &Daemon{log: log, started: time.Now(), store: ports.Store}
 	d.cfg.Store(cfg)
-	store := objects.NewBudget(d.store, objects.CallsPerSecond, objects.CallBurst)
+	store := objects.NewRateLimitedStore(d.store, objects.CallsPerSecond, objects.CallBurst)
 	d.budget = store
 	store.Observe(newLateCalls(log).tell)
 	d.keys = keys.New(keys.Config{
 		Host: cfg.Host, Incarnation: uint64(d.started.UnixMilli()), LeaseDuration: cfg.LeaseDuration,
-	}, keys.Hooks{DistributeMap: func(obj objects.Object) { d.control.Inject(obj) }}, store, log)
+	}, keys.Hooks{DistributeMap: func(obj objects.Object) { d.control.ApplyObject(obj) }}, store, log)
 	d.guard = guard.New(guard.Config{
 		Host: cfg.Host, QueuePerSlot: cfg.QueuePerSlot, GrantLife: cfg.GrantLife,
 		TargetIdle: cfg.TargetIdle, Dialect: ports.Dialect,
 	}, guardLimits(cfg), log, d.keys, guard.Hooks{
-		Changed: func() { d.control.InstancesChanged() },
-		Pulse:   d.pulse,
-		Crashed: func(e crash.Crash) { d.control.TellEnd(e) },
-		Cleared: func(end string, p crash.Fingerprint) { d.control.TellCleared(end, p) },
-		Blocked: func(s guard.BlockedRequest) { d.control.Keep(s.Fingerprint, s.Request, s.Crashes) },
+		Changed:    func() { d.control.InstancesChanged() },
+		LoadReport: d.pulse,
+		Crashed:    func(e crash.Crash) { d.control.PublishCrash(e) },
+		Cleared:    func(end string, p crash.Fingerprint) { d.control.PublishClearance(end, p) },
+		Blocked:    func(s guard.BlockedRequest) { d.control.StoreCrasher(s.Fingerprint, s.Request, s.Crashes) },
 	})
 	d.teams = teams.New(teams.Config{
 		Host: cfg.Host, Incarnation: uint64(d.started.UnixMilli()), Allowance: cfg.TeamAllowance, AllowanceFraction: cfg.TeamOver, Window: cfg.TeamWindow,
-		Send: func(to string, p *msg.TeamPacket) { d.control.SendTeams(to, p) },
+		Send: func(to string, p *msg.TeamPacket) { d.control.SendTeamPacket(to, p) },
 	})
-	d.control = control.New(controlConfig(cfg, ports.Needs, d.started), control.Hooks{
-		Directory: d.setDirectory,
-		Instances: d.guard.Instances,
-		Pulse:     func(p *msg.LoadReport) { d.front.HandleLoadReport(p) },
-		Ended:     d.guard.ApplyCrash,
-		Cleared:   d.guard.ApplyCleared,
-		Lifted:    d.guard.ClearSuspect,
-		Synced:    d.keys.MarkSynced,
-		Teams:     d.teams,
+	d.control = control.New(controlConfig(cfg, ports.RequiredRecords, d.started), control.Hooks{
+		Directory:     d.setDirectory,
+		Instances:     d.guard.Instances,
+		LoadReport:    func(p *msg.LoadReport) { d.front.HandleLoadReport(p) },
+		Crashed:       d.guard.ApplyCrash,
+		Cleared:       d.guard.ApplyCleared,
+		Unblocked:     d.guard.ClearSuspect,
+		ShardMapsRead: d.keys.MarkSynced,
+		TeamLimiter:   d.teams,
 	}, store, log)
 	d.front = front.New(front.Config{
 		Host: cfg.Host, DC: cfg.DC, BufferBodyBytes: cfg.BufferBodyBytes,
@@ -167,7 +167,7 @@
 	return control.Config{
 		Host: cfg.Host, DC: cfg.DC, Peer: cfg.Peer, Admin: cfg.Admin, Seeds: cfg.Seeds,
 		Incarnation: uint64(started.UnixMilli()), Member: m, Replica: r, WatchersPerDC: cfg.WatchersPerDC,
-		Needs: needs, AwayMax: cfg.AwayMax, StatusInterval: cfg.StatusInterval,
+		RequiredRecords: needs, MaxRetryInterval: cfg.MaxRetryInterval, StatusInterval: cfg.StatusInterval,
 	}
 }
 
@@ -192,7 +192,7 @@
 		return err
 	}
 	d.pool = pool
-	d.control.SetPeers(pool)
+	d.control.SetSender(pool)
 	d.front.SetPeers(pool)
 	d.keys.SetPool(pool)
 	d.announce = smallServer(d.guard.AnnounceHandler())
@@ -236,7 +236,7 @@
 // changed there.
 func (d *Daemon) pulse(p *msg.LoadReport, to pulse.Reach) {
 	d.front.HandleLoadReport(p)
-	d.control.Tell(p, to)
+	d.control.SendLoadReport(p, to)
 }
 
 // handleStream takes a stream that another host opened.
@@ -282,7 +282,7 @@
 	d.guard.Apply(dir)
 	d.keys.SetDirectory(dir)
 	d.followStop(dir)
-	if dir.Whole && !d.ready.Swap(true) {
+	if dir.Complete && !d.ready.Swap(true) {
 		event.Log(d.log, event.Ready)
 	}
 }
@@ -298,7 +298,7 @@
 	}
 	if !covered {
 		d.keys.Resume()
-		d.control.Leave(false)
+		d.control.SetLeaving(false)
 		return
 	}
 	event.Log(d.log, event.Draining, slog.String("cause", "planned stop: "+stop.Reason))
@@ -306,7 +306,7 @@
 		ctx, cancel := context.WithTimeout(context.Background(), handOverTimeout)
 		defer cancel()
 		d.keys.HandOver(ctx)
-		d.control.Leave(d.stopHost.Load())
+		d.control.SetLeaving(d.stopHost.Load())
 	})
 }
 
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -25,10 +25,10 @@
 		for _, mode := range []target.Behaviour{
 			{Mode: target.Good}, {Mode: target.Errors, Share: 0.3}, {Mode: target.Truncate, Share: 0.3},
 		} {
-			p.target.Set(mode)
+			p.target.SetBehaviour(mode)
 			load(t, client, p)
 		}
-		p.target.Set(target.Behaviour{Mode: target.Good})
+		p.target.SetBehaviour(target.Behaviour{Mode: target.Good})
 		assert.NilError(t, get(client, "http://"+p.front.cfg.Load().Callers+"/x?size=2000000"))
 	})
 	http.DefaultClient.CloseIdleConnections()
--- a/internal/daemon/drain.go
+++ b/internal/daemon/drain.go
@@ -55,7 +55,7 @@
 	// Keys are handed over just before the fleet hears of it: a shard that is
 	// frozen and whose owner still counts as there takes no key.
 	d.keys.HandOver(taking)
-	d.control.Leave(true)
+	d.control.SetLeaving(true)
 	d.guard.Drain()
 	<-taking.Done()
 	d.front.RefuseRequests()
--- a/internal/daemon/late.go
+++ b/internal/daemon/late.go
@@ -22,14 +22,14 @@
 		return
 	}
 	attrs := []slog.Attr{
-		slog.String("call", call.Call), slog.Int64("askedMS", call.Asked.Milliseconds()),
-		slog.Int64("waitedMS", call.Waited.Milliseconds()), slog.Uint64("linesLeftOut", leftOut),
+		slog.String("call", call.Call), slog.Int64("askedMS", call.HoldTime.Milliseconds()),
+		slog.Int64("waitedMS", call.Elapsed.Milliseconds()), slog.Uint64("linesLeftOut", leftOut),
 	}
 	if !call.Ended {
 		event.Log(l.log, event.PlatformLate, attrs...)
 		return
 	}
-	attrs = append(attrs, slog.Int("tries", call.Tries))
+	attrs = append(attrs, slog.Int("tries", call.Attempts))
 	if call.Cause != nil {
 		attrs = append(attrs, slog.String("cause", call.Cause.Error()))
 	}
--- a/internal/daemon/reload.go
+++ b/internal/daemon/reload.go
@@ -15,10 +15,10 @@
 // without a signal, and nothing in it is needed within seconds.
 const reloadInterval = 5 * time.Second
 
-// Follow takes changes of the settings file, after each signal and at the
+// WatchSettings takes changes of the settings file, after each signal and at the
 // reload interval, until the context ends. applied is called with what is in
 // force after each change.
-func (d *Daemon) Follow(ctx context.Context, path string, signals <-chan os.Signal, applied func(*settings.Config)) {
+func (d *Daemon) WatchSettings(ctx context.Context, path string, signals <-chan os.Signal, applied func(*settings.Config)) {
 	ticker := time.NewTicker(reloadInterval)
 	defer ticker.Stop()
 	seen, err := os.ReadFile(path)
--- a/internal/daemon/reload_test.go
+++ b/internal/daemon/reload_test.go
@@ -36,7 +36,7 @@
 	log := slog.New(slog.NewJSONHandler(out, nil))
 	d := &Daemon{log: log}
 	d.cfg.Store(cfg)
-	d.guard = guard.New(guard.Config{Host: "h1"}, guardLimits(cfg), log, nil, guard.Hooks{Changed: func() {}, Pulse: func(*msg.LoadReport, pulse.Reach) {}})
+	d.guard = guard.New(guard.Config{Host: "h1"}, guardLimits(cfg), log, nil, guard.Hooks{Changed: func() {}, LoadReport: func(*msg.LoadReport, pulse.Reach) {}})
 	d.front = front.New(front.Config{Host: "h1"}, frontLimits(cfg), log, nil, d.guard, nil)
 
 	ctx, cancel := context.WithCancel(context.Background())
@@ -45,7 +45,7 @@
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		d.Follow(ctx, path, signals, func(c *settings.Config) { applied <- c })
+		d.WatchSettings(ctx, path, signals, func(c *settings.Config) { applied <- c })
 	}()
 	write(plain + "[log]\nlevel = warn\n[guard]\ngrant_life = 2s\n")
 	signals <- syscall.SIGHUP
--- a/internal/e2e/cli_test.go
+++ b/internal/e2e/cli_test.go
@@ -32,7 +32,7 @@
 	return path
 }
 
-func TestTwoOperatorsNeverOverwriteUnseen(t *testing.T) {
+func TestConcurrentWritesAreNotOverwritten(t *testing.T) {
 	fleet := startFleet(t, 37, 2, 2*time.Millisecond)
 	mine, err := fleet.cli("get", "service", "plans")
 	assert.NilError(t, err)
@@ -48,7 +48,7 @@
 	assert.Assert(t, strings.Contains(after, `"percent": 70`), after)
 
 	// The answer to this write is lost after it has taken effect.
-	assert.NilError(t, fleet.SetPlatformFaults(platformd.Faults{LoseAnswers: 1}))
+	assert.NilError(t, fleet.SetPlatformFaults(platformd.Faults{DropResponses: 1}))
 	out, err = fleet.cli("apply", "-f", writeFile(t, strings.Replace(after, `"percent": 70`, `"percent": 65`, 1)))
 	assert.NilError(t, err, out)
 	assert.Assert(t, strings.Contains(out, "is written"), out)
@@ -72,8 +72,8 @@
 		{"delete used service", []string{"delete", "service", "plans"}, cli.ExitUnsafe, ""},
 		{"stop without reason", []string{"stop", "--force", "h1"}, cli.ExitInvalid, ""},
 		{"stop unknown host", []string{"stop", "--reason", "x", "h99"}, cli.ExitNotFound, ""},
-		{"send", []string{"send", "GET", "http://" + fleet.Hosts[0].Callers() + "/plans/7"}, cli.ExitOK, "answered whole"},
-		{"send fails", []string{"send", "GET", "http://" + fleet.Hosts[0].Callers() + "/none"}, cli.ExitFailed, "not-run"},
+		{"send", []string{"send", "GET", "http://" + fleet.Hosts[0].CallersAddress() + "/plans/7"}, cli.ExitOK, "answered whole"},
+		{"send fails", []string{"send", "GET", "http://" + fleet.Hosts[0].CallersAddress() + "/none"}, cli.ExitFailed, "not-run"},
 		{"bad record", []string{"apply", "-f", writeFile(t, `{"kind":"Service","name":"x","schemaVersion":2,"spec":{"office":"o","preset":"fast","floor":{"percent":200}}}`)}, cli.ExitInvalid, ""},
 		{"too new record", []string{"apply", "-f", writeFile(t, `{"kind":"Route","name":"x","schemaVersion":9,"spec":{}}`)}, cli.ExitInvalid, ""},
 		{"old schema", []string{"apply", "--dry-run", "-f", writeFile(t, `{"kind":"Service","name":"x","schemaVersion":1,"spec":{"office":"o","preset":"quick","floorPercent":50}}`)}, cli.ExitOK, "dry run"},
--- a/internal/e2e/fleet_test.go
+++ b/internal/e2e/fleet_test.go
@@ -82,7 +82,7 @@
 		assert.NilError(t, err)
 		fleet.targets = append(fleet.targets, tg)
 	}
-	assert.NilError(t, f.UntilServing(waitTimeout, map[string]int{"plans": hosts}))
+	assert.NilError(t, f.WaitUntilServing(waitTimeout, map[string]int{"plans": hosts}))
 	return fleet
 }
 
@@ -94,7 +94,7 @@
 // cliAt runs the operator command line against the given host.
 func (fleet *testFleet) cliAt(h *lab.Host, args ...string) (string, error) {
 	var out bytes.Buffer
-	all := append([]string{"radishhoist", "--platform", fleet.Platform, "--admin", h.Admin()}, args...)
+	all := append([]string{"radishhoist", "--platform", fleet.Platform, "--admin", h.AdminAddress()}, args...)
 	err := cli.New(strings.NewReader(""), &out, nil).Run(context.Background(), all)
 	return out.String(), err
 }
@@ -131,7 +131,7 @@
 // rest to targets on other hosts, and each request gets its own answer. The requests are
 // concurrent because sequential ones find the local target free, which has the lowest cost
 // once the paths to other hosts are known: in 1 of 26 runs none was forwarded.
-func TestRequestCrossesHosts(t *testing.T) {
+func TestRequestsAreForwardedToOtherHosts(t *testing.T) {
 	const hosts, atOnce, size = 4, 20, 1000
 	fleet := startFleet(t, 31, hosts, 100*time.Millisecond)
 	for _, h := range fleet.Hosts {
@@ -139,7 +139,7 @@
 		var wg sync.WaitGroup
 		for i := range responses {
 			wg.Go(func() {
-				responses[i] = sendRequest(http.MethodGet, fmt.Sprintf("http://%s/plans/7?size=%d", h.Callers(), size), markOf(h, i), "")
+				responses[i] = sendRequest(http.MethodGet, fmt.Sprintf("http://%s/plans/7?size=%d", h.CallersAddress(), size), markOf(h, i), "")
 			})
 		}
 		wg.Wait()
@@ -156,10 +156,10 @@
 		assert.Assert(t, forwarded > 0, "no request of %s was answered by a target on another host", h.Name)
 	}
 
-	large := sendRequest(http.MethodPost, "http://"+fleet.Hosts[0].Callers()+"/plans/7?size=3000000", "large", strings.Repeat("x", 1<<20))
+	large := sendRequest(http.MethodPost, "http://"+fleet.Hosts[0].CallersAddress()+"/plans/7?size=3000000", "large", strings.Repeat("x", 1<<20))
 	assert.NilError(t, large.err)
 	assert.Equal(t, len(large.body), 3000000)
-	none := sendRequest(http.MethodGet, "http://"+fleet.Hosts[0].Callers()+"/nowhere", "x", "")
+	none := sendRequest(http.MethodGet, "http://"+fleet.Hosts[0].CallersAddress()+"/nowhere", "x", "")
 	assert.Equal(t, none.status, http.StatusNotFound)
 	assert.Equal(t, none.verdict, verdict.NotRun.String())
 }
@@ -167,12 +167,12 @@
 // markOf returns the mark of the i-th request to a host.
 func markOf(h *lab.Host, i int) string { return fmt.Sprintf("%s-m%d", h.Name, i) }
 
-func TestTerminatedHostCutsNothingOff(t *testing.T) {
+func TestTerminatedHostDrainsRequests(t *testing.T) {
 	fleet := startFleet(t, 32, 3, 600*time.Millisecond)
 	route := &record.Route{PathPrefix: "/plans", Service: "plans", TimeoutMS: 30000}
 	assert.NilError(t, fleet.Put(context.Background(), record.Key{Kind: record.KindRoute, Name: "plans"}, route))
 	for _, h := range fleet.Hosts {
-		assert.NilError(t, fleet.Until(waitTimeout, "the longer deadline on "+h.Name, func() bool {
+		assert.NilError(t, fleet.WaitFor(waitTimeout, "the longer deadline on "+h.Name, func() bool {
 			out, err := fleet.cliAt(h, "explain", "POST", "http://x/plans/7")
 			return err == nil && strings.Contains(out, "30000 ms")
 		}))
@@ -183,10 +183,10 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			responses[i] = sendRequest(http.MethodPost, "http://"+fleet.Hosts[1+i%2].Callers()+"/plans/7", fmt.Sprintf("m%d", i), "book")
+			responses[i] = sendRequest(http.MethodPost, "http://"+fleet.Hosts[1+i%2].CallersAddress()+"/plans/7", fmt.Sprintf("m%d", i), "book")
 		}()
 	}
-	assert.NilError(t, fleet.Until(waitTimeout, "requests on the target", func() bool {
+	assert.NilError(t, fleet.WaitFor(waitTimeout, "requests on the target", func() bool {
 		r, err := fleet.targets[0].Runs()
 		return err == nil && r.Total > 0
 	}))
@@ -221,7 +221,7 @@
 	return total
 }
 
-func TestKilledAndFrozenHostsNeverRunTwice(t *testing.T) {
+func TestKilledAndFrozenHostsRunRequestsAtMostOnce(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		net  int
@@ -238,7 +238,7 @@
 					defer wg.Done()
 					time.Sleep(time.Duration(i) * 10 * time.Millisecond)
 					mark := fmt.Sprintf("m%d", i)
-					r := sendRequest(http.MethodPost, "http://"+fleet.Hosts[1+i%3].Callers()+"/plans/7", mark, "book")
+					r := sendRequest(http.MethodPost, "http://"+fleet.Hosts[1+i%3].CallersAddress()+"/plans/7", mark, "book")
 					mu.Lock()
 					responses[mark] = r
 					mu.Unlock()
@@ -265,16 +265,16 @@
 	}
 }
 
-func TestPlatformAwayTrafficGoesOnAndHostsStartFromPeers(t *testing.T) {
+func TestPlatformOutageServesTrafficAndHostsStartFromPeers(t *testing.T) {
 	fleet := startFleet(t, 35, 3, 2*time.Millisecond)
 	assert.NilError(t, fleet.SetPlatformFaults(platformd.Faults{Outage: true}))
-	r := sendRequest(http.MethodGet, "http://"+fleet.Hosts[0].Callers()+"/plans/7", "m", "")
+	r := sendRequest(http.MethodGet, "http://"+fleet.Hosts[0].CallersAddress()+"/plans/7", "m", "")
 	assert.Equal(t, r.status, http.StatusOK)
 
 	seeds := fmt.Sprintf("[peers]\nseeds = %s:%d", fleet.Hosts[0].IP, lab.PeerPort)
 	_, err := fleet.StartHost("late", "dc1", "127.0.35.40", seeds)
 	assert.NilError(t, err)
-	assert.NilError(t, fleet.UntilServing(waitTimeout, map[string]int{"plans": 3}))
+	assert.NilError(t, fleet.WaitUntilServing(waitTimeout, map[string]int{"plans": 3}))
 	r = sendRequest(http.MethodGet, "http://127.0.35.40:18080/plans/7", "m", "")
 	assert.Equal(t, r.status, http.StatusOK)
 
@@ -282,19 +282,19 @@
 	route := &record.Route{PathPrefix: "/late", Service: "plans"}
 	assert.NilError(t, fleet.Put(context.Background(), record.Key{Kind: record.KindRoute, Name: "late"}, route))
 	for _, h := range fleet.Hosts {
-		assert.NilError(t, fleet.Until(waitTimeout, "the new route on "+h.Name, func() bool {
-			return sendRequest(http.MethodGet, "http://"+h.Callers()+"/late/1", "m", "").status == http.StatusOK
+		assert.NilError(t, fleet.WaitFor(waitTimeout, "the new route on "+h.Name, func() bool {
+			return sendRequest(http.MethodGet, "http://"+h.CallersAddress()+"/late/1", "m", "").status == http.StatusOK
 		}))
 	}
 	assert.NilError(t, fleet.Delete(context.Background(), record.Key{Kind: record.KindRoute, Name: "late"}))
 	for _, h := range fleet.Hosts {
-		assert.NilError(t, fleet.Until(waitTimeout, "the route gone on "+h.Name, func() bool {
-			return sendRequest(http.MethodGet, "http://"+h.Callers()+"/late/1", "m", "").status == http.StatusNotFound
+		assert.NilError(t, fleet.WaitFor(waitTimeout, "the route gone on "+h.Name, func() bool {
+			return sendRequest(http.MethodGet, "http://"+h.CallersAddress()+"/late/1", "m", "").status == http.StatusNotFound
 		}))
 	}
 }
 
-func TestOperatorDrainsAHost(t *testing.T) {
+func TestOperatorDrainsHost(t *testing.T) {
 	fleet := startFleet(t, 36, 4, 2*time.Millisecond)
 	out, err := fleet.cli("status")
 	assert.NilError(t, err)
@@ -304,7 +304,7 @@
 	assert.NilError(t, err, out)
 	assert.Assert(t, strings.Contains(out, "drained"), out)
 	for _, h := range fleet.Hosts {
-		assert.NilError(t, fleet.Until(waitTimeout, h.Name+" to stop using the stopped host", func() bool {
+		assert.NilError(t, fleet.WaitFor(waitTimeout, h.Name+" to stop using the stopped host", func() bool {
 			s, err := h.Status()
 			return err == nil && !usesHost(s.Services[0].Targets, "h2")
 		}))
@@ -312,7 +312,7 @@
 	before, err := fleet.targets[1].Runs()
 	assert.NilError(t, err)
 	for i := range 60 {
-		r := sendRequest(http.MethodGet, "http://"+fleet.Hosts[i%4].Callers()+"/plans/7", "m", "")
+		r := sendRequest(http.MethodGet, "http://"+fleet.Hosts[i%4].CallersAddress()+"/plans/7", "m", "")
 		assert.Equal(t, r.status, http.StatusOK)
 	}
 	after, err := fleet.targets[1].Runs()
@@ -324,5 +324,5 @@
 
 	_, err = fleet.cli("stop", "--undo", "h2")
 	assert.NilError(t, err)
-	assert.NilError(t, fleet.UntilServing(waitTimeout, map[string]int{"plans": 4}))
+	assert.NilError(t, fleet.WaitUntilServing(waitTimeout, map[string]int{"plans": 4}))
 }
--- a/internal/e2e/keys_test.go
+++ b/internal/e2e/keys_test.go
@@ -20,7 +20,7 @@
 // or "" if there was none.
 func (fleet *testFleet) bookOnce(key, mark string, host int) string {
 	h := fleet.Hosts[host%len(fleet.Hosts)]
-	req, err := http.NewRequest(http.MethodPost, "http://"+h.Callers()+"/plans/7", strings.NewReader("seat"))
+	req, err := http.NewRequest(http.MethodPost, "http://"+h.CallersAddress()+"/plans/7", strings.NewReader("seat"))
 	if err != nil {
 		return ""
 	}
@@ -81,7 +81,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			fleet := startFleet(t, c.net, 5, 5*time.Millisecond)
 			assert.Assert(t, fleet.shardOwner() == nil, "shards are owned before the first key was used")
-			assert.NilError(t, fleet.Until(waitTimeout, "new keys to be accepted on every shard", func() bool {
+			assert.NilError(t, fleet.WaitFor(waitTimeout, "new keys to be accepted on every shard", func() bool {
 				for i := range 16 {
 					if len(fleet.bookOnce(uuid.Must(uuid.NewV7()).String(), "", i)) == 0 {
 						return false
@@ -90,7 +90,7 @@
 				return true
 			}))
 			var owner *lab.Host
-			assert.NilError(t, fleet.Until(waitTimeout, "an owner with authority", func() bool {
+			assert.NilError(t, fleet.WaitFor(waitTimeout, "an owner with authority", func() bool {
 				owner = fleet.shardOwner()
 				return owner != nil
 			}))
@@ -126,15 +126,15 @@
 	}
 }
 
-func TestBrokenAnswersAreReplacedOrShownBroken(t *testing.T) {
+func TestBrokenAnswersAreRetriedOrReported(t *testing.T) {
 	fleet := startFleet(t, 44, 4, 2*time.Millisecond)
 	for _, b := range []target.Behaviour{
 		{Mode: target.Truncate, Share: 1}, {Mode: target.Swap, Share: 1}, {Mode: target.Errors, Share: 1},
 	} {
-		assert.NilError(t, fleet.targets[0].Set(b))
+		assert.NilError(t, fleet.targets[0].SetBehaviour(b))
 		for i := range 40 {
 			mark := fmt.Sprintf("%s%d", b.Mode, i)
-			r := sendRequest(http.MethodGet, "http://"+fleet.Hosts[i%4].Callers()+"/plans/7?size=5000", mark, "")
+			r := sendRequest(http.MethodGet, "http://"+fleet.Hosts[i%4].CallersAddress()+"/plans/7?size=5000", mark, "")
 			assert.NilError(t, r.err)
 			if r.status == http.StatusOK {
 				assert.Equal(t, len(r.body), 5000, "%s", b.Mode)
@@ -143,10 +143,10 @@
 		}
 	}
 	// An answer that is too large to buffer and breaks off must not look complete.
-	assert.NilError(t, fleet.targets[0].Set(target.Behaviour{Mode: target.Good}))
+	assert.NilError(t, fleet.targets[0].SetBehaviour(target.Behaviour{Mode: target.Good}))
 	for _, tg := range fleet.targets {
-		assert.NilError(t, tg.Set(target.Behaviour{Mode: target.Truncate, Share: 1}))
+		assert.NilError(t, tg.SetBehaviour(target.Behaviour{Mode: target.Truncate, Share: 1}))
 	}
-	r := sendRequest(http.MethodGet, "http://"+fleet.Hosts[0].Callers()+"/plans/7?size=4000000", "big", "")
+	r := sendRequest(http.MethodGet, "http://"+fleet.Hosts[0].CallersAddress()+"/plans/7?size=4000000", "big", "")
 	assert.Assert(t, r.err != nil || r.status >= http.StatusInternalServerError, "a truncated answer looked complete: %d bytes", len(r.body))
 }
--- a/internal/e2e/leftover_test.go
+++ b/internal/e2e/leftover_test.go
@@ -25,7 +25,7 @@
 // stop them: a demo whose output was closed (make demo | head) died before it, its platform,
 // targets and daemons kept running, and later demos used them as their own. Eight demos in a
 // row then reported that a good target answered a tenth of its even share.
-func TestADemoThatEndsInAnyWayLeavesNoProcess(t *testing.T) {
+func TestDemoLeavesNoProcesses(t *testing.T) {
 	for i, c := range []struct {
 		name string
 		end  func(demo *os.Process, output io.Closer) error
@@ -113,7 +113,7 @@
 
 // A fleet does not use a process of another run that occupies its address: it fails
 // immediately with the name and the last output line of the process that could not start.
-func TestAFleetWhosePortIsTakenFailsAtOnce(t *testing.T) {
+func TestFleetFailsIfPortIsInUse(t *testing.T) {
 	first := lab.NewFleet(context.Background(), bin, t.TempDir(), &logtest.Buffer{})
 	defer first.Stop()
 	assert.NilError(t, first.StartPlatform("127.0.46.1"))
@@ -129,7 +129,7 @@
 	defer func() { _ = l.Close() }()
 	_, err = first.StartHost("h1", "dc1", "127.0.46.11", "")
 	assert.NilError(t, err)
-	err = first.UntilServing(waitTimeout, nil)
+	err = first.WaitUntilServing(waitTimeout, nil)
 	assert.ErrorContains(t, err, "h1 ended early")
 	assert.ErrorContains(t, err, "another process has this port")
 }
--- a/internal/e2e/shapes_test.go
+++ b/internal/e2e/shapes_test.go
@@ -26,7 +26,7 @@
 	// slots; the services are assigned to the hosts in turn.
 	hosts, dcs, targetsPerHost, slots int
 	services                          []string
-	split                             []record.Part
+	split                             []record.WeightedService
 	serviceTime                       time.Duration
 	maxAttempts                       int
 	retryPercent                      int
@@ -40,13 +40,13 @@
 var deployments = []deployment{
 	{
 		name: "many data centres, one slot", net: 61, hosts: 10, dcs: 5, targetsPerHost: 1, slots: 1,
-		services: []string{"a", "b"}, split: []record.Part{{Service: "a", Weight: 70}, {Service: "b", Weight: 30}},
+		services: []string{"a", "b"}, split: []record.WeightedService{{Service: "a", Weight: 70}, {Service: "b", Weight: 30}},
 		serviceTime: 30 * time.Millisecond, maxAttempts: 3, retryPercent: 30, reserve: 4, window: 2 * time.Second,
 		requestCount: 600, requestInterval: 10 * time.Millisecond,
 	},
 	{
 		name: "one data centre, many slots", net: 62, hosts: 3, dcs: 1, targetsPerHost: 3, slots: 32,
-		services: []string{"a"}, split: []record.Part{{Service: "a", Weight: 1}},
+		services: []string{"a"}, split: []record.WeightedService{{Service: "a", Weight: 1}},
 		serviceTime: 150 * time.Millisecond, maxAttempts: 2, retryPercent: 5, reserve: 12, window: 4 * time.Second,
 		requestCount: 800, requestInterval: 7 * time.Millisecond,
 	},
@@ -56,13 +56,13 @@
 // requests and a host killed halfway: a request that is not idempotent runs at most once, a
 // request reported as not run has not run, no request runs on more targets than its route
 // allows, retries stay within the budget, and traffic is split as configured.
-func TestPromisesHoldOnOtherShapes(t *testing.T) {
+func TestInvariantsHoldOnOtherDeployments(t *testing.T) {
 	for _, d := range deployments {
 		t.Run(d.name, func(t *testing.T) {
 			fleet := d.startFleet(t)
 			for i, tg := range fleet.targets {
 				if i%3 == 0 {
-					assert.NilError(t, tg.Set(target.Behaviour{Mode: target.Errors, Share: 0.8}))
+					assert.NilError(t, tg.SetBehaviour(target.Behaviour{Mode: target.Errors, Share: 0.8}))
 				}
 			}
 			// A retry budget has no reserve in its first window.
@@ -100,7 +100,7 @@
 	for i := range d.hosts {
 		want[d.services[i%len(d.services)]] = d.hosts / len(d.services) * d.targetsPerHost
 	}
-	assert.NilError(t, f.UntilServing(waitTimeout, want))
+	assert.NilError(t, f.WaitUntilServing(waitTimeout, want))
 	return fleet
 }
 
@@ -119,7 +119,7 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			r := sendRequest(method, "http://"+fleet.Hosts[i%(d.hosts-1)].Callers()+"/x/1", mark, "")
+			r := sendRequest(method, "http://"+fleet.Hosts[i%(d.hosts-1)].CallersAddress()+"/x/1", mark, "")
 			mu.Lock()
 			defer mu.Unlock()
 			responses[mark] = r
--- a/internal/e2e/teams_test.go
+++ b/internal/e2e/teams_test.go
@@ -19,7 +19,7 @@
 // statusWithKey sends a request with a team's key, if any, to a host and returns the status.
 func statusWithKey(t *testing.T, h *lab.Host, key string) int {
 	t.Helper()
-	req, err := http.NewRequest(http.MethodGet, "http://"+h.Callers()+"/plans/1", nil)
+	req, err := http.NewRequest(http.MethodGet, "http://"+h.CallersAddress()+"/plans/1", nil)
 	assert.NilError(t, err)
 	if key != "" {
 		req.Header.Set("Authorization", "Bearer "+key)
@@ -33,14 +33,14 @@
 // cliWithInput runs the command line against the first host with text on standard input.
 func (fleet *testFleet) cliWithInput(in string, args ...string) (string, error) {
 	var out bytes.Buffer
-	all := append([]string{"radishhoist", "--platform", fleet.Platform, "--admin", fleet.Hosts[0].Admin()}, args...)
+	all := append([]string{"radishhoist", "--platform", fleet.Platform, "--admin", fleet.Hosts[0].AdminAddress()}, args...)
 	err := cli.New(strings.NewReader(in), &out, nil).Run(context.Background(), all)
 	return out.String(), err
 }
 
 // An operator issues a key to a team, sees its use over all hosts, and withdraws the key. Each
 // change is confirmed as in force on every host.
-func TestAnOperatorGivesATeamAKeyAndWithdrawsIt(t *testing.T) {
+func TestTeamKeyIsIssuedAndWithdrawn(t *testing.T) {
 	fleet := startFleet(t, 47, 2, 2*time.Millisecond)
 	assert.Equal(t, statusWithKey(t, fleet.Hosts[0], ""), http.StatusOK)
 	assert.NilError(t, fleet.Put(context.Background(), record.Key{Kind: record.KindTeam, Name: "desk"}, &record.Team{Office: "bureau", RatePerSecond: 2, Burst: 5}))
--- a/internal/event/event.go
+++ b/internal/event/event.go
@@ -17,50 +17,50 @@
 // Events by number; numbers are never reused: 1xx process, 2xx front, 3xx guard,
 // 4xx records and platform, 5xx membership, 6xx keys.
 var (
-	Started           = Event{100, "started", slog.LevelInfo}
-	Ready             = Event{101, "ready", slog.LevelInfo}
-	Draining          = Event{102, "draining", slog.LevelInfo}
-	Drained           = Event{103, "drained", slog.LevelInfo}
-	DrainTimeout      = Event{104, "drain timed out", slog.LevelError}
-	StartFailed       = Event{105, "start failed", slog.LevelError}
-	Reloaded          = Event{106, "settings reloaded", slog.LevelInfo}
-	ReloadRefused     = Event{107, "settings refused", slog.LevelError}
-	SettingsStrained  = Event{108, "settings strained", slog.LevelWarn}
-	RequestFailed     = Event{200, "request failed", slog.LevelWarn}
-	RequestAnswered   = Event{206, "request answered", slog.LevelInfo}
-	AnswerAborted     = Event{201, "answer aborted", slog.LevelWarn}
-	LinkLost          = Event{202, "link lost", slog.LevelWarn}
-	PathLeftOut       = Event{203, "path left out", slog.LevelWarn}
-	PathBack          = Event{204, "path back", slog.LevelInfo}
-	PeerRefused       = Event{205, "peer refused", slog.LevelWarn}
-	InstanceAnnounced = Event{300, "instance announced", slog.LevelInfo}
-	InstanceGone      = Event{301, "instance gone", slog.LevelWarn}
-	InstanceLeaving   = Event{302, "instance leaving", slog.LevelInfo}
-	InstanceSuspect   = Event{303, "instance suspect", slog.LevelWarn}
-	InstanceTrusted   = Event{304, "instance trusted", slog.LevelInfo}
-	RequestEnded      = Event{306, "request ended at the instance", slog.LevelInfo}
-	RequestRefused    = Event{307, "request refused at the instance", slog.LevelInfo}
-	InstanceTurned    = Event{308, "instance estimate turned", slog.LevelInfo}
-	InstanceEnded     = Event{309, "instance ended", slog.LevelWarn}
-	RequestStopped    = Event{310, "request stopped", slog.LevelWarn}
-	AnnounceRefused   = Event{305, "announce refused", slog.LevelWarn}
-	RecordApplied     = Event{400, "record applied", slog.LevelInfo}
-	RecordRefused     = Event{401, "record refused", slog.LevelError}
-	PlatformAway      = Event{402, "platform away", slog.LevelWarn}
-	PlatformBack      = Event{403, "platform back", slog.LevelInfo}
-	WatchStarted      = Event{404, "watch started", slog.LevelInfo}
-	WatchStopped      = Event{405, "watch stopped", slog.LevelInfo}
-	SetLoaded         = Event{406, "record set loaded", slog.LevelInfo}
-	PlatformLate      = Event{407, "platform call late", slog.LevelWarn}
-	PlatformCallEnded = Event{408, "platform call ended", slog.LevelWarn}
-	PlatformPause     = Event{409, "platform pause", slog.LevelInfo}
-	RecordUnwritten   = Event{410, "record not written", slog.LevelWarn}
-	HostJoined        = Event{500, "host joined", slog.LevelInfo}
-	HostSuspect       = Event{501, "host suspect", slog.LevelWarn}
-	HostDead          = Event{502, "host dead", slog.LevelWarn}
-	HostLeft          = Event{503, "host left", slog.LevelInfo}
-	ShardOwned        = Event{600, "shard owned", slog.LevelInfo}
-	ShardLost         = Event{601, "shard lost", slog.LevelWarn}
+	Started                 = Event{100, "started", slog.LevelInfo}
+	Ready                   = Event{101, "ready", slog.LevelInfo}
+	Draining                = Event{102, "draining", slog.LevelInfo}
+	Drained                 = Event{103, "drained", slog.LevelInfo}
+	DrainTimeout            = Event{104, "drain timed out", slog.LevelError}
+	StartFailed             = Event{105, "start failed", slog.LevelError}
+	Reloaded                = Event{106, "settings reloaded", slog.LevelInfo}
+	ReloadRefused           = Event{107, "settings refused", slog.LevelError}
+	SettingsStrained        = Event{108, "settings strained", slog.LevelWarn}
+	RequestFailed           = Event{200, "request failed", slog.LevelWarn}
+	RequestAnswered         = Event{206, "request answered", slog.LevelInfo}
+	AnswerAborted           = Event{201, "answer aborted", slog.LevelWarn}
+	LinkLost                = Event{202, "link lost", slog.LevelWarn}
+	PathLeftOut             = Event{203, "path left out", slog.LevelWarn}
+	PathBack                = Event{204, "path back", slog.LevelInfo}
+	PeerRefused             = Event{205, "peer refused", slog.LevelWarn}
+	InstanceAnnounced       = Event{300, "instance announced", slog.LevelInfo}
+	InstanceGone            = Event{301, "instance gone", slog.LevelWarn}
+	InstanceLeaving         = Event{302, "instance leaving", slog.LevelInfo}
+	InstanceSuspect         = Event{303, "instance suspect", slog.LevelWarn}
+	InstanceTrusted         = Event{304, "instance trusted", slog.LevelInfo}
+	RequestEnded            = Event{306, "request ended at the instance", slog.LevelInfo}
+	RequestRefused          = Event{307, "request refused at the instance", slog.LevelInfo}
+	InstanceEstimateChanged = Event{308, "instance estimate turned", slog.LevelInfo}
+	InstanceEnded           = Event{309, "instance ended", slog.LevelWarn}
+	RequestStopped          = Event{310, "request stopped", slog.LevelWarn}
+	AnnounceRefused         = Event{305, "announce refused", slog.LevelWarn}
+	RecordApplied           = Event{400, "record applied", slog.LevelInfo}
+	RecordRefused           = Event{401, "record refused", slog.LevelError}
+	PlatformAway            = Event{402, "platform away", slog.LevelWarn}
+	PlatformBack            = Event{403, "platform back", slog.LevelInfo}
+	WatchStarted            = Event{404, "watch started", slog.LevelInfo}
+	WatchStopped            = Event{405, "watch stopped", slog.LevelInfo}
+	RecordSetLoaded         = Event{406, "record set loaded", slog.LevelInfo}
+	PlatformLate            = Event{407, "platform call late", slog.LevelWarn}
+	PlatformCallEnded       = Event{408, "platform call ended", slog.LevelWarn}
+	PlatformPause           = Event{409, "platform pause", slog.LevelInfo}
+	RecordNotWritten        = Event{410, "record not written", slog.LevelWarn}
+	HostJoined              = Event{500, "host joined", slog.LevelInfo}
+	HostSuspect             = Event{501, "host suspect", slog.LevelWarn}
+	HostDead                = Event{502, "host dead", slog.LevelWarn}
+	HostLeft                = Event{503, "host left", slog.LevelInfo}
+	ShardOwned              = Event{600, "shard owned", slog.LevelInfo}
+	ShardLost               = Event{601, "shard lost", slog.LevelWarn}
 )
 
 // All returns every event, for the test that compares them with the documentation.
@@ -69,9 +69,9 @@
 		Started, Ready, Draining, Drained, DrainTimeout, StartFailed, Reloaded, ReloadRefused, SettingsStrained,
 		RequestFailed, RequestAnswered, AnswerAborted, LinkLost, PathLeftOut, PathBack, PeerRefused,
 		InstanceAnnounced, InstanceGone, InstanceLeaving, InstanceSuspect, InstanceTrusted, AnnounceRefused,
-		RequestEnded, RequestRefused, InstanceTurned, InstanceEnded, RequestStopped,
-		RecordApplied, RecordRefused, PlatformAway, PlatformBack, WatchStarted, WatchStopped, SetLoaded,
-		PlatformLate, PlatformCallEnded, PlatformPause, RecordUnwritten,
+		RequestEnded, RequestRefused, InstanceEstimateChanged, InstanceEnded, RequestStopped,
+		RecordApplied, RecordRefused, PlatformAway, PlatformBack, WatchStarted, WatchStopped, RecordSetLoaded,
+		PlatformLate, PlatformCallEnded, PlatformPause, RecordNotWritten,
 		HostJoined, HostSuspect, HostDead, HostLeft, ShardOwned, ShardLost,
 	}
 }
--- a/internal/experiment/radishhoist.go
+++ b/internal/experiment/radishhoist.go
@@ -420,7 +420,7 @@
 	if changed {
 		o.publish(g)
 	}
-	running, queued := g.queue.Running(), g.queue.Queued()
+	running, queued := g.queue.BusySlots(), g.queue.Queued()
 	o.sendToFront(g, c.attempt, func() { o.handleAnswer(c.attempt, took, failed, cut, running, queued) })
 }
 
--- a/internal/experiment/report.go
+++ b/internal/experiment/report.go
@@ -11,24 +11,24 @@
 type Options struct {
 	// Seeds is the number of runs per case, First the first seed. Seeds from HeldOut on
 	// are reserved for reporting.
-	Seeds int
-	First uint64
-	// NoiseHours is the length of the noise run in instance-hours, 0 for none.
-	NoiseHours float64
-	// Large adds LargeSite.
-	Large bool
-	// OursOnly omits the baselines.
-	OursOnly bool
+	Seeds     int
+	FirstSeed uint64
+	// NoiseInstanceHours is the length of the noise run in instance-hours, 0 for none.
+	NoiseInstanceHours float64
+	// TargetSize adds LargeSite.
+	TargetSize bool
+	// OmitBaselines omits the baselines.
+	OmitBaselines bool
 }
 
-// HeldOut is the first seed reserved for reporting; only lower seeds may be used for tuning.
-const HeldOut = 1_000_000
+// FirstHeldOutSeed is the first seed reserved for reporting; only lower seeds may be used for tuning.
+const FirstHeldOutSeed = 1_000_000
 
 // Report runs the cases, writes Markdown tables and returns the results.
 func Report(out io.Writer, o Options) []Result {
 	var all []Result
 	policies := Policies()
-	if o.OursOnly {
+	if o.OmitBaselines {
 		policies = policies[:1]
 	}
 	for _, site := range []Site{Bureau, Registry} {
@@ -36,25 +36,25 @@
 			fmt.Fprintf(out, "\n### %s, %.0f %% load, %d runs a row\n\n%s\n", site.Name, 100*load, o.Seeds, tableHead)
 			for _, fault := range Faults {
 				for _, policy := range policies {
-					r := RunCase(site, policy, fault, load, o.First, o.Seeds)
+					r := RunCase(site, policy, fault, load, o.FirstSeed, o.Seeds)
 					all = append(all, r)
 					fmt.Fprintln(out, r.row())
 				}
 			}
 		}
 	}
-	if o.Large {
+	if o.TargetSize {
 		fmt.Fprintf(out, "\n### %s, 1,600 fronts, 40 %% load, 2 runs a row\n\n%s\n", LargeSite.Name, tableHead)
 		for _, fault := range []Fault{NoFault, Slow5, Errors, Stuck} {
-			r := RunCase(LargeSite, "radishhoist", fault, 0.4, o.First, 2)
+			r := RunCase(LargeSite, "radishhoist", fault, 0.4, o.FirstSeed, 2)
 			all = append(all, r)
 			fmt.Fprintln(out, r.row())
 		}
 	}
-	if o.NoiseHours > 0 {
+	if o.NoiseInstanceHours > 0 {
 		fmt.Fprintf(out, "\n### False ejections under noise\n\n")
 		for _, site := range []Site{Bureau, Registry} {
-			alarms, hours := DefaultNoise(site).CountAlarms(o.NoiseHours, o.First)
+			alarms, hours := DefaultNoise(site).CountAlarms(o.NoiseInstanceHours, o.FirstSeed)
 			fmt.Fprintf(out, "- %s: %d alarms in %.0f healthy instance-hours, %.2f per 1,000\n", site.Name, alarms, hours, 1000*float64(alarms)/hours)
 		}
 	}
@@ -68,7 +68,7 @@
 	for _, site := range []Site{Bureau, Registry} {
 		for _, load := range []float64{0.4, 0.7} {
 			for _, policy := range Policies() {
-				r := RunCase(site, policy, ShortSpike, load, o.First, o.Seeds)
+				r := RunCase(site, policy, ShortSpike, load, o.FirstSeed, o.Seeds)
 				fmt.Fprintf(out, "| %s | %.0f %% | %s | %d |\n", site.Name, 100*load, policy, r.TailFailures)
 			}
 		}
--- a/internal/experiment/reserve.go
+++ b/internal/experiment/reserve.go
@@ -93,7 +93,7 @@
 			var sum ReserveResult
 			const runs = 20
 			for seed := range uint64(runs) {
-				r := Reserve(site, 0.4, reserve, HeldOut+seed)
+				r := Reserve(site, 0.4, reserve, FirstHeldOutSeed+seed)
 				sum.Method = r.Method
 				sum.MayHaveRunPct += r.MayHaveRunPct / runs
 				sum.AnsweredPct += r.AnsweredPct / runs
--- a/internal/fleetsim/budget_test.go
+++ b/internal/fleetsim/budget_test.go
@@ -36,7 +36,7 @@
 //
 // Evidence: callers sent 515 requests in those 10 s and runs some 250: the guards let
 // through four fifths of 213, not of 161.
-func TestCallsEarnNoRepeats(t *testing.T) {
+func TestCallsAddNothingToRetryBudget(t *testing.T) {
 	for seed, r := range play(t, *seeds, called) {
 		checkFullest(t, seed, called(0), r)
 	}
--- a/internal/fleetsim/crash_test.go
+++ b/internal/fleetsim/crash_test.go
@@ -55,7 +55,7 @@
 // Evidence: twelve instances ended in ten seconds; one of two requests was under way on
 // each of them, and no other request on more than one. Ten of the twelve had just had
 // the first arrival of a new call, so that no budget of repeats could have saved them.
-func TestCrashingRequestIsStopped(t *testing.T) {
+func TestCrashingRequestIsBlocked(t *testing.T) {
 	site := func(seed uint64) Site {
 		s := registry(seed)
 		s.Crashers = []Crasher{{Kind: "status", Path: "/status/fatal", PerSecond: 2, After: crashAfter}}
@@ -98,7 +98,7 @@
 
 // Whatever the size of the fleet, and whether the request may be repeated or not, it ends
 // few instances, and nobody else's request is stopped for it.
-func TestWhatCrashingRequestsCost(t *testing.T) {
+func TestCrashingRequestCrashesFewInstances(t *testing.T) {
 	const largest = "354 hosts"
 	cases := map[string]func(uint64) Site{
 		"24 hosts, repeatable": func(seed uint64) Site {
@@ -180,7 +180,7 @@
 //
 // Evidence: at 20 a second up to 7 of 8 instances ended; up to 5 where all hosts send it
 // to one of them.
-func TestACrashingRequestThatIsSentOftenEndsFew(t *testing.T) {
+func TestFrequentCrashingRequestCrashesFewInstances(t *testing.T) {
 	for seed, r := range play(t, 10**seeds, sentOften(20)) {
 		c := r.Crashes["/status/fatal0"]
 		t.Logf("seed %d: %d instances ended, served %.3f", seed, len(c.Ends), r.All.Served())
@@ -207,7 +207,7 @@
 
 // Beside a cut data centre each side learns for itself, and all know once it is over: the
 // request ends no more than it may on both sides together, and nobody else's is stopped.
-func TestACrashingRequestBesideACut(t *testing.T) {
+func TestCrashingRequestDuringPartition(t *testing.T) {
 	site := func(seed uint64) Site {
 		s := scenario(seed)
 		s.Crashers = []Crasher{crasher("status", 0)}
@@ -231,7 +231,7 @@
 
 // A request that ends the old version of a service is served by the new one: at the latest
 // a minute after its last end, and without ending further instances.
-func TestTheNewVersionServesWhatEndsTheOld(t *testing.T) {
+func TestNewVersionServesRequestThatCrashesOld(t *testing.T) {
 	const (
 		pause = time.Minute // for software that it has not ended
 		slack = 5 * time.Second
@@ -263,7 +263,7 @@
 
 // Instances that end for another reason, at once and one after the other, stop no
 // request: neither a path that runs on each of them nor any other.
-func TestLossesStopNoRequest(t *testing.T) {
+func TestInstanceLossesBlockNoRequest(t *testing.T) {
 	for _, popular := range []bool{false, true} {
 		site := func(seed uint64) Site {
 			s := scenario(seed)
@@ -308,7 +308,7 @@
 // Evidence: at the moment of the loss one guard of eight had seen the request complete
 // and none beside a lost instance; three ends named it; the news that cleared it was
 // there 1.6 ms after it had been stopped.
-func TestAPopularRequestOutlivesALoss(t *testing.T) {
+func TestPopularRequestSurvivesInstanceLoss(t *testing.T) {
 	for seed, r := range play(t, 10**seeds, popularLoss) {
 		assert.Check(t, r.All.Stopped == 0, "seed %d: %d requests stopped", seed, r.All.Stopped)
 	}
--- a/internal/fleetsim/fleet.go
+++ b/internal/fleetsim/fleet.go
@@ -158,7 +158,7 @@
 		Dial: func(context.Context, string) (net.Conn, error) { return h.instance.connect() },
 	}, guard.Limits{AnnounceExpiry: time.Hour, RetryReserve: f.site.RetryReserve, RetryWindow: f.site.RetryWindow},
 		log, anyRun{}, guard.Hooks{
-			Changed: func() {}, Pulse: h.tell,
+			Changed: func() {}, LoadReport: h.tell,
 			Crashed: func(e crash.Crash) { h.tellOthers(func(other *host) { other.guard.ApplyCrash(e) }) },
 			Cleared: func(end string, p crash.Fingerprint) {
 				h.tellOthers(func(other *host) { other.guard.ApplyCleared(end, p) })
--- a/internal/fleetsim/fleet_test.go
+++ b/internal/fleetsim/fleet_test.go
@@ -105,7 +105,7 @@
 // Over all fronts together, instances that may be well get work, also where there is
 // little of it and each front hears little. While only instances in doubt asked for
 // work, 61 of 111 spans of the service with the most instances fell short.
-func TestNoSoundInstanceIsLeftWithoutWork(t *testing.T) {
+func TestWellInstancesGetRequests(t *testing.T) {
 	// Runs of one seed differ, since what happens at one instant has no order: two seeds
 	// gave 1 to 8 of 74 spans (32 runs, 3.9 on average), over a tenth in one of them.
 	// More seeds make the same share a verdict.
--- a/internal/front/answer.go
+++ b/internal/front/answer.go
@@ -31,7 +31,7 @@
 func newAnswer(att *attempt, head *msg.Head) *answer {
 	ans := &answer{attempt: att, head: head, hash: xxhash.New()}
 	if head.Length > 0 {
-		ans.buffered = make([]byte, 0, min(head.Length, int64(att.req.service.Record.AnswerBuffer())))
+		ans.buffered = make([]byte, 0, min(head.Length, int64(att.req.service.Record.AnswerBufferBytes())))
 	}
 	return ans
 }
--- a/internal/front/attempt.go
+++ b/internal/front/attempt.go
@@ -187,7 +187,7 @@
 	}
 	a.front.paths.recordMiss(time.Now(), a.target.Host.Name)
 	// Send the next request over a new connection, because this one may stay silent.
-	a.conn.Doubt()
+	a.conn.MarkSuspect()
 	if a.req.idempotent || a.state.Phase() == once.Reserving {
 		return a.abort(errors.New("no frame received from the host"))
 	}
@@ -234,7 +234,7 @@
 		return a.rejectAnswer(verdict.ReasonTargetBroke, "answer body received before the answer header")
 	}
 	a.answer.add(m.Bytes)
-	if len(a.answer.buffered) <= a.req.service.Record.AnswerBuffer() {
+	if len(a.answer.buffered) <= a.req.service.Record.AnswerBufferBytes() {
 		return nil
 	}
 	// Too large to buffer: stream it to the caller.
@@ -267,7 +267,7 @@
 	fail.RetryAfterMS = int64(m.RetryAfterMS)
 	o := &outcome{fail: fail, load: m.Load}
 	switch m.Reason {
-	case verdict.ReasonTargetDown, verdict.ReasonTargetBroke, verdict.ReasonTargetEnded, verdict.ReasonAnswerMismatch:
+	case verdict.ReasonTargetDown, verdict.ReasonTargetBroke, verdict.ReasonTargetCrashed, verdict.ReasonAnswerMismatch:
 		o.targetObserved, o.failed = true, true
 	}
 	return o
--- a/internal/front/conns_test.go
+++ b/internal/front/conns_test.go
@@ -24,7 +24,7 @@
 func serveFront(t *testing.T, limits record.Limits) (*Front, string) {
 	t.Helper()
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
-	g := guard.New(guard.Config{Host: "h"}, guard.Limits{}, log, nil, guard.Hooks{Changed: func() {}, Pulse: func(*msg.LoadReport, pulse.Reach) {}})
+	g := guard.New(guard.Config{Host: "h"}, guard.Limits{}, log, nil, guard.Hooks{Changed: func() {}, LoadReport: func(*msg.LoadReport, pulse.Reach) {}})
 	f := New(Config{Host: "h", MaxConns: 8, HeaderTimeout: time.Minute, IdleTimeout: time.Minute, MaxHeaderBytes: 64 << 10, BufferBodyBytes: 1 << 10, Dialect: header.Default()},
 		Limits{MaxBodyBytes: 1 << 20}, log, nil, g, nil)
 	records := directory.Compile([]*record.Record{{
@@ -129,7 +129,7 @@
 
 func TestSplitFollowsWeights(t *testing.T) {
 	f := &Front{}
-	split := []record.Part{{Service: "a", Weight: 90}, {Service: "none", Weight: 0}, {Service: "b", Weight: 10}}
+	split := []record.WeightedService{{Service: "a", Weight: 90}, {Service: "none", Weight: 0}, {Service: "b", Weight: 10}}
 	counts := map[string]int{}
 	for range 10000 {
 		counts[pickSplit(f.rng(), split)]++
--- a/internal/front/keys.go
+++ b/internal/front/keys.go
@@ -116,7 +116,7 @@
 
 func isKeyReason(r verdict.Reason) bool {
 	switch r {
-	case verdict.ReasonKeyBusy, verdict.ReasonKeyReused, verdict.ReasonKeyUnknown, verdict.ReasonKeyNoOwner, verdict.ReasonKeyTooOld:
+	case verdict.ReasonKeyInProgress, verdict.ReasonKeyReused, verdict.ReasonKeyUnknown, verdict.ReasonKeyNoOwner, verdict.ReasonKeyTooOld:
 		return true
 	default:
 		return false
@@ -133,7 +133,7 @@
 	e.RetryAfterMS = max(k.RetryAfterMS, 1)
 	switch k.Outcome {
 	case once.ClaimBusy:
-		e = verdict.New(verdict.MayHaveRun, verdict.ReasonKeyBusy, "a request with this key is in progress")
+		e = verdict.New(verdict.MayHaveRun, verdict.ReasonKeyInProgress, "a request with this key is in progress")
 		e.RetryAfterMS = busyRetryAfterMS
 	case once.ClaimKeyReused:
 		e = verdict.New(verdict.NotRun, verdict.ReasonKeyReused, "this key was used for a different request; generate a new key")
--- a/internal/front/request.go
+++ b/internal/front/request.go
@@ -109,7 +109,7 @@
 		return nil, retryLater(verdict.ReasonDraining, "this host is shutting down; retry on another host", defaultRetryAfter)
 	}
 	view := f.view.Load()
-	if !view.Whole {
+	if !view.Complete {
 		return nil, retryLater(verdict.ReasonNotReady, "this host has not loaded its whole configuration yet", time.Second)
 	}
 	req := &request{id: requestID(r), arrived: time.Now(), http: r}
@@ -122,7 +122,7 @@
 	if req.route == nil {
 		return nil, verdict.New(verdict.NotRun, verdict.ReasonNoRoute, "no route matches "+r.Method+" "+host+r.URL.Path)
 	}
-	service := pickSplit(f.rng(), req.route.Parts())
+	service := pickSplit(f.rng(), req.route.WeightedServices())
 	var ok bool
 	if req.service, ok = view.Services[service]; !ok {
 		return nil, verdict.New(verdict.NotRun, verdict.ReasonNoRoute,
@@ -150,7 +150,7 @@
 }
 
 // pickSplit picks one of the services of a route at random by weight.
-func pickSplit(rng *rand.Rand, parts []record.Part) string {
+func pickSplit(rng *rand.Rand, parts []record.WeightedService) string {
 	sum := 0
 	for _, p := range parts {
 		sum += p.Weight
--- a/internal/front/send.go
+++ b/internal/front/send.go
@@ -36,11 +36,11 @@
 // in the retry budget.
 func (a *attempt) hints() msg.AdmissionHints {
 	return msg.AdmissionHints{
-		ObjectiveMS: uint32(a.req.route.Objective().Milliseconds()),
-		UsedMS:      uint32(max(time.Since(a.req.arrived).Milliseconds(), 0)),
-		ExpectedMS:  uint32(a.req.state.expectedServiceTimeAt(a.req, a.target).Milliseconds()),
-		AllowLate:   a.options.allowLate,
-		Repeat:      a.options.repeat, Hedge: a.options.hedge,
+		ObjectiveMS:     uint32(a.req.route.Objective().Milliseconds()),
+		UsedMS:          uint32(max(time.Since(a.req.arrived).Milliseconds(), 0)),
+		ExpectedMS:      uint32(a.req.state.expectedServiceTimeAt(a.req, a.target).Milliseconds()),
+		AllowLate:       a.options.allowLate,
+		UsesRetryBudget: a.options.repeat, Hedge: a.options.hedge,
 		NestedRetryChance: a.req.nestedRetryChance, OriginIdle: a.req.originIdle, Route: uint32(xxhash.Sum64String(a.req.route.Name)),
 		Fingerprint: uint64(a.req.fingerprint),
 	}
--- a/internal/front/status.go
+++ b/internal/front/status.go
@@ -15,10 +15,10 @@
 	Name    string `json:"name"`
 	Version int64  `json:"version"`
 	Preset  string `json:"preset"`
-	// Known, Healthy and Required are numbers of slots: all, those in use, and the floor.
-	Known    int `json:"knownSlots"`
-	Healthy  int `json:"healthySlots"`
-	Required int `json:"requiredSlots"`
+	// KnownSlots, Healthy and Required are numbers of slots: all, those in use, and the floor.
+	KnownSlots    int `json:"knownSlots"`
+	HealthySlots  int `json:"healthySlots"`
+	RequiredSlots int `json:"requiredSlots"`
 	// SuspectsKept is the number of suspects used only because of the floor.
 	SuspectsKept int            `json:"suspectsKept"`
 	Targets      []TargetStatus `json:"targets"`
@@ -67,7 +67,7 @@
 	r := st.candidates.result
 	out := ServiceStatus{
 		Name: svc.Name, Version: svc.Version, Preset: svc.Record.Preset,
-		Known: r.Known, Healthy: r.Healthy, Required: r.Required, SuspectsKept: r.KeptSuspects, Targets: []TargetStatus{},
+		KnownSlots: r.Known, HealthySlots: r.Healthy, RequiredSlots: r.Required, SuspectsKept: r.KeptSuspects, Targets: []TargetStatus{},
 	}
 	for i, t := range st.targets {
 		use, why := f.explainUse(now, t, r.Ejected[i])
@@ -109,15 +109,15 @@
 
 // Explanation says how a request would be handled, and why.
 type Explanation struct {
-	Matched    bool   `json:"matched"`
-	Route      string `json:"route,omitempty"`
-	Version    int64  `json:"version,omitempty"`
-	Service    string `json:"service,omitempty"`
-	Idempotent bool   `json:"idempotent"`
-	Because    string `json:"because,omitempty"`
-	TimeoutMS  int64  `json:"timeoutMS,omitempty"`
-	Priority   int    `json:"priority"`
-	Team       string `json:"team,omitempty"`
+	Matched           bool   `json:"matched"`
+	Route             string `json:"route,omitempty"`
+	Version           int64  `json:"version,omitempty"`
+	Service           string `json:"service,omitempty"`
+	Idempotent        bool   `json:"idempotent"`
+	IdempotencyReason string `json:"because,omitempty"`
+	TimeoutMS         int64  `json:"timeoutMS,omitempty"`
+	Priority          int    `json:"priority"`
+	Team              string `json:"team,omitempty"`
 	// Open says that callers need no API key for this route.
 	Open       bool     `json:"open"`
 	TeamRate   float64  `json:"teamRatePerSecond,omitempty"`
@@ -139,12 +139,12 @@
 		return Explanation{Problem: "no route matches; run `radishhoist list routes` to see all routes"}
 	}
 	out := Explanation{
-		Matched: true, Route: r.Name, Version: r.Version, Service: r.Parts()[0].Service,
-		Idempotent: r.IsIdempotent(method), Because: "the method " + method + " says so",
+		Matched: true, Route: r.Name, Version: r.Version, Service: r.WeightedServices()[0].Service,
+		Idempotent: r.IsIdempotent(method), IdempotencyReason: "the method " + method + " says so",
 		TimeoutMS: r.Timeout().Milliseconds(), Priority: r.Priority, Team: team, Open: r.Open || !view.RequireKeys,
 	}
 	if r.Idempotent != "" {
-		out.Because = "the route says idempotent: " + r.Idempotent
+		out.IdempotencyReason = "the route says idempotent: " + r.Idempotent
 	}
 	if t, ok := view.Teams[team]; ok {
 		out.TeamRate = t.RatePerSecond
--- a/internal/front/suspect.go
+++ b/internal/front/suspect.go
@@ -31,7 +31,7 @@
 func (e *execution) endMoments() int {
 	own := 0
 	for _, fail := range e.failures {
-		if fail.Reason == verdict.ReasonTargetEnded {
+		if fail.Reason == verdict.ReasonTargetCrashed {
 			own++
 		}
 	}
--- a/internal/guard/announce.go
+++ b/internal/guard/announce.go
@@ -49,9 +49,9 @@
 	// Sequence increases with each announcement, so that a delayed one can be
 	// recognised; 0 if the instance does not count.
 	Sequence uint64 `json:"sequence,omitempty"`
-	// Born is the start time of the instance in Unix milliseconds of its own clock,
+	// StartedMS is the start time of the instance in Unix milliseconds of its own clock,
 	// by which a restart under the same name is recognised; 0 if not given.
-	Born int64 `json:"born,omitempty"`
+	StartedMS int64 `json:"born,omitempty"`
 	// WarmupLeftMS is the remaining warm-up time in milliseconds, during which the
 	// instance is slower than usual; nil if not given.
 	WarmupLeftMS *int64 `json:"warmupLeftMS,omitempty"`
@@ -111,7 +111,7 @@
 		}
 		return nil, false, errors.Errorf("service: no Service record in force is named %q; use the name of an existing one", a.Service)
 	}
-	outcome := g.announcements.Apply(now, name, a.Address, announce.Stamp{StartedMS: a.Born, Sequence: a.Sequence})
+	outcome := g.announcements.Apply(now, name, a.Address, announce.Stamp{StartedMS: a.StartedMS, Sequence: a.Sequence})
 	if !outcome.Accepted {
 		return nil, false, nil
 	}
@@ -146,8 +146,8 @@
 		return errors.Errorf("connections: %d is out of range; must be 1 to %d, or omitted", a.Connections, maxConnections)
 	case a.State != "" && a.State != stateReady && a.State != stateDraining:
 		return errors.Errorf("state: unknown value %q; must be %q or %q", a.State, stateReady, stateDraining)
-	case a.Born < 0:
-		return errors.Errorf("born: %d is out of range; must be the start time in Unix milliseconds, or omitted", a.Born)
+	case a.StartedMS < 0:
+		return errors.Errorf("born: %d is out of range; must be the start time in Unix milliseconds, or omitted", a.StartedMS)
 	case a.WarmupLeftMS != nil && *a.WarmupLeftMS < 0:
 		return errors.Errorf("warmupLeftMS: %d is out of range; must be 0 or more", *a.WarmupLeftMS)
 	}
--- a/internal/guard/call.go
+++ b/internal/guard/call.go
@@ -66,7 +66,7 @@
 		x.inst.markNotRun(x.waiter)
 	}
 	if mayHaveTerminated(failure) && x.inst.checkTerminated() && failure.Verdict != verdict.NotRun {
-		failure = verdict.New(failure.Verdict, verdict.ReasonTargetEnded, "the target terminated before it responded")
+		failure = verdict.New(failure.Verdict, verdict.ReasonTargetCrashed, "the target terminated before it responded")
 	}
 	if failure == nil && res.status < http.StatusBadRequest {
 		x.completed()
@@ -119,7 +119,7 @@
 // relayBody sends the response: the head together with the first chunk, and with the
 // last chunk the End message that confirms completeness. A small response is sent in
 // one piece.
-func (x *exchange) relayBody(ctx context.Context, resp *targetconn.Answer, head *msg.Head, res result, started time.Time) *verdict.Error {
+func (x *exchange) relayBody(ctx context.Context, resp *targetconn.Response, head *msg.Head, res result, started time.Time) *verdict.Error {
 	hash := xxhash.New()
 	end := &msg.End{}
 	unsent := []msg.Message{head}
@@ -157,7 +157,7 @@
 // truncated body is an error. io.ReadFull returns ErrUnexpectedEOF both when the body
 // ends normally inside a chunk and when it is truncated; the declared length, or
 // another read if there is none, tells them apart.
-func readChunk(resp *targetconn.Answer, before int64) ([]byte, bool, error) {
+func readChunk(resp *targetconn.Response, before int64) ([]byte, bool, error) {
 	size := wire.ChunkSize
 	if resp.Length >= 0 {
 		size = int(min(resp.Length-before+1, wire.ChunkSize))
--- a/internal/guard/estimate.go
+++ b/internal/guard/estimate.go
@@ -37,7 +37,7 @@
 // Requests that were aborted may keep slots busy for a while. The caller must hold
 // i.mu; the refused request still counts as running.
 func (i *instance) hadFreeSlot(now time.Time) bool {
-	return i.queue.Running() < i.slots && now.Sub(i.lastAborted) > abortedWorkGrace
+	return i.queue.BusySlots() < i.slots && now.Sub(i.lastAborted) > abortedWorkGrace
 }
 
 const (
@@ -121,12 +121,12 @@
 func (i *instance) loadAt(now time.Time) msg.Load {
 	sick := i.failureEstimate.SickForSelection(now, i.guard.model)
 	var waiting [admit.Priorities]uint32
-	for p, work := range i.queue.Waiting() {
+	for p, work := range i.queue.QueuedWork() {
 		waiting[p] = uint32(work.Milliseconds())
 	}
 	return msg.Load{
 		WaitingMS: waiting,
-		Slots:     uint32(i.slots), Running: uint32(i.queue.Running()), Queued: uint32(i.queue.Queued()),
+		Slots:     uint32(i.slots), Running: uint32(i.queue.BusySlots()), Queued: uint32(i.queue.Queued()),
 		Health: uint8(i.detector.Health()), Evidence: uint32(i.detector.Evidence() * evidenceScale),
 		FailureEstimate: uint16(sick * msg.Thousandths), ShedShare: uint16(i.shedShare.At(now) * msg.Thousandths),
 		RetryBudgetLeft: i.guard.retryBudgets.remaining(now, i.service),
@@ -150,7 +150,7 @@
 // enough or, if its health is in doubt, has no recent failure. The caller must hold
 // i.mu.
 func (i *instance) wantsWork(now time.Time) bool {
-	if i.unavailable() || i.queue.Running()+i.queue.Queued() > 0 {
+	if i.unavailable() || i.queue.BusySlots()+i.queue.Queued() > 0 {
 		return false
 	}
 	if i.failureEstimate.SickForSelection(now, i.guard.model) < trialFailureThreshold {
--- a/internal/guard/explore_test.go
+++ b/internal/guard/explore_test.go
@@ -260,7 +260,7 @@
 	e.execute()
 	assert.Assert(t, g.Wait(nil))
 	for _, inst := range g.all() {
-		inst.client.CloseIdle()
+		inst.client.Close()
 	}
 	runs := target.stop()
 
--- a/internal/guard/guard.go
+++ b/internal/guard/guard.go
@@ -63,8 +63,8 @@
 type Hooks struct {
 	// Changed is called when the instance data announced by this host has changed.
 	Changed func()
-	// Pulse is called with load updates that fronts need without delay.
-	Pulse func(p *msg.LoadReport, to pulse.Reach)
+	// LoadReport is called with load updates that fronts need without delay.
+	LoadReport func(p *msg.LoadReport, to pulse.Reach)
 	// Crashed is called when an instance on this host has crashed, and Cleared when a
 	// request suspected of causing a crash has completed. Both must reach all hosts.
 	// Nil disables the callback.
@@ -122,7 +122,7 @@
 // New returns a Guard without instances.
 func New(cfg Config, limits Limits, log *slog.Logger, fence Fence, hooks Hooks) *Guard {
 	g := &Guard{
-		cfg: cfg, log: log, fence: fence, onChanged: hooks.Changed, sendPulse: hooks.Pulse, model: chance.Default(), counts: newCounters(),
+		cfg: cfg, log: log, fence: fence, onChanged: hooks.Changed, sendPulse: hooks.LoadReport, model: chance.Default(), counts: newCounters(),
 		onCrash: hooks.Crashed, onCleared: hooks.Cleared, onStopped: hooks.Blocked, suspects: newSuspects(),
 		retryBudgets:  newRetryBudgets(),
 		announcements: announce.NewTracker(),
@@ -169,7 +169,7 @@
 		presets[name] = detect.ForPreset(s.Record.Preset)
 	}
 	g.mu.Lock()
-	g.presets, g.presetsComplete = presets, d.Whole
+	g.presets, g.presetsComplete = presets, d.Complete
 	all := g.list()
 	g.mu.Unlock()
 	changed := false
--- a/internal/guard/instance.go
+++ b/internal/guard/instance.go
@@ -115,7 +115,7 @@
 		guard: g, name: name, hash: InstanceHash(name), runCtx: runCtx, cancelRun: cancelRun,
 		service: a.Service, address: a.Address, started: now,
 		client: targetconn.New(targetconn.Config{
-			Address: a.Address, MaxConns: a.connections(), Idle: g.cfg.TargetIdle,
+			Address: a.Address, MaxConns: a.connections(), IdleTimeout: g.cfg.TargetIdle,
 			DialTimeout: dialTimeout, Dial: g.cfg.Dial, EchoesRequestID: g.cfg.Dialect.EchoesRequestID,
 		}),
 		queue:    admit.NewQueue(g.queueConfig(a.Slots)),
@@ -210,7 +210,7 @@
 	defer i.mu.Unlock()
 	i.stopped = true
 	i.deliver(i.queue.Drain())
-	i.client.CloseIdle()
+	i.client.Close()
 }
 
 // abortRun releases everything held by a run of the instance after a restart: requests
@@ -248,7 +248,7 @@
 	defer i.mu.Unlock()
 	i.nextID++
 	r.ID = i.nextID
-	w.decisions, w.expected = make(chan admit.Decision, waiterDepth), r.ExpectedService
+	w.decisions, w.expected = make(chan admit.Decision, waiterDepth), r.ExpectedServiceTime
 	i.waiters[r.ID] = w
 	i.deliver(i.queue.Offer(now, r))
 	return r.ID
--- a/internal/guard/judge.go
+++ b/internal/guard/judge.go
@@ -13,7 +13,7 @@
 
 // classifyResponse classifies a response by its head: what it says about the instance,
 // and whether the response may be passed to the caller.
-func classifyResponse(a *targetconn.Answer, m *msg.Run, d header.Dialect) (result, *verdict.Error) {
+func classifyResponse(a *targetconn.Response, m *msg.Run, d header.Dialect) (result, *verdict.Error) {
 	switch {
 	case a.Status == http.StatusMisdirectedRequest && d.ExpectedInstance != "":
 		return result{shed: true}, verdict.New(verdict.NotRun, verdict.ReasonTargetShed, "the address belongs to another instance")
@@ -79,7 +79,7 @@
 	switch {
 	case errors.As(err, &failed) && !failed.Sent:
 		return verdict.New(verdict.NotRun, verdict.ReasonTargetDown, "nothing was sent: "+err.Error())
-	case errors.As(err, &failed) && failed.Foreign:
+	case errors.As(err, &failed) && failed.Mismatched:
 		return verdict.New(verdict.MayHaveRun, verdict.ReasonAnswerMismatch, "the target sent only responses to other requests")
 	default:
 		return verdict.New(verdict.MayHaveRun, verdict.ReasonTargetBroke, "the connection to the target broke before it responded")
--- a/internal/guard/judge_test.go
+++ b/internal/guard/judge_test.go
@@ -39,7 +39,7 @@
 		{name: "encoded, asked for", status: 200, header: http.Header{"Proof": {"x"}, "Content-Encoding": {"gzip"}}, asked: []msg.Field{{Name: "Accept-Encoding", Value: "gzip"}}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			res, fail := classifyResponse(&targetconn.Answer{Status: c.status, Header: c.header}, &msg.Run{Idempotent: c.idempotent, Header: c.asked}, d)
+			res, fail := classifyResponse(&targetconn.Response{Status: c.status, Header: c.header}, &msg.Run{Idempotent: c.idempotent, Header: c.asked}, d)
 			assert.Equal(t, res.failed, c.failed)
 			assert.Equal(t, fail == nil, c.want == nil)
 			if fail == nil {
@@ -57,6 +57,6 @@
 	cause := errors.New("x")
 	assert.Equal(t, callVerdict(&targetconn.Error{Cause: cause}).Verdict, verdict.NotRun)
 	assert.Equal(t, callVerdict(&targetconn.Error{Sent: true, Cause: cause}).Verdict, verdict.MayHaveRun)
-	assert.Equal(t, callVerdict(&targetconn.Error{Sent: true, Foreign: true, Cause: cause}).Reason, verdict.ReasonAnswerMismatch)
+	assert.Equal(t, callVerdict(&targetconn.Error{Sent: true, Mismatched: true, Cause: cause}).Reason, verdict.ReasonAnswerMismatch)
 	assert.Equal(t, callVerdict(cause).Verdict, verdict.MayHaveRun)
 }
--- a/internal/guard/repeats_test.go
+++ b/internal/guard/repeats_test.go
@@ -177,7 +177,7 @@
 	assert.Equal(t, g.retryBudgets.begin(now, "s", false, true, msg.AdmissionHints{Route: 1, OriginIdle: true}).retryPart, uint16(0))
 	g.retryBudgets.begin(now, "s", false, false, msg.AdmissionHints{Route: 1, OriginIdle: true})
 	assert.Assert(t, g.retryBudgets.reserve(now, "s", msg.AdmissionHints{}))
-	repeat := g.retryBudgets.begin(now, "s", true, true, msg.AdmissionHints{Repeat: true, Route: 1})
+	repeat := g.retryBudgets.begin(now, "s", true, true, msg.AdmissionHints{UsesRetryBudget: true, Route: 1})
 	callPart, idle = g.CallOrigin()
 	assert.Equal(t, callPart, uint16(msg.Thousandths/2), "work that cannot be retried does not count")
 	assert.Assert(t, !idle)
@@ -199,7 +199,7 @@
 	g.retryBudgets.apply(time.Now().Add(-time.Minute), testDirectory(up), *g.limits.Load())
 	// A reserve of 2 times guardBudgetPart leaves room for one retry.
 	assert.Equal(t, g.retryBudgets.remaining(time.Now(), "s"), uint16(1))
-	repeat := msg.AdmissionHints{Repeat: true}
+	repeat := msg.AdmissionHints{UsesRetryBudget: true}
 	assert.Equal(t, serveFailing(t, g, repeat).Reason, verdict.ReasonTargetBroke, "the retry was forwarded")
 	refused := serveFailing(t, g, repeat)
 	assert.Equal(t, refused.Reason, verdict.ReasonRetryBudget)
@@ -235,7 +235,7 @@
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		g.Serve(far, &msg.Reserve{RequestID: "r", Service: "s", Instance: "i", TimeoutMS: 20000, Hints: msg.AdmissionHints{Repeat: true}})
+		g.Serve(far, &msg.Reserve{RequestID: "r", Service: "s", Instance: "i", TimeoutMS: 20000, Hints: msg.AdmissionHints{UsesRetryBudget: true}})
 	}()
 	_, err := near.Recv(context.Background())
 	assert.NilError(t, err)
--- a/internal/guard/serve.go
+++ b/internal/guard/serve.go
@@ -100,7 +100,7 @@
 		x.refuse(refusal(verdict.ReasonRetryBudget, "this host's part of the retry budget is spent"))
 		return false
 	}
-	r.ExpectedService, r.AllowLate = time.Duration(aim.ExpectedMS)*time.Millisecond, aim.AllowLate
+	r.ExpectedServiceTime, r.AllowLate = time.Duration(aim.ExpectedMS)*time.Millisecond, aim.AllowLate
 	inst.observe(x.arrived, sample)
 	x.waiter = &waiter{fingerprint: x.fingerprint, overdueAfter: overdueAfter(aim)}
 	x.id = inst.offer(x.arrived, r, x.waiter)
@@ -172,7 +172,7 @@
 		x.abandon()
 		return
 	}
-	grant := &msg.Grant{LifeMS: uint32(x.guard.cfg.GrantLife.Milliseconds()), Load: x.inst.load()}
+	grant := &msg.Grant{TTLMS: uint32(x.guard.cfg.GrantLife.Milliseconds()), Load: x.inst.load()}
 	if err := x.stream.Send(x.ctx, grant); err != nil {
 		x.abandon()
 		return
@@ -239,7 +239,7 @@
 // the budget is spent. A first attempt is never refused.
 func (x *exchange) reserveRetry(aim msg.AdmissionHints) bool {
 	x.aim = aim
-	if !aim.Repeat {
+	if !aim.UsesRetryBudget {
 		return true
 	}
 	x.retryReserved = x.guard.retryBudgets.reserve(x.arrived, x.inst.service, aim)
--- a/internal/guard/state.go
+++ b/internal/guard/state.go
@@ -43,8 +43,8 @@
 	defer i.mu.Unlock()
 	return InstanceState{
 		Name: i.name, Service: i.service, Address: i.address, Version: i.version,
-		Slots: i.slots, Running: i.queue.Running(), Queued: i.queue.Queued(),
-		ServiceMS:       float64(i.queue.Service().Microseconds()) / 1000,
+		Slots: i.slots, Running: i.queue.BusySlots(), Queued: i.queue.Queued(),
+		ServiceMS:       float64(i.queue.MeanServiceTime().Microseconds()) / 1000,
 		FailureEstimate: i.failureEstimate.SickForSelection(time.Now(), i.guard.model),
 		ShedShare:       i.shedShare.At(time.Now()),
 		RetryBudgetLeft: int(i.guard.retryBudgets.remaining(time.Now(), i.service)),
@@ -64,7 +64,7 @@
 	// if it is not blocked.
 	Until string `json:"until,omitempty"`
 	// Instances lists the crashes.
-	Instances []record.InstanceEnd `json:"instances"`
+	Instances []record.InstanceCrash `json:"instances"`
 }
 
 // Suspects returns the suspected requests for the state dump.
--- a/internal/guard/suspects.go
+++ b/internal/guard/suspects.go
@@ -227,14 +227,14 @@
 	// Request is the request as this host saw it: method, host and path.
 	Request string
 	// Crashes are the crashes attributed to it.
-	Crashes []record.InstanceEnd
+	Crashes []record.InstanceCrash
 }
 
 // endRecords converts crashes to the form in which they are stored and displayed.
-func endRecords(ends []crash.Crash) []record.InstanceEnd {
-	out := make([]record.InstanceEnd, 0, len(ends))
+func endRecords(ends []crash.Crash) []record.InstanceCrash {
+	out := make([]record.InstanceCrash, 0, len(ends))
 	for _, e := range ends {
-		out = append(out, record.InstanceEnd{
+		out = append(out, record.InstanceCrash{
 			ID: e.ID, Service: e.Software.Service, Version: e.Software.Version, Host: e.Host, AtMS: e.DetectedAt.UnixMilli(),
 		})
 	}
--- a/internal/guard/suspects_test.go
+++ b/internal/guard/suspects_test.go
@@ -93,7 +93,7 @@
 	n := fleetReports{crashes: make(chan crash.Crash, 4), cleared: make(chan string, 4), stopped: make(chan BlockedRequest, 4)}
 	g := New(Config{Host: "h", QueuePerSlot: 2, GrantLife: time.Minute, TargetIdle: time.Minute}, Limits{AnnounceExpiry: time.Hour},
 		slog.New(slog.NewTextHandler(io.Discard, nil)), allowAllFence{}, Hooks{
-			Changed: func() {}, Pulse: func(*msg.LoadReport, pulse.Reach) {},
+			Changed: func() {}, LoadReport: func(*msg.LoadReport, pulse.Reach) {},
 			Crashed: func(e crash.Crash) { n.crashes <- e }, Cleared: func(end string, _ crash.Fingerprint) { n.cleared <- end },
 			Blocked: func(s BlockedRequest) { n.stopped <- s },
 		})
@@ -143,12 +143,12 @@
 	waits := startWaiting(t, g)
 	fail, ok := send(t, g, "/end", 7).(*msg.Fail)
 	assert.Assert(t, ok)
-	assert.Equal(t, fail.Reason, verdict.ReasonTargetEnded)
+	assert.Equal(t, fail.Reason, verdict.ReasonTargetCrashed)
 	assert.Equal(t, fail.Verdict, verdict.MayHaveRun)
 	e := <-n.crashes
 	assert.DeepEqual(t, e.Fingerprints, []crash.Fingerprint{7, 5})
 	assert.Equal(t, e.Software, crash.Software{Service: "s", Version: "1"})
-	assert.Equal(t, (<-waits).(*msg.Fail).Reason, verdict.ReasonTargetEnded)
+	assert.Equal(t, (<-waits).(*msg.Fail).Reason, verdict.ReasonTargetCrashed)
 	assert.Equal(t, len(n.crashes), 0, "a crash is reported once")
 }
 
@@ -183,7 +183,7 @@
 		Service: "s", Address: f.listener.Addr().String(), Slots: 4, Connections: 8, Version: "1", Leaving: true,
 	}))
 	f.crash()
-	assert.Equal(t, (<-waits).(*msg.Fail).Reason, verdict.ReasonTargetEnded)
+	assert.Equal(t, (<-waits).(*msg.Fail).Reason, verdict.ReasonTargetCrashed)
 	assert.Equal(t, len(n.crashes), 0)
 }
 
--- a/internal/guard/trail.go
+++ b/internal/guard/trail.go
@@ -55,7 +55,7 @@
 
 // logEstimateChange logs a change of the published failure estimate of an instance.
 func (i *instance) logEstimateChange(previous float64, now msg.Load) {
-	event.Log(i.guard.log, event.InstanceTurned, slog.String("instance", i.name), slog.String("service", i.service),
+	event.Log(i.guard.log, event.InstanceEstimateChanged, slog.String("instance", i.name), slog.String("service", i.service),
 		slog.Float64("was", previous/msg.Thousandths), slog.Float64("sick", now.FailureProbability()))
 }
 
--- a/internal/guard/trail_test.go
+++ b/internal/guard/trail_test.go
@@ -46,7 +46,7 @@
 			g.SetShutdownTime(time.Now().Add(time.Second))
 			run.Hints.ExpectedMS = 1000
 		}, lines: 1},
-		{name: "no repeat left", act: func(_ *Guard, run *msg.Run) { run.Hints.Repeat = true }, lines: 1},
+		{name: "no repeat left", act: func(_ *Guard, run *msg.Run) { run.Hints.UsesRetryBudget = true }, lines: 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			status = http.StatusOK
--- a/internal/keys/claim.go
+++ b/internal/keys/claim.go
@@ -78,7 +78,7 @@
 	reply, err := m.call(ctx, owner, &msg.KeyClaim{
 		Service: service, Shard: shard, Key: k.Key, BodyHash: k.BodyHash, RequestID: k.RequestID, CreatedMS: keyTimestamp(k.Key),
 	})
-	c, isClaimed := reply.(*msg.KeyClaimed)
+	c, isClaimed := reply.(*msg.ClaimReply)
 	if err != nil || !isClaimed {
 		return refused
 	}
@@ -119,7 +119,7 @@
 			Complete: end.Whole, Stored: end.Kept, Status: end.Status, Header: end.Header, Body: end.Body,
 		})
 		cancel()
-		if d, ok := reply.(*msg.HandoverDone); err == nil && ok && d.Accepted {
+		if d, ok := reply.(*msg.HandoverReply); err == nil && ok && d.Accepted {
 			return
 		}
 		time.Sleep(retryInterval)
--- a/internal/keys/keys.go
+++ b/internal/keys/keys.go
@@ -220,7 +220,7 @@
 	reply, err := s.Recv(ctx)
 	if ctx.Err() != nil && conn.LastRead().Before(sent) {
 		// Have the next call use a new connection, since this one may be broken.
-		conn.Doubt()
+		conn.MarkSuspect()
 	}
 	return reply, err
 }
@@ -247,9 +247,9 @@
 	case *msg.KeyClaim:
 		return m.owner.Claim(now, now.UnixMilli(), r)
 	case *msg.KeyResult:
-		return &msg.HandoverDone{Accepted: m.owner.Done(now, r)}
+		return &msg.HandoverReply{Accepted: m.owner.RecordResult(now, r)}
 	case *msg.Handover:
-		return &msg.HandoverDone{Accepted: m.owner.Accept(now, r)}
+		return &msg.HandoverReply{Accepted: m.owner.Accept(now, r)}
 	default:
 		return nil
 	}
--- a/internal/keys/place.go
+++ b/internal/keys/place.go
@@ -63,7 +63,7 @@
 func (m *Manager) proposals(now time.Time) []proposal {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.leaving || !m.view.Whole {
+	if m.leaving || !m.view.Complete {
 		return nil
 	}
 	var out []proposal
@@ -102,7 +102,7 @@
 		if !m.needsMap[svc.Name] || !m.hostsStable(now, svc.Name, hosts) {
 			return proposal{}, false
 		}
-		first := once.InitialMap(svc.Name, svc.Record.Shards(), hosts, now)
+		first := once.InitialMap(svc.Name, svc.Record.KeyShardCount(), hosts, now)
 		return proposal{service: svc.Name, next: first}, first != nil
 	}
 	held, frozen := m.ownedEpochs(now, svc.Name)
@@ -219,7 +219,7 @@
 		sm, ok := r.Spec.(*record.ShardMap)
 		return ok && sm.Nonce == p.next.Nonce
 	}
-	obj, err := objects.PutSettled(ctx, m.store, key, value, p.ifVersion, isOwnWrite)
+	obj, err := objects.PutConfirmed(ctx, m.store, key, value, p.ifVersion, isOwnWrite)
 	var conflict *objects.ConflictError
 	switch {
 	case err == nil:
@@ -275,7 +275,7 @@
 		h.Part, h.Entries, h.Last = part, rest[:n], n == len(rest)
 		rest = rest[n:]
 		reply, err := m.call(ctx, to, h)
-		if done, ok := reply.(*msg.HandoverDone); err != nil || !ok || !done.Accepted {
+		if done, ok := reply.(*msg.HandoverReply); err != nil || !ok || !done.Accepted {
 			return
 		}
 		if h.Last {
--- a/internal/lab/bench.go
+++ b/internal/lab/bench.go
@@ -74,8 +74,8 @@
 	if err != nil {
 		return "", "", err
 	}
-	err = f.UntilServing(20*time.Second, map[string]int{benchService: 1})
-	return "http://" + f.Hosts[0].Callers() + "/x", "http://" + t.Address + "/x", err
+	err = f.WaitUntilServing(20*time.Second, map[string]int{benchService: 1})
+	return "http://" + f.Hosts[0].CallersAddress() + "/x", "http://" + t.Address + "/x", err
 }
 
 // histograms are the latencies of the two ways, from many goroutines.
@@ -102,12 +102,12 @@
 // benchRate sends to both ways in turn, so that both meet the same machine.
 func benchRate(ctx context.Context, out io.Writer, f *Fleet, through, direct string, rate int) error {
 	h := &histograms{url: make(map[string]*hdrhistogram.Histogram)}
-	cfg := LoadConfig{URLs: []string{direct, through}, Method: http.MethodGet, Rate: 2 * rate, For: time.Second}
+	cfg := LoadConfig{URLs: []string{direct, through}, Method: http.MethodGet, Rate: 2 * rate, Duration: time.Second}
 	if _, err := Load(ctx, cfg); err != nil {
 		return err
 	}
 	before := f.cpu()
-	cfg.For, cfg.Each = benchFor, h.add
+	cfg.Duration, cfg.Each = benchFor, h.add
 	r, err := Load(ctx, cfg)
 	if err != nil {
 		return err
@@ -175,7 +175,7 @@
 	}()
 	buf := make([]byte, 4096)
 	for range benchIdle {
-		c, err := net.Dial("tcp", h.Callers())
+		c, err := net.Dial("tcp", h.CallersAddress())
 		if err != nil {
 			return err
 		}
--- a/internal/lab/demo.go
+++ b/internal/lab/demo.go
@@ -37,8 +37,8 @@
 type DemoConfig struct {
 	// Bin is the directory of the built programs.
 	Bin string
-	// Net is the third number of the addresses, 127.0.Net.x.
-	Net int
+	// AddressOctet is the third number of the addresses, 127.0.AddressOctet.x.
+	AddressOctet int
 	// Verbose shows what the processes log.
 	Verbose bool
 }
@@ -59,11 +59,11 @@
 	say := func(format string, args ...any) { fmt.Fprintf(out, format+"\n", args...) }
 
 	say("1. platform stand-in, %d daemons in %d data centres, one target stand-in beside each", demoHosts, demoDCs)
-	targets, err := startDemoFleet(ctx, f, cfg.Net)
+	targets, err := startDemoFleet(ctx, f, cfg.AddressOctet)
 	if err != nil {
 		return err
 	}
-	if err := f.UntilServing(20*time.Second, map[string]int{demoService: demoHosts}); err != nil {
+	if err := f.WaitUntilServing(20*time.Second, map[string]int{demoService: demoHosts}); err != nil {
 		return err
 	}
 	say("   every daemon has the records and knows all %d targets", demoHosts)
@@ -81,7 +81,7 @@
 
 	gray := targets[0]
 	say("3. target %s turns gray: five times slower, health unchanged", gray.Name)
-	if err := gray.Set(target.Behaviour{Mode: target.Slow, Factor: 5}); err != nil {
+	if err := gray.SetBehaviour(target.Behaviour{Mode: target.Slow, Factor: 5}); err != nil {
 		return err
 	}
 	during, leftOut, err := f.loadAndWatch(ctx, gray.Name)
@@ -144,13 +144,13 @@
 func (f *Fleet) urls(path string) []string {
 	var out []string
 	for _, h := range f.Hosts {
-		out = append(out, "http://"+h.Callers()+path)
+		out = append(out, "http://"+h.CallersAddress()+path)
 	}
 	return out
 }
 
 func (f *Fleet) load(ctx context.Context, d time.Duration) (*Report, error) {
-	return Load(ctx, LoadConfig{URLs: f.urls("/plans/42"), Method: http.MethodGet, Rate: demoRate, For: d})
+	return Load(ctx, LoadConfig{URLs: f.urls("/plans/42"), Method: http.MethodGet, Rate: demoRate, Duration: d})
 }
 
 // loadAndWatch sends load and notes when every host leaves a target out; 0
@@ -190,7 +190,7 @@
 		return
 	}
 	for _, svc := range s.Services {
-		say("   as %s sees %s: %d of %d slots in use, the floor is %d", f.Hosts[0].Name, svc.Name, svc.Healthy, svc.Known, svc.Required)
+		say("   as %s sees %s: %d of %d slots in use, the floor is %d", f.Hosts[0].Name, svc.Name, svc.HealthySlots, svc.KnownSlots, svc.RequiredSlots)
 		for _, t := range svc.Targets {
 			say("     %-14s %-4s %-9s %s", t.Name, t.DC, t.Use, t.Why)
 		}
--- a/internal/lab/fleet.go
+++ b/internal/lab/fleet.go
@@ -32,9 +32,9 @@
 	dir      string
 	logs     io.Writer
 	Platform string
-	// Via is where the hosts to be started reach the platform, empty for Platform.
-	Via   string
-	Hosts []*Host
+	// PlatformURL is where the hosts to be started reach the platform, empty for Platform.
+	PlatformURL string
+	Hosts       []*Host
 
 	mu    sync.Mutex
 	procs []*Process
@@ -58,11 +58,11 @@
 	firstTarget  = 18100
 )
 
-// Callers is where the host takes callers' requests.
-func (h *Host) Callers() string { return fmt.Sprintf("%s:%d", h.IP, CallersPort) }
+// CallersAddress is where the host takes callers' requests.
+func (h *Host) CallersAddress() string { return fmt.Sprintf("%s:%d", h.IP, CallersPort) }
 
-// Admin is the host's admin address.
-func (h *Host) Admin() string { return fmt.Sprintf("%s:%d", h.IP, AdminPort) }
+// AdminAddress is the host's admin address.
+func (h *Host) AdminAddress() string { return fmt.Sprintf("%s:%d", h.IP, AdminPort) }
 
 // NewFleet prepares a fleet of programs in bin; settings files go below dir. The
 // end of life ends every wait for the fleet; Stop ends its processes.
@@ -106,7 +106,7 @@
 			return err
 		}
 	}
-	return f.UntilServing(time.Minute, map[string]int{demoService: n})
+	return f.WaitUntilServing(time.Minute, map[string]int{demoService: n})
 }
 
 // StartPlatform starts the platform's stand-in on an address of its own.
@@ -116,7 +116,7 @@
 	if err != nil {
 		return err
 	}
-	return f.Until(5*time.Second, "the platform stand-in", func() bool {
+	return f.WaitFor(5*time.Second, "the platform stand-in", func() bool {
 		var counts platformd.Counts
 		return getJSON(f.Platform+"/standin/counts", &counts) == nil && counts.PID == p.PID()
 	})
@@ -125,8 +125,8 @@
 // StartHost writes a host's settings and starts its daemon.
 func (f *Fleet) StartHost(name, dc, ip string, extra string) (*Host, error) {
 	platform := f.Platform
-	if f.Via != "" {
-		platform = f.Via
+	if f.PlatformURL != "" {
+		platform = f.PlatformURL
 	}
 	h := &Host{Name: name, DC: dc, IP: ip, Config: filepath.Join(f.dir, name+".ini")}
 	text := fmt.Sprintf(`[host]
@@ -143,7 +143,7 @@
 url = %s
 
 %s
-`, name, dc, h.Callers(), ip, PeerPort, ip, AnnouncePort, h.Admin(), platform, extra)
+`, name, dc, h.CallersAddress(), ip, PeerPort, ip, AnnouncePort, h.AdminAddress(), platform, extra)
 	if err := os.WriteFile(h.Config, []byte(text), 0o600); err != nil {
 		return nil, errors.Wrap(err, "settings of "+name)
 	}
@@ -162,7 +162,7 @@
 // announcements: one that comes too early is repeated a second later, and the
 // instance counts as younger and colder than its peers.
 func (f *Fleet) StartTarget(h *Host, service string, index, slots int, serviceTime time.Duration) (*Target, error) {
-	if err := f.Until(startPatience, "the announce address of "+h.Name, h.takesAnnouncements); err != nil {
+	if err := f.WaitFor(startPatience, "the announce address of "+h.Name, h.takesAnnouncements); err != nil {
 		return nil, err
 	}
 	t := &Target{Name: fmt.Sprintf("%s-%s-%d", service, h.Name, index), Address: fmt.Sprintf("%s:%d", h.IP, firstTarget+len(f.processes()))}
@@ -173,7 +173,7 @@
 		return nil, err
 	}
 	t.Process = p
-	return t, f.Until(startPatience, "target "+t.Name, func() bool {
+	return t, f.WaitFor(startPatience, "target "+t.Name, func() bool {
 		runs, err := t.Runs()
 		return err == nil && runs.PID == p.PID()
 	})
@@ -186,8 +186,8 @@
 	Process *Process
 }
 
-// Set changes the stand-in's behaviour.
-func (t *Target) Set(b target.Behaviour) error {
+// SetBehaviour changes the stand-in's behaviour.
+func (t *Target) SetBehaviour(b target.Behaviour) error {
 	return putJSON("http://"+t.Address+"/standin/behaviour", b)
 }
 
@@ -230,20 +230,20 @@
 // Status reads a host's status.
 func (h *Host) Status() (*state.Status, error) {
 	var s state.Status
-	return &s, getJSON("http://"+h.Admin()+state.PathStatus, &s)
+	return &s, getJSON("http://"+h.AdminAddress()+state.StatusPath, &s)
 }
 
 // Dump reads a host's whole state.
 func (h *Host) Dump() (*state.Dump, error) {
 	var d state.Dump
-	return &d, getJSON("http://"+h.Admin()+state.PathState, &d)
+	return &d, getJSON("http://"+h.AdminAddress()+state.StatePath, &d)
 }
 
-// UntilServing waits until every host serves every service with at least the
+// WaitUntilServing waits until every host serves every service with at least the
 // given number of targets in use.
-func (f *Fleet) UntilServing(timeout time.Duration, targets map[string]int) error {
+func (f *Fleet) WaitUntilServing(timeout time.Duration, targets map[string]int) error {
 	for _, h := range f.Hosts {
-		err := f.Until(timeout, "host "+h.Name, func() bool {
+		err := f.WaitFor(timeout, "host "+h.Name, func() bool {
 			s, err := h.Status()
 			return err == nil && s.PID == h.Daemon.PID() && servesAll(s, targets)
 		})
@@ -289,9 +289,9 @@
 	return true
 }
 
-// Until waits for a condition, and names what was waited for where it fails. It
+// WaitFor waits for a condition, and names what was waited for where it fails. It
 // fails at once where a process of the fleet has ended by itself.
-func (f *Fleet) Until(timeout time.Duration, what string, ok func() bool) error {
+func (f *Fleet) WaitFor(timeout time.Duration, what string, ok func() bool) error {
 	for end := time.Now().Add(timeout); time.Now().Before(end); sleep.For(f.life, pollInterval) {
 		if err := f.life.Err(); err != nil {
 			return errors.Wrapf(err, "waiting for %s", what)
--- a/internal/lab/load.go
+++ b/internal/lab/load.go
@@ -28,10 +28,10 @@
 	URLs   []string
 	Method string
 	// Rate is in requests a second.
-	Rate int
-	For  time.Duration
-	// Body is the size of the request body in bytes.
-	Body int
+	Rate     int
+	Duration time.Duration
+	// BodyBytes is the size of the request body in bytes.
+	BodyBytes int
 	// Header is added to every request.
 	Header http.Header
 	// Each is called with every result, where set, from many goroutines.
@@ -76,7 +76,7 @@
 			return nil, err
 		}
 	}
-	if cfg.Rate < 1 || cfg.Rate > maxRate || cfg.For <= 0 || cfg.For > maxDuration || len(cfg.URLs) == 0 {
+	if cfg.Rate < 1 || cfg.Rate > maxRate || cfg.Duration <= 0 || cfg.Duration > maxDuration || len(cfg.URLs) == 0 {
 		return nil, errors.Errorf("load: write at least one URL, a rate of 1 to %d and a time up to %s", maxRate, maxDuration)
 	}
 	r := &Report{ByStatus: map[string]int{}, ByTarget: map[string]int{}, Latency: hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)}
@@ -89,7 +89,7 @@
 	interval := time.Second / time.Duration(cfg.Rate)
 	for n := 0; ctx.Err() == nil; n++ {
 		due := start.Add(time.Duration(n) * interval)
-		if due.Sub(start) >= cfg.For {
+		if due.Sub(start) >= cfg.Duration {
 			break
 		}
 		time.Sleep(time.Until(due))
@@ -121,7 +121,7 @@
 }
 
 func sendOne(ctx context.Context, client *http.Client, cfg LoadConfig, url string, due time.Time) Result {
-	req, err := http.NewRequestWithContext(ctx, cfg.Method, url, bytes.NewReader(make([]byte, cfg.Body)))
+	req, err := http.NewRequestWithContext(ctx, cfg.Method, url, bytes.NewReader(make([]byte, cfg.BodyBytes)))
 	if err != nil {
 		return Result{Err: err}
 	}
--- a/internal/lab/takeover.go
+++ b/internal/lab/takeover.go
@@ -69,7 +69,7 @@
 // settledOwner waits until fresh keys are taken on every shard, and gives an
 // owner with its number of shards.
 func (f *Fleet) settledOwner() (*Host, int, error) {
-	err := f.Until(time.Minute, "every shard", func() bool {
+	err := f.WaitFor(time.Minute, "every shard", func() bool {
 		for range 24 {
 			if s := f.freshKey(f.Hosts[0], time.Now()); !s.answered {
 				return false
@@ -114,7 +114,7 @@
 // freshKey sends one request with a fresh key; its caller waits a second.
 func (f *Fleet) freshKey(h *Host, start time.Time) takeoverSend {
 	s := takeoverSend{after: time.Since(start), reason: "no answer"}
-	req, err := http.NewRequest(http.MethodPost, "http://"+h.Callers()+"/plans/7", strings.NewReader("seat"))
+	req, err := http.NewRequest(http.MethodPost, "http://"+h.CallersAddress()+"/plans/7", strings.NewReader("seat"))
 	if err != nil {
 		return s
 	}
--- a/internal/losses/lines.go
+++ b/internal/losses/lines.go
@@ -90,14 +90,14 @@
 // addRefusal adds a guard's line about a request that got no slot.
 func (c *Collector) addRefusal(l *logLine) {
 	if l.Reason == string(verdict.ReasonRetryBudget) {
-		c.report.Repeats.Refused++
+		c.report.Retries.Refused++
 	}
 	if l.WaitedMS <= immediateMS || l.Reason == string(verdict.ReasonCancelled) {
 		return
 	}
 	w, ok := c.waits[l.Service]
 	if !ok {
-		w = &Waits{Service: l.Service}
+		w = &RefusedWaits{Service: l.Service}
 		c.waits[l.Service] = w
 	}
 	w.Count++
--- a/internal/losses/losses.go
+++ b/internal/losses/losses.go
@@ -82,20 +82,20 @@
 	Causes map[Cause]int `json:"causes"`
 }
 
-// Repeats counts the retries of failed requests.
-type Repeats struct {
+// Retries counts the retries of failed requests.
+type Retries struct {
 	// Sent is the number of attempts that reached an instance, without the first one of
 	// each request.
 	Sent int `json:"sent"`
-	// Unpaid is the number of requests that were not retried because the retry budget
+	// OverBudget is the number of requests that were not retried because the retry budget
 	// was exhausted, and Refused the number of refusals by guards for that reason.
-	Unpaid  int     `json:"unpaid"`
-	Refused int     `json:"refused"`
-	Example Example `json:"example"`
+	OverBudget int     `json:"unpaid"`
+	Refused    int     `json:"refused"`
+	Example    Example `json:"example"`
 }
 
-// Waits counts the requests of one service that were refused after waiting in a queue.
-type Waits struct {
+// RefusedWaits counts the requests of one service that were refused after waiting in a queue.
+type RefusedWaits struct {
 	Service string        `json:"service"`
 	Count   int           `json:"count"`
 	Longest time.Duration `json:"longest"`
@@ -104,11 +104,11 @@
 
 // Report is the summary of the logs that a Collector has read.
 type Report struct {
-	Lost    int      `json:"lost"`
-	Rows    []Row    `json:"rows"`
-	Windows []Window `json:"windows"`
-	Repeats Repeats  `json:"repeats"`
-	Waits   []Waits  `json:"waits"`
+	Lost    int            `json:"lost"`
+	Rows    []Row          `json:"rows"`
+	Windows []Window       `json:"windows"`
+	Retries Retries        `json:"repeats"`
+	Waits   []RefusedWaits `json:"waits"`
 	// LinesLeftOut is the number of lines that the daemons dropped at their log rate
 	// limit, and Unreadable the number of lines that are not in the daemons' format.
 	LinesLeftOut uint64 `json:"linesLeftOut"`
@@ -122,13 +122,13 @@
 	// failedByCall has "request@instance" for each request that failed because a call
 	// made by the instance failed.
 	failedByCall map[string]bool
-	waits        map[string]*Waits
+	waits        map[string]*RefusedWaits
 	report       Report
 }
 
 // NewCollector returns a Collector whose report has windows of the given length.
 func NewCollector(window time.Duration) *Collector {
-	return &Collector{window: window, failedByCall: make(map[string]bool), waits: make(map[string]*Waits)}
+	return &Collector{window: window, failedByCall: make(map[string]bool), waits: make(map[string]*RefusedWaits)}
 }
 
 // Report returns the summary of all lines read so far.
@@ -140,7 +140,7 @@
 		l := &c.failures[i]
 		cause := c.classify(l)
 		out.Lost++
-		out.Repeats.add(l)
+		out.Retries.add(l)
 		addRow(rows, l, cause)
 		from := l.At.Truncate(c.window)
 		w, ok := windows[from]
@@ -164,7 +164,7 @@
 	for _, w := range c.waits {
 		out.Waits = append(out.Waits, *w)
 	}
-	slices.SortFunc(out.Waits, func(a, b Waits) int { return cmp.Compare(a.Service, b.Service) })
+	slices.SortFunc(out.Waits, func(a, b RefusedWaits) int { return cmp.Compare(a.Service, b.Service) })
 	return out
 }
 
@@ -208,7 +208,7 @@
 }
 
 // add counts the retries of one failed request.
-func (r *Repeats) add(l *logLine) {
+func (r *Retries) add(l *logLine) {
 	ranBefore := false
 	for _, a := range l.Attempts {
 		ran := !strings.HasSuffix(a.Outcome, " not-run")
@@ -220,7 +220,7 @@
 	if !l.RepeatUnpaid {
 		return
 	}
-	if r.Unpaid++; r.Unpaid == 1 {
+	if r.OverBudget++; r.OverBudget == 1 {
 		r.Example = Example{l.Request, l.At}
 	}
 }
--- a/internal/mesh/ends_test.go
+++ b/internal/mesh/ends_test.go
@@ -14,7 +14,7 @@
 // endValue is an end of an instance with four requests, as a host tells it.
 func endValue(t *testing.T) []byte {
 	t.Helper()
-	m := msg.InstanceEnd{Service: "service-001", SoftwareVersion: "2026.12.1", AtMS: 1_700_000_000_000, Prints: []uint64{1 << 60, 1 << 61, 1 << 62, 1 << 63}}
+	m := msg.InstanceCrash{Service: "service-001", SoftwareVersion: "2026.12.1", DetectedAtMS: 1_700_000_000_000, Fingerprints: []uint64{1 << 60, 1 << 61, 1 << 62, 1 << 63}}
 	value, err := m.MarshalMsg(nil)
 	assert.NilError(t, err)
 	return value
@@ -22,7 +22,7 @@
 
 // tellEnd makes a host tell of an end.
 func (m *Mesh) tellEnd(h *Host, name string, value []byte) {
-	h.Replica.Publish(h.peers(), msg.SetEnds, []msg.Entry{{Kind: "End", Name: name, Version: 1, Value: value}})
+	h.Replica.Publish(h.peers(), msg.SetCrashes, []msg.Entry{{Kind: "End", Name: name, Version: 1, Value: value}})
 	m.flush(h)
 }
 
@@ -30,7 +30,7 @@
 func (m *Mesh) ignorant(name string) int {
 	n := 0
 	for _, h := range m.Hosts {
-		if _, known := h.Replica.Set(msg.SetEnds).Get(config.Key{Kind: "End", Name: name}); h.Up && !known {
+		if _, known := h.Replica.Set(msg.SetCrashes).Get(config.Key{Kind: "End", Name: name}); h.Up && !known {
 			n++
 		}
 	}
@@ -91,7 +91,7 @@
 
 // An end is known nearly everywhere within settle, whatever the size of the fleet and with
 // a twentieth of the messages lost.
-func TestAnEndIsKnownInTime(t *testing.T) {
+func TestCrashIsKnownInTime(t *testing.T) {
 	for _, size := range []struct{ hosts, dcs, seeds int }{{24, 4, 8}, {91, 4, 8}, {354, 5, 4}} {
 		for _, loss := range []float64{0, 0.05} {
 			ignorant, worst, bytes := 0, time.Duration(0), 0
@@ -112,7 +112,7 @@
 
 // A data centre that was cut off knows within settle of its return, and a host that starts
 // with the first answer that names the others.
-func TestWhoWasAwayLearnsOfEnds(t *testing.T) {
+func TestCrashReachesPartitionedAndRestartedHosts(t *testing.T) {
 	const seeds = 8
 	for _, size := range []struct{ hosts, dcs int }{{24, 4}, {91, 4}} {
 		ignorant, cutOff := 0, 0
@@ -133,7 +133,7 @@
 			cutOff += size.hosts / size.dcs
 			m.Start(starter)
 			m.Run(time.Second)
-			_, known := starter.Replica.Set(msg.SetEnds).Get(config.Key{Kind: "End", Name: "e"})
+			_, known := starter.Replica.Set(msg.SetCrashes).Get(config.Key{Kind: "End", Name: "e"})
 			assert.Check(t, known, "seed %d: the host that has started", seed)
 		}
 		t.Logf("%d hosts: %d of %d ignorant %v after the cut", size.hosts, ignorant, cutOff, settle)
--- a/internal/mesh/mesh_test.go
+++ b/internal/mesh/mesh_test.go
@@ -68,7 +68,7 @@
 	return out
 }
 
-func TestRecordsNeverGoBackAndConverge(t *testing.T) {
+func TestRecordsNeverRegressAndConverge(t *testing.T) {
 	for seed := range uint64(12) {
 		m := New(Config{Hosts: 24, DCs: 3, Seed: seed, Loss: 0.05, Instances: 2, Watchers: 2})
 		m.StartAll()
@@ -154,7 +154,7 @@
 
 // The checker of TestRecordsNeverGoBackAndConverge must be able to fail: a
 // peer that hands on an older version as if it were new is caught.
-func TestVersionCheckCatchesAPlantedFault(t *testing.T) {
+func TestVersionCheckDetectsInjectedFault(t *testing.T) {
 	m := New(Config{Hosts: 4, DCs: 1, Seed: 1, Watchers: 1})
 	m.StartAll()
 	broken := ""
@@ -175,7 +175,7 @@
 	return out
 }
 
-func TestDeadRackIsFoundAndNobodyElse(t *testing.T) {
+func TestDeadRackIsDetectedWithoutFalsePositives(t *testing.T) {
 	m := New(Config{Hosts: 60, DCs: 3, Seed: 9, Loss: 0.02, Instances: 2, Watchers: 2})
 	m.StartAll()
 	m.Run(10 * time.Second)
@@ -193,7 +193,7 @@
 	}
 }
 
-func TestOneWayCutsAreSeenFromEitherSide(t *testing.T) {
+func TestOneWayPartitionIsDetected(t *testing.T) {
 	for _, deaf := range []bool{false, true} {
 		m := New(Config{Hosts: 20, DCs: 2, Seed: 4, Watchers: 2})
 		m.StartAll()
@@ -219,7 +219,7 @@
 	}
 }
 
-func TestSplitRegionsJoinAgain(t *testing.T) {
+func TestPartitionedRegionsRejoin(t *testing.T) {
 	m := New(Config{Hosts: 30, DCs: 3, Seed: 8, Loss: 0.01, Instances: 1, Watchers: 2})
 	m.StartAll()
 	m.Run(5 * time.Second)
--- a/internal/mesh/start_test.go
+++ b/internal/mesh/start_test.go
@@ -105,7 +105,7 @@
 // Messages, bytes, bytes between data centres a host, and the time until hosts knew
 // nine in ten of the others, as it was: 264, 62 KB, 23 KB, 0.5 s at 24 hosts; 2,499,
 // 1.2 MB, 485 KB, 0.65 s at 354. Now 197, 42 KB, 9 KB, 0.7 s; 345, 0.5 MB, 17 KB, 1.1 s.
-func TestAStartOfAllFitsWhatAHostOwns(t *testing.T) {
+func TestStartOfAllFitsHostResources(t *testing.T) {
 	small, large := startOfAll(24, 1), startOfAll(354, 1)
 	messageBound := startPart * smallestCore * startLength.Seconds() / messageCost.Seconds()
 	for _, c := range []startCost{small, large} {
@@ -124,7 +124,7 @@
 // far hosts, learnt of all others from its first call, and had nothing new to say. Until
 // the last of 100 hosts knew it took up to 2.45 s in ten runs, too long for its instance
 // to get work in time. Found by reading, then seen here. Now up to 1.75 s.
-func TestAHostThatJoinsIsSoonKnownInEveryDataCentre(t *testing.T) {
+func TestJoiningHostIsSoonKnownInEveryDataCentre(t *testing.T) {
 	for seed := range uint64(10) {
 		m := New(Config{Hosts: 100, DCs: 5, Seed: seed, Watchers: 2, Instances: 1, Replica: quick()})
 		m.StartAll()
--- a/internal/msg/control.go
+++ b/internal/msg/control.go
@@ -24,9 +24,9 @@
 	SetRecords SetID = iota
 	// SetHosts holds what each host says of itself.
 	SetHosts
-	// SetEnds holds the ends of instances with what they ran, and what requests were
+	// SetCrashes holds the ends of instances with what they ran, and what requests were
 	// cleared of.
-	SetEnds
+	SetCrashes
 	// Sets is the number of replicated sets.
 	Sets
 )
@@ -134,9 +134,9 @@
 	Health    uint8
 	Evidence  uint32
 	StartedMS int64
-	// WarmLeftMS is how much longer the instance is slow after its start, in
+	// WarmUpLeftMS is how much longer the instance is slow after its start, in
 	// milliseconds: a duration, because hosts' clocks differ.
-	WarmLeftMS uint32
+	WarmUpLeftMS uint32
 }
 
 // HostState is what a host says of itself; the host is its only writer.
@@ -149,25 +149,25 @@
 	Instances   []HostInstance `msg:"instances,limit=256"`
 }
 
-// InstanceEnd is the end of one start of an instance.
-type InstanceEnd struct {
+// InstanceCrash is the end of one start of an instance.
+type InstanceCrash struct {
 	Service string
 	// SoftwareVersion is that of the instance's software.
 	SoftwareVersion string
 	// Host is the host that noticed it.
 	Host string
-	// AtMS is when it was noticed, in Unix milliseconds of that host.
-	AtMS int64
-	// Prints are the requests that it ran, see crash.Print.
-	Prints []uint64 `msg:"prints,limit=256"`
+	// DetectedAtMS is when it was noticed, in Unix milliseconds of that host.
+	DetectedAtMS int64
+	// Fingerprints are the requests that it ran, see crash.Print.
+	Fingerprints []uint64 `msg:"prints,limit=256"`
 }
 
 // Report tells the host that sums up a data centre what the sender has in
 // force.
 type Report struct {
-	Root   uint64
-	Newest int64
-	Whole  bool
+	Root     uint64
+	Newest   int64
+	Complete bool
 	// Rejected are the records that the sender holds the last good of.
 	Rejected []ReportRejected `msg:"rejected,limit=64"`
 }
--- a/internal/msg/control_gen.go
+++ b/internal/msg/control_gen.go
@@ -246,7 +246,7 @@
 	o = msgp.AppendUint8(o, z.Health)
 	o = msgp.AppendUint32(o, z.Evidence)
 	o = msgp.AppendInt64(o, z.StartedMS)
-	o = msgp.AppendUint32(o, z.WarmLeftMS)
+	o = msgp.AppendUint32(o, z.WarmUpLeftMS)
 	return
 }
 
@@ -307,7 +307,7 @@
 		err = msgp.WrapError(err, "StartedMS")
 		return
 	}
-	z.WarmLeftMS, bts, err = msgp.ReadUint32Bytes(bts)
+	z.WarmUpLeftMS, bts, err = msgp.ReadUint32Bytes(bts)
 	if err != nil {
 		err = msgp.WrapError(err, "WarmLeftMS")
 		return
@@ -416,23 +416,23 @@
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z *InstanceEnd) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *InstanceCrash) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
 	// array header, size 5
 	o = append(o, 0x95)
 	o = msgp.AppendString(o, z.Service)
 	o = msgp.AppendString(o, z.SoftwareVersion)
 	o = msgp.AppendString(o, z.Host)
-	o = msgp.AppendInt64(o, z.AtMS)
-	o = msgp.AppendArrayHeader(o, uint32(len(z.Prints)))
-	for za0001 := range z.Prints {
-		o = msgp.AppendUint64(o, z.Prints[za0001])
+	o = msgp.AppendInt64(o, z.DetectedAtMS)
+	o = msgp.AppendArrayHeader(o, uint32(len(z.Fingerprints)))
+	for za0001 := range z.Fingerprints {
+		o = msgp.AppendUint64(o, z.Fingerprints[za0001])
 	}
 	return
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *InstanceEnd) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *InstanceCrash) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var zb0001 uint32
 	zb0001, bts, err = msgp.ReadArrayHeaderBytes(bts)
 	if err != nil {
@@ -458,7 +458,7 @@
 		err = msgp.WrapError(err, "Host")
 		return
 	}
-	z.AtMS, bts, err = msgp.ReadInt64Bytes(bts)
+	z.DetectedAtMS, bts, err = msgp.ReadInt64Bytes(bts)
 	if err != nil {
 		err = msgp.WrapError(err, "AtMS")
 		return
@@ -473,13 +473,13 @@
 		err = msgp.ErrLimitExceeded
 		return
 	}
-	if cap(z.Prints) >= int(zb0002) {
-		z.Prints = (z.Prints)[:zb0002]
+	if cap(z.Fingerprints) >= int(zb0002) {
+		z.Fingerprints = (z.Fingerprints)[:zb0002]
 	} else {
-		z.Prints = make([]uint64, zb0002)
+		z.Fingerprints = make([]uint64, zb0002)
 	}
-	for za0001 := range z.Prints {
-		z.Prints[za0001], bts, err = msgp.ReadUint64Bytes(bts)
+	for za0001 := range z.Fingerprints {
+		z.Fingerprints[za0001], bts, err = msgp.ReadUint64Bytes(bts)
 		if err != nil {
 			err = msgp.WrapError(err, "Prints", za0001)
 			return
@@ -490,8 +490,8 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *InstanceEnd) Msgsize() (s int) {
-	s = 1 + msgp.StringPrefixSize + len(z.Service) + msgp.StringPrefixSize + len(z.SoftwareVersion) + msgp.StringPrefixSize + len(z.Host) + msgp.Int64Size + msgp.ArrayHeaderSize + (len(z.Prints) * (msgp.Uint64Size))
+func (z *InstanceCrash) Msgsize() (s int) {
+	s = 1 + msgp.StringPrefixSize + len(z.Service) + msgp.StringPrefixSize + len(z.SoftwareVersion) + msgp.StringPrefixSize + len(z.Host) + msgp.Int64Size + msgp.ArrayHeaderSize + (len(z.Fingerprints) * (msgp.Uint64Size))
 	return
 }
 
@@ -858,7 +858,7 @@
 	o = append(o, 0x94)
 	o = msgp.AppendUint64(o, z.Root)
 	o = msgp.AppendInt64(o, z.Newest)
-	o = msgp.AppendBool(o, z.Whole)
+	o = msgp.AppendBool(o, z.Complete)
 	o = msgp.AppendArrayHeader(o, uint32(len(z.Rejected)))
 	for za0001 := range z.Rejected {
 		o, err = z.Rejected[za0001].MarshalMsg(o)
@@ -892,7 +892,7 @@
 		err = msgp.WrapError(err, "Newest")
 		return
 	}
-	z.Whole, bts, err = msgp.ReadBoolBytes(bts)
+	z.Complete, bts, err = msgp.ReadBoolBytes(bts)
 	if err != nil {
 		err = msgp.WrapError(err, "Whole")
 		return
--- a/internal/msg/keys.go
+++ b/internal/msg/keys.go
@@ -20,8 +20,8 @@
 	CreatedMS int64
 }
 
-// KeyClaimed answers KeyClaim.
-type KeyClaimed struct {
+// ClaimReply answers KeyClaim.
+type ClaimReply struct {
 	// Outcome is a once.ClaimOutcome.
 	Outcome uint8
 	Epoch   uint64
@@ -100,7 +100,7 @@
 	Last bool
 }
 
-// HandoverDone answers each part of a Handover, and KeyDone.
-type HandoverDone struct {
+// HandoverReply answers each part of a Handover, and KeyDone.
+type HandoverReply struct {
 	Accepted bool
 }
--- a/internal/msg/keys_gen.go
+++ b/internal/msg/keys_gen.go
@@ -120,7 +120,7 @@
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z HandoverDone) MarshalMsg(b []byte) (o []byte, err error) {
+func (z HandoverReply) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
 	// array header, size 1
 	o = append(o, 0x91)
@@ -129,7 +129,7 @@
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *HandoverDone) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *HandoverReply) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var zb0001 uint32
 	zb0001, bts, err = msgp.ReadArrayHeaderBytes(bts)
 	if err != nil {
@@ -150,7 +150,7 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z HandoverDone) Msgsize() (s int) {
+func (z HandoverReply) Msgsize() (s int) {
 	s = 1 + msgp.BoolSize
 	return
 }
@@ -222,7 +222,7 @@
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z *KeyClaimed) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *ClaimReply) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
 	// array header, size 6
 	o = append(o, 0x96)
@@ -243,7 +243,7 @@
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *KeyClaimed) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *ClaimReply) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var zb0001 uint32
 	zb0001, bts, err = msgp.ReadArrayHeaderBytes(bts)
 	if err != nil {
@@ -322,7 +322,7 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *KeyClaimed) Msgsize() (s int) {
+func (z *ClaimReply) Msgsize() (s int) {
 	s = 1 + msgp.Uint8Size + msgp.Uint64Size + msgp.Uint16Size + msgp.ArrayHeaderSize
 	for za0001 := range z.Header {
 		s += z.Header[za0001].Msgsize()
--- a/internal/msg/kinds.go
+++ b/internal/msg/kinds.go
@@ -3,29 +3,29 @@
 import "github.com/pkg/errors"
 
 // Kind implements Message.
-func (*Hello) Kind() Kind        { return KindHello }
-func (*Reserve) Kind() Kind      { return KindReserve }      // Kind implements Message.
-func (*Grant) Kind() Kind        { return KindGrant }        // Kind implements Message.
-func (*Run) Kind() Kind          { return KindRun }          // Kind implements Message.
-func (*Data) Kind() Kind         { return KindData }         // Kind implements Message.
-func (*End) Kind() Kind          { return KindEnd }          // Kind implements Message.
-func (*Cancel) Kind() Kind       { return KindCancel }       // Kind implements Message.
-func (*Window) Kind() Kind       { return KindWindow }       // Kind implements Message.
-func (*Fail) Kind() Kind         { return KindFail }         // Kind implements Message.
-func (*Head) Kind() Kind         { return KindHead }         // Kind implements Message.
-func (*KeyClaim) Kind() Kind     { return KindKeyClaim }     // Kind implements Message.
-func (*KeyClaimed) Kind() Kind   { return KindKeyClaimed }   // Kind implements Message.
-func (*KeyResult) Kind() Kind    { return KindKeyDone }      // Kind implements Message.
-func (*LeaseRequest) Kind() Kind { return KindPromise }      // Kind implements Message.
-func (*LeaseReply) Kind() Kind   { return KindPromised }     // Kind implements Message.
-func (*Handover) Kind() Kind     { return KindHandover }     // Kind implements Message.
-func (*HandoverDone) Kind() Kind { return KindHandoverDone } // Kind implements Message.
-func (*Rumor) Kind() Kind        { return KindRumor }        // Kind implements Message.
-func (*Digest) Kind() Kind       { return KindDigest }       // Kind implements Message.
-func (*Buckets) Kind() Kind      { return KindBuckets }      // Kind implements Message.
-func (*Versions) Kind() Kind     { return KindVersions }     // Kind implements Message.
-func (*Pull) Kind() Kind         { return KindPull }         // Kind implements Message.
-func (*Snapshot) Kind() Kind     { return KindSnapshot }     // Kind implements Message.
+func (*Hello) Kind() Kind         { return KindHello }
+func (*Reserve) Kind() Kind       { return KindReserve }       // Kind implements Message.
+func (*Grant) Kind() Kind         { return KindGrant }         // Kind implements Message.
+func (*Run) Kind() Kind           { return KindRun }           // Kind implements Message.
+func (*Data) Kind() Kind          { return KindData }          // Kind implements Message.
+func (*End) Kind() Kind           { return KindEnd }           // Kind implements Message.
+func (*Cancel) Kind() Kind        { return KindCancel }        // Kind implements Message.
+func (*Window) Kind() Kind        { return KindWindow }        // Kind implements Message.
+func (*Fail) Kind() Kind          { return KindFail }          // Kind implements Message.
+func (*Head) Kind() Kind          { return KindHead }          // Kind implements Message.
+func (*KeyClaim) Kind() Kind      { return KindKeyClaim }      // Kind implements Message.
+func (*ClaimReply) Kind() Kind    { return KindClaimReply }    // Kind implements Message.
+func (*KeyResult) Kind() Kind     { return KindKeyResult }     // Kind implements Message.
+func (*LeaseRequest) Kind() Kind  { return KindLeaseRequest }  // Kind implements Message.
+func (*LeaseReply) Kind() Kind    { return KindPromised }      // Kind implements Message.
+func (*Handover) Kind() Kind      { return KindHandover }      // Kind implements Message.
+func (*HandoverReply) Kind() Kind { return KindHandoverReply } // Kind implements Message.
+func (*Rumor) Kind() Kind         { return KindRumor }         // Kind implements Message.
+func (*Digest) Kind() Kind        { return KindDigest }        // Kind implements Message.
+func (*Buckets) Kind() Kind       { return KindBuckets }       // Kind implements Message.
+func (*Versions) Kind() Kind      { return KindVersions }      // Kind implements Message.
+func (*Pull) Kind() Kind          { return KindPull }          // Kind implements Message.
+func (*Snapshot) Kind() Kind      { return KindSnapshot }      // Kind implements Message.
 
 func (*Ping) Kind() Kind       { return KindPing }   // Kind implements Message.
 func (*Report) Kind() Kind     { return KindReport } // Kind implements Message.
@@ -57,18 +57,18 @@
 		return &Head{}, nil
 	case KindKeyClaim:
 		return &KeyClaim{}, nil
-	case KindKeyClaimed:
-		return &KeyClaimed{}, nil
-	case KindKeyDone:
+	case KindClaimReply:
+		return &ClaimReply{}, nil
+	case KindKeyResult:
 		return &KeyResult{}, nil
-	case KindPromise:
+	case KindLeaseRequest:
 		return &LeaseRequest{}, nil
 	case KindPromised:
 		return &LeaseReply{}, nil
 	case KindHandover:
 		return &Handover{}, nil
-	case KindHandoverDone:
-		return &HandoverDone{}, nil
+	case KindHandoverReply:
+		return &HandoverReply{}, nil
 	case KindRumor:
 		return &Rumor{}, nil
 	case KindDigest:
--- a/internal/msg/msg.go
+++ b/internal/msg/msg.go
@@ -22,12 +22,12 @@
 	KindFail
 	KindHead
 	KindKeyClaim
-	KindKeyClaimed
-	KindKeyDone
-	KindPromise
+	KindClaimReply
+	KindKeyResult
+	KindLeaseRequest
 	KindPromised
 	KindHandover
-	KindHandoverDone
+	KindHandoverReply
 	KindRumor
 	KindDigest
 	KindBuckets
--- a/internal/msg/requests.go
+++ b/internal/msg/requests.go
@@ -94,9 +94,9 @@
 	ExpectedMS uint32
 	// AllowLate takes a place in the queue also where it would miss the objective.
 	AllowLate bool
-	// Repeat says that the request may have arrived at an instance before, and
+	// UsesRetryBudget says that the request may have arrived at an instance before, and
 	// Hedge that it is under way at one.
-	Repeat, Hedge bool
+	UsesRetryBudget, Hedge bool
 	// NestedRetryChance is the chance that the request is a call of a repeated run, in
 	// thousandths, if it is a call: it counts for so much in the retry budget.
 	NestedRetryChance uint16
@@ -127,9 +127,9 @@
 
 // Grant gives the slot that Reserve asked for.
 type Grant struct {
-	// LifeMS is how long the guard holds the slot, on the guard's clock.
-	LifeMS uint32
-	Load   Load
+	// TTLMS is how long the guard holds the slot, on the guard's clock.
+	TTLMS uint32
+	Load  Load
 }
 
 // Run tells a guard to run a request. With Reserved it uses up a Grant on the
--- a/internal/msg/requests_gen.go
+++ b/internal/msg/requests_gen.go
@@ -31,7 +31,7 @@
 	o = msgp.AppendBool(o, z.AllowLate)
 	// string "Repeat"
 	o = append(o, 0xa6, 0x52, 0x65, 0x70, 0x65, 0x61, 0x74)
-	o = msgp.AppendBool(o, z.Repeat)
+	o = msgp.AppendBool(o, z.UsesRetryBudget)
 	// string "Hedge"
 	o = append(o, 0xa5, 0x48, 0x65, 0x64, 0x67, 0x65)
 	o = msgp.AppendBool(o, z.Hedge)
@@ -97,7 +97,7 @@
 				return
 			}
 		case "Repeat":
-			z.Repeat, bts, err = msgp.ReadBoolBytes(bts)
+			z.UsesRetryBudget, bts, err = msgp.ReadBoolBytes(bts)
 			if err != nil {
 				err = msgp.WrapError(err, "Repeat")
 				return
@@ -415,7 +415,7 @@
 	o = msgp.Require(b, z.Msgsize())
 	// array header, size 2
 	o = append(o, 0x92)
-	o = msgp.AppendUint32(o, z.LifeMS)
+	o = msgp.AppendUint32(o, z.TTLMS)
 	o, err = z.Load.MarshalMsg(o)
 	if err != nil {
 		err = msgp.WrapError(err, "Load")
@@ -436,7 +436,7 @@
 		err = msgp.ArrayError{Wanted: 2, Got: zb0001}
 		return
 	}
-	z.LifeMS, bts, err = msgp.ReadUint32Bytes(bts)
+	z.TTLMS, bts, err = msgp.ReadUint32Bytes(bts)
 	if err != nil {
 		err = msgp.WrapError(err, "LifeMS")
 		return
--- a/internal/msg/teams.go
+++ b/internal/msg/teams.go
@@ -30,8 +30,8 @@
 	Known bool
 	// ConfirmedByReceiver says that the receiver confirmed Base.
 	ConfirmedByReceiver bool
-	// Relayed says that a host that the account was asked of passes this on.
-	Relayed bool
+	// Forwarded says that a host that the account was asked of passes this on.
+	Forwarded bool
 	// QueryID is the sender's number of the request asked for, 0 for none.
 	QueryID uint32
 }
@@ -49,9 +49,9 @@
 	NearLimitMS uint32
 	// QueryID is the request that was asked for; where it is not Granted, WaitMS is when
 	// another would be, in milliseconds.
-	QueryID uint32
-	Granted bool
-	WaitMS  uint32
+	QueryID      uint32
+	Granted      bool
+	RetryAfterMS uint32
 }
 
 // TeamNotice tells all hosts that a team is close to its limit.
--- a/internal/msg/teams_gen.go
+++ b/internal/msg/teams_gen.go
@@ -25,7 +25,7 @@
 	o = msgp.AppendUint32(o, z.NearLimitMS)
 	o = msgp.AppendUint32(o, z.QueryID)
 	o = msgp.AppendBool(o, z.Granted)
-	o = msgp.AppendUint32(o, z.WaitMS)
+	o = msgp.AppendUint32(o, z.RetryAfterMS)
 	return
 }
 
@@ -81,7 +81,7 @@
 		err = msgp.WrapError(err, "Granted")
 		return
 	}
-	z.WaitMS, bts, err = msgp.ReadUint32Bytes(bts)
+	z.RetryAfterMS, bts, err = msgp.ReadUint32Bytes(bts)
 	if err != nil {
 		err = msgp.WrapError(err, "WaitMS")
 		return
@@ -320,7 +320,7 @@
 	o = msgp.AppendBool(o, z.ConfirmedByReceiver)
 	// string "Relayed"
 	o = append(o, 0xa7, 0x52, 0x65, 0x6c, 0x61, 0x79, 0x65, 0x64)
-	o = msgp.AppendBool(o, z.Relayed)
+	o = msgp.AppendBool(o, z.Forwarded)
 	// string "QueryID"
 	o = append(o, 0xa7, 0x51, 0x75, 0x65, 0x72, 0x79, 0x49, 0x44)
 	o = msgp.AppendUint32(o, z.QueryID)
@@ -392,7 +392,7 @@
 				return
 			}
 		case "Relayed":
-			z.Relayed, bts, err = msgp.ReadBoolBytes(bts)
+			z.Forwarded, bts, err = msgp.ReadBoolBytes(bts)
 			if err != nil {
 				err = msgp.WrapError(err, "Relayed")
 				return
--- a/internal/objects/api.go
+++ b/internal/objects/api.go
@@ -27,9 +27,9 @@
 type Page struct {
 	Revision int64    `json:"revision"`
 	Objects  []Object `json:"objects"`
-	// Unread has one error for each object that could not be parsed. Such objects
+	// Undecodable has one error for each object that could not be parsed. Such objects
 	// come from other writers; the remaining objects are valid.
-	Unread []error `json:"-"`
+	Undecodable []error `json:"-"`
 }
 
 // Store is the set of platform operations that the system uses. Client implements
