--- a/internal/objects/budget.go
+++ b/internal/objects/budget.go
@@ -10,10 +10,10 @@
 	"github.com/radishhoist/radishhoist/record"
 )
 
-// Budget is a Store that limits the rate of calls that all components of a process
+// RateLimitedStore is a Store that limits the rate of calls that all components of a process
 // together make to the platform, whose rate limits grow more slowly than the fleet.
 // Calls over the limit wait; they are never dropped.
-type Budget struct {
+type RateLimitedStore struct {
 	store   Store
 	limiter *rate.Limiter
 	set     *metrics.Set
@@ -26,16 +26,16 @@
 	CallBurst      = 24
 )
 
-// NewBudget limits store to perSecond calls per second, with bursts of burst calls.
-func NewBudget(store Store, perSecond float64, burst int) *Budget {
-	return &Budget{store: store, limiter: rate.NewLimiter(rate.Limit(perSecond), burst), set: metrics.NewSet()}
+// NewRateLimitedStore limits store to perSecond calls per second, with bursts of burst calls.
+func NewRateLimitedStore(store Store, perSecond float64, burst int) *RateLimitedStore {
+	return &RateLimitedStore{store: store, limiter: rate.NewLimiter(rate.Limit(perSecond), burst), set: metrics.NewSet()}
 }
 
 // Metrics returns the call counters for the admin endpoint.
-func (b *Budget) Metrics() *metrics.Set { return b.set }
+func (b *RateLimitedStore) Metrics() *metrics.Set { return b.set }
 
 // countCall counts a call by its outcome: answered, refused or unanswered.
-func (b *Budget) countCall(call string, err error) {
+func (b *RateLimitedStore) countCall(call string, err error) {
 	outcome := "answered"
 	var unavailable *UnavailableError
 	switch {
@@ -48,7 +48,7 @@
 }
 
 // wait blocks until the limiter admits one call.
-func (b *Budget) wait(ctx context.Context) error {
+func (b *RateLimitedStore) wait(ctx context.Context) error {
 	if err := b.limiter.Wait(ctx); err != nil {
 		return &UnavailableError{Cause: err}
 	}
@@ -56,7 +56,7 @@
 }
 
 // Get implements Store.
-func (b *Budget) Get(ctx context.Context, key record.Key) (Object, error) {
+func (b *RateLimitedStore) Get(ctx context.Context, key record.Key) (Object, error) {
 	if err := b.wait(ctx); err != nil {
 		return Object{}, err
 	}
@@ -66,7 +66,7 @@
 }
 
 // List implements Store.
-func (b *Budget) List(ctx context.Context, kinds ...record.Kind) (Page, error) {
+func (b *RateLimitedStore) List(ctx context.Context, kinds ...record.Kind) (Page, error) {
 	if err := b.wait(ctx); err != nil {
 		return Page{}, err
 	}
@@ -76,7 +76,7 @@
 }
 
 // Put implements Store.
-func (b *Budget) Put(ctx context.Context, key record.Key, value []byte, ifVersion int64) (Object, error) {
+func (b *RateLimitedStore) Put(ctx context.Context, key record.Key, value []byte, ifVersion int64) (Object, error) {
 	if err := b.wait(ctx); err != nil {
 		return Object{}, err
 	}
@@ -86,7 +86,7 @@
 }
 
 // Delete implements Store.
-func (b *Budget) Delete(ctx context.Context, key record.Key, ifVersion int64) (Object, error) {
+func (b *RateLimitedStore) Delete(ctx context.Context, key record.Key, ifVersion int64) (Object, error) {
 	if err := b.wait(ctx); err != nil {
 		return Object{}, err
 	}
@@ -96,13 +96,13 @@
 }
 
 // Feeds implements Store.
-func (b *Budget) Feeds() []Feed { return b.store.Feeds() }
+func (b *RateLimitedStore) Feeds() []Feed { return b.store.Feeds() }
 
 // FeedOf implements Store.
-func (b *Budget) FeedOf(kind record.Kind) Feed { return b.store.FeedOf(kind) }
+func (b *RateLimitedStore) FeedOf(kind record.Kind) Feed { return b.store.FeedOf(kind) }
 
 // ListFeed implements Store.
-func (b *Budget) ListFeed(ctx context.Context, feed Feed) (Page, error) {
+func (b *RateLimitedStore) ListFeed(ctx context.Context, feed Feed) (Page, error) {
 	if err := b.wait(ctx); err != nil {
 		return Page{}, err
 	}
@@ -112,7 +112,7 @@
 }
 
 // Watch implements Store.
-func (b *Budget) Watch(ctx context.Context, feed Feed, after int64, waitFactor int) (Page, error) {
+func (b *RateLimitedStore) Watch(ctx context.Context, feed Feed, after int64, waitFactor int) (Page, error) {
 	if err := b.wait(ctx); err != nil {
 		return Page{}, err
 	}
@@ -123,15 +123,15 @@
 
 // Observe implements Store. It also counts the retries of late calls, which bypass the
 // rate limit but are bounded by RetryInterval.
-func (b *Budget) Observe(report func(LateCall)) {
+func (b *RateLimitedStore) Observe(report func(LateCall)) {
 	retries := b.set.NewCounter("radishhoist_store_repeats_total")
 	b.store.Observe(func(call LateCall) {
 		if call.Ended {
-			retries.Add(call.Tries - 1)
+			retries.Add(call.Attempts - 1)
 		}
 		report(call)
 	})
 }
 
 // Close implements Store.
-func (b *Budget) Close() { b.store.Close() }
+func (b *RateLimitedStore) Close() { b.store.Close() }
--- a/internal/objects/fetch.go
+++ b/internal/objects/fetch.go
@@ -10,10 +10,10 @@
 )
 
 const (
-	// UsualAnswer is the time without data, beyond the time that the platform was
+	// LateThreshold is the time without data, beyond the time that the platform was
 	// asked to hold a call, after which the call counts as late. It is twice the
 	// response time of a slow platform.
-	UsualAnswer = 400 * time.Millisecond
+	LateThreshold = 400 * time.Millisecond
 	// RetryInterval is the time between retries of a late read. A platform that
 	// recovers is called again within this time, although earlier attempts may hang on
 	// connections that it no longer knows. 0.8 s leave 1.2 s of the 2 s within which a
@@ -72,7 +72,7 @@
 	if isRead {
 		timeout = ReadTimeout
 	}
-	retry := time.NewTimer(hold + UsualAnswer)
+	retry := time.NewTimer(hold + LateThreshold)
 	defer retry.Stop()
 	expiry := time.NewTimer(hold + timeout)
 	defer expiry.Stop()
@@ -85,7 +85,7 @@
 				return result.response, result.err
 			}
 		case <-f.progress:
-			retry.Reset(UsualAnswer)
+			retry.Reset(LateThreshold)
 			expiry.Reset(timeout)
 		case <-retry.C:
 			if isRead {
--- a/internal/objects/fetch_test.go
+++ b/internal/objects/fetch_test.go
@@ -145,7 +145,7 @@
 // data arrives. A list that stops midway is retried.
 func TestALongListIsLeftToFlow(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &trickleServer{pieces: 100, pause: objects.UsualAnswer - time.Millisecond}
+		s := &trickleServer{pieces: 100, pause: objects.LateThreshold - time.Millisecond}
 		client, stop := startTrickleServer(s)
 		defer stop()
 		page, err := client.List(context.Background())
@@ -161,6 +161,6 @@
 		_, err := client.List(context.Background())
 		assert.NilError(t, err)
 		assert.Equal(t, s.calls.Load(), int64(2))
-		assert.Assert(t, time.Since(start) <= objects.UsualAnswer+50*time.Millisecond)
+		assert.Assert(t, time.Since(start) <= objects.LateThreshold+50*time.Millisecond)
 	})
 }
--- a/internal/objects/late.go
+++ b/internal/objects/late.go
@@ -13,12 +13,12 @@
 type LateCall struct {
 	// Call has the method, path and query.
 	Call string
-	// Asked is the time for which the platform was asked to hold the call, 0 for none.
-	Asked time.Duration
-	// Waited is the time since the call started.
-	Waited time.Duration
-	// Tries is the number of attempts; set once the call has ended.
-	Tries int
+	// HoldTime is the time for which the platform was asked to hold the call, 0 for none.
+	HoldTime time.Duration
+	// Elapsed is the time since the call started.
+	Elapsed time.Duration
+	// Attempts is the number of attempts; set once the call has ended.
+	Attempts int
 	// Ended is false while the call is still pending.
 	Ended bool
 	// Cause is the error of an ended call, nil if it was answered.
@@ -39,10 +39,10 @@
 	if c.report == nil {
 		return c
 	}
-	c.call = LateCall{Call: r.Method + " " + r.URL.RequestURI(), Asked: hold}
+	c.call = LateCall{Call: r.Method + " " + r.URL.RequestURI(), HoldTime: hold}
 	late := c.call
-	late.Waited = hold + UsualAnswer
-	c.timer = time.AfterFunc(late.Waited, func() { c.report(late) })
+	late.Elapsed = hold + LateThreshold
+	c.timer = time.AfterFunc(late.Elapsed, func() { c.report(late) })
 	return c
 }
 
@@ -56,6 +56,6 @@
 	if onTime && (err == nil || errors.Is(err, context.Canceled)) {
 		return
 	}
-	c.call.Waited, c.call.Tries, c.call.Ended, c.call.Cause = time.Since(c.start), attempts, true, err
+	c.call.Elapsed, c.call.Attempts, c.call.Ended, c.call.Cause = time.Since(c.start), attempts, true, err
 	c.report(c.call)
 }
--- a/internal/objects/late_test.go
+++ b/internal/objects/late_test.go
@@ -75,8 +75,8 @@
 		assert.ErrorContains(t, err, "platform unavailable")
 		calls := recorder.drain()
 		assert.Equal(t, len(calls), 2)
-		assert.Equal(t, calls[0], objects.LateCall{Call: "GET /v1/objects", Waited: objects.UsualAnswer})
-		assert.Assert(t, calls[1].Ended && calls[1].Cause != nil && calls[1].Waited >= objects.UsualAnswer)
+		assert.Equal(t, calls[0], objects.LateCall{Call: "GET /v1/objects", Elapsed: objects.LateThreshold})
+		assert.Assert(t, calls[1].Ended && calls[1].Cause != nil && calls[1].Elapsed >= objects.LateThreshold)
 	})
 }
 
@@ -91,8 +91,8 @@
 		assert.NilError(t, err)
 		calls := recorder.drain()
 		assert.Equal(t, len(calls), 2)
-		assert.Assert(t, calls[1].Ended && calls[1].Cause == nil && calls[1].Tries == 2)
-		assert.Equal(t, calls[1].Waited, time.Second)
+		assert.Assert(t, calls[1].Ended && calls[1].Cause == nil && calls[1].Attempts == 2)
+		assert.Equal(t, calls[1].Elapsed, time.Second)
 
 		platform.SetFaults(platformd.Faults{Outage: true})
 		_, err = client.List(context.Background())
--- a/internal/objects/write.go
+++ b/internal/objects/write.go
@@ -25,13 +25,13 @@
 // object back did not show whether the write took effect.
 var ErrUnknownOutcome = errors.New("write outcome unknown: the response was lost and the record could not be verified; read the record before writing again")
 
-// PutSettled is Put with recovery from a lost response. It then reads the object
+// PutConfirmed is Put with recovery from a lost response. It then reads the object
 // back and takes a newer version for its own write only if isOwn accepts the stored
 // value; isOwn must identify this very write, for example by a nonce. If the old
 // version is still stored, it repeats the write with the same condition: versions
 // never repeat, so at most one of the writes takes effect. A create is not repeated, because the
 // object may have been created and deleted in the meantime.
-func PutSettled(ctx context.Context, s Store, key record.Key, value []byte, ifVersion int64, isOwn func([]byte) bool) (Object, error) {
+func PutConfirmed(ctx context.Context, s Store, key record.Key, value []byte, ifVersion int64, isOwn func([]byte) bool) (Object, error) {
 	obj, err := s.Put(ctx, key, value, ifVersion)
 	pause := readBackPause
 	for range maxReadBacks {
--- a/internal/objects/write_test.go
+++ b/internal/objects/write_test.go
@@ -127,7 +127,7 @@
 				add(client, call, registerOp{to: string(obj.Value)})
 				value := fmt.Sprintf("%d-%d", client, n)
 				call = time.Now()
-				_, err = PutSettled(ctx, s, record.Key{}, []byte(value), obj.Version, func(b []byte) bool { return string(b) == value })
+				_, err = PutConfirmed(ctx, s, record.Key{}, []byte(value), obj.Version, func(b []byte) bool { return string(b) == value })
 				var conflict *ConflictError
 				o := registerOp{write: true, from: string(obj.Value), to: value}
 				switch {
@@ -181,7 +181,7 @@
 			s.loss = 0
 			s.mu.Unlock()
 		}()
-		obj, err := PutSettled(context.Background(), s, record.Key{}, []byte("mine"), 4, isOwn)
+		obj, err := PutConfirmed(context.Background(), s, record.Key{}, []byte("mine"), 4, isOwn)
 		assert.NilError(t, err)
 		assert.Equal(t, obj.Version, int64(5))
 		assert.Equal(t, s.version, int64(5), "the write took effect twice")
@@ -191,7 +191,7 @@
 func TestBudgetLimitsCallRate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &lossyStore{rng: rand.New(rand.NewPCG(1, 1)), version: 1}
-		b := NewBudget(s, 10, 5)
+		b := NewRateLimitedStore(s, 10, 5)
 		start := time.Now()
 		for range 55 {
 			_, err := b.Get(context.Background(), record.Key{})
--- a/internal/peer/send.go
+++ b/internal/peer/send.go
@@ -50,7 +50,7 @@
 	if time.Since(conn.LastRead()) < aliveWindow || conn.PingAndWait(ctx, pingTimeout) {
 		return nil
 	}
-	conn.Doubt()
+	conn.MarkSuspect()
 	newConn, err := p.Conn(ctx, addr)
 	if err != nil || newConn == conn {
 		return err
@@ -65,7 +65,7 @@
 	for _, conn := range p.quietConns() {
 		go func() {
 			if !conn.PingAndWait(context.Background(), pingTimeout) {
-				conn.Doubt()
+				conn.MarkSuspect()
 			}
 		}()
 	}
--- a/internal/peer/suspect_test.go
+++ b/internal/peer/suspect_test.go
@@ -151,7 +151,7 @@
 		ctx := context.Background()
 		_, conn, err := from.Open(ctx, "b")
 		assert.NilError(t, err)
-		conn.Doubt()
+		conn.MarkSuspect()
 		again, err := from.Conn(ctx, "b")
 		assert.NilError(t, err)
 		assert.Assert(t, again != conn, "a suspect connection was used for new work")
@@ -160,7 +160,7 @@
 		from.Sweep()
 		assert.NilError(t, conn.Err())
 
-		again.Doubt()
+		again.MarkSuspect()
 		assert.Assert(t, again.PingAndWait(ctx, pingTimeout))
 		assert.Assert(t, !again.Suspect())
 		same, err := from.Conn(ctx, "b")
@@ -184,7 +184,7 @@
 		n.blackholeConns()
 		_, conn, err := from.Open(ctx, "b")
 		assert.NilError(t, err)
-		conn.Doubt()
+		conn.MarkSuspect()
 		time.Sleep(2 * pingTimeout)
 		before := n.dials.Load()
 		for _, addr := range addrs {
--- a/internal/porttest/porttest.go
+++ b/internal/porttest/porttest.go
@@ -13,9 +13,9 @@
 // maxAttempts is the number of attempts to start before the test fails.
 const maxAttempts = 5
 
-// Free returns a loopback address, IP:port, with a free port. Another process may take
+// FreeAddress returns a loopback address, IP:port, with a free port. Another process may take
 // the port before it is used.
-func Free(tb testing.TB) string {
+func FreeAddress(tb testing.TB) string {
 	tb.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(tb, err)
@@ -23,10 +23,10 @@
 	return l.Addr().String()
 }
 
-// Start calls start, which should listen on new addresses from Free at each call, and
+// StartOnFreePorts calls start, which should listen on new addresses from Free at each call, and
 // retries if another process has taken one of them in the meantime. Any other error
 // fails the test.
-func Start(tb testing.TB, start func() error) {
+func StartOnFreePorts(tb testing.TB, start func() error) {
 	tb.Helper()
 	for range maxAttempts {
 		err := start()
--- a/internal/settings/keys.go
+++ b/internal/settings/keys.go
@@ -64,7 +64,7 @@
 	duration("control", "suspicion", "4s", 100*time.Millisecond, time.Minute, "time a suspected host has to refute; shorter is quicker and wrong more often", func(c *Config) *time.Duration { return &c.Suspicion }),
 	duration("control", "apply_within", "17s", 100*time.Millisecond, 10*time.Minute, "time in which an acknowledged record is to be in force on every host; written steps that together take longer are refused", func(c *Config) *time.Duration { return &c.ApplyWithin }),
 	derived(duration("control", "repair_interval", "5s", 100*time.Millisecond, time.Minute, "time between two digests of the record set to a random peer", func(c *Config) *time.Duration { return &c.RepairInterval }), maxDerivedRepairInterval),
-	derived(duration("control", "away_max", "2s", 100*time.Millisecond, time.Minute, "longest pause between two calls to a platform that does not answer; longer spares it, shorter notices its return sooner", func(c *Config) *time.Duration { return &c.AwayMax }), maxDerivedAwayMax),
+	derived(duration("control", "away_max", "2s", 100*time.Millisecond, time.Minute, "longest pause between two calls to a platform that does not answer; longer spares it, shorter notices its return sooner", func(c *Config) *time.Duration { return &c.MaxRetryInterval }), maxDerivedAwayMax),
 	derived(duration("control", "watch_wait", "25s", 100*time.Millisecond, 30*time.Second, "time the platform is asked to hold a watch open; shorter makes more calls and bounds how long a watcher can miss news without a sign", func(c *Config) *time.Duration { return &c.WatchWait }), maxDerivedWatchWait),
 	duration("control", "status_interval", "5s", time.Second, time.Hour, "least time between two summaries of what is in force, which a data centre writes to the platform", func(c *Config) *time.Duration { return &c.StatusInterval }),
 	number("control", "watchers_per_dc", "2", "hosts", 1, 16, "hosts of a data centre that watch the platform; each waiting watch counts as a platform read", func(c *Config) *int { return &c.WatchersPerDC }),
@@ -228,17 +228,17 @@
 		[]string{record.PresetQuick, record.PresetCareful}, func(c *Config) *string { return &c.Preset })
 }
 
-// AdapterOwn is the adapter for platforms that use this product's native API.
-const AdapterOwn = "own"
+// DefaultAdapter is the adapter for platforms that use this product's native API.
+const DefaultAdapter = "own"
 
 // Adapters are the allowed values of [platform] adapter. The daemon adds the adapters
 // that it was built with.
-var Adapters = []string{AdapterOwn}
+var Adapters = []string{DefaultAdapter}
 
 func adapterKey() key {
-	k := choice("platform", "adapter", AdapterOwn, "dialect of the platform, its callers and its targets", nil, func(c *Config) *string { return &c.Adapter })
-	k.bound = AdapterOwn + ", or another that the daemon was built with"
-	k.remedy = AdapterOwn + ", or another that the daemon was built with"
+	k := choice("platform", "adapter", DefaultAdapter, "dialect of the platform, its callers and its targets", nil, func(c *Config) *string { return &c.Adapter })
+	k.bound = DefaultAdapter + ", or another that the daemon was built with"
+	k.remedy = DefaultAdapter + ", or another that the daemon was built with"
 	k.set = func(c *Config, v string) error {
 		if !slices.Contains(Adapters, v) {
 			return errors.Errorf("%q is not one of %s", v, strings.Join(Adapters, ", "))
--- a/internal/settings/propagation.go
+++ b/internal/settings/propagation.go
@@ -55,7 +55,7 @@
 // Way returns the worst-case propagation delay of a change under these settings.
 func (c *Config) Way() PropagationDelay {
 	return PropagationDelay{
-		Notice:       max(c.WatchWait, c.AwayMax) + objects.UsualAnswer,
+		Notice:       max(c.WatchWait, c.MaxRetryInterval) + objects.LateThreshold,
 		Distribution: distributionTime,
 		Repair:       time.Duration(maxRepairIntervals * float64(c.RepairInterval)),
 	}
@@ -64,8 +64,8 @@
 // deriveTimings sets WatchWait, AwayMax and RepairInterval from ApplyWithin if they are
 // not configured.
 func (c *Config) deriveTimings() {
-	c.timingsConfigured = c.WatchWait != 0 || c.AwayMax != 0 || c.RepairInterval != 0
-	fixed := objects.UsualAnswer + distributionTime
+	c.timingsConfigured = c.WatchWait != 0 || c.MaxRetryInterval != 0 || c.RepairInterval != 0
+	fixed := objects.LateThreshold + distributionTime
 	longestFit := time.Duration(float64(c.ApplyWithin-fixed) / (1 + maxRepairIntervals))
 	timing := min(time.Duration(derivedShare*float64(c.ApplyWithin)), longestFit)
 	timing = max(timing, minDerived).Round(time.Millisecond)
@@ -75,7 +75,7 @@
 		}
 	}
 	derive(&c.WatchWait, maxDerivedWatchWait)
-	derive(&c.AwayMax, maxDerivedAwayMax)
+	derive(&c.MaxRetryInterval, maxDerivedAwayMax)
 	derive(&c.RepairInterval, maxDerivedRepairInterval)
 }
 
--- a/internal/settings/propagation_test.go
+++ b/internal/settings/propagation_test.go
@@ -17,7 +17,7 @@
 		d := c.Way()
 		assert.Equal(t, d.Total(), d.Notice+d.Distribution+d.Repair)
 		assert.Assert(t, d.Total() <= bound, "%s: %+v", bound, d)
-		assert.Assert(t, c.WatchWait >= minDerived && c.AwayMax >= minDerived && c.RepairInterval >= minDerived)
+		assert.Assert(t, c.WatchWait >= minDerived && c.MaxRetryInterval >= minDerived && c.RepairInterval >= minDerived)
 		assert.Equal(t, len(c.Warnings), 0)
 	}
 	// At 2 s the derived share is 0.3, as in the design note.
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -98,8 +98,8 @@
 	timingsConfigured bool
 	// Warnings lists problems that do not keep the daemon from starting.
 	Warnings []string
-	// AwayMax is the longest pause between calls to a platform that does not respond.
-	AwayMax time.Duration
+	// MaxRetryInterval is the longest pause between calls to a platform that does not respond.
+	MaxRetryInterval time.Duration
 	// WatchWait is how long the platform is asked to hold a watch request open.
 	WatchWait time.Duration
 	// StatusInterval is the minimum time between two Status records of a data centre.
--- a/internal/soak/check_test.go
+++ b/internal/soak/check_test.go
@@ -38,12 +38,12 @@
 	}
 }
 
-func TestACalmRunBreaksNothing(t *testing.T) {
+func TestPassingRunHasNoViolations(t *testing.T) {
 	assert.Equal(t, len(passingRun().Check()), 0, "%v", passingRun().Check())
 }
 
 // Each check reports the violation injected for it, and no other check does.
-func TestEachCheckFindsItsPlantedFault(t *testing.T) {
+func TestEachCheckFindsItsViolation(t *testing.T) {
 	for _, c := range []struct {
 		invariant string
 		inject    func(*Observations)
@@ -74,7 +74,7 @@
 
 // A change that is late within three seconds of a fault, or a connection that breaks when
 // its host is killed, is no violation.
-func TestFaultsExcuseWhatTheyMust(t *testing.T) {
+func TestFaultsExcuseViolations(t *testing.T) {
 	r := passingRun()
 	r.Acked = []AckedChange{{Version: 5, At: 12 * second}}
 	r.Samples = []Sample{{Host: 0, QueriedAt: 14900 * time.Millisecond, Version: 3}}
@@ -90,7 +90,7 @@
 
 // A seed always yields the same schedule. Faults overlap, leave the end of the run free of
 // faults, and never take down more than half of the processes at once.
-func TestSchedulesAreSeededAndBounded(t *testing.T) {
+func TestScheduleIsSeededAndBounded(t *testing.T) {
 	const hosts, length = 9, 30 * second
 	seen := make(map[FaultKind]int)
 	for seed := range uint64(200) {
--- a/internal/soak/report.go
+++ b/internal/soak/report.go
@@ -41,10 +41,10 @@
 // maxHosts limits the hosts of a run to the addresses and processes that one machine offers.
 const maxHosts = 90
 
-// Seeds runs count consecutive seeds, starting at cfg.Seed, and writes a report of each.
+// RunSeeds runs count consecutive seeds, starting at cfg.Seed, and writes a report of each.
 // The logs of seeds with violations are saved in logDir, unless it is empty.
-func Seeds(ctx context.Context, out io.Writer, cfg Config, count int, logDir string) error {
-	if cfg.Hosts < dcs || cfg.Hosts > maxHosts || cfg.Length < 2*faultFreeEnd {
+func RunSeeds(ctx context.Context, out io.Writer, cfg Config, count int, logDir string) error {
+	if cfg.Hosts < dcs || cfg.Hosts > maxHosts || cfg.Duration < 2*faultFreeEnd {
 		return errors.Errorf("soak: hosts must be between %d and %d, and the run time at least %s", dcs, maxHosts, 2*faultFreeEnd)
 	}
 	failed := 0
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -26,13 +26,13 @@
 // Config describes one run.
 type Config struct {
 	// Bin is the directory of the built programs.
-	Bin    string
-	Seed   uint64
-	Hosts  int
-	Length time.Duration
-	// Net is the third octet of the addresses, 127.0.Net.x, so that concurrent runs and
+	Bin      string
+	Seed     uint64
+	Hosts    int
+	Duration time.Duration
+	// NetOctet is the third octet of the addresses, 127.0.NetOctet.x, so that concurrent runs and
 	// tests do not collide.
-	Net int
+	NetOctet int
 	// Logs receives the output of the processes.
 	Logs io.Writer
 }
@@ -91,7 +91,7 @@
 	}
 	defer func() { _ = os.RemoveAll(dir) }()
 	r := &run{cfg: cfg, fleet: lab.NewFleet(ctx, cfg.Bin, dir, cfg.Logs), incarnations: make([]int, cfg.Hosts)}
-	r.observed = Observations{Runs: make(map[string]int), Length: cfg.Length, ApplyWithin: applyWithin}
+	r.observed = Observations{Runs: make(map[string]int), Length: cfg.Duration, ApplyWithin: applyWithin}
 	defer r.stop()
 	if err := r.startFleet(ctx); err != nil {
 		return nil, err
@@ -127,7 +127,7 @@
 		}
 		n := &node{link: link}
 		r.nodes = append(r.nodes, n)
-		r.fleet.Via = "http://" + link.listener.Addr().String()
+		r.fleet.PlatformURL = "http://" + link.listener.Addr().String()
 		if n.host, err = r.fleet.StartHost(fmt.Sprintf("h%02d", i), fmt.Sprintf("dc%d", i%dcs), r.address(10+i), settings); err != nil {
 			return err
 		}
@@ -135,14 +135,14 @@
 			return err
 		}
 	}
-	return r.fleet.UntilServing(startTimeout, map[string]int{service: r.cfg.Hosts})
+	return r.fleet.WaitUntilServing(startTimeout, map[string]int{service: r.cfg.Hosts})
 }
 
-func (r *run) address(n int) string { return fmt.Sprintf("127.0.%d.%d", r.cfg.Net, n) }
+func (r *run) address(n int) string { return fmt.Sprintf("127.0.%d.%d", r.cfg.NetOctet, n) }
 
 // runTraffic runs traffic, changes and faults for the length of the run.
 func (r *run) runTraffic(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, r.cfg.Length)
+	ctx, cancel := context.WithTimeout(ctx, r.cfg.Duration)
 	defer cancel()
 	r.startTime = time.Now()
 	var wg sync.WaitGroup
@@ -154,7 +154,7 @@
 	}
 	wg.Go(func() { r.writeChanges(ctx) })
 	wg.Go(func() { r.sendFatalRequests(ctx) })
-	for _, f := range Schedule(r.cfg.Seed, r.cfg.Hosts, r.cfg.Length) {
+	for _, f := range Schedule(r.cfg.Seed, r.cfg.Hosts, r.cfg.Duration) {
 		wg.Go(func() { r.inject(ctx, f) })
 	}
 	wg.Wait()
@@ -182,7 +182,7 @@
 	index := len(r.observed.Faults)
 	// The fault counts as active until its actual end is recorded.
 	lasting := f
-	lasting.Length = r.cfg.Length
+	lasting.Length = r.cfg.Duration
 	r.observed.Faults = append(r.observed.Faults, lasting)
 	r.mu.Unlock()
 	sleep.For(ctx, endAt-f.At)
@@ -210,8 +210,8 @@
 		n.link.setMode(f.Kind)
 		return func() { n.link.setMode("") }
 	case TargetFails, TargetSlow, TargetCuts:
-		_ = n.target.Set(behaviours[f.Kind])
-		return func() { _ = n.target.Set(target.Behaviour{Mode: target.Good}) }
+		_ = n.target.SetBehaviour(behaviours[f.Kind])
+		return func() { _ = n.target.SetBehaviour(target.Behaviour{Mode: target.Good}) }
 	default:
 		_ = r.fleet.SetPlatformFaults(platformFaults[f.Kind])
 		return func() { _ = r.fleet.SetPlatformFaults(platformd.Faults{}) }
@@ -319,14 +319,14 @@
 func (r *run) sendFatalRequests(ctx context.Context) {
 	rng := rand.New(rand.NewPCG(r.cfg.Seed, 2))
 	client := &http.Client{Timeout: callerTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
-	if !sleep.For(ctx, time.Duration(fatalStartShare*float64(r.cfg.Length))) {
+	if !sleep.For(ctx, time.Duration(fatalStartShare*float64(r.cfg.Duration))) {
 		return
 	}
 	var wg sync.WaitGroup
 	for n := 0; sleep.For(ctx, time.Duration(rng.ExpFloat64()*float64(meanFatalInterval))); n++ {
 		req := Request{Mark: fmt.Sprintf("fatal-%d", n), Host: rng.IntN(r.cfg.Hosts), Fatal: true, Idempotent: true, Sent: r.elapsed()}
 		wg.Go(func() {
-			r.send(client, &req, "/plans"+target.FatalPath)
+			r.send(client, &req, "/plans"+target.CrashPathSuffix)
 			req.Done = r.elapsed()
 			r.mu.Lock()
 			defer r.mu.Unlock()
@@ -343,7 +343,7 @@
 	if req.Idempotent {
 		method = http.MethodGet
 	}
-	out, err := http.NewRequest(method, "http://"+r.nodes[req.Host].host.Callers()+path, nil)
+	out, err := http.NewRequest(method, "http://"+r.nodes[req.Host].host.CallersAddress()+path, nil)
 	if err != nil {
 		panic("soak: " + err.Error())
 	}
@@ -372,7 +372,7 @@
 		for mark, count := range runs.ByMark {
 			r.observed.Runs[mark] += count
 		}
-		for _, ms := range runs.Ends {
+		for _, ms := range runs.CrashTimes {
 			r.observed.Ends = append(r.observed.Ends, time.UnixMilli(ms).Sub(r.startTime))
 		}
 	}
--- a/internal/soak/run_test.go
+++ b/internal/soak/run_test.go
@@ -15,13 +15,13 @@
 )
 
 // A short run of a seed with every class of fault. Long runs are started manually.
-func TestAShortSoakKeepsThePromises(t *testing.T) {
+func TestShortSoakHasNoViolations(t *testing.T) {
 	bin := t.TempDir()
 	build := exec.Command("go", "build", "-o", bin, "../../cmd/...")
 	out, err := build.CombinedOutput()
 	assert.NilError(t, err, "%s", out)
 	logs := &logtest.Buffer{}
-	r, err := Run(context.Background(), Config{Bin: bin, Seed: 7, Hosts: 6, Length: 20 * time.Second, Net: 71, Logs: logs})
+	r, err := Run(context.Background(), Config{Bin: bin, Seed: 7, Hosts: 6, Duration: 20 * time.Second, NetOctet: 71, Logs: logs})
 	assert.NilError(t, err)
 	var report bytes.Buffer
 	violations := r.Report(&report, 7)
--- a/internal/standin/platformd/server.go
+++ b/internal/standin/platformd/server.go
@@ -23,9 +23,9 @@
 	// Silent accepts calls and never responds to them, nor to calls in progress.
 	// Their connections stay open and get no response even after Silent is cleared.
 	Silent bool `json:"silent"`
-	// LoseAnswers is the number of writes whose response is dropped. The writes
+	// DropResponses is the number of writes whose response is dropped. The writes
 	// themselves are still processed.
-	LoseAnswers int `json:"loseAnswers"`
+	DropResponses int `json:"loseAnswers"`
 }
 
 // Counts are the numbers of calls that the stand-in has received.
@@ -133,10 +133,10 @@
 func (s *Server) dropResponse() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.faults.LoseAnswers <= 0 {
+	if s.faults.DropResponses <= 0 {
 		return false
 	}
-	s.faults.LoseAnswers--
+	s.faults.DropResponses--
 	return true
 }
 
@@ -162,7 +162,7 @@
 }
 
 func (s *Server) put(w http.ResponseWriter, r *http.Request) {
-	value, err := io.ReadAll(http.MaxBytesReader(w, r.Body, record.MaxSize))
+	value, err := io.ReadAll(http.MaxBytesReader(w, r.Body, record.MaxRecordBytes))
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusRequestEntityTooLarge)
 		return
--- a/internal/standin/target/fatal.go
+++ b/internal/standin/target/fatal.go
@@ -9,10 +9,10 @@
 	"time"
 )
 
-// FatalPath is the path suffix of requests that make the stand-in simulate a crash: it
+// CrashPathSuffix is the path suffix of requests that make the stand-in simulate a crash: it
 // closes its connections and its port refuses new ones. After Config.DownFor it listens
 // again under another instance name and keeps its counters.
-const FatalPath = "/fatal"
+const CrashPathSuffix = "/fatal"
 
 const (
 	// crashDelay is how long such a request runs before the crash.
@@ -35,7 +35,7 @@
 	}
 	s.crashTimes = append(s.crashTimes, time.Now().UnixMilli())
 	s.closeServer()
-	time.AfterFunc(cmp.Or(s.cfg.DownFor, defaultDownFor), s.restart)
+	time.AfterFunc(cmp.Or(s.cfg.Downtime, defaultDownFor), s.restart)
 }
 
 // serveOn starts to serve on a listener and counts a start.
--- a/internal/standin/target/target.go
+++ b/internal/standin/target/target.go
@@ -68,8 +68,8 @@
 	// lognormal distribution; Spread is the standard deviation of the logarithm.
 	ServiceTime time.Duration
 	Spread      float64
-	// DownFor is how long the stand-in is down after a simulated crash; 0 means 2 s.
-	DownFor time.Duration
+	// Downtime is how long the stand-in is down after a simulated crash; 0 means 2 s.
+	Downtime time.Duration
 }
 
 // Server is a running stand-in.
@@ -139,8 +139,8 @@
 	s.announce(context.Background())
 }
 
-// Set replaces the behaviour.
-func (s *Server) Set(b Behaviour) {
+// SetBehaviour replaces the behaviour.
+func (s *Server) SetBehaviour(b Behaviour) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.behaviour, s.behaviourSince = b, time.Now()
@@ -152,9 +152,9 @@
 	ByMark     map[string]int `json:"byMark"`
 	Total      int            `json:"total"`
 	MaxRunning int            `json:"maxRunning"`
-	// Ends are the times at which a request for a FatalPath crashed the stand-in, in
+	// CrashTimes are the times at which a request for a FatalPath crashed the stand-in, in
 	// Unix milliseconds.
-	Ends []int64 `json:"ends,omitempty"`
+	CrashTimes []int64 `json:"ends,omitempty"`
 	// PID is the id of the process that responds.
 	PID int `json:"pid"`
 }
@@ -163,7 +163,7 @@
 func (s *Server) Runs() Runs {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	out := Runs{ByMark: make(map[string]int, len(s.runs)), Total: s.totalRuns, MaxRunning: s.maxRunning, Ends: s.crashTimes, PID: os.Getpid()}
+	out := Runs{ByMark: make(map[string]int, len(s.runs)), Total: s.totalRuns, MaxRunning: s.maxRunning, CrashTimes: s.crashTimes, PID: os.Getpid()}
 	for k, v := range s.runs {
 		out.ByMark[k] = v
 	}
@@ -176,7 +176,7 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	s.Set(b)
+	s.SetBehaviour(b)
 	w.WriteHeader(http.StatusNoContent)
 }
 
@@ -189,7 +189,7 @@
 
 // serve handles a request: it waits for the service time and then responds.
 func (s *Server) serve(w http.ResponseWriter, r *http.Request) {
-	if strings.HasSuffix(r.URL.Path, FatalPath) {
+	if strings.HasSuffix(r.URL.Path, CrashPathSuffix) {
 		s.crash(r)
 		return
 	}
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -13,11 +13,11 @@
 
 // Paths of the admin endpoints.
 const (
-	PathState   = "/v1/state"
-	PathStatus  = "/v1/status"
-	PathExplain = "/v1/explain"
-	PathReady   = "/ready"
-	PathMetrics = "/metrics"
+	StatePath   = "/v1/state"
+	StatusPath  = "/v1/status"
+	ExplainPath = "/v1/explain"
+	ReadyPath   = "/ready"
+	MetricsPath = "/metrics"
 )
 
 // Dump is the full state of one process, served at PathState.
--- a/internal/targetconn/exchange.go
+++ b/internal/targetconn/exchange.go
@@ -28,9 +28,9 @@
 	Length int64
 }
 
-// Answer is the target's response. Its body must be read to the end or closed; an
+// Response is the target's response. Its body must be read to the end or closed; an
 // error while reading it means that the response is incomplete.
-type Answer struct {
+type Response struct {
 	Status int
 	Header http.Header
 	// Length is the declared length in bytes, -1 if none is declared.
@@ -42,9 +42,9 @@
 type Error struct {
 	// Sent is set if any part of the request was sent: the target may have run it.
 	Sent bool
-	// Foreign is set if responses arrived that belong to other requests.
-	Foreign bool
-	Cause   error
+	// Mismatched is set if responses arrived that belong to other requests.
+	Mismatched bool
+	Cause      error
 }
 
 // Error implements the error interface.
@@ -74,7 +74,7 @@
 
 // Do sends a request and waits for the header of its response. The context applies
 // to the whole exchange, including the reading of the response body.
-func (p *Pool) Do(ctx context.Context, r *Request) (*Answer, error) {
+func (p *Pool) Do(ctx context.Context, r *Request) (*Response, error) {
 	c, err := p.acquire(ctx)
 	if err != nil {
 		return nil, &Error{Cause: err}
@@ -102,7 +102,7 @@
 	keepAlive   bool
 }
 
-func (x *exchange) run() (*Answer, error) {
+func (x *exchange) run() (*Response, error) {
 	if err := x.write(); err != nil {
 		return nil, err
 	}
@@ -110,7 +110,7 @@
 	for range maxStrayResponses + 1 {
 		resp, err := x.readHead()
 		if err != nil {
-			return nil, &Error{Sent: true, Foreign: mismatched, Cause: err}
+			return nil, &Error{Sent: true, Mismatched: mismatched, Cause: err}
 		}
 		if x.matches(resp) {
 			return x.newResponse(resp), nil
@@ -120,7 +120,7 @@
 			break
 		}
 	}
-	return nil, &Error{Sent: true, Foreign: true, Cause: errMismatched}
+	return nil, &Error{Sent: true, Mismatched: true, Cause: errMismatched}
 }
 
 // matches reports whether a response belongs to this request. If targets echo request
@@ -149,20 +149,20 @@
 	}
 }
 
-func (x *exchange) newResponse(resp *http.Response) *Answer {
+func (x *exchange) newResponse(resp *http.Response) *Response {
 	x.keepAlive = !resp.Close
 	x.conn.idleUntil = time.Now().Add(x.pool.idleTimeout(resp.Header))
 	body := &body{exchange: x, src: resp.Body}
 	if resp.Body == http.NoBody {
 		body.close(true)
 	}
-	return &Answer{Status: resp.StatusCode, Header: resp.Header, Length: resp.ContentLength, Body: body}
+	return &Response{Status: resp.StatusCode, Header: resp.Header, Length: resp.ContentLength, Body: body}
 }
 
 // idleTimeout returns how long the connection may stay idle: the configured time, or the
 // target's Keep-Alive timeout minus keepAliveMargin if that is shorter.
 func (p *Pool) idleTimeout(h http.Header) time.Duration {
-	timeout := p.cfg.Idle
+	timeout := p.cfg.IdleTimeout
 	for _, part := range strings.Split(h.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
 		seconds, err := strconv.Atoi(value)
--- a/internal/targetconn/exchange_test.go
+++ b/internal/targetconn/exchange_test.go
@@ -38,9 +38,9 @@
 			_ = nc.Close()
 		}
 	}()
-	p := New(Config{Address: l.Addr().String(), MaxConns: 4, Idle: time.Minute, DialTimeout: time.Second, EchoesRequestID: true})
+	p := New(Config{Address: l.Addr().String(), MaxConns: 4, IdleTimeout: time.Minute, DialTimeout: time.Second, EchoesRequestID: true})
 	t.Cleanup(func() {
-		p.CloseIdle()
+		p.Close()
 		_ = l.Close()
 		<-done
 	})
@@ -160,7 +160,7 @@
 	})
 	_, err := do(t, p, get("1"))
 	e := requireError(t, err)
-	assert.Assert(t, e.Sent && e.Foreign)
+	assert.Assert(t, e.Sent && e.Mismatched)
 }
 
 // An error response need not echo the request ID; a successful response must.
@@ -188,7 +188,7 @@
 	assert.NilError(t, err)
 	closed := l.Addr().String()
 	assert.NilError(t, l.Close())
-	p = New(Config{Address: closed, MaxConns: 1, Idle: time.Minute, DialTimeout: time.Second})
+	p = New(Config{Address: closed, MaxConns: 1, IdleTimeout: time.Minute, DialTimeout: time.Second})
 	_, err = do(t, p, get("1"))
 	assert.Assert(t, !requireError(t, err).Sent)
 	_, err = do(t, p, get("1"))
@@ -334,7 +334,7 @@
 }
 
 func TestTargetKeepAliveTimeoutIsHonoured(t *testing.T) {
-	p := New(Config{Idle: 9 * time.Second})
+	p := New(Config{IdleTimeout: 9 * time.Second})
 	for header, want := range map[string]time.Duration{
 		"": 9 * time.Second, "timeout=2": 2*time.Second - keepAliveMargin, "timeout=60": 9 * time.Second, "max=5, timeout=3": 3*time.Second - keepAliveMargin,
 	} {
--- a/internal/targetconn/pool.go
+++ b/internal/targetconn/pool.go
@@ -22,10 +22,10 @@
 	// MaxConns is the maximum number of open connections. A request that would need
 	// one more fails without being sent.
 	MaxConns int
-	// Idle is how long an idle connection is kept; a shorter timeout in the target's
+	// IdleTimeout is how long an idle connection is kept; a shorter timeout in the target's
 	// Keep-Alive header takes precedence. A longer time saves new connections, but
 	// it should stay below the target's own idle timeout.
-	Idle time.Duration
+	IdleTimeout time.Duration
 	// DialTimeout is the timeout of one connection attempt.
 	DialTimeout time.Duration
 	// Dial replaces the default TCP dialer; nil uses the default.
@@ -48,9 +48,9 @@
 // New returns a Pool without connections.
 func New(cfg Config) *Pool { return &Pool{cfg: cfg} }
 
-// CloseIdle closes the idle connections now, and each other connection when its
+// Close closes the idle connections now, and each other connection when its
 // request has ended.
-func (p *Pool) CloseIdle() {
+func (p *Pool) Close() {
 	p.mu.Lock()
 	idle := p.idle
 	p.idle, p.closed = nil, true
@@ -151,7 +151,7 @@
 	if err != nil {
 		return err
 	}
-	c.idleUntil = time.Now().Add(p.cfg.Idle)
+	c.idleUntil = time.Now().Add(p.cfg.IdleTimeout)
 	p.release(c)
 	return nil
 }
--- a/internal/teams/teams.go
+++ b/internal/teams/teams.go
@@ -38,8 +38,8 @@
 	overAsRate       = 0.3
 )
 
-// Rates enforces the rate limits of teams. It is safe for concurrent use.
-type Rates struct {
+// RateLimiter enforces the rate limits of teams. It is safe for concurrent use.
+type RateLimiter struct {
 	cfg   Config
 	teams atomic.Pointer[map[string]*record.Team]
 
@@ -57,8 +57,8 @@
 }
 
 // New returns the Rates of one host; SetHosts adds the others.
-func New(cfg Config) *Rates {
-	r := &Rates{cfg: cfg, waiters: make(map[uint32]*waiter)}
+func New(cfg Config) *RateLimiter {
+	r := &RateLimiter{cfg: cfg, waiters: make(map[uint32]*waiter)}
 	r.teams.Store(&map[string]*record.Team{})
 	r.node = quota.New(quota.Config{
 		Host: cfg.Host, Incarnation: cfg.Incarnation, Limit: r.limit,
@@ -68,10 +68,10 @@
 }
 
 // SetTeams sets the teams in force. The map must not be modified afterwards.
-func (r *Rates) SetTeams(teams map[string]*record.Team) { r.teams.Store(&teams) }
+func (r *RateLimiter) SetTeams(teams map[string]*record.Team) { r.teams.Store(&teams) }
 
 // limit returns a team's limit, or false if it has none.
-func (r *Rates) limit(team string) (quota.Limit, bool) {
+func (r *RateLimiter) limit(team string) (quota.Limit, bool) {
 	t, ok := (*r.teams.Load())[team]
 	if !ok || t.RatePerSecond == 0 {
 		return quota.Limit{}, false
@@ -85,7 +85,7 @@
 
 // SetHosts sets the live hosts, and the number of known hosts, including those that died
 // recently.
-func (r *Rates) SetHosts(alive []quota.Host, known int) {
+func (r *RateLimiter) SetHosts(alive []quota.Host, known int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if known == r.knownHosts && slices.Equal(alive, r.hosts) {
@@ -98,7 +98,7 @@
 // Admit decides whether a request of a team may run, and otherwise returns when to retry.
 // It blocks while the home of the team's account is queried. limited reports whether the
 // team has a limit: an admitted request then counts, and Return may take it back.
-func (r *Rates) Admit(ctx context.Context, team string) (ok, limited bool, wait time.Duration) {
+func (r *RateLimiter) Admit(ctx context.Context, team string) (ok, limited bool, wait time.Duration) {
 	limit, limited := r.limit(team)
 	if !limited {
 		return true, false, 0
@@ -126,7 +126,7 @@
 }
 
 // abandon drops the waiter of a request that was cancelled; a grant is returned.
-func (r *Rates) abandon(queryID uint32, w *waiter) {
+func (r *RateLimiter) abandon(queryID uint32, w *waiter) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if _, pending := r.waiters[queryID]; pending {
@@ -139,14 +139,14 @@
 }
 
 // Release takes back an admitted request that did not run.
-func (r *Rates) Release(team string) {
+func (r *RateLimiter) Release(team string) {
 	r.mu.Lock()
 	r.node.Release(time.Now(), team)
 	r.mu.Unlock()
 }
 
 // Receive processes a datagram from another host.
-func (r *Rates) Receive(p *msg.TeamPacket) {
+func (r *RateLimiter) Receive(p *msg.TeamPacket) {
 	r.mu.Lock()
 	r.node.Step(time.Now(), p)
 	out := r.deliverAnswers()
@@ -155,7 +155,7 @@
 }
 
 // Tick handles timeouts and due messages; it must be called about every 50 ms.
-func (r *Rates) Tick() {
+func (r *RateLimiter) Tick() {
 	r.mu.Lock()
 	r.node.Tick(time.Now())
 	out := r.deliverAnswers()
@@ -165,7 +165,7 @@
 
 // deliverAnswers delivers the node's answers and returns its datagrams. The caller holds
 // the lock.
-func (r *Rates) deliverAnswers() []quota.Outbound {
+func (r *RateLimiter) deliverAnswers() []quota.Outbound {
 	out, answers := r.node.Take()
 	for _, a := range answers {
 		w, ok := r.waiters[a.QueryID]
@@ -183,7 +183,7 @@
 	return out
 }
 
-func (r *Rates) send(out []quota.Outbound) {
+func (r *RateLimiter) send(out []quota.Outbound) {
 	for _, o := range out {
 		r.cfg.Send(o.To, o.Packet)
 	}
@@ -193,7 +193,7 @@
 type State = quota.State
 
 // State returns the accounts of this host, for operators.
-func (r *Rates) State() []State {
+func (r *RateLimiter) State() []State {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.node.State(time.Now())
--- a/internal/teams/teams_test.go
+++ b/internal/teams/teams_test.go
@@ -62,12 +62,12 @@
 
 // pair is two hosts whose datagrams arrive after a delay, or not at all.
 type pair struct {
-	rates   map[string]*Rates
+	rates   map[string]*RateLimiter
 	blocked bool
 }
 
 func newPair(delay time.Duration) *pair {
-	p := &pair{rates: make(map[string]*Rates)}
+	p := &pair{rates: make(map[string]*RateLimiter)}
 	for _, name := range []string{"h1", "h2"} {
 		p.rates[name] = New(Config{Host: name, Send: func(to string, m *msg.TeamPacket) {
 			if p.blocked {
@@ -87,7 +87,7 @@
 }
 
 // notHome returns the host that is not the home of the team's account.
-func (p *pair) notHome() *Rates {
+func (p *pair) notHome() *RateLimiter {
 	r := p.rates["h1"]
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/wire/conn.go
+++ b/internal/wire/conn.go
@@ -225,7 +225,7 @@
 // opensStream reports whether a message of kind k may be the first of a stream.
 func opensStream(k msg.Kind) bool {
 	switch k {
-	case msg.KindReserve, msg.KindRun, msg.KindKeyClaim, msg.KindKeyDone, msg.KindPromise, msg.KindHandover:
+	case msg.KindReserve, msg.KindRun, msg.KindKeyClaim, msg.KindKeyResult, msg.KindLeaseRequest, msg.KindHandover:
 		return true
 	default:
 		return false
--- a/internal/wire/liveness.go
+++ b/internal/wire/liveness.go
@@ -39,9 +39,9 @@
 	return l.nextFrame
 }
 
-// Doubt marks the connection as suspect: an expected frame did not arrive in time. The
+// MarkSuspect marks the connection as suspect: an expected frame did not arrive in time. The
 // connection stays open for the streams on it, but new work should use another one.
-func (c *Conn) Doubt() {
+func (c *Conn) MarkSuspect() {
 	if !c.liveness.suspect.Swap(true) && c.handlers.OnSuspect != nil {
 		c.handlers.OnSuspect()
 	}
--- a/record/configuration.go
+++ b/record/configuration.go
@@ -119,6 +119,6 @@
 	var nested fieldErrors
 	s.validate(&nested)
 	for _, e := range nested.list {
-		f.add(path+"."+e.Field, e.Wrong, e.Remedy)
+		f.add(path+"."+e.Field, e.Problem, e.Remedy)
 	}
 }
--- a/record/record.go
+++ b/record/record.go
@@ -38,9 +38,9 @@
 var OperatorKinds = []Kind{KindService, KindRoute, KindTeam, KindStop, KindConfiguration}
 
 const (
-	// MaxSize is the largest record that may be written, in bytes: the platform
+	// MaxRecordBytes is the largest record that may be written, in bytes: the platform
 	// stores values of up to 1 MB.
-	MaxSize = 1 << 20
+	MaxRecordBytes = 1 << 20
 	// maxParsedBytes is the largest record that is read. It is larger than MaxSize
 	// because a Configuration in a platform's own, more compact format grows when it
 	// is converted to a record.
@@ -105,45 +105,45 @@
 	Spec          json.RawMessage `json:"spec"`
 }
 
-// TooNewError reports a record whose schema version is newer than this program supports.
-type TooNewError struct {
+// SchemaTooNewError reports a record whose schema version is newer than this program supports.
+type SchemaTooNewError struct {
 	Key    Key
 	Got    int
 	Newest int
 }
 
 // Error implements the error interface.
-func (e *TooNewError) Error() string {
+func (e *SchemaTooNewError) Error() string {
 	return fmt.Sprintf("%s: schemaVersion %d is newer than %d, the newest this program reads; upgrade it, or write schemaVersion %d",
 		e.Key, e.Got, e.Newest, e.Newest)
 }
 
 // InvalidError lists every invalid field of one record.
 type InvalidError struct {
-	Key    Key
-	Faults []Fault
+	Key         Key
+	FieldErrors []FieldError
 }
 
-// Fault describes one invalid field and what to write instead.
-type Fault struct {
-	Field  string `json:"field"`
-	Wrong  string `json:"wrong"`
-	Remedy string `json:"remedy"`
+// FieldError describes one invalid field and what to write instead.
+type FieldError struct {
+	Field   string `json:"field"`
+	Problem string `json:"wrong"`
+	Remedy  string `json:"remedy"`
 }
 
 // Error implements the error interface.
 func (e *InvalidError) Error() string {
-	lines := make([]string, 0, len(e.Faults))
-	for _, f := range e.Faults {
-		lines = append(lines, fmt.Sprintf("%s: spec.%s: %s; %s", e.Key, f.Field, f.Wrong, f.Remedy))
+	lines := make([]string, 0, len(e.FieldErrors))
+	for _, f := range e.FieldErrors {
+		lines = append(lines, fmt.Sprintf("%s: spec.%s: %s; %s", e.Key, f.Field, f.Problem, f.Remedy))
 	}
 	return strings.Join(lines, "\n")
 }
 
-type fieldErrors struct{ list []Fault }
+type fieldErrors struct{ list []FieldError }
 
 func (f *fieldErrors) add(field, wrong, remedy string) {
-	f.list = append(f.list, Fault{Field: field, Wrong: wrong, Remedy: remedy})
+	f.list = append(f.list, FieldError{Field: field, Problem: wrong, Remedy: remedy})
 }
 
 // Parse decodes and validates one record. It returns a *TooNewError, an
@@ -171,7 +171,7 @@
 	var f fieldErrors
 	spec.validate(&f)
 	if len(f.list) > 0 {
-		return nil, &InvalidError{Key: key, Faults: f.list}
+		return nil, &InvalidError{Key: key, FieldErrors: f.list}
 	}
 	return &Record{
 		Key: key, SchemaVersion: doc.SchemaVersion, Version: doc.Version, Writer: doc.Writer, Spec: spec,
@@ -181,11 +181,11 @@
 // Marshal encodes a record as it is stored: in the newest schema version and
 // without the version field, which the platform stores separately.
 func Marshal(key Key, spec Spec) ([]byte, error) {
-	return MarshalBy(key, spec, "")
+	return MarshalWithWriter(key, spec, "")
 }
 
-// MarshalBy is like Marshal and sets the writer field.
-func MarshalBy(key Key, spec Spec, writer string) ([]byte, error) {
+// MarshalWithWriter is like Marshal and sets the writer field.
+func MarshalWithWriter(key Key, spec Spec, writer string) ([]byte, error) {
 	raw, err := json.Marshal(spec)
 	if err != nil {
 		return nil, errors.Wrapf(err, "encode %s", key)
@@ -194,9 +194,9 @@
 	return json.Marshal(doc)
 }
 
-// Edit returns a stored record in the form that an operator edits: indented, with
+// MarshalForEdit returns a stored record in the form that an operator edits: indented, with
 // the version that the edit is based on and without the writer field.
-func Edit(value []byte, version int64) ([]byte, error) {
+func MarshalForEdit(value []byte, version int64) ([]byte, error) {
 	var doc document
 	if err := json.Unmarshal(value, &doc); err != nil {
 		return nil, errors.Wrap(err, "decode stored record")
--- a/record/record_test.go
+++ b/record/record_test.go
@@ -36,7 +36,7 @@
 	assert.DeepEqual(t, v1.Spec, v2.Spec)
 
 	_, err = Parse([]byte(`{"kind":"Service","name":"x","schemaVersion":3,"spec":{}}`))
-	var tooNew *TooNewError
+	var tooNew *SchemaTooNewError
 	assert.Assert(t, errors.As(err, &tooNew))
 	assert.Equal(t, tooNew.Newest, 2)
 }
--- a/record/route.go
+++ b/record/route.go
@@ -19,7 +19,7 @@
 	Service string `json:"service,omitempty"`
 	// Split divides the requests among several services by weight. Requests that
 	// one of them cannot take are rejected, not sent to another.
-	Split []Part `json:"split,omitempty"`
+	Split []WeightedService `json:"split,omitempty"`
 	// Idempotent is "yes", "no", or empty to decide by the method.
 	Idempotent string `json:"idempotent,omitempty"`
 	// TimeoutMS is the time limit for a request from its arrival, in milliseconds;
@@ -39,8 +39,8 @@
 	Open bool `json:"open,omitempty"`
 }
 
-// Part is one service's share of a route.
-type Part struct {
+// WeightedService is one service's share of a route.
+type WeightedService struct {
 	// Service is the name of the Service record.
 	Service string `json:"service"`
 	// Weight is the share of requests, relative to the sum of the route's weights;
@@ -111,12 +111,12 @@
 	}
 }
 
-// Parts returns the services that the route sends requests to, with their weights.
-func (r *Route) Parts() []Part {
+// WeightedServices returns the services that the route sends requests to, with their weights.
+func (r *Route) WeightedServices() []WeightedService {
 	if len(r.Split) > 0 {
 		return r.Split
 	}
-	return []Part{{Service: r.Service, Weight: 1}}
+	return []WeightedService{{Service: r.Service, Weight: 1}}
 }
 
 // Attempts returns the maximum number of instances that one request is sent to.
--- a/record/schema.go
+++ b/record/schema.go
@@ -22,7 +22,7 @@
 		return nil, errors.Errorf("%s: schemaVersion %d is not a version; write %d", key, version, newest)
 	}
 	if version > newest {
-		return nil, &TooNewError{Key: key, Got: version, Newest: newest}
+		return nil, &SchemaTooNewError{Key: key, Got: version, Newest: newest}
 	}
 	if len(raw) == 0 {
 		return nil, errors.Errorf("%s: spec is missing; see docs/operate/records.md for an example", key)
--- a/record/service.go
+++ b/record/service.go
@@ -77,13 +77,13 @@
 	return float64(orDefault(s.RetryPercent, DefaultRetryPercent)) / 100
 }
 
-// AnswerBuffer returns the response buffer size in bytes.
-func (s *Service) AnswerBuffer() int {
+// AnswerBufferBytes returns the response buffer size in bytes.
+func (s *Service) AnswerBufferBytes() int {
 	return orDefault(s.AnswerBufferKB, DefaultAnswerBufferKB) << 10
 }
 
-// Shards returns the number of shards for idempotency keys.
-func (s *Service) Shards() uint32 { return uint32(orDefault(s.KeyShards, DefaultKeyShards)) }
+// KeyShardCount returns the number of shards for idempotency keys.
+func (s *Service) KeyShardCount() uint32 { return uint32(orDefault(s.KeyShards, DefaultKeyShards)) }
 
 // KeyWindow returns how long an idempotency key is remembered after its request has
 // finished.
--- a/record/system.go
+++ b/record/system.go
@@ -27,9 +27,9 @@
 	// Guards are the hosts that promise shards to their owners: an owner has
 	// authority while it holds promises from a majority of them.
 	Guards []string `json:"guards"`
-	// Prev are the guards before the last change. Until every shard's owner has had
+	// PrevGuards are the guards before the last change. Until every shard's owner has had
 	// authority under both sets, an owner needs a majority of each.
-	Prev []string `json:"prev,omitempty"`
+	PrevGuards []string `json:"prev,omitempty"`
 	// Shards has one entry per shard, in shard order.
 	Shards []Shard `json:"shards"`
 	// Nonce identifies the write, so that a writer that got no response can tell
@@ -45,9 +45,9 @@
 	Incarnation uint64 `json:"life"`
 	// Epoch increases by one with every change of the owner or the guards.
 	Epoch uint64 `json:"epoch"`
-	// Held is the latest epoch in which the owner is known to have had authority
+	// HeldEpoch is the latest epoch in which the owner is known to have had authority
 	// under both Guards and Prev.
-	Held uint64 `json:"held,omitempty"`
+	HeldEpoch uint64 `json:"held,omitempty"`
 }
 
 func (m *ShardMap) validate(f *fieldErrors) {
@@ -67,12 +67,12 @@
 type Crasher struct {
 	// Request is the method, host and path of the request that last crashed an instance.
 	Request string `json:"request"`
-	// Ends are the instance ends that are attributed to the request.
-	Ends []InstanceEnd `json:"ends"`
+	// Crashes are the instance ends that are attributed to the request.
+	Crashes []InstanceCrash `json:"ends"`
 }
 
-// InstanceEnd is the end of one run of an instance, from its start until it is gone.
-type InstanceEnd struct {
+// InstanceCrash is the end of one run of an instance, from its start until it is gone.
+type InstanceCrash struct {
 	// ID identifies the run of the instance in the fleet.
 	ID string `json:"id"`
 	// Service and Version are those of the instance.
@@ -85,10 +85,10 @@
 }
 
 func (c *Crasher) validate(f *fieldErrors) {
-	if len(c.Ends) == 0 {
+	if len(c.Crashes) == 0 {
 		f.add("ends", "is empty", "the system writes this record itself; delete it")
 	}
-	for _, e := range c.Ends {
+	for _, e := range c.Crashes {
 		if e.ID == "" {
 			f.add("ends", "contains an entry without id", "the system writes this record itself; delete it")
 		}
@@ -107,13 +107,13 @@
 	// Hosts is the number of live hosts in the data centre.
 	Hosts int `json:"hosts"`
 	// InForce counts the hosts by the root hash of the record set they have in force.
-	InForce []InForce `json:"inForce"`
+	InForce []HostsInForce `json:"inForce"`
 	// Rejected lists the records that hosts have rejected, and why.
 	Rejected []Rejected `json:"rejected,omitempty"`
 }
 
-// InForce describes the hosts that have one record set in force.
-type InForce struct {
+// HostsInForce describes the hosts that have one record set in force.
+type HostsInForce struct {
 	Revision int64    `json:"revision"`
 	Root     string   `json:"root"`
 	Hosts    int      `json:"hosts"`
--- a/record/team.go
+++ b/record/team.go
@@ -28,8 +28,8 @@
 const (
 	maxRatePerSecond = 1000000
 	maxTeamKeys      = 64
-	// MaxKey is the longest team key, in bytes.
-	MaxKey = 256
+	// MaxTeamKeyBytes is the longest team key, in bytes.
+	MaxTeamKeyBytes = 256
 )
 
 func (t *Team) validate(f *fieldErrors) {
@@ -49,7 +49,7 @@
 	}
 	seen := make(map[string]bool, len(t.KeyHashes))
 	for _, h := range t.KeyHashes {
-		if _, err := ParseKeyHash(h); err != nil {
+		if _, err := ParseTeamKeyHash(h); err != nil {
 			f.add("keyHashes", "contains an entry that is not a key hash", "write what `radishhoist teams key add` stores, never a key itself")
 		}
 		if seen[h] {
@@ -65,42 +65,42 @@
 	}
 }
 
-// KeyHash is the first half of the BLAKE2b-256 hash of a team key. A fast hash is
+// TeamKeyHash is the first half of the BLAKE2b-256 hash of a team key. A fast hash is
 // sufficient because keys are generated at random: unlike passwords, they cannot be
 // found by trying likely values.
-type KeyHash [16]byte
+type TeamKeyHash [16]byte
 
 // hashPrefix starts the stored form of a KeyHash.
 const hashPrefix = "b2-"
 
-// HashKey returns the hash of a team key; bytes beyond MaxKey are ignored.
-func HashKey(key string) KeyHash {
-	var buf [MaxKey]byte
+// HashTeamKey returns the hash of a team key; bytes beyond MaxKey are ignored.
+func HashTeamKey(key string) TeamKeyHash {
+	var buf [MaxTeamKeyBytes]byte
 	n := copy(buf[:], key)
 	sum := blake2b.Sum256(buf[:n])
-	return KeyHash(sum[:len(KeyHash{})])
+	return TeamKeyHash(sum[:len(TeamKeyHash{})])
 }
 
 // String returns the stored form of the hash.
-func (h KeyHash) String() string { return hashPrefix + base64.RawURLEncoding.EncodeToString(h[:]) }
+func (h TeamKeyHash) String() string { return hashPrefix + base64.RawURLEncoding.EncodeToString(h[:]) }
 
-// ParseKeyHash is the inverse of KeyHash.String.
-func ParseKeyHash(s string) (KeyHash, error) {
-	var h KeyHash
+// ParseTeamKeyHash is the inverse of KeyHash.String.
+func ParseTeamKeyHash(s string) (TeamKeyHash, error) {
+	var h TeamKeyHash
 	raw, err := base64.RawURLEncoding.DecodeString(strings.TrimPrefix(s, hashPrefix))
 	if err != nil || len(raw) != len(h) || !strings.HasPrefix(s, hashPrefix) {
 		return h, errors.New("not a team key hash")
 	}
-	return KeyHash(raw), nil
+	return TeamKeyHash(raw), nil
 }
 
-// KeyFault describes what is wrong with a team key, or returns "" if it is valid.
-func KeyFault(key string) string {
+// TeamKeyProblem describes what is wrong with a team key, or returns "" if it is valid.
+func TeamKeyProblem(key string) string {
 	switch {
 	case key == "":
 		return "is empty"
-	case len(key) > MaxKey:
-		return "is longer than " + strconv.Itoa(MaxKey) + " bytes"
+	case len(key) > MaxTeamKeyBytes:
+		return "is longer than " + strconv.Itoa(MaxTeamKeyBytes) + " bytes"
 	case strings.ContainsAny(key, " \t\r\n,"):
 		return "contains whitespace or a comma"
 	}
--- a/verdict/problem.go
+++ b/verdict/problem.go
@@ -36,7 +36,7 @@
 		return http.StatusRequestEntityTooLarge
 	case ReasonHeaderTooLarge:
 		return http.StatusRequestHeaderFieldsTooLarge
-	case ReasonKeyBusy:
+	case ReasonKeyInProgress:
 		return http.StatusConflict
 	case ReasonKeyReused:
 		return http.StatusUnprocessableEntity
