--- a/internal/cli/teams.go
+++ b/internal/cli/teams.go
@@ -53,9 +53,9 @@
 	// each request.
 	Home      string `json:"home"`
 	NearLimit bool   `json:"close"`
-	// Passed and Refused count requests by host.
-	Passed  map[string]uint64 `json:"passed"`
-	Refused map[string]uint64 `json:"refused"`
+	// Admitted and Refused count requests by host.
+	Admitted map[string]uint64 `json:"passed"`
+	Refused  map[string]uint64 `json:"refused"`
 	// Standalone lists the hosts that apply their own share of the limit because no home
 	// responds to them.
 	Standalone []string `json:"alone,omitempty"`
@@ -120,7 +120,7 @@
 		for _, s := range list {
 			u := byTeam[s.Team]
 			if u == nil {
-				u = &teamUsage{Team: s.Team, Passed: make(map[string]uint64), Refused: make(map[string]uint64)}
+				u = &teamUsage{Team: s.Team, Admitted: make(map[string]uint64), Refused: make(map[string]uint64)}
 				byTeam[s.Team] = u
 			}
 			u.add(host, s)
@@ -146,7 +146,7 @@
 		u.Rate, u.Burst, u.UsedFraction, u.NearLimit = s.Rate, s.Burst, max(u.UsedFraction, used), u.NearLimit || s.NearLimit
 	}
 	if s.Admitted > 0 {
-		u.Passed[host] = s.Admitted
+		u.Admitted[host] = s.Admitted
 	}
 	if s.Refused > 0 {
 		u.Refused[host] = s.Refused
@@ -172,7 +172,7 @@
 				by = fmt.Sprintf("%s (%d)", most, count)
 			}
 			fmt.Fprintf(w, "%s\t%g/s\t%g\t%.0f%%\t%s\t%s\t%d\t%d\t%s\n", u.Team, u.Rate, u.Burst, 100*u.UsedFraction, u.state(), u.Home,
-				total(u.Passed), total(u.Refused), by)
+				total(u.Admitted), total(u.Refused), by)
 		}
 	})
 }
--- a/internal/core/once/sim_test.go
+++ b/internal/core/once/sim_test.go
@@ -357,21 +357,21 @@
 	s.at(time.Duration(s.rng.IntN(1500))*time.Millisecond, -1, func() {
 		if s.rng.IntN(10) == 0 {
 			settle(keyOutput{outcome: once.ClaimRefused})
-			s.done(f, c, &msg.KeyResult{Verdict: verdict.NotRun})
+			s.recordResult(f, c, &msg.KeyResult{Verdict: verdict.NotRun})
 			return
 		}
 		s.executed[c.Key]++
 		answer := fmt.Sprintf("%s#%d", c.Key, s.executed[c.Key])
 		if s.rng.IntN(10) == 0 {
-			s.done(f, c, &msg.KeyResult{Verdict: verdict.MayHaveRun})
+			s.recordResult(f, c, &msg.KeyResult{Verdict: verdict.MayHaveRun})
 			return
 		}
 		settle(keyOutput{outcome: once.ClaimRun, answer: answer, ran: true})
-		s.done(f, c, &msg.KeyResult{Verdict: verdict.Ran, Complete: true, Stored: true, Body: []byte(answer)})
+		s.recordResult(f, c, &msg.KeyResult{Verdict: verdict.Ran, Complete: true, Stored: true, Body: []byte(answer)})
 	})
 }
 
-func (s *sim) done(f *simHost, c *msg.KeyClaim, d *msg.KeyResult) {
+func (s *sim) recordResult(f *simHost, c *msg.KeyClaim, d *msg.KeyResult) {
 	d.Service, d.Shard, d.Key, d.RequestID = c.Service, c.Shard, c.Key, c.RequestID
 	if !f.up || f.view == nil {
 		return
--- a/internal/core/quota/home.go
+++ b/internal/core/quota/home.go
@@ -161,8 +161,8 @@
 	a.used.raise(now, a.rate(), float64(m.Level))
 	a.extendNearLimit(now, m.NearLimitMS)
 	if m.Forward {
-		relayed := *m
-		relayed.Forward = false
-		n.sendNotice(relayed, func(h Host) bool { return h.DC == n.dc })
+		forwarded := *m
+		forwarded.Forward = false
+		n.sendNotice(forwarded, func(h Host) bool { return h.DC == n.dc })
 	}
 }
--- a/internal/core/quota/quota_test.go
+++ b/internal/core/quota/quota_test.go
@@ -96,7 +96,7 @@
 						sc.inject(s)
 						s.run(20 * time.Second)
 						over := s.over("hot")
-						t.Logf("seed %d: %.0f beyond the limit of %.0f allowed; passed %d of %d", seed, over, s.allowed("hot"), len(s.passed["hot"]), s.offered["hot"])
+						t.Logf("seed %d: %.0f beyond the limit of %.0f allowed; admitted %d of %d", seed, over, s.allowed("hot"), len(s.admitted["hot"]), s.offered["hot"])
 						assert.Check(t, over <= s.allowed("hot"), "seed %d: %.0f beyond the limit, %.0f allowed", seed, over, s.allowed("hot"))
 					}
 				})
--- a/internal/core/quota/sim_test.go
+++ b/internal/core/quota/sim_test.go
@@ -77,7 +77,7 @@
 	// none.
 	alwaysQuery, neverQuery bool
 
-	passed           map[string][]time.Duration
+	admitted         map[string][]time.Duration
 	refused, queried map[string]int
 	offered          map[string]int
 	waited           []time.Duration
@@ -91,8 +91,8 @@
 func newSim(seed uint64, hosts int, limits map[string]Limit) *sim {
 	s := &sim{
 		rng: rand.New(rand.NewPCG(seed, 7)), limits: limits, extraBurst: 4, extraRate: 1.8, extraRateFraction: 0.03,
-		blocked: func(int, int) bool { return false },
-		passed:  make(map[string][]time.Duration), refused: make(map[string]int),
+		blocked:  func(int, int) bool { return false },
+		admitted: make(map[string][]time.Duration), refused: make(map[string]int),
 		queried: make(map[string]int), offered: make(map[string]int),
 	}
 	for i := range hosts {
@@ -297,15 +297,15 @@
 			})
 			return
 		}
-		s.passed[team] = append(s.passed[team], s.now)
+		s.admitted[team] = append(s.admitted[team], s.now)
 	}
-	v := h.node.Admit(s.time(), team, s.limits[team])
-	switch v.Decision {
+	result := h.node.Admit(s.time(), team, s.limits[team])
+	switch result.Decision {
 	case Admitted, Refused:
-		done(v.Decision == Admitted)
+		done(result.Decision == Admitted)
 	case Pending:
 		s.queried[team]++
-		h.waiters[v.QueryID] = func(a Answer) { done(a.Granted) }
+		h.waiters[result.QueryID] = func(a Answer) { done(a.Granted) }
 	}
 	s.flush(i)
 }
@@ -339,7 +339,7 @@
 func (s *sim) over(team string) float64 {
 	l := s.limits[team]
 	most, first := 0, 0
-	times := s.passed[team]
+	times := s.admitted[team]
 	for i := range times {
 		for times[i]-times[first] > simWindow {
 			first++
--- a/internal/guard/repeats_test.go
+++ b/internal/guard/repeats_test.go
@@ -177,7 +177,7 @@
 	assert.Equal(t, g.retryBudgets.begin(now, "s", false, true, msg.AdmissionHints{Route: 1, OriginIdle: true}).retryFraction, uint16(0))
 	g.retryBudgets.begin(now, "s", false, false, msg.AdmissionHints{Route: 1, OriginIdle: true})
 	assert.Assert(t, g.retryBudgets.reserve(now, "s", msg.AdmissionHints{}))
-	repeat := g.retryBudgets.begin(now, "s", true, true, msg.AdmissionHints{UsesRetryBudget: true, Route: 1})
+	retried := g.retryBudgets.begin(now, "s", true, true, msg.AdmissionHints{UsesRetryBudget: true, Route: 1})
 	nestedRetryChance, idle = g.CallOrigin()
 	assert.Equal(t, nestedRetryChance, uint16(msg.Thousandths/2), "work that cannot be retried does not count")
 	assert.Assert(t, !idle)
@@ -187,7 +187,7 @@
 	assert.Equal(t, g.retryBudgets.remaining(now, "s"), before-1)
 	g.retryBudgets.begin(now, "s", false, true, msg.AdmissionHints{Route: 1, OriginIdle: true})
 	assert.Equal(t, g.retryBudgets.begin(now, "s", false, true, msg.AdmissionHints{Route: 1, NestedRetryChance: msg.Thousandths}).retryFraction, uint16(0), "callers use route 1")
-	g.retryBudgets.end(repeat)
+	g.retryBudgets.end(retried)
 }
 
 // A retry beyond the budget is refused before it reaches the instance, while a first
@@ -199,9 +199,9 @@
 	g.retryBudgets.apply(time.Now().Add(-time.Minute), testDirectory(up), *g.limits.Load())
 	// A reserve of 2 times guardBudgetPart leaves room for one retry.
 	assert.Equal(t, g.retryBudgets.remaining(time.Now(), "s"), uint16(1))
-	repeat := msg.AdmissionHints{UsesRetryBudget: true}
-	assert.Equal(t, serveFailing(t, g, repeat).Reason, verdict.ReasonTargetBroke, "the retry was forwarded")
-	refused := serveFailing(t, g, repeat)
+	retryHints := msg.AdmissionHints{UsesRetryBudget: true}
+	assert.Equal(t, serveFailing(t, g, retryHints).Reason, verdict.ReasonTargetBroke, "the retry was forwarded")
+	refused := serveFailing(t, g, retryHints)
 	assert.Equal(t, refused.Reason, verdict.ReasonRetryBudget)
 	assert.Equal(t, refused.Verdict, verdict.NotRun)
 	assert.Equal(t, serveFailing(t, g, msg.AdmissionHints{NestedRetryChance: msg.Thousandths}).Reason, verdict.ReasonTargetBroke)
--- a/internal/msg/requests.go
+++ b/internal/msg/requests.go
@@ -96,8 +96,8 @@
 	ExpectedMS uint32
 	// AllowLate asks to queue the request even if it would miss the objective.
 	AllowLate bool
-	// UsesRetryBudget reports that the request may have reached an instance before, and Hedge
-	// that it is in progress at another one.
+	// UsesRetryBudget reports that the request may have reached an instance before, and
+	// Hedge that it is in progress at another one.
 	UsesRetryBudget, Hedge bool
 	// NestedRetryChance is the probability that the request, if it is a call, was made by
 	// a retried run, in thousandths. The retry budget counts that fraction of it.
--- a/internal/msg/teams.go
+++ b/internal/msg/teams.go
@@ -30,8 +30,8 @@
 	Known bool
 	// ConfirmedByReceiver reports whether the receiver was the one to confirm Confirmed.
 	ConfirmedByReceiver bool
-	// Forwarded reports that the message was relayed by a host that received it but does
-	// not keep the account.
+	// Forwarded reports that the message was forwarded by a host that received it but
+	// does not keep the account.
 	Forwarded bool
 	// QueryID identifies the query of the sender, or is 0 if there is none.
 	QueryID uint32
--- a/internal/teams/teams.go
+++ b/internal/teams/teams.go
@@ -104,15 +104,15 @@
 		return true, false, 0
 	}
 	r.mu.Lock()
-	v := r.node.Admit(time.Now(), team, limit)
-	if v.Decision != quota.Pending {
+	result := r.node.Admit(time.Now(), team, limit)
+	if result.Decision != quota.Pending {
 		out := r.deliverAnswers()
 		r.mu.Unlock()
 		r.send(out)
-		return v.Decision == quota.Admitted, true, v.Wait
+		return result.Decision == quota.Admitted, true, result.Wait
 	}
 	w := &waiter{team: team, answer: make(chan quota.Answer, 1)}
-	r.waiters[v.QueryID] = w
+	r.waiters[result.QueryID] = w
 	out := r.deliverAnswers()
 	r.mu.Unlock()
 	r.send(out)
@@ -120,7 +120,7 @@
 	case a := <-w.answer:
 		return a.Granted, true, a.Wait
 	case <-ctx.Done():
-		r.abandon(v.QueryID, w)
+		r.abandon(result.QueryID, w)
 		return false, true, time.Second
 	}
 }
--- a/internal/teams/teams_test.go
+++ b/internal/teams/teams_test.go
@@ -50,13 +50,13 @@
 		ok, _, wait := r.Admit(context.Background(), "desk")
 		assert.Assert(t, !ok && wait > 0)
 		time.Sleep(time.Second)
-		passed := 0
+		admitted := 0
 		for range 30 {
 			if ok, _, _ := r.Admit(context.Background(), "desk"); ok {
-				passed++
+				admitted++
 			}
 		}
-		assert.Equal(t, passed, 2)
+		assert.Equal(t, admitted, 2)
 	})
 }
 
@@ -143,17 +143,17 @@
 		p.partitioned = true
 		var wg sync.WaitGroup
 		wg.Go(func() { p.run(20 * time.Second) })
-		passed := 0
+		admitted := 0
 		for range 100 {
 			began := time.Now()
 			if ok, _, _ := notHome.Admit(context.Background(), "desk"); ok {
-				passed++
+				admitted++
 			}
 			assert.Assert(t, time.Since(began) <= 250*time.Millisecond, "decided after %s", time.Since(began))
 			time.Sleep(100 * time.Millisecond)
 		}
 		// Half of one request a second, and half of the burst of four.
-		assert.Assert(t, passed >= 4 && passed <= 9, "%d passed in 10 s", passed)
+		assert.Assert(t, admitted >= 4 && admitted <= 9, "%d admitted in 10 s", admitted)
 		wg.Wait()
 	})
 }
