--- a/internal/cli/records.go
+++ b/internal/cli/records.go
@@ -105,7 +105,7 @@
 	case *record.Status:
 		return fmt.Sprintf("%d hosts, summarized by %s", s.Hosts, s.Writer)
 	case *record.Crasher:
-		return fmt.Sprintf("%s, %d instance terminations of service %s", s.Request, len(s.Crashes), s.Crashes[0].Service)
+		return fmt.Sprintf("%s, %d instance crashes of service %s", s.Request, len(s.Crashes), s.Crashes[0].Service)
 	case *record.ShardMap:
 		return fmt.Sprintf("%d shards, %d guards", len(s.Shards), len(s.Guards))
 	default:
--- a/internal/cli/suspects.go
+++ b/internal/cli/suspects.go
@@ -19,16 +19,16 @@
 
 func (a *app) suspectsCommand() *cli.Command {
 	return &cli.Command{
-		Name: "suspects", Usage: "list the requests suspected of terminating the instances that run them",
-		Description: "Shows the suspects known to the daemon at --admin and the platform's records of stopped requests. A stopped\n" +
+		Name: "suspects", Usage: "list the requests suspected of crashing the instances that run them",
+		Description: "Shows the suspects known to the daemon at --admin and the platform's records of blocked requests. A blocked\n" +
 			"request is identified by its fingerprint, the PRINT, also in responses and logs.",
 		Action: a.listSuspects,
 		Commands: []*cli.Command{{
-			Name: "clear", Usage: "allow a stopped request again, on all hosts", ArgsUsage: "PRINT",
-			Description: "Three further terminations stop it again.",
+			Name: "clear", Usage: "allow a blocked request again, on all hosts", ArgsUsage: "PRINT",
+			Description: "Three further incidents block it again.",
 			Action: func(ctx context.Context, cmd *cli.Command) error {
 				if cmd.Args().Len() != 1 {
-					return &InvalidError{"expected the PRINT of one stopped request, as shown by `radishhoist suspects`"}
+					return &InvalidError{"expected the PRINT of one blocked request, as shown by `radishhoist suspects`"}
 				}
 				return a.delete(ctx, cmd, record.Key{Kind: record.KindCrasher, Name: cmd.Args().First()})
 			},
@@ -53,7 +53,7 @@
 	// Since and Last are the times of the first and the latest crash.
 	Since string `json:"since"`
 	Last  string `json:"last"`
-	// Crashes has one entry for each incarnation of an instance that crashed.
+	// Crashes has one entry for each run of an instance that crashed.
 	Crashes []record.InstanceCrash `json:"instances"`
 }
 
@@ -149,7 +149,7 @@
 		a.printLine("%s", list.Problem)
 	}
 	if len(list.Suspects) == 0 {
-		a.printLine("no request is suspected of ending instances")
+		a.printLine("no request is suspected of crashing instances")
 		return
 	}
 	a.printTable("PRINT\tSTATE\tENDS\tSERVICE\tVERSIONS\tSEEN BY\tSINCE\tLAST\tREQUEST", func(w *tabwriter.Writer) {
@@ -164,7 +164,7 @@
 func (s *suspect) state() string {
 	switch {
 	case s.BlockedUntil != "":
-		return "stopped until " + s.BlockedUntil
+		return "blocked until " + s.BlockedUntil
 	case s.Request != "":
 		return "known to the platform only"
 	default:
--- a/internal/daemon/crash_test.go
+++ b/internal/daemon/crash_test.go
@@ -123,7 +123,7 @@
 	daemons := startDaemons(t, platform)
 	defer shutdown(daemons)
 	i := startCrashingTarget(t, daemons[1])
-	assert.Equal(t, runCLI(t, platform, daemons[0], "suspects"), "no request is suspected of ending instances\n")
+	assert.Equal(t, runCLI(t, platform, daemons[0], "suspects"), "no request is suspected of crashing instances\n")
 	for n := range 3 {
 		waitUntilServed(t, daemons[0])
 		reason, _ := getFailure(t, daemons[0], target.CrashPathSuffix)
@@ -137,7 +137,7 @@
 	time.Sleep(time.Second)
 	shown := runCLI(t, platform, daemons[0], "suspects")
 	assert.Assert(t, strings.Contains(shown, " h1 "), "missing the host that observed the crashes: %s", shown)
-	assert.Assert(t, strings.Contains(shown, "stopped until") && strings.Contains(shown, "GET") && strings.Contains(shown, target.CrashPathSuffix), shown)
+	assert.Assert(t, strings.Contains(shown, "blocked until") && strings.Contains(shown, "GET") && strings.Contains(shown, target.CrashPathSuffix), shown)
 	fingerprint := strings.Fields(strings.Split(shown, "\n")[1])[0]
 	withoutPlatform := runCLI(t, "http://127.0.0.1:1", daemons[0], "suspects")
 	assert.Assert(t, strings.Contains(withoutPlatform, "records are missing") && strings.Contains(withoutPlatform, fingerprint), withoutPlatform)
--- a/record/system.go
+++ b/record/system.go
@@ -71,7 +71,8 @@
 	Crashes []InstanceCrash `json:"ends"`
 }
 
-// InstanceCrash is the crash of one run of an instance. A run lasts from the start until the crash.
+// InstanceCrash is the crash of one run of an instance. A run lasts from the start until
+// the crash.
 type InstanceCrash struct {
 	// ID identifies the run of the instance in the fleet.
 	ID string `json:"id"`
