--- a/cmd/radishhoist-lab/main.go
+++ b/cmd/radishhoist-lab/main.go
@@ -189,7 +189,7 @@
 func soakCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "soak",
-		Usage: "run a fleet of real processes with seeded fault injection and check its guarantees",
+		Usage: "run a fleet of real processes with seeded fault injection and check its invariants",
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: "bin", Value: "bin", Usage: "`DIRECTORY` of the built programs"},
 			&cli.IntFlag{Name: "seed", Value: 1, Usage: "first seed"},
@@ -197,7 +197,7 @@
 			&cli.IntFlag{Name: "hosts", Value: 9, Usage: "hosts, each with a daemon and an instance, at most 90"},
 			&cli.DurationFlag{Name: "for", Value: 30 * time.Second, Usage: "`TIME` to run per seed; the last 8 s are without faults"},
 			&cli.IntFlag{Name: "net", Value: 77, Usage: "third `NUMBER` of the loopback addresses"},
-			&cli.StringFlag{Name: "logs", Usage: "`DIRECTORY` for the logs of seeds that violate a guarantee"},
+			&cli.StringFlag{Name: "logs", Usage: "`DIRECTORY` for the logs of seeds that violate an invariant"},
 		},
 		Action: func(ctx context.Context, cmd *cli.Command) error {
 			return soak.RunSeeds(ctx, os.Stdout, soak.Config{
