--- a/internal/experiment/radishhoist.go
+++ b/internal/experiment/radishhoist.go
@@ -288,7 +288,8 @@
 	return n
 }
 
-// pathTrial returns an instance whose path is down and due for a retry, -1 if there is none.
+// pathTrial returns an instance whose path is down and due for a retry, -1 if there is none,
+// and postpones the next retry, so that one idempotent request probes the path.
 func (o *radishhoistSim) pathTrial(f *frontSim) int {
 	for i := range f.targets {
 		if t := &f.targets[i]; t.pathDown && o.now >= t.pathRetryAt {
@@ -318,8 +319,9 @@
 	o.schedule(300*time.Millisecond, func() { o.handleSilence(t) })
 }
 
-// handleSilence runs 300 ms after an attempt was sent. If nothing can arrive from the host
-// because it is cut off, it marks the path as down and fails the attempt.
+// handleSilence runs 300 ms after an attempt was sent: two frame timeouts of the real front,
+// which pings the host after the first. If nothing can arrive because the host is cut off, it
+// marks the path as down and fails the attempt.
 func (o *radishhoistSim) handleSilence(t *attemptSim) {
 	if t.finished || !o.cut(t.instance) {
 		return
@@ -334,7 +336,8 @@
 	o.failAttempt(t, true)
 }
 
-// failAttempt ends an attempt without a successful answer and retries it if allowed.
+// failAttempt ends an attempt without a successful answer and retries it if allowed. A request
+// that may have run is retried only if it is idempotent and the budget allows it.
 func (o *radishhoistSim) failAttempt(t *attemptSim, mayHaveRun bool) {
 	if t.finished {
 		return
--- a/internal/experiment/report.go
+++ b/internal/experiment/report.go
@@ -9,13 +9,13 @@
 
 // Options select what a report runs.
 type Options struct {
-	// Seeds is the number of runs per case, First the first seed. Seeds from HeldOut on
-	// are reserved for reporting.
+	// Seeds is the number of runs per case, FirstSeed the first seed. Seeds from
+	// FirstHeldOutSeed on are never used for tuning.
 	Seeds     int
 	FirstSeed uint64
 	// NoiseInstanceHours is the length of the noise run in instance-hours, 0 for none.
 	NoiseInstanceHours float64
-	// TargetSize adds LargeSite.
+	// TargetSize adds LargeSite, the target fleet size.
 	TargetSize bool
 	// OmitBaselines omits the baselines.
 	OmitBaselines bool
--- a/internal/lab/fleet.go
+++ b/internal/lab/fleet.go
@@ -41,7 +41,7 @@
 	procs []*Process
 }
 
-// Host is one host of a Fleet: a loopback address with a daemon.
+// Host is one host of a Fleet: a loopback address of its own with a daemon.
 type Host struct {
 	Name, DC string
 	IP       string
--- a/internal/lab/process.go
+++ b/internal/lab/process.go
@@ -93,7 +93,8 @@
 	return errors.Wrapf(err, "%s ended early, last line of its output: %s", p.Name, p.output.lastLine())
 }
 
-// Stop kills all processes of the fleet, suspended ones too, and waits up to 5 s for each.
+// Stop kills all processes of the fleet by their process IDs, suspended ones too, and waits
+// up to 5 s for each.
 func (f *Fleet) Stop() {
 	procs := f.processes()
 	for _, p := range procs {
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -267,8 +267,8 @@
 	}
 }
 
-// writeChanges repeatedly writes a record directly to the platform, bypassing the proxies.
-// Only acknowledged changes have to be in force in time.
+// writeChanges repeatedly writes a record directly to the platform, bypassing the proxies, as
+// an operator on another machine does. Only acknowledged changes have to be in force in time.
 func (r *run) writeChanges(ctx context.Context) {
 	client := objects.NewClient(r.fleet.Platform, time.Second)
 	defer client.Close()
@@ -293,7 +293,8 @@
 	}
 }
 
-// sendRequests sends one request after the other over a persistent connection.
+// sendRequests sends one request after the other over a persistent connection, which lasts
+// until the host closes it.
 func (r *run) sendRequests(ctx context.Context, host, caller int) {
 	client := &http.Client{Timeout: callerTimeout, Transport: &http.Transport{MaxIdleConnsPerHost: 1}}
 	defer client.CloseIdleConnections()
