--- a/internal/core/admit/admit.go
+++ b/internal/core/admit/admit.go
@@ -292,8 +292,9 @@
 	}
 }
 
-// Done frees the slot of a request that ran. serviceTime is its service time, or 0
-// to leave it out of the moving average.
+// Done frees the slot of a request that ran. serviceTime is its service time. It is 0
+// if it says nothing about the instance's speed, and is then left out of the moving
+// average.
 func (q *Queue) Done(now time.Time, id ID, serviceTime time.Duration) []Decision {
 	t, ok := q.tickets[id]
 	if !ok || t.state != running {
--- a/internal/core/announce/announce.go
+++ b/internal/core/announce/announce.go
@@ -75,8 +75,9 @@
 
 // Outcome is the effect of an announcement.
 type Outcome struct {
-	// Accepted reports whether the announcement is accepted. It is false if a newer one is
-	// known.
+	// Accepted reports whether the announcement is accepted. It is false if it is older than
+	// what is known: a newer announcement, the instance's leave, or another instance that
+	// now holds the address.
 	Accepted bool
 	// Restarted reports whether it is the first announcement of a new start of the
 	// instance, so that the state of the previous start is lost.
--- a/internal/core/contact/contact.go
+++ b/internal/core/contact/contact.go
@@ -102,8 +102,9 @@
 	}
 }
 
-// AddListed adds a host listed by the platform. known reports whether an update about
-// it has been received already.
+// AddListed adds a host listed by the platform. Its address becomes a seed. The host itself
+// becomes a candidate only if known is false, which means that no update about it has been
+// received yet.
 func (cs *Contacts) AddListed(name, dc, addr string, known bool) {
 	cs.addSeed(addr)
 	if !known {
--- a/internal/core/once/owner.go
+++ b/internal/core/once/owner.go
@@ -201,7 +201,8 @@
 
 // RecordResult records the result of a claimed request. It returns false if this host
 // does not own the shard or has handed it over; the front then retries with the
-// current owner. No authority is needed, since a result permits no execution.
+// current owner. No authority is needed: a result only adds knowledge, and the next
+// claim of the key needs authority.
 func (o *Owner) RecordResult(now time.Time, d *msg.KeyResult) bool {
 	s, ok := o.shards[ShardID{d.Service, d.Shard}]
 	if !ok || s.frozen {
--- a/internal/core/quota/admit.go
+++ b/internal/core/quota/admit.go
@@ -61,7 +61,7 @@
 // inStartup reports whether this host started less than startupPeriod ago.
 func (n *Node) inStartup(now time.Time) bool { return now.Sub(n.started) < startupPeriod }
 
-// recordDecision counts a decision on a request of this host and returns it as a Verdict.
+// recordDecision counts a decision on a request of this host and returns it as a Result.
 func (a *account) recordDecision(now time.Time, ok bool, wait time.Duration) Result {
 	if !ok {
 		a.refused++
--- a/internal/core/quota/quota.go
+++ b/internal/core/quota/quota.go
@@ -104,7 +104,7 @@
 const (
 	// Admitted means that the request may run.
 	Admitted Decision = iota
-	// Refused means that it may not; Verdict.Wait says when to retry.
+	// Refused means that it may not; Result.Wait says when to retry.
 	Refused
 	// Pending means that the home was queried and an Answer follows.
 	Pending
