--- a/internal/core/chance/chance_test.go
+++ b/internal/core/chance/chance_test.go
@@ -72,7 +72,7 @@
 // Eight instances change between the well and the sick state as in the default model.
 // Of 50 requests per second, 60% cannot be repeated and go to the instance with the lowest
 // estimate; the others go to a random one. Placement by estimate must fail far less often
-// than random placement.
+// than random placement, which fails about a quarter of the time.
 func TestPlacementByEstimateAvoidsSickInstances(t *testing.T) {
 	const instances, perSecond, unrepeatable, seconds = 8, 50, 0.6, 600
 	m := Default()
