--- a/internal/guard/repeats.go
+++ b/internal/guard/repeats.go
@@ -34,7 +34,7 @@
 	mu        sync.Mutex
 	byService map[string]*serviceBudget
 	// runs counts the runs in progress on this host, retryableRuns those of work
-	// that may be retried, and retryParts the sum of their retry fractions.
+	// that may be retried, and retryFractions the sum of their retry fractions.
 	runs           int
 	retryableRuns  int
 	retryFractions int
--- a/internal/guard/suspects.go
+++ b/internal/guard/suspects.go
@@ -36,7 +36,7 @@
 type suspects struct {
 	mu      sync.Mutex
 	tracker *crash.Tracker
-	// verdicts is read for every request, without the lock.
+	// assessments is read for every request, without the lock.
 	assessments atomic.Pointer[crash.Assessments]
 	// localCrashes maps each crash of an instance on this host to the descriptions of
 	// the requests that ran there.
