--- a/internal/front/status.go
+++ b/internal/front/status.go
@@ -15,7 +15,8 @@
 	Name    string `json:"name"`
 	Version int64  `json:"version"`
 	Preset  string `json:"preset"`
-	// KnownSlots, Healthy and Required are numbers of slots: all, those in use, and the floor.
+	// KnownSlots, HealthySlots and RequiredSlots are numbers of slots: all, those in use,
+	// and the floor.
 	KnownSlots    int `json:"knownSlots"`
 	HealthySlots  int `json:"healthySlots"`
 	RequiredSlots int `json:"requiredSlots"`
