--- a/internal/teams/teams.go
+++ b/internal/teams/teams.go
@@ -15,7 +15,7 @@
 	"github.com/radishhoist/radishhoist/record"
 )
 
-// Config holds the parameters of Rates.
+// Config holds the parameters of a RateLimiter.
 type Config struct {
 	// Host is this host's name. Incarnation is its start time in Unix milliseconds.
 	Host        string
@@ -56,7 +56,7 @@
 	answer chan quota.Answer
 }
 
-// New returns the Rates of one host; SetHosts adds the others.
+// New returns the RateLimiter of one host; SetHosts adds the others.
 func New(cfg Config) *RateLimiter {
 	r := &RateLimiter{cfg: cfg, waiters: make(map[uint32]*waiter)}
 	r.teams.Store(&map[string]*record.Team{})
