--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -120,7 +120,7 @@
 	pendingCrashers pendingCrashers
 	// crashesPrunedAt is the time at which expired crash entries were last removed.
 	crashesPrunedAt time.Time
-	// teamHostsSetAt is the time at which hooks.Teams last received the list of hosts.
+	// teamHostsSetAt is the time at which hooks.TeamLimiter last received the list of hosts.
 	teamHostsSetAt time.Time
 	// decodeErrorLog limits the rate of log lines about entries that cannot be decoded or
 	// encoded.
--- a/internal/control/join.go
+++ b/internal/control/join.go
@@ -101,7 +101,8 @@
 	return out
 }
 
-// addContacts adds the listed hosts to the contacts. The caller holds the lock.
+// addContacts adds the listed hosts to the contacts: their addresses become seeds, and
+// hosts that are not known yet are called. The caller holds the lock.
 func (c *Control) addContacts(all []hostListing) {
 	for _, l := range all {
 		if l.name != c.cfg.Host {
--- a/internal/control/status.go
+++ b/internal/control/status.go
@@ -151,7 +151,7 @@
 	}
 }
 
-// putStatus overwrites the stored summary.
+// putStatus overwrites the stored summary, since only the newest one matters.
 func (c *Control) putStatus(ctx context.Context, s *record.Status) error {
 	key := record.Key{Kind: record.KindStatus, Name: c.cfg.DC}
 	value, err := record.Marshal(key, s)
