--- a/internal/core/admit/fair.go
+++ b/internal/core/admit/fair.go
@@ -112,8 +112,8 @@
 // evictionCandidate selects the request to evict for a newcomer when the queue is
 // full: the newest of the class with the most waiting requests, in the lowest
 // occupied rank up to the newcomer's. It returns nil if the newcomer itself is to be
-// refused: no lower rank has waiting requests, and after an eviction the newcomer's class
-// would have more of them than the evicted request's class.
+// refused: no lower rank has waiting requests, and either its own rank has none, or after
+// an eviction the newcomer's class would have more of them than the evicted request's class.
 func (q *Queue) evictionCandidate(newcomer *ticket) *ticket {
 	for rank := range newcomer.rank() + 1 {
 		rq := &q.ranks[rank]
