--- a/internal/guard/blame.go
+++ b/internal/guard/blame.go
@@ -16,8 +16,8 @@
 )
 
 // failedCalls remembers failed requests that originated on this host. The instances
-// there make calls of their own, and a failure that follows a failed call is not held
-// against the instance.
+// there make nested requests of their own, here called calls, and a failure that follows
+// a failed call does not count in the instance's failure estimate.
 type failedCalls struct {
 	mu    sync.Mutex
 	times []time.Time
--- a/internal/guard/call.go
+++ b/internal/guard/call.go
@@ -17,8 +17,8 @@
 	"github.com/radishhoist/radishhoist/verdict"
 )
 
-// call forwards the request to the instance and relays the response. The caller holds a
-// slot, which call releases.
+// call forwards the request to the instance and relays the response. The goroutine that
+// calls it has a slot for the request, which call releases.
 func (x *exchange) call(m *msg.Run) {
 	if e := x.checkBlocked(); e != nil {
 		x.inst.finish(time.Now(), x.id, result{shed: true})
@@ -31,8 +31,9 @@
 	go func() {
 		select {
 		case <-x.disconnected:
-			// Requests that are not idempotent continue: stopping one half way is
-			// worse than a response that nobody receives.
+			// Requests that are not idempotent continue if their body has arrived
+			// whole (without the rest, bodyReader aborts them): stopping one half
+			// way is worse than a response that nobody receives.
 			if m.Idempotent {
 				cancel()
 			}
@@ -43,8 +44,9 @@
 	x.inst.start(started, x.waiter, m)
 	run := x.guard.retryBudgets.begin(started, x.inst.service, x.retryReserved, m.Idempotent, x.hints)
 	if !x.retryReserved {
-		// Without a reservation this is a first attempt, but it may be a call made by
-		// a retried run.
+		// Without a reservation this is a first attempt. An instance that runs a retry
+		// may still have sent it, as a nested request; retryFraction is the
+		// probability of that, in thousandths.
 		x.nestedRetryChance = run.retryFraction
 	}
 	x.retryReserved = false
@@ -82,16 +84,16 @@
 	}
 }
 
-// mayHaveTerminated reports whether the target broke off the request or refused the
-// connection.
+// mayHaveTerminated reports whether the failure may be due to the target's termination.
+// It is true also for some complete but unacceptable responses, see classifyResponse.
 func mayHaveTerminated(failure *verdict.Error) bool {
 	return failure != nil && (failure.Reason == verdict.ReasonTargetBroke || failure.Reason == verdict.ReasonTargetDown)
 }
 
 var errDeadline = errors.New("deadline")
 
-// exchangeHTTP calls the target and relays its response. The End message is sent only
-// after the complete response has arrived.
+// exchangeHTTP sends the request to the instance and relays its response. The End
+// message is sent only after the complete response has arrived.
 func (x *exchange) exchangeHTTP(ctx context.Context, m *msg.Run, started time.Time) (result, *verdict.Error) {
 	resp, err := x.inst.client.Do(ctx, x.buildRequest(m))
 	if err != nil {
@@ -106,6 +108,8 @@
 	if failure != nil {
 		return res, failure
 	}
+	// The instance may have failed only because a request that originated on this host,
+	// and so perhaps in the instance, has just failed.
 	res.excused = res.failed && x.guard.failedCalls.excuse(time.Now())
 	head := &msg.Head{
 		RequestID: m.RequestID, Status: uint16(resp.Status),
@@ -156,14 +160,15 @@
 	}
 }
 
-// readChunk reads up to one chunk of the body and reports whether it was the last. A
-// truncated body is an error. io.ReadFull returns ErrUnexpectedEOF both when the body
-// ends normally inside a chunk and when it is truncated; the declared length, or
-// another read if there is none, tells them apart.
-func readChunk(resp *targetconn.Response, before int64) ([]byte, bool, error) {
+// readChunk reads up to one chunk of the body and reports whether it was the last.
+// bytesRead is the length of the chunks before it. A truncated body is an error.
+// io.ReadFull returns ErrUnexpectedEOF both when the body ends normally inside a chunk
+// and when it is truncated; the declared length, or another read if there is none, tells
+// them apart.
+func readChunk(resp *targetconn.Response, bytesRead int64) ([]byte, bool, error) {
 	size := wire.ChunkSize
 	if resp.Length >= 0 {
-		size = int(min(resp.Length-before+1, wire.ChunkSize))
+		size = int(min(resp.Length-bytesRead+1, wire.ChunkSize))
 	}
 	chunk := make([]byte, size)
 	n, err := io.ReadFull(resp.Body, chunk)
@@ -174,7 +179,7 @@
 		return nil, true, nil
 	case !errors.Is(err, io.ErrUnexpectedEOF):
 		return nil, false, err
-	case resp.Length >= 0 && before+int64(n) != resp.Length:
+	case resp.Length >= 0 && bytesRead+int64(n) != resp.Length:
 		return nil, false, err
 	case resp.Length < 0:
 		if _, again := resp.Body.Read(make([]byte, 1)); again != io.EOF {
@@ -206,7 +211,8 @@
 	return req
 }
 
-// set sets a header if the dialect has a name for it.
+// set sets a header if the dialect, which holds the header names configured for the
+// deployment, has a name for it.
 func set(h http.Header, name, value string) {
 	if name != "" {
 		h.Set(name, value)
--- a/internal/guard/crashes.go
+++ b/internal/guard/crashes.go
@@ -96,8 +96,9 @@
 	i.guard.ApplyCrash(e)
 	i.guard.onCrash(e)
 	for _, p := range e.Fingerprints {
-		// A request that was blocked while it ran here must be stored by this host:
-		// the hosts of the earlier crashes may each have left that to this one.
+		// The host of the crash with the greatest ID stores a blocked request, and
+		// this crash may now be that one. ApplyCrash does not see to it if the request
+		// was already blocked before.
 		if v := i.guard.CrashAssessment(p); !v.BlockedUntil.IsZero() {
 			i.guard.scheduleStore(p)
 		}
--- a/internal/guard/estimate.go
+++ b/internal/guard/estimate.go
@@ -52,7 +52,8 @@
 	// some have just started or do not know the instance yet.
 	publishInterval = 2 * time.Second
 	// abortedWorkGrace is how long an instance may keep working on a request that was
-	// aborted: about as long as one takes in the offices' deployments.
+	// aborted, and so keep a slot busy that counts as free here: about as long as one
+	// request takes in the deployments.
 	abortedWorkGrace = time.Second
 	// workRequestInterval is the minimum interval between requests for work.
 	workRequestInterval = 300 * time.Millisecond
@@ -134,8 +135,8 @@
 }
 
 const (
-	// trialFailureThreshold is the failure estimate from which a trial request is
-	// expected to fail.
+	// trialFailureThreshold is the failure estimate from which the instance's health
+	// is in doubt.
 	trialFailureThreshold = 0.1
 	// trialDelay is the time between a failed trial and the next one. A shorter
 	// delay spends the retry budget on instances that stay unhealthy for seconds; a
--- a/internal/guard/instance.go
+++ b/internal/guard/instance.go
@@ -35,8 +35,10 @@
 	// probeMu is held while the instance's port is probed.
 	probeMu sync.Mutex
 
-	mu        sync.Mutex
-	queue     *admit.Queue
+	mu    sync.Mutex
+	queue *admit.Queue
+	// detector is given only latency ratios, so that it tests only for slowness.
+	// Failures are covered by failureEstimate.
 	detector  *detect.Detector
 	reference detect.Reference
 	// failureEstimate is the probability that the instance fails most requests.
--- a/internal/guard/judge.go
+++ b/internal/guard/judge.go
@@ -63,7 +63,8 @@
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests:
 		return result{shed: true}
 	case http.StatusGatewayTimeout:
-		// The deadline passed; tick has already recorded a request that ran too long.
+		// A 504, whoever produced it, is taken to mean that the deadline has passed.
+		// tick counts the requests that exceed overdueAfter.
 		return result{aborted: true}
 	case http.StatusInternalServerError, http.StatusBadGateway:
 		return result{failed: true}
--- a/internal/guard/pace.go
+++ b/internal/guard/pace.go
@@ -60,10 +60,12 @@
 	}
 }
 
-// latencyRatioUnit stands for the ratio 1, that of a request that takes the usual
-// time of its route. The detector compares ratios instead of service times, because
-// routes differ in the work per request. Failures are covered by the failure
-// estimate.
+// latencyRatioUnit stands for the ratio 1, that of a request that takes as long as its
+// front expects at this instance: the mean time of the route times the instance's own
+// latency ratio, as measured by that front. The samples that fronts send, by contrast,
+// are relative to the mean time of the route alone. The detector compares ratios instead
+// of service times, because routes differ in the work per request. Failures are covered
+// by the failure estimate.
 const latencyRatioUnit = time.Second
 
 // latencyRatio returns the ratio of a service time to the expected duration, in units
--- a/internal/guard/repeats.go
+++ b/internal/guard/repeats.go
@@ -219,10 +219,10 @@
 
 // CallOrigin describes a request that originates on this host now. nestedRetryChance is
 // the probability, in thousandths, that the request is a call made by a retried run,
-// given that it is a call at all: such calls are retries at the services they go to,
-// and nothing identifies the run that made them. It is the share of retries among the
-// runs of work that may be retried; other work on the same host would make it look
-// smaller. idle reports that nothing runs here.
+// given that it is a call at all. Such calls are retries at the services they go to. A
+// call does not name the run that made it, so this is the share of retries among the
+// retryable runs now on this host; counting other runs would make it look smaller. idle
+// reports that nothing runs here.
 func (g *Guard) CallOrigin() (nestedRetryChance uint16, idle bool) {
 	r := g.retryBudgets
 	r.mu.Lock()
--- a/internal/guard/suspects.go
+++ b/internal/guard/suspects.go
@@ -204,9 +204,9 @@
 }
 
 // scheduleStore has a request stored if it is still blocked after the time in which
-// reports that clear it would arrive: a stored request stays blocked across a restart
-// of all processes, and one blocked everywhere cannot complete anywhere to be
-// cleared.
+// reports that clear it would arrive. It waits first because a stored block survives a
+// restart of all processes, and a request that is blocked everywhere cannot complete and
+// so be cleared.
 func (g *Guard) scheduleStore(p crash.Fingerprint) {
 	time.AfterFunc(crash.ClearanceWait, func() { g.storeBlocked(p) })
 }
