--- a/internal/front/attempt.go
+++ b/internal/front/attempt.go
@@ -65,7 +65,8 @@
 
 const (
 	// frameTimeout is how long a host may send no frame before it is pinged, and then how
-	// long it has to answer the ping before its path counts as broken.
+	// long it has to answer the ping before its path counts as broken. A frame is any
+	// message on the connection, of whichever request, or the reply to a ping.
 	frameTimeout = 150 * time.Millisecond
 	// cancelTimeout bounds the sending of Cancel.
 	cancelTimeout = time.Second
--- a/internal/front/choose.go
+++ b/internal/front/choose.go
@@ -9,11 +9,14 @@
 )
 
 // trialShare is the share of a healthy instance's requests that an ejected instance still
-// gets, so that its recovery can be observed. Only idempotent requests are used, and they
-// are hedged as usual.
+// gets, so that its recovery can be observed. Such a trial is a caller's request that is
+// sent to a target, or over a path, whose state is in doubt, to learn that state. Only first
+// attempts of requests that can be retried are used here. They are hedged like others: if
+// the answer is late, a second attempt is made in parallel.
 const trialShare = 0.05
 
-// pick is a chosen target.
+// pick is a chosen target. A target is an instance together with this front's observations
+// of it.
 type pick struct {
 	target *target
 	// sample is a latency of another instance. It is sent to the guard with the request,
@@ -27,10 +30,12 @@
 
 // choose picks a target that is not in tried and counts the request as pending there. A
 // request suspected of crashing instances goes to the instance designated for it. Any other
-// may be used for a trial, and otherwise goes to a usable target. If there is none, an
-// ejected target or an excluded path serves as a fallback. If usesRetryBudget is set, only
-// targets whose guard may have retry budget left are considered, and there is no fallback.
-// It returns false if no target is left.
+// may be used for a trial, and otherwise goes to a usable target. If none of these gives a
+// target, also for a suspected request, pickFallback chooses one: an ejected target, one
+// whose path is excluded, or any other that accepts requests. A path is the network path to
+// the target's host; it is excluded while no frame arrives from there. If usesRetryBudget is
+// set, only targets whose guard may have retry budget left are considered, and there is no
+// fallback. It returns false if no target is left.
 func (f *Front) choose(req *request, tried []*target, usesRetryBudget bool, rng *rand.Rand) (pick, bool) {
 	st := req.state
 	now := time.Now()
@@ -56,8 +61,9 @@
 	return pick{target: t, sample: st.takeSample(now, t.hash), entry: st.newEntry(now, t, why)}, true
 }
 
-// pickTrial occasionally sends an idempotent request over an excluded path or to an ejected
-// instance, and any eligible request to an instance whose guard asks for a trial.
+// pickTrial occasionally sends the first attempt of a request that can be retried over an
+// excluded path or to an ejected instance, and that of any eligible request to an instance
+// whose guard asks for a trial.
 func (st *serviceState) pickTrial(now time.Time, req *request, tried []*target, rng *rand.Rand, p *paths) (*target, string) {
 	candidates := &st.candidates
 	if len(tried) > 0 {
@@ -83,9 +89,12 @@
 }
 
 const (
-	// trialRiskMax is the failure estimate up to which a request that cannot be retried may
-	// be used for a trial.
-	trialRiskMax = 0.1
+	// trialFailureEstimateMax is the failure estimate up to which a request that cannot be
+	// retried may be used for a trial. The failure estimate is the probability that the
+	// instance is sick, that is, in the state in which it fails most requests (see package
+	// chance). SickForSelection is its value for choosing targets. The probability that one
+	// request is lost is derived from it, see failureChance.
+	trialFailureEstimateMax = 0.1
 	// trialWaitNonIdempotent is how long a guard must have asked for a trial before a
 	// non-idempotent request may be used, so that idempotent ones are used first.
 	trialWaitNonIdempotent = 300 * time.Millisecond
@@ -99,14 +108,15 @@
 )
 
 // trialCandidate returns a target whose guard asks for a trial, or nil. It prefers the
-// target with the lowest failure estimate, because trials are few and failing instances ask
-// for them too. retryable says that the request can be retried if the trial fails. A guard
-// asks only a few fronts, and each sends one request for it.
+// target with the lowest failure estimate, because trials are few: failing instances ask as
+// well, and a trial sent there is probably lost. retryable says that the request can be
+// retried if the trial fails. A guard asks only a few fronts, and each sends one request for
+// each load report that asks.
 func (st *serviceState) trialCandidate(now time.Time, idempotent, retryable bool, rng *rand.Rand, p *paths) *target {
 	var best *target
 	lowest := 0.0
 	for _, t := range st.targets {
-		if !t.observed.wantsTrial(now) || !t.Usable() || !p.usable(t.Host.Name) || !t.observed.eligibleForTrial(now, idempotent, retryable) {
+		if !t.observed.wantsTrial(now) || !t.Usable() || !p.reachable(t.Host.Name) || !t.observed.eligibleForTrial(now, idempotent, retryable) {
 			continue
 		}
 		estimate := t.observed.failureEstimate.SickForSelection(now, failureModel) + trialEstimateJitter*rng.Float64()
@@ -130,13 +140,13 @@
 	if retryable {
 		return true
 	}
-	if o.failureEstimate.SickForSelection(now, failureModel) > trialRiskMax {
+	if o.failureEstimate.SickForSelection(now, failureModel) > trialFailureEstimateMax {
 		return false
 	}
 	return idempotent || now.Sub(o.trialWantedAt) >= trialWaitNonIdempotent
 }
 
-// pickUsable picks the usable target with the lowest cost in a random sample.
+// pickUsable picks the target with the lowest cost in a random sample of candidates.usable.
 func (st *serviceState) pickUsable(now time.Time, req *request, tried []*target, usesRetryBudget bool, rng *rand.Rand, p *paths, cfg Config) *target {
 	usable, local := st.candidates.usable, st.candidates.local
 	if len(tried) > 0 {
@@ -167,7 +177,8 @@
 	return st.retryBudgetChance(now)
 }
 
-// pickFallback returns an ejected target, or else one whose path is excluded. Trying such a
+// pickFallback returns an ejected target, or else any other that accepts requests: one whose
+// path is excluded, or, for a suspected request, also one in candidates.usable. Trying such a
 // target is better than refusing the request.
 func (st *serviceState) pickFallback(tried []*target) *target {
 	for _, i := range st.untried(st.candidates.ejected, tried) {
@@ -212,6 +223,8 @@
 	return out
 }
 
+// wasTried reports whether t is the instance of one of the tried targets. Targets are created
+// anew with each directory; their observations are kept and so identify the instance.
 func wasTried(tried []*target, t *target) bool {
 	for _, other := range tried {
 		if other.observed == t.observed {
--- a/internal/front/keys.go
+++ b/internal/front/keys.go
@@ -127,8 +127,9 @@
 // busyRetryAfterMS is the Retry-After for a key whose request is in progress.
 const busyRetryAfterMS = 1000
 
-// keyFailure explains why a claim did not let the request run. The verdict covers all
-// requests with the key, since this one never ran.
+// keyFailure explains why a claim did not let the request run. This request never ran, so
+// the verdict covers the earlier requests with the key, where they are known. For a reused
+// key and a refused claim it is about this request only.
 func keyFailure(k ClaimResult) *verdict.Error {
 	e := verdict.New(verdict.NotRun, verdict.ReasonKeyNoOwner, "the key's shard has no authoritative owner at present")
 	e.RetryAfterMS = max(k.RetryAfterMS, 1)
--- a/internal/front/paths.go
+++ b/internal/front/paths.go
@@ -50,8 +50,8 @@
 	return e
 }
 
-// usable reports whether the path is not excluded.
-func (p *paths) usable(host string) bool {
+// reachable reports whether the path is not excluded.
+func (p *paths) reachable(host string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	e, ok := p.byHost[host]
@@ -108,7 +108,7 @@
 	e := p.entry(host)
 	e.misses++
 	if e.excluded && now.Before(e.retryAt.Add(-e.backoff/2)) {
-		return // the attempt began before the path was excluded
+		return // within half the backoff, so the attempt probably began before the exclusion
 	}
 	e.backoff = min(max(2*e.backoff, pathBackoffMin), pathBackoffMax)
 	e.retryAt = now.Add(e.backoff)
--- a/internal/front/request.go
+++ b/internal/front/request.go
@@ -276,7 +276,8 @@
 	}
 	f.logAnswer(req, int(answer.head.Status))
 	if retriableStatus(answer.head.Status) {
-		// Call this before the answer is written: its receiver may pass it on at once.
+		// Call this before the answer is written: the instance that made this call may
+		// fail because of the answer before writeTo returns.
 		f.guard.RecordFailedCall(time.Now())
 	}
 	return answer.writeTo(w, req)
--- a/internal/front/result.go
+++ b/internal/front/result.go
@@ -91,8 +91,8 @@
 	return e.failures[len(e.failures)-1]
 }
 
-// defaultRetryAfter is the Retry-After when no better value is known. A failed target has
-// been ejected by then.
+// defaultRetryAfter is the Retry-After when no better value is known. A retry after this
+// time may find another target.
 const defaultRetryAfter = time.Second
 
 func (e *execution) noTarget() *verdict.Error {
--- a/internal/front/send.go
+++ b/internal/front/send.go
@@ -20,6 +20,7 @@
 func (a *attempt) send(ctx context.Context, s once.Action) error {
 	switch s {
 	case once.SendReserve:
+		// SubPriority orders requests of equal priority.
 		return a.stream.Send(ctx, &msg.Reserve{
 			RequestID: a.req.id, Service: a.target.Service, Instance: a.target.Name,
 			TimeoutMS: a.remainingMS(), Class: a.req.fairnessClass, Priority: uint8(a.req.priority()), SubPriority: uint8(a.req.route.Priority),
--- a/internal/front/service.go
+++ b/internal/front/service.go
@@ -65,7 +65,8 @@
 type candidateSets struct {
 	result eject.Result
 	// usable and local are the indexes of the targets to choose from, in all data centres
-	// and in this one. ejected are those that eject.Apply left out.
+	// and in this one: those that accept requests, whose path is not excluded and that
+	// eject.Apply has not left out. ejected are those that it left out.
 	usable, local, ejected []int
 	// unreachable are targets whose path is excluded.
 	unreachable []int
@@ -135,7 +136,7 @@
 		members[i] = eject.Member{
 			Name:     t.Name,
 			Slots:    t.Slots,
-			Usable:   t.Usable() && p.usable(t.Host.Name),
+			Usable:   t.Usable() && p.reachable(t.Host.Name),
 			Suspect:  t.Health == detect.Suspect,
 			Evidence: t.Evidence,
 		}
@@ -206,7 +207,8 @@
 )
 
 // observe records the outcome of one attempt: the guard's load report, and the service time
-// if the target answered.
+// if the target answered. The latency ratio divides it by the mean time of the route alone.
+// The guard's own ratio divides by the time expected at this target, see serviceTime.
 func (st *serviceState) observe(req *request, t *target, o *outcome) {
 	now := time.Now()
 	st.mu.Lock()
--- a/internal/front/status.go
+++ b/internal/front/status.go
@@ -94,7 +94,7 @@
 		return "unusable", "host is leaving"
 	case t.State == directory.Leaving:
 		return "unusable", "instance is leaving"
-	case !f.paths.usable(t.Host.Name):
+	case !f.paths.reachable(t.Host.Name):
 		return "unusable", "no frame received from the host"
 	case ejected:
 		return "left out", evidence
@@ -110,7 +110,8 @@
 // Paths returns the paths to other hosts.
 func (f *Front) Paths() []PathState { return f.paths.state() }
 
-// Explanation says how a request would be handled, and why.
+// Explanation says how a request would be handled, and why. If the route divides its
+// requests among several services, it describes the first of them only.
 type Explanation struct {
 	Matched           bool   `json:"matched"`
 	Route             string `json:"route,omitempty"`
@@ -131,7 +132,8 @@
 	Problem    string   `json:"problem,omitempty"`
 }
 
-// Explain says how a request would be handled now. It sends nothing.
+// Explain says how a request would be handled now, by the first of the route's weighted
+// services. It sends nothing.
 func (f *Front) Explain(method, host, path, team string) Explanation {
 	view := f.view.Load()
 	if view.Routes == nil {
--- a/internal/front/suspect.go
+++ b/internal/front/suspect.go
@@ -18,10 +18,12 @@
 // has crashed, because most requests that were running during a crash did not cause it. It
 // is never hedged, and not retried further: each attempt of the request that does cause
 // crashes takes down another instance. All hosts send it to the same instance of its
-// service, so that no other is put at risk.
+// service, so that others are not put at risk. There are two exceptions: a retry goes to
+// another instance, and if no usable instance may get the request, choose takes a fallback.
 
 // suspectedOfCrashing reports whether an instance is known to have crashed while running
-// the request. The caller must hold e.mu or have exclusive access.
+// the request. Unlike the test in choose, it also counts crashes in the request's own
+// attempts. The caller must hold e.mu or have exclusive access.
 func (e *execution) suspectedOfCrashing() bool { return e.incidents() > 0 }
 
 // incidents counts the incidents in which instances have crashed while running the
