--- a/internal/core/crash/assessment.go
+++ b/internal/core/crash/assessment.go
@@ -18,7 +18,8 @@
 	RetryBelowIncidents = 2
 	// IncidentWindow is the period within which crashes are counted as one incident.
 	// They then have a common cause, such as a power failure in a rack: a request that
-	// crashes its instances runs for longer than that before each crash.
+	// crashes its instances runs for longer than that before each crash, though still so
+	// briefly that it is among the last that the instance started (MaxFingerprints).
 	IncidentWindow = 10 * time.Millisecond
 	// ClearanceWait is how long after its last crash a request waits before it is
 	// refused or aborted. By then a host that has seen the request complete has nearly
@@ -40,8 +41,8 @@
 // that is not suspected.
 type Assessment struct {
 	// Crashes is the number of crashes that the request was involved in and that no
-	// other request explains. Incidents is the number of incidents they form, see
-	// IncidentWindow.
+	// other request explains, or the number of all its crashes if the request is
+	// blocked. Incidents is the number of incidents they form, see IncidentWindow.
 	Crashes, Incidents int
 	// LastReceived is when this host learned of the latest of these crashes.
 	LastReceived time.Time
--- a/internal/core/crash/crash.go
+++ b/internal/core/crash/crash.go
@@ -4,8 +4,10 @@
 // A request that crashes every instance is involved in one crash after another, while
 // the requests that ran concurrently with it complete elsewhere. A Tracker records the
 // crashes in the whole fleet and decides which requests must not reach another instance,
-// and for how long. Hosts that know the same crashes reach the same decisions, whatever
-// the order in which they received them. The package does no I/O.
+// and for how long. Hosts that know the same crashes block the same requests, whatever
+// the order in which they received them. Each host counts the duration of a block from
+// when it learned of the request's latest crash, so the blocks end at different times, by
+// the difference in the delays of that report. The package does no I/O.
 package crash
 
 import (
@@ -35,8 +37,9 @@
 }
 
 const (
-	// MaxFingerprints limits the suspects of one crash. A request that crashes
-	// its instance does so soon after it starts.
+	// MaxFingerprints limits the suspects of one crash. The most recently started
+	// requests are kept: a request that crashes its instance does so soon after it
+	// starts, but not within IncidentWindow.
 	MaxFingerprints = 32
 	// maxCrashes limits the recorded crashes; the oldest are evicted first.
 	maxCrashes = 256
