--- a/internal/core/detect/detector.go
+++ b/internal/core/detect/detector.go
@@ -92,7 +92,8 @@
 func (d *Detector) SuspectSince() time.Time { return d.suspectSince }
 
 // AddAnswer processes one answer of the instance and reports whether its health has
-// changed. failed covers errors and truncated or mismatched answers.
+// changed. failed reports whether the answer counts as a failure; the guard passes only
+// complete answers that did not fail.
 func (d *Detector) AddAnswer(now time.Time, ref Summary, service time.Duration, failed bool) bool {
 	if ref.Count < minSamples {
 		return false
--- a/internal/core/detect/params.go
+++ b/internal/core/detect/params.go
@@ -6,6 +6,10 @@
 // in parallel, one on the logarithm of the service time and one on failures.
 // Because of the comparison with peers, an overload that slows down the whole
 // service is not evidence against any one instance.
+//
+// The guard uses only the test on service times. In place of a service time it passes
+// the latency ratio, the service time divided by the one expected for the request, and
+// it passes no failures: package chance estimates the failure probability from them.
 package detect
 
 import (
--- a/internal/core/detect/reference.go
+++ b/internal/core/detect/reference.go
@@ -45,11 +45,13 @@
 type Summary struct {
 	// Count is the number of samples not older than referenceAge.
 	Count int
-	// Median and Spread describe ln of the service time in seconds. Median is the
-	// greater of the medians of all samples and of the recentSize newest ones.
+	// Median and Spread describe ln of the service time in seconds of the answers that
+	// did not fail. Both are those of all samples in Count, but if recentSize of these
+	// exist, fewer than half of the recentSize newest failed and their median is greater,
+	// Median is the median of these newest.
 	Median, Spread float64
-	// Failures is the share of failed answers, taken as the greater one in the same
-	// way.
+	// Failures is the share of failed answers among all samples in Count, or among the
+	// recentSize newest if there are that many and the share is greater.
 	Failures float64
 }
 
