--- a/internal/core/member/member.go
+++ b/internal/core/member/member.go
@@ -1,8 +1,8 @@
 // Package member detects which hosts are alive, based on SWIM: direct and indirect
 // probes, suspicion before death, and refutation by the suspect.
 //
-// Each host publishes a versioned entry about itself, of which it is the only writer
-// (package config); this package only compares versions. A claim refers to one version of
+// Each host publishes a versioned entry about itself, of which it is the only writer.
+// Package config replicates the entries; this package only compares versions. A claim refers to one version of
 // a host, and the host refutes it by publishing a greater one. Probes are frequent within
 // a data centre and rare across data centres. The package performs no I/O.
 package member
@@ -182,8 +182,9 @@
 // hosts.
 func (n *Node) Isolated() bool { return n.consecutiveFailures >= isolationThreshold }
 
-// isolationThreshold is the number of consecutive failed probes, of different hosts, from
-// which the fault is assumed to be local.
+// isolationThreshold is the number of consecutive failed probes from which the fault is
+// assumed to be local. Consecutive probes usually go to different hosts, but this is not
+// checked: in a small fleet they may all have gone to the same one.
 const isolationThreshold = 3
 
 // Members returns the known hosts except this one, sorted by name.
--- a/internal/core/member/probe.go
+++ b/internal/core/member/probe.go
@@ -58,10 +58,12 @@
 // its former peers.
 const recentDeathPeriod = time.Minute
 
-// probeDead pings one host that is considered dead. An answer with the version of the
-// claim does not prove that the host is alive: the host learns of the claim, refutes it,
-// and answers the next ping with a newer version. Hosts heard from recently are therefore
-// probed again soon.
+// probeDead pings one host that is considered dead. The ping carries the claim that the
+// host is dead. A host that is alive answers, still with the version that the claim names,
+// which does not clear it here. It then refutes the claim by publishing a greater version,
+// and its answer to the next ping, with that version, marks it alive. While there are dead
+// hosts heard from or declared dead recently, one of them is therefore probed every
+// ProbeInterval.
 func (n *Node) probeDead(now time.Time) {
 	// Jitter keeps the two sides of a healed partition from probing in step.
 	n.nextDead = now.Add(n.cfg.DeadProbeInterval/2 + time.Duration(n.rng.Int64N(int64(n.cfg.DeadProbeInterval))))
@@ -131,8 +133,8 @@
 	}
 }
 
-// probeFailed marks a host as suspect, unless the fault is probably local: a host that
-// receives no answers suspects nobody.
+// probeFailed marks a host as suspect, unless the fault is probably local: from the
+// isolationThreshold-th consecutive failed probe on, a failed probe marks no host.
 func (n *Node) probeFailed(now time.Time, host string) {
 	n.consecutiveFailures++
 	m, ok := n.members[host]
@@ -258,8 +260,9 @@
 	}
 	delete(n.probes, p.Seq)
 	n.consecutiveFailures = 0
-	// An answer clears this host's own suspicion if nothing newer is claimed; other
-	// hosts' suspicions require a refutation by the suspect.
+	// An answer marks a suspect alive at this host only, whichever host the suspicion came
+	// from, and this host stops passing the claim on. Other hosts that suspect it need its
+	// refutation or an answer of their own.
 	if m, ok := n.members[sentProbe.host]; ok && m.Status == Suspect && p.From == sentProbe.host {
 		n.setStatus(now, m, Alive)
 		delete(n.rumors, m.Host)
