--- a/internal/core/config/set.go
+++ b/internal/core/config/set.go
@@ -1,5 +1,6 @@
-// Package config replicates versioned entries among the hosts: the operators' records,
-// what each host publishes about itself, and the crashes of instances.
+// Package config holds the replication of versioned entries among the hosts: the
+// operators' records, what each host publishes about itself, and the crashes of instances.
+// The settings of a process are in package settings.
 //
 // New entries are pushed as rumors to a few random peers; periodic digests to a random
 // peer repair losses (anti-entropy). A process applies an entry only if its version is
@@ -17,8 +18,10 @@
 )
 
 const (
-	// BucketCount is the number of buckets compared by a digest. A differing bucket of
-	// the largest set (106,000 entries) lists about 100 entries.
+	// BucketCount is the number of buckets into which a set is divided. A digest holds only
+	// the root, the hash of the whole set. If the roots differ, the bucket hashes are
+	// compared, unless the set is small (maxListedEntries). A differing bucket of the
+	// largest set (106,000 entries) lists about 100 entries.
 	BucketCount = 1024
 	// maxTombstones bounds the number of deletions a set remembers.
 	maxTombstones = 50000
--- a/internal/core/config/step.go
+++ b/internal/core/config/step.go
@@ -158,7 +158,8 @@
 }
 
 // stepSnapshot accepts parts in order from the peer that was asked. If a part is missing,
-// the set stays incomplete and another peer is asked.
+// the set stays incomplete and another peer is asked. Host entries are applied as they
+// come, in any order and from any peer: their set need not be complete at the start.
 func (n *Node) stepSnapshot(from string, m *msg.Snapshot) {
 	if m.Set == msg.SetHosts {
 		n.applySnapshot(from, m)
