--- a/internal/core/retry/origin.go
+++ b/internal/core/retry/origin.go
@@ -13,11 +13,12 @@
 	// begin on idle hosts even under the highest load, but hardly any calls do, since
 	// a call needs a run that makes it.
 	minCallerShare = 0.05
-	// minCallerRequests is the minimum count of requests from idle hosts for that.
+	// minCallerRequests is the minimum count of requests from idle hosts for a route to be
+	// taken to be used by callers.
 	minCallerRequests = 1.5
 	// maxCallIdleShare is the share of requests from idle hosts up to which a route is
-	// taken to be used by calls only, and minCallRequests the minimum count of requests
-	// for that. The share is not 0, because a call of a run that has just been aborted
+	// taken to be used by calls only, and minCallRequests the minimum count of all requests
+	// of such a route. The share is not 0, because a call of a run that has just been aborted
 	// may begin on an idle host.
 	maxCallIdleShare = 0.01
 	minCallRequests  = 40
--- a/internal/core/retry/retry.go
+++ b/internal/core/retry/retry.go
@@ -51,7 +51,7 @@
 
 // NewBudget returns a Budget without history. It has no reserve during its first window,
 // because it does not know which repeats were sent earlier, before a restart or by
-// those that had its part of the reserve.
+// other hosts that held this part of the reserve.
 func NewBudget(now time.Time, l Limits) *Budget { return &Budget{limits: l, created: now} }
 
 // SetLimits replaces the limits.
