--- a/internal/core/balance/balance.go
+++ b/internal/core/balance/balance.go
@@ -4,6 +4,10 @@
 // arrives plus the expected loss of the request's value, due to failure, a late
 // answer or traffic between data centres. The candidate with the lowest cost is
 // selected. If there are many candidates, only a random sample is evaluated.
+//
+// The value of a request is what its answer is worth to the caller. FailureWeight,
+// RemoteWeight and lateValue are shares of its full value, that of an answer well within
+// the latency objective.
 package balance
 
 import (
@@ -53,7 +57,7 @@
 type CostWeights struct {
 	// Objective is the latency objective, and Left the time left of it.
 	Objective, Left time.Duration
-	// FailureWeight is the share of the value that a failure costs: 1 for requests
+	// FailureWeight is the share of the request's value that a failure costs: 1 for requests
 	// that cannot be retried, less for those that can.
 	FailureWeight float64
 	// RemoteWeight is the cost of traffic between data centres, as a share of the value.
@@ -74,8 +78,8 @@
 	// fullLoadSlowdown is the relative increase of the service time at an instance with
 	// all slots busy, compared with an idle one.
 	fullLoadSlowdown = 0.5
-	// valueWeight converts value into time: losing a request's whole value costs as
-	// much as this many objectives.
+	// valueWeight converts a loss of value into time: losing the full value of a request
+	// costs as much as this many objectives.
 	valueWeight = 4.0
 	// lateValue is the value of an answer after its objective, as a share of the full
 	// value. Deployments put it between 0.1 and 0.5.
