--- a/internal/keys/claim.go
+++ b/internal/keys/claim.go
@@ -14,9 +14,8 @@
 )
 
 const (
-	// claimRetryTimeout is how long a refused claim is retried. A planned
-	// handover of the shard takes less, a takeover after a host failure far
-	// more.
+	// claimRetryTimeout is how long a refused claim is retried: long enough for a
+	// planned handover of the shard, not for a takeover after a host failure.
 	claimRetryTimeout = time.Second
 	// retryInterval is the delay between two tries of a claim or a result.
 	retryInterval = 100 * time.Millisecond
--- a/internal/keys/keys.go
+++ b/internal/keys/keys.go
@@ -2,6 +2,14 @@
 // at most once. It owns shards of keys, grants leases as a guard, hands over key
 // tables, and claims keys for the front. The decisions are made by package once;
 // this package sends the messages, runs the timers and writes the shard maps.
+//
+// A shard is one part of a service's keys. Its owner is the host that keeps the table of
+// these keys, and its epoch numbers the assignment to that owner. The owner has authority
+// over the shard while it holds leases of the epoch from a majority of the guards. Guards
+// are here the hosts that the service's shard map names to grant these leases. A shard is
+// frozen once its owner has exported the table to hand it over: the owner refuses claims
+// until the shard has a new epoch. An opaque key is one without a timestamp. See package
+// once, below internal/core.
 package keys
 
 import (
@@ -66,7 +74,8 @@
 	mapCheckInterval = 250 * time.Millisecond
 	// callTimeout limits one message to another host and its reply.
 	callTimeout = 700 * time.Millisecond
-	// guardLostAfter is how long a guard may be unusable before it is removed.
+	// guardLostAfter is how long a candidate host may be unusable before it counts as
+	// lost. A lost guard is removed from the shard map.
 	guardLostAfter = time.Minute
 )
 
--- a/internal/keys/place.go
+++ b/internal/keys/place.go
@@ -244,8 +244,9 @@
 	}
 }
 
-// Resume reverts HandOver after a planned stop was cancelled. Shards that were
-// not taken over get a new epoch with this host as owner.
+// Resume is called after a planned stop was cancelled. It only clears the flag set by
+// HandOver, so that propose may reclaim the frozen shards that were not taken over:
+// they get a new epoch with this host as owner.
 func (m *Manager) Resume() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
