--- a/internal/teams/teams.go
+++ b/internal/teams/teams.go
@@ -22,8 +22,9 @@
 	Incarnation uint64
 	// Allowance and AllowanceFraction are what a team may use beyond its limit in any
 	// Window over all hosts: a number of requests, and a fraction of what the limit
-	// allows. Most of it is granted as extra burst and rate; the rest covers requests
-	// that hosts have not reported to each other yet.
+	// allows. Most of Allowance is granted as extra burst and rate, and a smaller part of
+	// AllowanceFraction as extra rate; the rest covers requests that hosts have not
+	// reported to each other yet.
 	Allowance, AllowanceFraction float64
 	Window                       time.Duration
 	// Send sends a datagram to a host; it may be lost.
