--- a/internal/core/quota/account.go
+++ b/internal/core/quota/account.go
@@ -18,9 +18,9 @@
 	// applies after a start, until a host that has been running longer reports the real
 	// one.
 	used, assumed bucket
-	// reserved is the level including the refused requests that were told when to retry.
-	// Each refusal raises it by one, so that the retries do not all arrive at once.
-	reserved bucket
+	// levelWithRetries is the level including the refused requests that were told when to
+	// retry. Each refusal raises it by one, so that the retries do not all arrive at once.
+	levelWithRetries bucket
 	// standalone counts what this host admitted against its own share. successorUsed
 	// counts what it granted in place of an unresponsive home, against the share of the
 	// requesting hosts.
@@ -28,13 +28,14 @@
 	// lastAsSuccessor is when this host was last queried in place of the home.
 	lastAsSuccessor time.Time
 
-	// homes holds the account's home and its successor, as of epoch.
-	homes [2]string
-	epoch uint64
+	// homes holds the account's home and its successor, as of hostsVersion.
+	homes        [2]string
+	hostsVersion uint64
 
-	// count is the number of requests this host admitted without a query, plus those that
-	// other hosts reported to it instead of to the home, less those that did not run.
-	// confirmed is the part of it that the home confirmedBy has acknowledged.
+	// count is the number of requests this host admitted without a query since the account
+	// was created, plus those that other hosts reported to it, or that it granted them on
+	// a query, instead of the home, less those that did not run and second grants of a
+	// query. confirmed is the part of it that the home confirmedBy has acknowledged.
 	count, confirmed int64
 	confirmedBy      string
 	// seq numbers the usage reports sent; confirmedSeq is the last one acknowledged.
@@ -92,15 +93,15 @@
 	a.limit = limit
 	a.used.set(now, min(before, a.capacity()))
 	a.assumed.set(now, 0)
-	a.reserved.set(now, 0)
+	a.levelWithRetries.set(now, 0)
 	a.refusedUntil = time.Time{}
 }
 
-// rate returns the team's drain rate, and capacity its maximum level, for the visible
+// rate returns the team's drain rate, and capacity its maximum level, for the live
 // hosts.
-func (a *account) rate() float64 { return a.node.withExtra(a.limit.Rate) * a.node.visibleShare() }
+func (a *account) rate() float64 { return a.node.withExtra(a.limit.Rate) * a.node.liveShare() }
 func (a *account) capacity() float64 {
-	return max((a.limit.Burst+a.node.cfg.ExtraBurst)*a.node.visibleShare(), 1)
+	return max((a.limit.Burst+a.node.cfg.ExtraBurst)*a.node.liveShare(), 1)
 }
 
 // withExtra adds the configured extra rate to a rate.
@@ -119,17 +120,17 @@
 
 // level is the team's usage, known or assumed.
 func (a *account) level(now time.Time) float64 {
-	return max(a.used.now(now, a.rate()), a.assumed.now(now, a.rate()))
+	return max(a.used.levelAt(now, a.rate()), a.assumed.levelAt(now, a.rate()))
 }
 
 // isKnown reports whether the level no longer depends on an assumption.
-func (a *account) isKnown(now time.Time) bool { return a.assumed.now(now, a.rate()) == 0 }
+func (a *account) isKnown(now time.Time) bool { return a.assumed.levelAt(now, a.rate()) == 0 }
 
 // add counts n admitted requests, or takes back requests that did not run if n is
 // negative. The level is bounded, so requests admitted beyond the limit because hosts did
 // not know of each other are compensated only in part.
 func (a *account) add(now time.Time, n float64) {
-	a.used.set(now, min(a.used.now(now, a.rate())+n, a.capacity()+a.node.cfg.ExtraBurst))
+	a.used.set(now, min(a.used.levelAt(now, a.rate())+n, a.capacity()+a.node.cfg.ExtraBurst))
 	if !a.isKnown(now) {
 		a.assumed.add(now, a.rate(), n)
 	}
@@ -153,23 +154,24 @@
 		a.add(now, 1)
 		return true, 0
 	}
-	ahead := max(level, a.reserved.now(now, a.rate())) + 1
-	a.reserved.set(now, ahead)
+	ahead := max(level, a.levelWithRetries.levelAt(now, a.rate())) + 1
+	a.levelWithRetries.set(now, ahead)
 	return false, drainTime(ahead-a.capacity(), a.rate())
 }
 
 // admitStandalone admits a request within this host's own share of the rate.
 func (a *account) admitStandalone(now time.Time) (bool, time.Duration) {
 	rate, capacity := a.limitsForShare(a.node.ownShare())
-	level := a.standalone.now(now, rate)
+	level := a.standalone.levelAt(now, rate)
 	if level+1 <= capacity {
 		return true, 0
 	}
 	return false, drainTime(level+1-capacity, rate)
 }
 
-// admitAsSuccessor admits a request in place of an unresponsive home. It grants at most
-// half of the share of the hosts that query this one, because other hosts may still reach
+// admitAsSuccessor admits a request in place of a home that does not answer this host's
+// reports. It grants at most the part successorFraction of the share of this host and of
+// those that reported to it within requestingPeriod, because other hosts may still reach
 // the home, which grants the whole rate until it learns of the partition.
 func (a *account) admitAsSuccessor(now time.Time) (bool, time.Duration) {
 	requesting := 1
@@ -185,7 +187,7 @@
 		a.successorUsed.raise(now, rate, a.level(now)/a.capacity()*capacity)
 	}
 	a.lastAsSuccessor = now
-	level := a.successorUsed.now(now, rate)
+	level := a.successorUsed.levelAt(now, rate)
 	if level+1 > capacity {
 		return false, drainTime(level+1-capacity, rate)
 	}
@@ -222,11 +224,11 @@
 // homes returns the home of a team's account and its successor, "" for none. It uses
 // rendezvous hashing.
 func (n *Node) homes(a *account) [2]string {
-	if a.epoch == n.epoch && a.homes[0] != "" {
+	if a.hostsVersion == n.hostsVersion && a.homes[0] != "" {
 		return a.homes
 	}
 	var best [2]uint64
-	a.homes, a.epoch = [2]string{}, n.epoch
+	a.homes, a.hostsVersion = [2]string{}, n.hostsVersion
 	for i, h := range n.hosts {
 		score := mixHash(a.hash ^ n.hashes[i])
 		switch {
--- a/internal/core/quota/admit.go
+++ b/internal/core/quota/admit.go
@@ -47,8 +47,8 @@
 }
 
 // admitAsHome decides on a request of this host's own callers if it is the home of the
-// account. Shortly after its start the other hosts may still consider it dead and use
-// another home, so its own share applies as well.
+// account. For startupPeriod after this host's start the other hosts may still consider
+// it dead and use another home, so its own share applies as well.
 func (n *Node) admitAsHome(now time.Time, a *account) (bool, time.Duration) {
 	if n.inStartup(now) && len(n.hosts) > 1 {
 		if ok, wait := a.admitStandalone(now); !ok {
@@ -80,7 +80,7 @@
 	// each of them at least one request.
 	maxUnconfirmed := max(1, nearLimitEnter*a.capacity()/float64(max(len(n.hosts), 1)))
 	if a.level(now) < nearLimitExit*a.capacity() {
-		maxUnconfirmed = max(maxUnconfirmed, maxUnconfirmedFarFromLimit)
+		maxUnconfirmed = max(maxUnconfirmed, minUnconfirmedAllowance)
 	}
 	return n.inStartup(now) || now.Before(a.nearLimitUntil) || unconfirmed+1 > maxUnconfirmed || a.isNearLimit(now)
 }
@@ -120,17 +120,17 @@
 	p := n.packet(to)
 	p.Usages = append(p.Usages, msg.TeamUsage{
 		Team: a.team, Seq: a.seq, Count: a.count, Confirmed: a.confirmed,
-		Level: float32(max(a.used.now(now, a.rate())-float64(a.count-a.confirmed), 0)), Known: a.isKnown(now),
-		ConfirmedByReceiver: a.confirmedBy == to, Forwarded: n.isRelay(a), QueryID: queryID,
+		Level: float32(max(a.used.levelAt(now, a.rate())-float64(a.count-a.confirmed), 0)), Known: a.isKnown(now),
+		ConfirmedByReceiver: a.confirmedBy == to, Forwarded: n.receivesReports(a), QueryID: queryID,
 	})
 	if a.count != a.confirmed && a.unconfirmedSince.IsZero() {
 		a.unconfirmedSince = now
 	}
 }
 
-// isRelay reports whether other hosts report the team's usage to this one although it is
-// not the account's home.
-func (n *Node) isRelay(a *account) bool { return len(a.reporters) > 0 && !n.isHome(a) }
+// receivesReports reports whether other hosts report the team's usage to this one
+// although it is not the account's home.
+func (n *Node) receivesReports(a *account) bool { return len(a.reporters) > 0 && !n.isHome(a) }
 
 // reportUsage reports usage that no home has confirmed. If the home does not respond, it
 // alternates between the successor and the home.
@@ -181,8 +181,8 @@
 	}
 }
 
-// decideStandalone decides on a query without another host: none answered, or this host is
-// now the one to ask.
+// decideStandalone decides on a query without another host: none answered, there is no
+// successor, or this host has become home or successor.
 func (n *Node) decideStandalone(now time.Time, id uint32, a *account) {
 	delete(n.queries, id)
 	n.resolved[id] = resolvedQuery{at: now}
@@ -232,7 +232,7 @@
 	}
 	if _, pending := n.queries[l.QueryID]; !pending {
 		// The query was resolved elsewhere; a second grant, by a late home or its
-		// successor, is returned.
+		// successor, is taken off count, so the level falls with the next report.
 		if resolved, known := n.resolved[l.QueryID]; known && l.Granted && resolved.by != from {
 			delete(n.resolved, l.QueryID)
 			a.count--
--- a/internal/core/quota/bucket.go
+++ b/internal/core/quota/bucket.go
@@ -8,8 +8,8 @@
 	at    time.Time
 }
 
-// now returns the level at time t after draining at perSecond.
-func (b *bucket) now(t time.Time, perSecond float64) float64 {
+// levelAt returns the level at time t after draining at perSecond.
+func (b *bucket) levelAt(t time.Time, perSecond float64) float64 {
 	if d := t.Sub(b.at); d > 0 {
 		b.level = max(b.level-d.Seconds()*perSecond, 0)
 		b.at = t
@@ -22,10 +22,10 @@
 
 // add drains the bucket, then adds n; the level does not fall below 0.
 func (b *bucket) add(t time.Time, perSecond, n float64) {
-	b.set(t, b.now(t, perSecond)+n)
+	b.set(t, b.levelAt(t, perSecond)+n)
 }
 
 // raise drains the bucket, then raises it to at least level.
 func (b *bucket) raise(t time.Time, perSecond, level float64) {
-	b.set(t, max(b.now(t, perSecond), level))
+	b.set(t, max(b.levelAt(t, perSecond), level))
 }
--- a/internal/core/quota/quota.go
+++ b/internal/core/quota/quota.go
@@ -2,18 +2,21 @@
 // server. It performs no I/O.
 //
 // A team's account is held by one host, its home, which is chosen by rendezvous hashing
-// among the live hosts. The account is a leaky bucket: admitted requests raise its level,
-// which drains at the team's rate. While a team is far below its limit, a host admits its
-// requests at once and reports them to the home within a tick. Reports carry a cumulative
-// count, so lost, delayed and repeated datagrams do no harm. When a team comes near its
-// limit, the home notifies all hosts, which then query it for each request until the team
-// is far from the limit again. Every message carries the level, so that a new home learns
-// it from the first host that contacts it.
+// among the live hosts. The host second in rendezvous order is the successor, which is
+// asked if the home does not answer. The account is a leaky bucket: admitted requests
+// raise its level, which drains at the team's rate. While a team is far below its limit,
+// a host admits its requests at once and reports them to the home at the next Tick,
+// about every 50 ms, or once its previous report is confirmed or has timed out. Reports
+// carry a cumulative count, so lost, delayed and repeated datagrams do no harm. When a
+// team comes near its limit, the home notifies all hosts, which then query it for each
+// request until the team is far from the limit again. Every message carries the level,
+// so that a new home learns it from the first host that contacts it.
 //
 // A host that reaches no home admits requests of a team within its own share of the rate
 // (standalone mode). A host that has just started assumes that every account is used up
-// as of its start, until another host reports the real level: restarting the whole fleet
-// grants no new burst.
+// as of its start, but for the part startupExtraFraction of Config.ExtraBurst, until
+// another host reports the real level. Restarting the whole fleet grants no new burst
+// beyond that part.
 package quota
 
 import (
@@ -41,8 +44,9 @@
 	Incarnation uint64
 	// ExtraBurst is the number of requests a team may use beyond its burst. ExtraRate
 	// (requests per second) and ExtraRateFraction (a fraction of the rate) are added to
-	// its rate. Hosts admit some requests beyond the limit because they learn late of what
-	// the others admitted; these values are what then remains of the permitted excess.
+	// its rate. The caller allows a team a total excess over its limit. Hosts use up part
+	// of it because they learn late of what the others admitted; the rest is given as
+	// these extras.
 	ExtraBurst, ExtraRate, ExtraRateFraction float64
 	// Limit returns a team's limit, or false if it has none.
 	Limit func(team string) (Limit, bool)
@@ -73,19 +77,23 @@
 	// when it knows no levels.
 	startupExtraFraction = 0.5
 	// successorFraction is the part of the requesting hosts' share that a successor
-	// grants while it considers the home alive.
+	// grants while the home does not answer its reports. A successor that has not noticed
+	// this, or a queried host that is neither home nor successor, grants from the whole
+	// rate.
 	successorFraction = 0.5
-	// singleLossFraction is the fraction of visible hosts that must remain for a loss to
+	// singleLossFraction is the fraction of peakShare that must remain for a loss to
 	// be treated as that of single hosts.
 	singleLossFraction = 0.9
-	// maxUnconfirmedFarFromLimit is the number of requests that a host may admit before
-	// the home has confirmed the first, for a team far from its limit.
-	maxUnconfirmedFarFromLimit = 2
-	// pauseThreshold is the time without calls after which a host assumes that others
-	// acted in its place; relearnPeriod is how long it then grants nothing.
+	// minUnconfirmedAllowance is the minimum of the limit on a host's unconfirmed requests
+	// while the team is far from its limit.
+	minUnconfirmedAllowance = 2
+	// pauseThreshold is the time without a call of Step or Tick after which a host assumes
+	// that others acted in its place. relearnPeriod is how long it then leaves the queries
+	// of other hosts unanswered; it still decides on requests of its own callers.
 	pauseThreshold = 500 * time.Millisecond
 	relearnPeriod  = 250 * time.Millisecond
-	// requestingPeriod is how long a host counts among those that query a successor.
+	// requestingPeriod is how long a successor counts a host among the requesting hosts
+	// after its last report, with or without a query.
 	requestingPeriod = 2 * time.Second
 	// maxRefusalCache bounds how long a host refuses requests by the home's last refusal
 	// without a new query.
@@ -146,11 +154,11 @@
 	hashes     []uint64
 	dc         string
 	knownHosts int
-	// peakShare is the largest recent visible share, and peakShareAt when it was seen.
+	// peakShare is the largest recent live share, and peakShareAt when it was seen.
 	peakShare   float64
 	peakShareAt time.Time
-	// epoch is incremented whenever the set of hosts changes.
-	epoch uint64
+	// hostsVersion is incremented by every SetHosts.
+	hostsVersion uint64
 
 	accounts map[string]*account
 	// unconfirmed holds the accounts with usage that no home has confirmed. nearLimit
@@ -163,8 +171,8 @@
 	// returned.
 	resolved  map[uint32]resolvedQuery
 	lastSweep time.Time
-	// lastCall is when the node was last called. resumedAt is when it was last called
-	// after a pause.
+	// lastCall is when Step or Tick was last called. resumedAt is when one of them was
+	// last called after a pause.
 	lastCall, resumedAt time.Time
 
 	// out holds the datagrams to send; openPackets maps each host to the index of its
@@ -188,7 +196,7 @@
 // SetHosts sets the live hosts, including this one, and the number of known hosts,
 // including those considered dead.
 func (n *Node) SetHosts(now time.Time, alive []Host, known int) {
-	if before := n.visibleShare(); before >= n.peakShare || now.Sub(n.peakShareAt) >= startupPeriod {
+	if before := n.liveShare(); before >= n.peakShare || now.Sub(n.peakShareAt) >= startupPeriod {
 		n.peakShare, n.peakShareAt = before, now
 	}
 	n.hosts, n.hashes = alive, make([]uint64, len(alive))
@@ -199,16 +207,16 @@
 		}
 	}
 	n.knownHosts = max(known, len(alive), 1)
-	n.epoch++
-	if remaining := n.visibleShare() / n.peakShare; remaining < 1 {
+	n.hostsVersion++
+	if remaining := n.liveShare() / n.peakShare; remaining < 1 {
 		n.compensateLostHosts(now, remaining)
 	}
 }
 
 // compensateLostHosts raises the levels of teams that were near their limit when hosts
 // become unreachable: the requests those hosts admitted were not reported, and the level
-// has drained as if there had been none. remaining is the new visible share over the old
-// one. If many hosts were lost at once, the bucket counts as used up.
+// has drained as if there had been none. remaining is the new live share over peakShare,
+// the largest recent one. If many hosts were lost at once, the bucket counts as used up.
 func (n *Node) compensateLostHosts(now time.Time, remaining float64) {
 	for _, a := range n.accounts {
 		if now.Before(a.nearLimitUntil.Add(startupPeriod)) || n.nearLimit[a.team] != nil {
@@ -221,9 +229,9 @@
 	}
 }
 
-// visibleShare is the part of each rate that the visible hosts hold together. In a
+// liveShare is the part of each rate that the live hosts hold together. In a
 // partitioned fleet, the shares of all sides add up to the whole rate.
-func (n *Node) visibleShare() float64 { return float64(max(len(n.hosts), 1)) / float64(n.knownHosts) }
+func (n *Node) liveShare() float64 { return float64(max(len(n.hosts), 1)) / float64(n.knownHosts) }
 
 // Take returns and clears the datagrams to send and the answers to pending requests.
 func (n *Node) Take() ([]Outbound, []Answer) {
