--- a/internal/core/once/attempt.go
+++ b/internal/core/once/attempt.go
@@ -3,14 +3,16 @@
 // owner, and the leases that give an owner its authority. The package does no
 // I/O, and callers pass in the time.
 //
-// A request passes from the front, the proxy at the caller, to the guard, the proxy
-// at the instance that runs it. A service's idempotency keys are divided into
-// shards. The service's shard map names the owner of each shard, which is a host,
-// and numbers each assignment by an epoch. The front claims the key at the owner
-// before the request runs. The owner needs the lease of its epoch from a majority of
-// the guards in the map, which are up to maxGuards hosts. A guard that runs a request
-// checks the epoch of the claim. At a planned change of owner, the old owner hands
-// its table over to the next.
+// A request passes from the front, the proxy at the caller, to the guard, the proxy at
+// the target, which is the instance that runs it. A service's idempotency keys are
+// divided into shards. The service's shard map names the owner of each shard, which is a
+// host, and numbers each assignment by an epoch. The front claims the key at the owner
+// before the request runs. The owner needs the lease of its epoch from a majority of the
+// guards in the map. These are the guards of up to maxGuards hosts, or of one more while
+// a lost one is replaced, and here they grant leases; the instances that run the
+// service's requests may be at other hosts. The guard that runs a request checks the
+// epoch of its claim. At a planned change of owner, the old owner hands its table over
+// to the next.
 package once
 
 import "github.com/radishhoist/radishhoist/verdict"
@@ -81,8 +83,9 @@
 	return SendReserve
 }
 
-// HandleGrant handles the guard's grant of a slot. A duplicate grant, or one that
-// arrives after the attempt has ended, is ignored and expires at the guard.
+// HandleGrant handles the guard's grant of a slot. A duplicate grant has no effect. A
+// grant that arrives after the attempt has ended is ignored and expires at the guard,
+// unless the attempt's cancellation has freed the slot before.
 func (a *Attempt) HandleGrant() Action {
 	if a.phase != Reserving {
 		return SendNothing
--- a/internal/core/once/lease.go
+++ b/internal/core/once/lease.go
@@ -11,16 +11,17 @@
 	Shard   uint32
 }
 
-// LeaseGranter is a guard's side of shard ownership. It grants the lease of each
-// shard to one epoch at a time. A lease is timed by the guard's own monotonic
-// clock, and a greater epoch is refused until it has expired. Two owners would
-// need majorities of the same guards, and the guard common to both majorities
-// grants the lease to only one of them.
+// LeaseGranter is a guard's side of shard ownership. Acquire and Release serve as one of
+// the guards in the shard map, MayRun as the guard that runs a request. The granter gives the
+// lease of each shard to one epoch at a time. A lease is timed by the guard's own
+// monotonic clock, and a greater epoch is refused until it has expired. Two owners would
+// need majorities of the same guards, and the guard common to both majorities grants the
+// lease to only one of them.
 //
-// A process that has just started may have granted leases before its restart.
-// It therefore grants none until those have expired and it has read the shard
-// maps from the platform itself: a map received from a peer may be older than
-// the epochs granted before the restart.
+// A process that has just started may have granted leases before its restart. It
+// therefore grants none until those have expired and it has read the shard maps from the
+// platform, the store of the records: a map received from a peer may be older than the
+// epochs granted before the restart.
 type LeaseGranter struct {
 	duration time.Duration
 	started  time.Time
--- a/internal/core/once/owner.go
+++ b/internal/core/once/owner.go
@@ -29,8 +29,8 @@
 	authority   *Authority
 	table       *Table
 	nextRenewal time.Time
-	// frozen means that the table was handed over: claims are refused until
-	// the map gives the shard a new epoch.
+	// frozen means that the table was exported for handover: claims are refused
+	// until the map gives the shard a new epoch.
 	frozen bool
 	// held is the result of Held at the last tick, to detect changes.
 	held bool
@@ -87,7 +87,7 @@
 			o.shards[id] = o.takeOver(now, id, s.Epoch, m, have)
 			continue
 		}
-		o.changeGuards(have, m)
+		o.updateAuthority(have, m)
 	}
 	for id := range o.shards {
 		if id.Service == service && int(id.Shard) >= len(m.Shards) {
@@ -96,10 +96,10 @@
 	}
 }
 
-// changeGuards applies a change of the guard set within an epoch. Authority is
-// evaluated against the new set, keeping the leases already held; the table is
-// kept.
-func (o *Owner) changeGuards(s *ownedShard, m *record.ShardMap) {
+// updateAuthority applies a map of the same epoch, normally one that drops the previous
+// guards. Authority is evaluated against the guards in the map, keeping the leases
+// already held; the table is kept.
+func (o *Owner) updateAuthority(s *ownedShard, m *record.ShardMap) {
 	if slices.Equal(s.authority.guards, m.Guards) && slices.Equal(s.authority.prev, m.PrevGuards) {
 		return
 	}
@@ -182,8 +182,9 @@
 	s.authority.AddLease(req.Guard, requested, r.TTL)
 }
 
-// Claim decides whether a keyed request may run. now must have been read after
-// the last blocking operation, since authority may have expired meanwhile.
+// Claim decides whether a keyed request may run. It refuses the claim if this host does
+// not own the shard, has frozen it or has no authority at present. now must have been
+// read after the last blocking operation, since authority may have expired meanwhile.
 func (o *Owner) Claim(now time.Time, wallMS int64, c *msg.KeyClaim) *msg.ClaimReply {
 	s, ok := o.shards[ShardID{c.Service, c.Shard}]
 	if !ok || s.frozen || !s.authority.Held(now) {
--- a/internal/core/once/placement.go
+++ b/internal/core/once/placement.go
@@ -10,8 +10,9 @@
 	"github.com/radishhoist/radishhoist/record"
 )
 
-// maxGuards limits the guards of a service. Seven guards tolerate three
-// simultaneous failures and keep the lease traffic low.
+// maxGuards is the number of guards that a service is to have if there are enough hosts.
+// A lost guard is replaced by adding first, so there may be maxGuards+1 for a time. Seven
+// guards tolerate three simultaneous failures and keep the lease traffic low.
 const maxGuards = 7
 
 // Candidate is a host that can be chosen as guard or owner of a service's
@@ -77,11 +78,12 @@
 	return changed
 }
 
-// changeGuards changes the guard set by one host: it adds one if there are too
-// few, or else removes one that is lost. Every shard gets a new epoch, and a
-// majority of the previous guards is also required until all owners hold
-// authority again. Only the first usable guard by name makes the change, which
-// limits conflicting writes.
+// changeGuards changes the guard set by one host. It adds one if there are fewer than
+// maxGuards, not counting one lost guard, or else removes a lost one. A lost guard is
+// thus replaced by adding first, and there may be maxGuards+1 for a time. Every shard
+// gets a new epoch, and a majority of the previous guards is also required until all
+// owners hold authority again. Only the first usable guard by name makes the change,
+// which limits conflicting writes.
 func changeGuards(service, self string, m *record.ShardMap, hosts []Candidate) bool {
 	if self != firstUsable(m.Guards, hosts) || !allHeld(m) {
 		return false
--- a/internal/core/once/table.go
+++ b/internal/core/once/table.go
@@ -11,8 +11,8 @@
 type ClaimOutcome uint8
 
 const (
-	// ClaimRefused means that the owner has no authority at present or that its
-	// table is full. The request was not run.
+	// ClaimRefused means that the host does not own the shard, has frozen it or has
+	// no authority at present, or that its table is full. The request was not run.
 	ClaimRefused ClaimOutcome = iota
 	// ClaimRun permits this request to run, and no other with the key.
 	ClaimRun
@@ -56,7 +56,8 @@
 	stored               bool
 }
 
-// TableConfig holds the limits of a Table.
+// TableConfig holds the limits of a Table. As a Table holds one shard, they apply to each
+// shard.
 type TableConfig struct {
 	// Window is how long a finished key is remembered.
 	Window time.Duration
@@ -73,8 +74,8 @@
 	ClaimTimeout time.Duration
 }
 
-// DefaultTableConfig returns limits for a host with 128 MB for the control
-// plane.
+// DefaultTableConfig returns the limits of one shard, for a host with 128 MB for the
+// control plane, the part of the proxy that exchanges state with the other hosts.
 func DefaultTableConfig() TableConfig {
 	return TableConfig{Window: 10 * time.Minute, MaxKeys: 20000, MaxBytes: 8 << 20, MaxSkew: time.Second, ClaimTimeout: 11 * time.Minute}
 }
@@ -148,7 +149,7 @@
 func (t *Table) admitNew(now time.Time, wallMS int64, c *msg.KeyClaim) ClaimOutcome {
 	created := c.CreatedMS
 	if created > wallMS+t.cfg.MaxSkew.Milliseconds() {
-		created = 0 // the caller's clock is too far ahead to be trusted
+		created = 0 // the caller's clock is too far ahead: treated as an opaque key
 	}
 	switch {
 	case created == 0 && now.Before(t.opaqueFrom):
