--- a/internal/core/admit/admit.go
+++ b/internal/core/admit/admit.go
@@ -26,13 +26,15 @@
 	// Class is the fairness class of the caller's team.
 	Class uint32
 	// Priority is 0 to 3; higher runs first. SubPriority, also 0 to 3, orders requests
-	// of equal Priority. It holds the route's priority where the caller's team
-	// defines a priority of its own.
+	// of equal Priority. The front sets it to the priority of the route, which is the
+	// record that the request matched. Priority is that of the caller's team if the team
+	// defines one, and otherwise also that of the route.
 	Priority, SubPriority uint8
 	// Deadline is when the caller stops waiting.
 	Deadline time.Time
-	// Objective is the latency objective as a point in time: an answer by then has
-	// its full value. The zero value means the deadline.
+	// Objective is the latency objective as a point in time. Of the waiting requests of
+	// a rank, those that can still be answered by then run first; a request that is still
+	// waiting when the objective has passed is refused. The zero value means the deadline.
 	Objective time.Time
 	// ExpectedServiceTime is the expected service time, 0 if the front does not know it.
 	ExpectedServiceTime time.Duration
@@ -110,7 +112,7 @@
 	// serviceTimeWeight is the weight of a new sample in the moving average of the
 	// service time.
 	serviceTimeWeight = 0.1
-	// minRetryAfter is the minimum Retry-After of a refusal.
+	// minRetryAfter is the minimum Retry-After of a refusal with ReasonQueueFull.
 	minRetryAfter = 50 * time.Millisecond
 )
 
--- a/internal/core/admit/wait.go
+++ b/internal/core/admit/wait.go
@@ -42,9 +42,9 @@
 	return wait
 }
 
-// waitBehind returns the expected wait of a newcomer: one service time until a slot
-// is free plus the expected service times of the requests that run before it, divided
-// by the number of slots.
+// waitBehind returns the expected wait of a newcomer. It adds one service time, for a
+// slot to become free, to the expected service times of the requests that run before the
+// newcomer, and divides the sum by the number of slots.
 func (q *Queue) waitBehind(now time.Time, newcomer *ticket) time.Duration {
 	ahead := q.serviceTime
 	for rank := newcomer.rank(); rank < rankCount; rank++ {
@@ -58,7 +58,9 @@
 }
 
 // precedes reports whether a waiting request runs before a newcomer of the same rank.
-// It follows the order of popNext, except that it ignores the round robin of classes.
+// It follows the order of popNext with two exceptions. It ignores the round robin of
+// classes. It also treats a request as late that was expected to miss its objective when
+// offered, although popNext asks only whether the objective can be met now.
 func (t *ticket) precedes(now time.Time, newcomer *ticket) bool {
 	late := t.late || !t.meetsObjective(now)
 	switch {
