--- a/internal/msg/teams.go
+++ b/internal/msg/teams.go
@@ -19,10 +19,13 @@
 // another host has admitted. It may query whether one more request may pass.
 type TeamUsage struct {
 	Team string
-	// Seq numbers the messages of this host about the team.
+	// Seq numbers the messages of this host about the team since the host created its
+	// account of the team, which it drops when it is idle.
 	Seq uint32
-	// Count is the number of requests admitted by the host since its start, less those
-	// that did not run. Confirmed is the part of it included in Level.
+	// Count is the number of requests admitted by the host without a query since it created
+	// the account, plus those that others reported to it, or that it granted them on a
+	// query, instead of the home, less those that did not run and second grants of a
+	// query. Confirmed is the part of it included in Level.
 	Count, Confirmed int64
 	// Level is the usage of the team as known to the sender, in requests. Known reports
 	// whether the sender has run for long enough to know it.
