--- a/internal/objects/api.go
+++ b/internal/objects/api.go
@@ -38,6 +38,7 @@
 	// Get reads one object. It returns *NotFoundError if there is none.
 	Get(ctx context.Context, key record.Key) (Object, error)
 	// List reads all objects of the given kinds, or of every kind if none is given.
+	// A platform adapter may include the configuration only in a list without kinds.
 	List(ctx context.Context, kinds ...record.Kind) (Page, error)
 	// Put writes the object if the stored version equals ifVersion; 0 means that
 	// the object must not exist. Otherwise it returns *ConflictError with the
--- a/internal/objects/budget.go
+++ b/internal/objects/budget.go
@@ -19,8 +19,9 @@
 	set     *metrics.Set
 }
 
-// Default rate limit of a process. A watcher makes at most five calls per second. A
-// host that is not a watcher makes a few calls at startup and almost none later.
+// Default rate limit of a process. The pause after each watch limits a watcher to about
+// five calls per second and feed. A host that is not a watcher makes a few calls at startup
+// and almost none later.
 const (
 	CallsPerSecond = 8
 	CallBurst      = 24
@@ -34,7 +35,11 @@
 // Metrics returns the call counters for the admin endpoint.
 func (b *RateLimitedStore) Metrics() *metrics.Set { return b.set }
 
-// countCall counts a call by its outcome: answered, refused or unanswered.
+// countCall counts a call by its outcome. Refused means that the platform rejected the
+// call without executing it, with status 429 or 503. Unanswered means that no complete
+// response was received, also because the caller cancelled the call, or that the platform
+// answered with another server error. Every other outcome counts as answered, including
+// a conflict, an object that does not exist and a response that cannot be decoded.
 func (b *RateLimitedStore) countCall(call string, err error) {
 	outcome := "answered"
 	var unavailable *UnavailableError
--- a/internal/objects/transport.go
+++ b/internal/objects/transport.go
@@ -36,8 +36,9 @@
 
 // NewTransport returns a Transport for the object API at base, such as
 // "http://127.0.0.1:7000". watchWait is the time for which a watch is held open. A
-// longer wait makes fewer calls. A shorter one limits how long changes are missed
-// if the platform drops its history and does not end the watches waiting on it.
+// longer wait makes fewer calls. Normally a change ends the watch at once. The wait
+// matters if the platform drops its history and does not end the watches waiting on
+// it: changes are then missed until the wait ends.
 func NewTransport(base string, watchWait time.Duration) *Transport {
 	dialer := &net.Dialer{Timeout: dialTimeout, KeepAliveConfig: keepAlive}
 	transport := &http.Transport{
--- a/internal/objects/write.go
+++ b/internal/objects/write.go
@@ -26,8 +26,9 @@
 var ErrUnknownOutcome = errors.New("write outcome unknown: the response was lost and the record could not be verified; read the record before writing again")
 
 // PutConfirmed is Put with recovery from a lost response. It then reads the object
-// back and takes a newer version for its own write only if isOwn accepts the stored
-// value; isOwn must identify this very write, for example by a nonce. If the old
+// back and treats a newer version as its own write only if isOwn accepts the stored
+// value. isOwn may accept any stored value that makes the write unnecessary: this very
+// write, recognized for example by a nonce, or an equivalent earlier one. If the old
 // version is still stored, it repeats the write with the same condition: versions
 // never repeat, so at most one of the writes takes effect. A create is not repeated, because the
 // object may have been created and deleted in the meantime.
