--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -100,7 +100,9 @@
 	confirmed *confirmations
 	compiled  *directory.Records
 	dir       *directory.Directory
-	dirty     bool
+	// dirty is set if hosts, records or the status of members may have changed since dir
+	// was built.
+	dirty bool
 	// compiledVersion is the newest record version in compiled, and activeVersion that in
 	// the directory last passed to the hook.
 	compiledVersion, activeVersion int64
@@ -225,6 +227,7 @@
 	c.mu.Lock()
 	c.members.Tick(now)
 	if c.members.Suspected() {
+		// Others suspect this host; a new version tells them that it is alive.
 		c.selfChanged = true
 	}
 	if c.selfChanged {
@@ -435,14 +438,21 @@
 	}
 }
 
-// Traffic counts control messages since the process started.
+// Traffic counts datagrams and control messages since the process started.
 type Traffic struct {
-	PacketsIn   uint64 `json:"packetsIn"`
-	PacketsOut  uint64 `json:"packetsOut"`
-	MessagesIn  uint64 `json:"messagesIn"`
+	// PacketsIn counts the membership datagrams received, without team datagrams.
+	PacketsIn uint64 `json:"packetsIn"`
+	// PacketsOut counts the membership and team datagrams sent.
+	PacketsOut uint64 `json:"packetsOut"`
+	// MessagesIn counts the messages received.
+	MessagesIn uint64 `json:"messagesIn"`
+	// MessagesOut counts the messages queued, whether or not they are sent later.
 	MessagesOut uint64 `json:"messagesOut"`
-	BytesOut    uint64 `json:"bytesOut"`
-	Dropped     uint64 `json:"dropped"`
+	// BytesOut is the size of the datagrams in PacketsOut and the estimated size of the
+	// messages in MessagesOut.
+	BytesOut uint64 `json:"bytesOut"`
+	// Dropped counts the messages that were dropped because the queue was full.
+	Dropped uint64 `json:"dropped"`
 }
 
 func (c *Control) handleMemberChange(now time.Time, ch member.Change) {
--- a/internal/control/crashers.go
+++ b/internal/control/crashers.go
@@ -90,7 +90,8 @@
 	}
 }
 
-// storeCrasher writes one record. If the record exists already, it has the same content.
+// storeCrasher writes one record. An existing record is left as it is, although it
+// may list other crashes: it was written to block the same request.
 func (c *Control) storeCrasher(ctx context.Context, p crash.Fingerprint, value []byte) error {
 	_, err := c.store.Put(ctx, crasherKey(p), value, 0)
 	var conflict *objects.ConflictError
--- a/internal/control/crashes.go
+++ b/internal/control/crashes.go
@@ -53,7 +53,8 @@
 }
 
 // applyCrashEntry applies an entry of msg.SetCrashes. The version is the time at which the
-// entry was created, so expired entries are recognized by it.
+// crash was detected, so expired entries are recognized by it. A clearance has the version
+// of its crash, or the time of the clearance if the crash was unknown.
 func (c *Control) applyCrashEntry(now time.Time, e msg.Entry) {
 	if e.Deleted || crashEntryExpired(now, e) {
 		return
@@ -101,6 +102,7 @@
 }
 
 // crashEntryExpired reports whether an entry of msg.SetCrashes is past the retention period.
+// An entry dated that far in the future counts as expired too.
 func crashEntryExpired(now time.Time, e msg.Entry) bool {
 	return now.Sub(time.UnixMilli(e.Version)).Abs() > crash.RetentionPeriod
 }
--- a/internal/control/hosts.go
+++ b/internal/control/hosts.go
@@ -104,6 +104,7 @@
 	if recordsChanged {
 		c.records.dirty = false
 		if completeChanged {
+			// Logged on every change, also when the set becomes incomplete.
 			event.Log(c.log, event.RecordSetLoaded, slog.Int("records", c.replica.Set(msg.SetRecords).Len()),
 				slog.Int64("newest", c.replica.Set(msg.SetRecords).Newest()))
 		}
@@ -170,7 +171,9 @@
 }
 
 // callContacts sends the entry of this host to hosts that are known by address only, and
-// requests their entries. The caller holds the lock.
+// requests their entries. Once all of them are known or given up, it pushes the entry of
+// this host again, because the earlier push reached only the hosts known at that time. The
+// caller holds the lock.
 func (c *Control) callContacts(now time.Time) {
 	if c.contacts.AllReached(c.isKnown, c.members.NoPeers()) {
 		c.replica.Resend(c.peers(), msg.SetHosts, config.Key{Kind: hostKind, Name: c.cfg.Host})
--- a/internal/control/janitor.go
+++ b/internal/control/janitor.go
@@ -11,7 +11,7 @@
 
 const (
 	// cleanupInterval is how often the first-ranked host of a data centre looks for stale
-	// records.
+	// records: the host whose rank is 0, in the order of the hashes of the host names.
 	cleanupInterval = 10 * time.Minute
 	// unknownHostRetention is how long a host must be unknown before its record is
 	// removed. A host that returns writes its record again.
--- a/internal/control/join.go
+++ b/internal/control/join.go
@@ -25,7 +25,8 @@
 	}
 	c.applyFullList(page, began)
 	c.publish(time.Now())
-	// The shard maps have been applied, so the guard may grant leases from now on.
+	// The shard maps have been applied. Until this call of keys.Manager.MarkSynced, this
+	// host grants no leases.
 	c.hooks.ShardMapsRead()
 	return page.Revision, nil
 }
@@ -57,9 +58,10 @@
 }
 
 // isCurrentOwnRecord reports whether a stored Host record can be left in place: it has
-// the addresses of this host and is too recent for another host to remove it. Its
-// incarnation may be that of an earlier process, because hosts exchange the current
-// incarnation directly. This saves one of four calls when a host restarts soon, and one
+// the addresses of this host and is too recent for another host to remove it: the process
+// that wrote it started less than unknownHostRetention ago, and a record is removed only
+// after its host has been unknown for that long. Its incarnation may be that of an earlier
+// process, because hosts exchange the current incarnation directly. This saves one of four calls when a host restarts soon, and one
 // call per host when a whole fleet restarts after a power failure.
 func (c *Control) isCurrentOwnRecord(key record.Key, stored []byte) bool {
 	r, err := record.Parse(stored)
--- a/internal/control/loadreport.go
+++ b/internal/control/loadreport.go
@@ -7,8 +7,9 @@
 	"github.com/radishhoist/radishhoist/internal/msg"
 )
 
-// SendLoadReport sends a load report from this host's guard to fronts. Every other data centre
-// receives one copy, which is forwarded there. If the rate limit does not allow all
+// SendLoadReport sends a load report from this host's guard to fronts. With
+// loadreport.ToAll, one host of every other data centre also receives a copy, which it
+// forwards within its data centre. If the rate limit does not allow all
 // recipients, only some receive it.
 func (c *Control) SendLoadReport(report *msg.LoadReport, to loadreport.Reach) {
 	c.mu.Lock()
--- a/internal/control/outbox.go
+++ b/internal/control/outbox.go
@@ -12,8 +12,9 @@
 	// outboxCapacity is the maximum number of messages queued for one address.
 	outboxCapacity = 64
 	// sendTimeout limits the sending of one message. It allows for a dial and a
-	// ping of the peer, with as much again in reserve. Later delivery is not useful,
-	// because periodic repair restores the lost data.
+	// ping of the peer (dialTimeout, 500 ms, and pingTimeout, 300 ms, of package peer), with
+	// as much again in reserve. Later delivery is not useful, because periodic repair
+	// restores the lost data.
 	sendTimeout = 2 * time.Second
 )
 
--- a/internal/control/rank.go
+++ b/internal/control/rank.go
@@ -10,7 +10,8 @@
 
 // shouldWatch reports whether this host is one of the first WatchersPerDC live hosts of
 // its data centre, in an order that all hosts agree on. While views of the membership
-// differ, a few hosts more or fewer watch, which is harmless.
+// differ, a few hosts more or fewer watch, which is harmless. It also sets c.watching and
+// logs each change of it.
 func (c *Control) shouldWatch() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -27,9 +28,10 @@
 }
 
 // backupWaitFactor multiplies the wait time of watches on all but the first watcher of a
-// data centre. Longer waits save calls and do not delay changes. The first watcher uses
-// the shorter wait, which detects sooner that the platform holds a watch beyond its wait
-// time.
+// data centre. Longer waits save calls. Normally a change ends the watch at once; the
+// wait matters if the platform does not end it (see objects.NewTransport). The first
+// watcher uses the shorter wait, which detects sooner that the platform holds a watch
+// beyond its wait time.
 const backupWaitFactor = 4
 
 // waitFactor returns the factor for the wait time of this host's watches.
@@ -42,7 +44,9 @@
 	return backupWaitFactor
 }
 
-// rank returns the number of live hosts of the data centre that precede this one.
+// rank returns the number of live hosts of the data centre that precede this one in the
+// order of the hashes of their names. Hosts that are leaving are not counted. The caller
+// holds the lock.
 func (c *Control) rank() int {
 	local, _ := c.members.Live()
 	own := xxhash.Sum64String(c.cfg.Host)
--- a/internal/control/status.go
+++ b/internal/control/status.go
@@ -61,8 +61,9 @@
 	c.reports[from] = receivedReport{at: time.Now(), Report: *r}
 }
 
-// statusWriter returns the first live host of this data centre by name, which collects
-// the reports and writes the summary.
+// statusWriter returns the first live host of this data centre in the alphabetical order
+// of names, which is not the order of rank. That host collects the reports and writes the
+// summary.
 func (c *Control) statusWriter() string {
 	local, _ := c.members.Live()
 	first := c.cfg.Host
--- a/internal/control/watch.go
+++ b/internal/control/watch.go
@@ -109,6 +109,8 @@
 				// The platform is available; a list returns the missed changes.
 				continue
 			}
+			// The events after a list just read are gone already. This counts as a failure,
+			// because without a pause lists and watches could alternate without end.
 		}
 		if err != nil {
 			c.pauseAfterFailure(ctx, feed, &retry, began, err)
