--- a/internal/daemon/admin.go
+++ b/internal/daemon/admin.go
@@ -21,7 +21,7 @@
 	mux.HandleFunc("GET "+state.MetricsPath, func(w http.ResponseWriter, _ *http.Request) {
 		d.front.Metrics().WritePrometheus(w)
 		d.guard.Metrics().WritePrometheus(w)
-		d.budget.Metrics().WritePrometheus(w)
+		d.limitedStore.Metrics().WritePrometheus(w)
 		d.gauges.WritePrometheus(w)
 		metrics.WriteProcessMetrics(w)
 	})
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,5 +1,7 @@
-// Package daemon assembles radishhoistd from its three roles, front, guard and
-// control, and adds the sockets, the admin endpoints and graceful shutdown.
+// Package daemon assembles radishhoistd from its three roles and adds the sockets, the
+// admin endpoints and graceful shutdown. The roles are front, which receives requests and
+// chooses a target; guard, which queues requests and runs them on the targets of this
+// host; and control, which maintains membership and records.
 package daemon
 
 import (
@@ -44,25 +46,25 @@
 	RequiredRecords []record.Key
 }
 
-// OwnAdapter returns the ports for the default platform API and header names.
+// OwnAdapter returns the adapter for the default platform API and header names.
 func OwnAdapter(cfg *settings.Config) PlatformAdapter {
 	return PlatformAdapter{Store: objects.NewClient(cfg.Platform, cfg.WatchWait), Dialect: header.Default()}
 }
 
 // Daemon is the radishhoistd process of one host.
 type Daemon struct {
-	cfg     atomic.Pointer[settings.Config]
-	log     *slog.Logger
-	started time.Time
-	store   objects.Store
-	budget  *objects.RateLimitedStore
-	front   *front.Front
-	guard   *guard.Guard
-	control *control.Control
-	teams   *teams.RateLimiter
-	keys    *keys.Manager
-	pool    *peer.Pool
-	gauges  *metrics.Set
+	cfg          atomic.Pointer[settings.Config]
+	log          *slog.Logger
+	started      time.Time
+	store        objects.Store
+	limitedStore *objects.RateLimitedStore
+	front        *front.Front
+	guard        *guard.Guard
+	control      *control.Control
+	teams        *teams.RateLimiter
+	keys         *keys.Manager
+	pool         *peer.Pool
+	gauges       *metrics.Set
 
 	callers  *http.Server
 	announce *http.Server
@@ -93,19 +95,19 @@
 
 // Start opens all sockets and starts the roles. On error it stops whatever it had
 // started.
-func Start(cfg *settings.Config, ports PlatformAdapter, log *slog.Logger) (*Daemon, error) {
+func Start(cfg *settings.Config, adapter PlatformAdapter, log *slog.Logger) (*Daemon, error) {
 	log = log.With(slog.String("host", cfg.Host), slog.String("dc", cfg.DC))
-	d := &Daemon{log: log, started: time.Now(), store: ports.Store}
+	d := &Daemon{log: log, started: time.Now(), store: adapter.Store}
 	d.cfg.Store(cfg)
 	store := objects.NewRateLimitedStore(d.store, objects.CallsPerSecond, objects.CallBurst)
-	d.budget = store
+	d.limitedStore = store
 	store.Observe(newLateCallLogger(log).report)
 	d.keys = keys.New(keys.Config{
 		Host: cfg.Host, Incarnation: uint64(d.started.UnixMilli()), LeaseDuration: cfg.LeaseDuration,
 	}, keys.Hooks{DistributeMap: func(obj objects.Object) { d.control.ApplyObject(obj) }}, store, log)
 	d.guard = guard.New(guard.Config{
 		Host: cfg.Host, QueuePerSlot: cfg.QueuePerSlot, GrantLife: cfg.GrantLife,
-		TargetIdle: cfg.TargetIdle, Dialect: ports.Dialect,
+		TargetIdle: cfg.TargetIdle, Dialect: adapter.Dialect,
 	}, guardLimits(cfg), log, d.keys, guard.Hooks{
 		Changed:    func() { d.control.InstancesChanged() },
 		LoadReport: d.distributeLoadReport,
@@ -117,7 +119,7 @@
 		Host: cfg.Host, Incarnation: uint64(d.started.UnixMilli()), Allowance: cfg.TeamAllowance, AllowanceFraction: cfg.TeamOver, Window: cfg.TeamWindow,
 		Send: func(to string, p *msg.TeamPacket) { d.control.SendTeamPacket(to, p) },
 	})
-	d.control = control.New(controlConfig(cfg, ports.RequiredRecords, d.started), control.Hooks{
+	d.control = control.New(controlConfig(cfg, adapter.RequiredRecords, d.started), control.Hooks{
 		Directory:     d.setDirectory,
 		Instances:     d.guard.Instances,
 		LoadReport:    func(p *msg.LoadReport) { d.front.HandleLoadReport(p) },
@@ -131,7 +133,7 @@
 		Host: cfg.Host, DC: cfg.DC, BufferBodyBytes: cfg.BufferBodyBytes,
 		MaxHeaderBytes: cfg.MaxHeaderBytes, MaxConns: cfg.ConnBound(),
 		HeaderTimeout: cfg.HeaderTimeout, IdleTimeout: cfg.IdleTimeout,
-		Service: cfg.Service, Dialect: ports.Dialect,
+		Service: cfg.Service, Dialect: adapter.Dialect,
 	}, frontLimits(cfg), log, nil, d.guard, d.keys)
 	d.front.SetRates(d.teams)
 	d.gauges = d.newGauges()
@@ -289,8 +291,10 @@
 }
 
 // applyPlannedStop drains the host when a planned stop begins to cover it, and
-// resumes when none does. Keys are handed over before the fleet is notified:
-// otherwise another host could take over a shard without its key table.
+// resumes when none does. Idempotency keys are handed over before other
+// hosts learn that this host leaves: otherwise one of them could take over a shard
+// without its key table. Until the takeover, requests with a key of that shard are
+// refused, so the announcement follows at once.
 func (d *Daemon) applyPlannedStop(dir *directory.Directory) {
 	stop := dir.PlannedStop(d.cfg.Load().Host, "")
 	covered := stop != nil
--- a/internal/daemon/drain.go
+++ b/internal/daemon/drain.go
@@ -52,8 +52,10 @@
 	})
 	defer cancel()
 	<-dispatching.Done()
-	// Keys are handed over just before the fleet is notified, because a frozen shard
-	// takes no keys while its owner still counts as alive.
+	// Idempotency keys are handed over before other hosts learn that this host leaves:
+	// otherwise one of them could take over a shard without its key table. Until the
+	// takeover, requests with a key of that shard are refused, so the announcement
+	// follows at once.
 	d.keys.HandOver(accepting)
 	d.control.SetLeaving(true)
 	d.guard.Drain()
--- a/internal/daemon/metrics.go
+++ b/internal/daemon/metrics.go
@@ -8,8 +8,8 @@
 	"github.com/radishhoist/radishhoist/internal/teams"
 )
 
-// newGauges returns the gauges of guard, control and keys, evaluated on each scrape.
-// docs/operate/metrics.md lists them.
+// newGauges returns the gauges of readiness, guard, teams, control and keys, evaluated on
+// each scrape. docs/operate/metrics.md lists them.
 func (d *Daemon) newGauges() *metrics.Set {
 	set := metrics.NewSet()
 	set.NewGauge("radishhoist_ready", func() float64 { return boolToFloat(len(d.notReadyReasons()) == 0) })
