--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -28,7 +28,8 @@
 	ExitUnsafe      = 6
 )
 
-// UnsafeError reports that a change could harm the service, and how to force it.
+// UnsafeError reports that a change could harm the service, and how to force it, or that a
+// wait ended before it was safe to switch a host off.
 type UnsafeError struct{ Text string }
 
 // Error implements error.
--- a/internal/cli/records.go
+++ b/internal/cli/records.go
@@ -89,7 +89,8 @@
 	return rows
 }
 
-// summary describes a record in one line.
+// summary describes a record in one line. An office is the customer that owns a service or
+// a team.
 func summary(r *record.Record) string {
 	switch s := r.Spec.(type) {
 	case *record.Service:
--- a/internal/cli/send.go
+++ b/internal/cli/send.go
@@ -33,6 +33,8 @@
 	Body        string  `json:"body"`
 }
 
+// sendCommand returns the command `send`. It always uses the header names of package
+// header, also if the adapter of --adapter has another name for the team header.
 func (a *app) sendCommand() *cli.Command {
 	return &cli.Command{
 		Name: "send", Usage: "send one request as a caller would and show verdict, target and timings", ArgsUsage: "METHOD URL",
--- a/internal/cli/status.go
+++ b/internal/cli/status.go
@@ -92,6 +92,8 @@
 	}
 }
 
+// printServices prints the services as the daemon sees them. The floor of a service is its
+// minimum healthy capacity, here in slots.
 func (a *app) printServices(s *state.Status) {
 	a.printLine("As seen by host %s (%s, %s), which has %d requests running and %d queued:", s.Host, s.DC, s.Phase, s.Running, s.Queued)
 	a.printTable("SERVICE\tPRESET\tSLOTS IN USE\tFLOOR\tSLOTS KNOWN\tTARGETS NOT IN USE", func(w *tabwriter.Writer) {
--- a/internal/cli/teams.go
+++ b/internal/cli/teams.go
@@ -49,8 +49,8 @@
 	Burst float64 `json:"burst"`
 	// UsedFraction is the fraction in use of the capacity that rate and burst give; 1 is all of it.
 	UsedFraction float64 `json:"used"`
-	// Home is the host that keeps the account. NearLimit is set if all hosts ask it about
-	// each request.
+	// Home is the host that keeps the account of the team's usage over all hosts.
+	// NearLimit is set if all hosts ask it about each request.
 	Home      string `json:"home"`
 	NearLimit bool   `json:"close"`
 	// Admitted and Refused count requests by host.
