--- a/internal/core/config/node.go
+++ b/internal/core/config/node.go
@@ -11,16 +11,17 @@
 // Config holds the parameters of a Node.
 type Config struct {
 	// FanOut is the number of peers that a rumor is pushed to. A larger value reaches
-	// more hosts in the first round and sends more; repair covers the rest.
+	// more hosts in the first round and sends more messages; repair covers the rest.
 	FanOut int
 	// RepairInterval is the time between two digests to a random peer.
 	RepairInterval time.Duration
 	// RemoteFanOut is the number of hosts in each other data centre that a host's own
-	// updates are pushed to. Two tolerate one host that has just died.
+	// updates are pushed to. With two, an update still arrives if one of them has just
+	// died.
 	RemoteFanOut int
-	// RemoteRepairShare is the minimum share of digests sent to another data centre. In
-	// a small data centre the share is larger, so that each data centre starts at least
-	// about one such repair per interval.
+	// RemoteRepairShare is the minimum fraction of digests sent to another data centre.
+	// In a small data centre the fraction is larger, so that each data centre starts
+	// about one such repair per interval or more.
 	RemoteRepairShare float64
 	// MaxBatchBytes bounds the size of the entries in one message.
 	MaxBatchBytes int
@@ -58,25 +59,26 @@
 // Node is the replication state of one host. It is not safe for concurrent use: the
 // caller drives it with Step and Tick and sends what Take returns.
 type Node struct {
-	cfg      Config
-	rng      *rand.Rand
-	sets     [msg.Sets]*Set
+	cfg  Config
+	rng  *rand.Rand
+	sets [msg.Sets]*Set
+	// complete reports for each set whether it has been complete at least once. It is
+	// always true for the sets that need no snapshot.
 	complete [msg.Sets]bool
-
 	// now is the time of the last Tick.
 	now time.Time
-	// pendingPulls holds the entries requested from a peer, and when.
-	pendingPulls    map[pullKey]time.Time
-	nextRepair      time.Time
-	fullPullStarted [msg.Sets]time.Time
-	snapshots       [msg.Sets]incomingSnapshot
-	relayQueue      relayQueue
-	resends         []resend
-	out             []Outbound
-	applied         []Applied
+	// pendingPulls holds the time at which each entry was requested from a peer.
+	pendingPulls        map[pullKey]time.Time
+	nextRepair          time.Time
+	snapshotRequestedAt [msg.Sets]time.Time
+	snapshots           [msg.Sets]incomingSnapshot
+	relayQueue          relayQueue
+	resends             []resend
+	out                 []Outbound
+	applied             []Applied
 }
 
-// incomingSnapshot is the progress of a full set being received.
+// incomingSnapshot is the progress of receiving a complete set.
 type incomingSnapshot struct {
 	from     string
 	nextPart uint32
@@ -90,15 +92,15 @@
 }
 
 const (
-	// minAnnouncedBytes is the value size from which a new entry is announced instead of
-	// pushed, because a rumor reaches most hosts several times.
+	// minAnnouncedBytes is the value size from which only the version of a new entry is
+	// pushed, because a rumor reaches most hosts several times. The peer pulls the value.
 	minAnnouncedBytes = 2 << 10
 	// pullTimeout is how long a requested entry is not requested from other peers.
 	pullTimeout = 300 * time.Millisecond
 )
 
-// fullPullTimeout is how long to wait for a full set before another peer is asked.
-const fullPullTimeout = 3 * time.Second
+// snapshotTimeout is how long to wait for a complete set before another peer is asked.
+const snapshotTimeout = 3 * time.Second
 
 // NewNode returns a Node with empty sets.
 func NewNode(cfg Config, rng *rand.Rand) *Node {
@@ -225,7 +227,7 @@
 	return out
 }
 
-// push sends entries as rumors; entries with large values are only announced.
+// push sends entries as rumors. For entries with large values it sends only the versions.
 func (n *Node) push(to string, set msg.SetID, entries []msg.Entry) {
 	var small []msg.Entry
 	var large []msg.VersionItem
@@ -271,7 +273,8 @@
 	n.out = append(n.out, Outbound{To: to, Msg: m})
 }
 
-// Tick starts repairs and, until the record set is complete, requests it from peers.
+// Tick starts repairs and sends the entries that are due to be forwarded or pushed again.
+// Until the record set is complete, it requests the set from peers.
 func (n *Node) Tick(now time.Time, peers Peers) {
 	n.now = now
 	n.flushRelays(peers)
@@ -289,7 +292,7 @@
 	}
 	for id, s := range n.sets {
 		if msg.SetID(id) == msg.SetCrashes && len(s.entries) == 0 {
-			continue // there are none on most days, and a peer that has some opens a repair
+			continue // usually empty; a peer whose set is not empty starts the repair
 		}
 		n.send(to, &msg.Digest{Set: msg.SetID(id), Root: s.Root(), Complete: n.complete[id]})
 	}
@@ -322,14 +325,14 @@
 
 func (n *Node) pullSnapshot(now time.Time, peers Peers) {
 	const id = msg.SetRecords
-	if n.complete[id] || now.Sub(n.fullPullStarted[id]) < fullPullTimeout {
+	if n.complete[id] || now.Sub(n.snapshotRequestedAt[id]) < snapshotTimeout {
 		return
 	}
 	to, ok := n.repairPeer(peers)
 	if !ok {
 		return
 	}
-	n.fullPullStarted[id] = now
+	n.snapshotRequestedAt[id] = now
 	n.snapshots[id] = incomingSnapshot{from: to}
 	n.send(to, &msg.Pull{Set: id, All: true})
 }
--- a/internal/core/config/node_test.go
+++ b/internal/core/config/node_test.go
@@ -40,9 +40,9 @@
 	return values
 }
 
-// A large entry would reach most hosts from several peers: it is announced, and pulled
-// once.
-func TestALargeEntryIsAnnouncedAndPulledOnce(t *testing.T) {
+// Pushed as a rumor, a large value would reach most hosts from several peers. Its version
+// is announced instead, and the value is pulled once.
+func TestLargeEntryIsAnnouncedAndPulledOnce(t *testing.T) {
 	a, b, c := newTestNode(1), newTestNode(2), newTestNode(3)
 	for _, n := range []*Node{a, b} {
 		n.Publish(Peers{Local: []string{"c"}}, msg.SetRecords, []msg.Entry{entry("main", 7, 10*minAnnouncedBytes)})
@@ -58,7 +58,7 @@
 }
 
 // If the first pull is lost, a later announcement triggers another one.
-func TestALostPullIsMadeAgain(t *testing.T) {
+func TestLostPullIsRetried(t *testing.T) {
 	c := newTestNode(3)
 	announced := &msg.Versions{Set: msg.SetRecords, Items: []msg.VersionItem{{Kind: "Configuration", Name: "main", Version: 7}}}
 	c.Tick(start, Peers{})
@@ -73,14 +73,15 @@
 	assert.Equal(t, out[0].To, "b")
 }
 
-func TestASmallEntryIsPushed(t *testing.T) {
+func TestSmallEntryIsPushed(t *testing.T) {
 	a, c := newTestNode(1), newTestNode(3)
 	a.Publish(Peers{Local: []string{"c"}}, msg.SetRecords, []msg.Entry{entry("main", 7, 100)})
 	assert.Equal(t, deliver(t, a, c, "a", "c"), 100)
 }
 
-// Two hosts with different small sets repair both directions with a single list.
-func TestASmallSetIsRepairedByItsList(t *testing.T) {
+// The digest of one host makes another with a different small set answer with a list of
+// its versions, by which both sets become equal.
+func TestSmallSetIsRepairedWithOneList(t *testing.T) {
 	a, b := newTestNode(1), newTestNode(2)
 	a.Publish(Peers{}, msg.SetHosts, []msg.Entry{entry("only-a", 1, 10), entry("both", 5, 10)})
 	b.Publish(Peers{}, msg.SetHosts, []msg.Entry{entry("only-b", 1, 10), entry("both", 9, 10)})
@@ -98,7 +99,7 @@
 
 // A list of some kinds leaves entries of other kinds unchanged; only a list of all kinds
 // makes the set complete.
-func TestAListOfSomeKindsDeletesNoOthers(t *testing.T) {
+func TestPartialListKeepsOtherKinds(t *testing.T) {
 	n := newTestNode(1)
 	route := msg.Entry{Kind: "Route", Name: "r", Version: 3}
 	n.LoadList(Peers{}, []msg.Entry{entry("main", 5, 10), route}, 5, nil)
--- a/internal/core/config/relay.go
+++ b/internal/core/config/relay.go
@@ -7,17 +7,18 @@
 )
 
 // relayInterval is the minimum time between two messages that forward host entries of
-// other hosts; entries that arrive in between are batched. When a fleet starts at once,
-// there are several times as many such updates as hosts within two seconds, and each
-// reaches a host a few times. A single update is forwarded at once. Under load, an update
-// reaches the last of 1,600 hosts after about six intervals.
+// other hosts; entries that arrive in between are batched, and a single update is
+// forwarded at once. When a whole fleet starts at the same time, there are several times
+// as many such updates as hosts within two seconds, and each reaches a host a few times.
+// Under load, an update reaches the last of 1,600 hosts after about six intervals.
 const relayInterval = 100 * time.Millisecond
 
 // relayQueue holds the host entries of other hosts that wait to be forwarded.
 type relayQueue struct {
 	// nextFlush is when entries may be forwarded again.
 	nextFlush time.Time
-	// keys holds the entries in order of arrival, source the hosts that sent them.
+	// keys holds the keys of the entries in order of arrival, and source the host that
+	// sent each of them.
 	keys   []Key
 	source map[Key]string
 }
@@ -51,7 +52,7 @@
 	}
 }
 
-// updatesFor returns the queued entries for a host, without those it sent itself.
+// updatesFor returns the queued entries for a host, without those that it has sent.
 func (n *Node) updatesFor(to string, queue relayQueue) []msg.Entry {
 	var out []msg.Entry
 	for _, key := range queue.keys {
--- a/internal/core/config/resend.go
+++ b/internal/core/config/resend.go
@@ -6,10 +6,10 @@
 	"github.com/radishhoist/radishhoist/internal/msg"
 )
 
-// resendDelay is the time after which updates about crashes are pushed a second time,
-// to another random choice of peers. With a single push, one host in twenty learns of
-// them only by a repair, but a request that crashes its targets must be known everywhere
-// within seconds. By then most of the first round is over.
+// resendDelay is the time after which updates about crashes are pushed a second time, to
+// another random choice of peers. By then the first round of pushes is mostly complete.
+// With a single push, one host in twenty receives them only by a repair, but a request
+// that crashes its targets must be known on all hosts within seconds.
 const resendDelay = 400 * time.Millisecond
 
 // resend is a batch of updates to be pushed a second time.
--- a/internal/core/config/set.go
+++ b/internal/core/config/set.go
@@ -1,12 +1,12 @@
-// Package config holds the replication of versioned entries among the hosts: the
-// operators' records, what each host publishes about itself, and the crashes of instances.
-// The settings of a process are in package settings.
+// Package config replicates versioned entries among the hosts: the operators' records,
+// the entry that each host publishes about itself, and the crashes of instances. The
+// settings of a process are in package settings.
 //
 // New entries are pushed as rumors to a few random peers; periodic digests to a random
 // peer repair losses (anti-entropy). A process applies an entry only if its version is
-// greater than the one it holds, whatever its source, and deletions leave tombstones, so
-// that no process goes back to an older version and no peer restores a deleted entry. The
-// package performs no I/O.
+// greater than the one it holds, whatever its source, and deletions leave tombstones. A
+// process therefore never reverts to an older version, and no peer restores a deleted
+// entry. The package performs no I/O.
 package config
 
 import (
@@ -95,7 +95,8 @@
 	}
 }
 
-// dropTombstone drops one tombstone.
+// dropTombstone removes an entry if it is still deleted, and raises maxDroppedVersion to
+// its version.
 func (s *Set) dropTombstone(key Key) {
 	e, ok := s.entries[key]
 	if !ok || !e.Deleted {
@@ -121,7 +122,8 @@
 	}
 }
 
-// toggle adds or removes an entry's hash; XOR is its own inverse.
+// toggle adds an entry's hash to the hashes of its bucket and of the set, or removes it;
+// XOR is its own inverse.
 func (s *Set) toggle(b *bucket, e msg.Entry) {
 	h := entryHash(e)
 	b.hash ^= h
@@ -184,7 +186,7 @@
 	return out
 }
 
-// CompareAll is like Compare for a list of all the peer's entries.
+// CompareAll is like Compare, for a list of all entries of the peer.
 func (s *Set) CompareAll(items []msg.VersionItem) (pull []msg.VersionItem, push []msg.Entry) {
 	pull, _ = s.Compare(nil, items)
 	theirs := make(map[Key]int64, len(items))
--- a/internal/core/config/step.go
+++ b/internal/core/config/step.go
@@ -2,8 +2,8 @@
 
 import "github.com/radishhoist/radishhoist/internal/msg"
 
-// Step processes a message from a peer. Messages that do not belong to the replication,
-// or name an unknown set, are ignored.
+// Step processes a message from a peer. Messages that are not part of the replication
+// protocol, or name an unknown set, are ignored.
 func (n *Node) Step(peers Peers, from string, m msg.Message) {
 	switch m := m.(type) {
 	case *msg.Rumor:
@@ -11,22 +11,22 @@
 			n.applyAndPush(peers, m.Set, from, m.Entries)
 		}
 	case *msg.Digest:
-		n.stepDigest(from, m)
+		n.handleDigest(from, m)
 	case *msg.Buckets:
-		n.stepBuckets(from, m)
+		n.handleBuckets(from, m)
 	case *msg.Versions:
-		n.stepVersions(from, m)
+		n.handleVersions(from, m)
 	case *msg.Pull:
-		n.stepPull(from, m)
+		n.handlePull(from, m)
 	case *msg.Snapshot:
-		n.stepSnapshot(from, m)
+		n.handleSnapshot(from, m)
 	}
 }
 
-// stepDigest answers a digest that differs with this host's bucket hashes, or with a full
+// handleDigest answers a digest that differs with this host's bucket hashes, or with a full
 // list if the set is small. A matching digest from a peer with a complete set proves that
 // this host's set is complete too.
-func (n *Node) stepDigest(from string, m *msg.Digest) {
+func (n *Node) handleDigest(from string, m *msg.Digest) {
 	if m.Set >= msg.Sets {
 		return
 	}
@@ -51,8 +51,8 @@
 // rest.
 const maxRepairItems = 16384
 
-// stepBuckets lists this host's versions in the buckets that differ.
-func (n *Node) stepBuckets(from string, m *msg.Buckets) {
+// handleBuckets lists this host's versions in the buckets that differ.
+func (n *Node) handleBuckets(from string, m *msg.Buckets) {
 	if m.Set >= msg.Sets {
 		return
 	}
@@ -72,9 +72,9 @@
 	}
 }
 
-// stepVersions pulls the entries that are newer at the peer and pushes those that are
+// handleVersions pulls the entries that are newer at the peer and pushes those that are
 // newer here.
-func (n *Node) stepVersions(from string, m *msg.Versions) {
+func (n *Node) handleVersions(from string, m *msg.Versions) {
 	if m.Set >= msg.Sets {
 		return
 	}
@@ -109,7 +109,7 @@
 	return out
 }
 
-func (n *Node) stepPull(from string, m *msg.Pull) {
+func (n *Node) handlePull(from string, m *msg.Pull) {
 	if m.Set >= msg.Sets {
 		return
 	}
@@ -142,8 +142,9 @@
 	}
 }
 
-// sendSnapshot sends the full set in parts. A host whose own set is incomplete says so at
-// once, so that the requester turns to another peer.
+// sendSnapshot sends the complete set in parts. If this host's own set is incomplete, it
+// sends one empty part that is marked as incomplete. The requester does not apply it, and
+// asks another peer after snapshotTimeout.
 func (n *Node) sendSnapshot(to string, id msg.SetID) {
 	var entries []msg.Entry
 	n.sets[id].Each(func(e msg.Entry) { entries = append(entries, e) })
@@ -157,10 +158,11 @@
 	}
 }
 
-// stepSnapshot accepts parts in order from the peer that was asked. If a part is missing,
-// the set stays incomplete and another peer is asked. Host entries are applied as they
-// come, in any order and from any peer: their set need not be complete at the start.
-func (n *Node) stepSnapshot(from string, m *msg.Snapshot) {
+// handleSnapshot accepts parts in order from the peer that was asked. If a part is
+// missing, the set stays incomplete, and another peer is asked after snapshotTimeout. Host
+// entries are applied in any order and from any peer, since their set need not be complete
+// at the start.
+func (n *Node) handleSnapshot(from string, m *msg.Snapshot) {
 	if m.Set == msg.SetHosts {
 		n.applySnapshot(from, m)
 		return
@@ -176,8 +178,8 @@
 }
 
 // applySnapshot applies requested entries without forwarding them, since other hosts have
-// them already. Forwarding would have sent the sets requested by 354 hosts that started
-// at once to three more hosts each.
+// them already. If 354 hosts start at once, forwarding would send each of the sets that
+// they request to three more hosts.
 func (n *Node) applySnapshot(from string, m *msg.Snapshot) {
 	for _, e := range m.Entries {
 		if n.sets[m.Set].Apply(e) {
