--- a/internal/core/contact/contact.go
+++ b/internal/core/contact/contact.go
@@ -1,12 +1,13 @@
-// Package contact decides which hosts to call that are known by address only: those
+// Package contact decides which of the hosts that are known by address only to call: those
 // listed by the platform, those that have sent probes, and the configured seeds. A call
 // announces this host to the other one and requests entries in return, so that no two
 // parts of a fleet stay separated.
 //
-// The cost of a start must not grow with the square of the fleet size when all hosts
-// start at once. Therefore few hosts are called at a time, since updates about each
-// spread from host to host, and only one local host at a time is asked for its complete
-// set. The package performs no I/O.
+// When all hosts start at once, the cost of the start must not grow with the square of the
+// fleet size. Therefore only a few hosts are called per round, since updates about a host
+// spread from host to host, and at most one of them, if possible one of this data centre,
+// is asked for its complete set. Only seeds, which are called by a host that knows no
+// other host, are all asked for theirs. The package performs no I/O.
 package contact
 
 import (
@@ -18,39 +19,39 @@
 
 const (
 	// maxCallsPerRound is the number of hosts called per round: one of this data centre
-	// and two remote ones, so that the other data centres learn of a start within a few
-	// rounds.
+	// and two remote ones, so that the other data centres learn of this host's start
+	// within a few rounds.
 	maxCallsPerRound = 3
 	// roundInterval is the time between two rounds. In the meantime updates about a host
-	// reach its data centre, and most hosts need no call any more.
+	// reach its data centre, so that most of the remaining candidates need no call.
 	roundInterval = 150 * time.Millisecond
 	// callInterval is the time between two calls to one host.
 	callInterval = 2 * time.Second
 	// maxCallsPerHost bounds the calls to one host, which may no longer exist.
 	maxCallsPerHost = 5
-	// maxCandidates is the number of candidates from which hosts known only from their
-	// packets are no longer added.
+	// maxCandidates is the number of candidates from which AddProber adds no more.
 	maxCandidates = 256
 	// maxSinglePulls is the number of missing hosts up to which they are requested one
 	// by one. If more are missing, another host's complete set is requested.
 	maxSinglePulls = 3
 	// minFullPullInterval and maxFullPullInterval bound the time between two requests
 	// for a complete set: the answer grows with the fleet, and when all hosts start at
-	// once, the first ones asked know little themselves.
+	// once, those that are asked first know few other hosts.
 	minFullPullInterval = 500 * time.Millisecond
 	maxFullPullInterval = 4 * time.Second
 )
 
 // Call is a call to one host.
 type Call struct {
-	// Addr is the address on which it listens for other hosts. Host is its name, empty
-	// for a seed.
+	// Addr is the address on which the called host listens for other hosts. Host is its
+	// name, empty for a seed.
 	Addr, Host string
-	// Full requests all hosts that it knows instead of only its own entry.
+	// Full requests the entries of all hosts that it knows instead of only its own.
 	Full bool
 }
 
-// PullRequest returns the pull request of the call, for host entries of the given kind.
+// PullRequest returns the message with which the call requests host entries. kind is the
+// kind of these entries.
 func (c Call) PullRequest(kind string) *msg.Pull {
 	if c.Full {
 		return &msg.Pull{Set: msg.SetHosts, All: true}
@@ -155,9 +156,9 @@
 	return calls
 }
 
-// AllReached returns true once, when all called hosts have become known or were given
-// up. The caller then publishes this host's entry again: the earlier one reached only
-// the hosts known at that time.
+// AllReached returns true once, when no candidates are left because all of them have
+// become known or were called maxCallsPerHost times. The caller then pushes this host's
+// entry again, since the first push reached only the hosts known at that time.
 func (cs *Contacts) AllReached(known func(name string) bool, noPeers bool) bool {
 	if !cs.callsPending || noPeers {
 		return false
@@ -170,7 +171,8 @@
 	return true
 }
 
-// prune removes the candidates that have become known and those that do not answer.
+// prune removes the candidates that have become known and those that were called
+// maxCallsPerHost times.
 func (cs *Contacts) prune(known func(name string) bool) {
 	kept := cs.order[:0]
 	for _, c := range cs.order {
@@ -184,8 +186,8 @@
 	cs.order = kept
 }
 
-// callCandidates picks the calls of one round: first a local host, then others, preferably
-// remote ones.
+// callCandidates returns the calls of one round: first a local host, then others,
+// preferably remote ones.
 func (cs *Contacts) callCandidates(now time.Time, noPeers bool) []Call {
 	var calls []Call
 	call := func(c *candidate) {
@@ -218,8 +220,8 @@
 	return nil
 }
 
-// fullPullDue reports whether the next call requests a complete set, and schedules the
-// one after.
+// fullPullDue reports whether the next call requests a complete set. If so, it schedules
+// the following such request.
 func (cs *Contacts) fullPullDue(now time.Time, noPeers bool) bool {
 	needed := noPeers || len(cs.candidates) > maxSinglePulls
 	if !needed || now.Before(cs.nextFullPull) {
@@ -230,7 +232,7 @@
 	return true
 }
 
-// callSeeds picks seeds in turn, for a host that knows no other host.
+// callSeeds returns calls to the next seeds in turn, for a host that knows no other host.
 func (cs *Contacts) callSeeds(now time.Time) []Call {
 	if now.Before(cs.nextSeedCall) {
 		return nil
--- a/internal/core/contact/contact_test.go
+++ b/internal/core/contact/contact_test.go
@@ -25,8 +25,8 @@
 	}
 }
 
-// Regardless of how many hosts are listed at a start, few are called at a time, the first
-// in the own data centre, and a complete set is requested only at intervals.
+// Regardless of how many hosts are listed at a start, at most maxCallsPerRound are called
+// at a time, and a complete set is requested only from the first of them and at intervals.
 func TestFewHostsAreCalledAtATime(t *testing.T) {
 	contacts := newContacts()
 	listAll(contacts, 354)
@@ -89,11 +89,11 @@
 func TestAllReachedIsReportedOnce(t *testing.T) {
 	contacts := newContacts()
 	contacts.AddListed("h1", "dc0", "addr1", false)
-	everybody := func(string) bool { return true }
-	assert.Assert(t, !contacts.AllReached(everybody, false), "nobody was called")
+	knowsAll := func(string) bool { return true }
+	assert.Assert(t, !contacts.AllReached(knowsAll, false), "no host was called")
 	contacts.NextCalls(start, knowsNone, true)
 	assert.Assert(t, !contacts.AllReached(knowsNone, false))
-	assert.Assert(t, !contacts.AllReached(everybody, true))
-	assert.Assert(t, contacts.AllReached(everybody, false))
-	assert.Assert(t, !contacts.AllReached(everybody, false))
+	assert.Assert(t, !contacts.AllReached(knowsAll, true))
+	assert.Assert(t, contacts.AllReached(knowsAll, false))
+	assert.Assert(t, !contacts.AllReached(knowsAll, false))
 }
