--- a/internal/core/announce/announce.go
+++ b/internal/core/announce/announce.go
@@ -1,7 +1,7 @@
 // Package announce decides which announcements of instances are accepted. A delayed
 // announcement must not bring back an instance that has left, override a newer
 // announcement, or take the address from the instance that now runs there. The package
-// does no I/O.
+// performs no I/O.
 package announce
 
 import (
@@ -10,22 +10,25 @@
 )
 
 const (
-	// retention is how long an instance that has left or was replaced is remembered:
-	// longer than a network partition can delay an announcement.
+	// retention is how long an instance is remembered after its last accepted
+	// announcement or its leave: longer than a network partition can delay an
+	// announcement.
 	retention = 2 * time.Minute
 	// holderTimeout is the time without announcements from the holder of an address
 	// after which an instance that the holder had replaced may take the address back:
-	// more than two intervals of 1.5 s, the longest usual announcement interval. An
-	// earlier start of an instance is accepted after the same time.
+	// more than two intervals of 1.5 s, the longest usual announcement interval. After
+	// the same time without announcements of an instance, a start with an earlier start
+	// time is accepted.
 	holderTimeout = 4 * time.Second
 	// maxFirstSequence is the highest sequence number at which an unknown start is
-	// accepted as a new one although its start time is earlier. The count restarts with
-	// each start, and a delayed announcement of an older start has a higher number.
+	// accepted as a new one although its start time is earlier. Sequence numbers begin
+	// again with each start, and a delayed announcement of an older start usually has a
+	// higher one.
 	maxFirstSequence = 2
 	// maxPastStarts is the number of earlier starts remembered per instance.
 	maxPastStarts = 8
-	// maxEntries is the number of instances remembered. Above it, the instance with the
-	// oldest announcement is evicted.
+	// maxEntries is the number of instances remembered. Above it, the one that was not
+	// heard of for the longest time is evicted.
 	maxEntries = 1024
 )
 
@@ -33,6 +36,7 @@
 type state uint8
 
 const (
+	// present means that the instance holds its address.
 	present state = iota
 	// replaced means that another instance has announced the same address since.
 	replaced
@@ -46,11 +50,11 @@
 	// clock, or 0 if unknown. It distinguishes successive starts under the same name.
 	StartedMS int64
 	// Sequence increases with each announcement of one start. It is 0 if the instance
-	// does not count its announcements.
+	// does not number its announcements.
 	Sequence uint64
 }
 
-// entry is the state of one instance.
+// entry is what is known about one instance.
 type entry struct {
 	address string
 	// latest is the newest accepted Stamp; pastStarts holds the StartedMS of earlier
@@ -75,9 +79,9 @@
 
 // Outcome is the effect of an announcement.
 type Outcome struct {
-	// Accepted reports whether the announcement is accepted. It is false if it is older than
-	// what is known: a newer announcement, the instance's leave, or another instance that
-	// now holds the address.
+	// Accepted reports whether the announcement is accepted. An announcement is refused
+	// if a newer one is known, if the instance has left, or if another instance now holds
+	// the address.
 	Accepted bool
 	// Restarted reports whether it is the first announcement of a new start of the
 	// instance, so that the state of the previous start is lost.
@@ -87,11 +91,11 @@
 }
 
 // Apply processes one announcement.
-func (t *Tracker) Apply(now time.Time, name, address string, w Stamp) Outcome {
+func (t *Tracker) Apply(now time.Time, name, address string, stamp Stamp) Outcome {
 	t.evict(now)
 	e, known := t.byName[name]
-	restarted := known && e.isNewStart(now, w)
-	if known && !restarted && (e.state == gone || e.outdated(w)) {
+	restarted := known && e.isNewStart(now, stamp)
+	if known && !restarted && (e.state == gone || e.isOutdated(stamp)) {
 		return Outcome{}
 	}
 	holder := t.holders[address]
@@ -99,7 +103,7 @@
 		holder = ""
 	}
 	if known && !restarted && e.state == replaced && holder != "" && now.Sub(t.byName[holder].lastSeen) < holderTimeout {
-		e.latest.Sequence = max(e.latest.Sequence, w.Sequence)
+		e.latest.Sequence = max(e.latest.Sequence, stamp.Sequence)
 		return Outcome{}
 	}
 	if !known {
@@ -113,32 +117,32 @@
 		delete(t.holders, e.address)
 	}
 	if restarted {
-		e.beginStart(w.StartedMS)
+		e.beginStart(stamp.StartedMS)
 	}
-	e.latest = Stamp{StartedMS: w.StartedMS, Sequence: max(e.latest.Sequence, w.Sequence)}
+	e.latest = Stamp{StartedMS: stamp.StartedMS, Sequence: max(e.latest.Sequence, stamp.Sequence)}
 	e.address, e.lastSeen, e.state = address, now, present
 	t.holders[address] = name
 	return Outcome{Accepted: true, Restarted: restarted, Replaces: holder}
 }
 
-// isNewStart reports whether w is the first announcement received from another, newer
+// isNewStart reports whether stamp is the first announcement received from another, newer
 // start. The clock may have been set back between two starts, so an earlier start time
 // alone does not mean an older start.
-func (e *entry) isNewStart(now time.Time, w Stamp) bool {
+func (e *entry) isNewStart(now time.Time, stamp Stamp) bool {
 	switch {
-	case w.StartedMS == 0 || w.StartedMS == e.latest.StartedMS || slices.Contains(e.pastStarts, w.StartedMS):
+	case stamp.StartedMS == 0 || stamp.StartedMS == e.latest.StartedMS || slices.Contains(e.pastStarts, stamp.StartedMS):
 		return false
-	case w.StartedMS > e.latest.StartedMS:
+	case stamp.StartedMS > e.latest.StartedMS:
 		return true
 	default:
-		return w.Sequence > 0 && w.Sequence <= maxFirstSequence || now.Sub(e.lastSeen) > holderTimeout
+		return stamp.Sequence > 0 && stamp.Sequence <= maxFirstSequence || now.Sub(e.lastSeen) > holderTimeout
 	}
 }
 
-// outdated reports whether w, which is not from a new start, is from an earlier start or
-// not newer than the latest announcement.
-func (e *entry) outdated(w Stamp) bool {
-	return w.StartedMS != e.latest.StartedMS || w.Sequence > 0 && w.Sequence <= e.latest.Sequence
+// isOutdated reports whether stamp, which is not from a new start, is from an earlier start
+// or not newer than the latest announcement.
+func (e *entry) isOutdated(stamp Stamp) bool {
+	return stamp.StartedMS != e.latest.StartedMS || stamp.Sequence > 0 && stamp.Sequence <= e.latest.Sequence
 }
 
 // beginStart adds the current start to the past ones and begins a new one.
@@ -180,8 +184,8 @@
 	return true
 }
 
-// MarkMisdirected records that another instance answers at the address of the named
-// one. The next instance to announce the address gets it.
+// MarkMisdirected records that another instance answers at the address of the named one.
+// The address has no holder until an instance announces it.
 func (t *Tracker) MarkMisdirected(name string) {
 	if e, known := t.byName[name]; known && t.holders[e.address] == name {
 		delete(t.holders, e.address)
--- a/internal/core/announce/announce_test.go
+++ b/internal/core/announce/announce_test.go
@@ -68,14 +68,14 @@
 			case 1:
 				tracker.MarkMisdirected(name)
 			default:
-				where := rapid.SampledFrom([]string{"x", "y"}).Draw(t, "address")
-				tracker.Apply(now, name, where, Stamp{
+				addr := rapid.SampledFrom([]string{"x", "y"}).Draw(t, "address")
+				tracker.Apply(now, name, addr, Stamp{
 					StartedMS: int64(rapid.IntRange(0, 5).Draw(t, "started")), Sequence: uint64(rapid.IntRange(0, 20).Draw(t, "sequence")),
 				})
 			}
-			for where, holder := range tracker.holders {
+			for addr, holder := range tracker.holders {
 				e := tracker.byName[holder]
-				assert.Assert(t, e != nil && e.state == present && e.address == where)
+				assert.Assert(t, e != nil && e.state == present && e.address == addr)
 			}
 			assert.Assert(t, len(tracker.byName) <= maxEntries)
 		}
@@ -110,8 +110,8 @@
 			c.before(tracker)
 			out := tracker.Apply(at(2.1), "i", address, Stamp{StartedMS: startMS(c.started), Sequence: 1})
 			assert.Assert(t, out.Accepted && out.Restarted)
-			for _, late := range []uint64{41, 60} {
-				assert.Assert(t, !tracker.Apply(at(2.2), "i", address, Stamp{StartedMS: startMS(0), Sequence: late}).Accepted)
+			for _, sequence := range []uint64{41, 60} {
+				assert.Assert(t, !tracker.Apply(at(2.2), "i", address, Stamp{StartedMS: startMS(0), Sequence: sequence}).Accepted)
 			}
 			tracker.Leave(at(2.3), "i", startMS(0))
 			out = tracker.Apply(at(3.1), "i", address, Stamp{StartedMS: startMS(c.started), Sequence: 2})
@@ -141,7 +141,7 @@
 	assert.Assert(t, !tracker.Apply(at(5.5), "i", address, Stamp{StartedMS: startMS(1), Sequence: 7}).Accepted)
 	tracker.Leave(at(6), "i", startMS(4))
 	assert.Assert(t, !tracker.Apply(at(6.5), "i", address, Stamp{StartedMS: startMS(1), Sequence: 8}).Accepted)
-	// Without recent announcements of the known start, the other one is accepted.
+	// Once the known start has sent no announcement for holderTimeout, the other is accepted.
 	assert.Assert(t, tracker.Apply(at(11), "i", address, Stamp{StartedMS: startMS(1), Sequence: 12}).Accepted)
 }
 
