--- a/internal/core/directory/records.go
+++ b/internal/core/directory/records.go
@@ -55,7 +55,7 @@
 		}
 	}
 	out.routes = route.NewTable(routes)
-	out.keys = r.keys.With(out.teams)
+	out.keys = r.keys.WithTeams(out.teams)
 	out.requireKeys = out.requireKeys || out.keys.Len() > 0
 	return out
 }
--- a/internal/core/team/index.go
+++ b/internal/core/team/index.go
@@ -11,14 +11,14 @@
 	"github.com/radishhoist/radishhoist/record"
 )
 
-// shards is the number of shards of an Index. A change copies only the shards that it
+// shardCount is the number of shards of an Index. A change copies only the shards that it
 // modifies.
-const shards = 1024
+const shardCount = 1024
 
-// Index maps keys to teams. It is immutable: With returns a modified copy.
+// Index maps keys to teams. It is immutable: WithTeams returns a modified copy.
 type Index struct {
-	shards [shards][]entry
-	// teams are the teams that the index was built from.
+	shards [shardCount][]entry
+	// teams holds the teams that the index was built from, by name.
 	teams map[string]*record.Team
 	size  int
 }
@@ -36,10 +36,10 @@
 	return strings.Compare(e.team, other.team)
 }
 
-func shardOf(h record.TeamKeyHash) int { return (int(h[0])<<8 | int(h[1])) % shards }
+func shardOf(h record.TeamKeyHash) int { return (int(h[0])<<8 | int(h[1])) % shardCount }
 
-// Of returns the team that holds a key, or false if there is none. The time of the
-// comparison depends on the bytes of the key's hash only, not on those of the key.
+// Of returns the team that holds a key, or false if there is none. Its timing may depend
+// on the key's hash, but not on the key itself.
 func (x *Index) Of(key string) (string, bool) {
 	if x == nil || key == "" || len(key) > record.MaxTeamKeyBytes {
 		return "", false
@@ -61,29 +61,29 @@
 	return x.size
 }
 
-// With returns an Index of the keys of all teams. The teams must not be modified
-// afterwards. Unchanged shards are shared with x, which may be nil. A key held by two
-// teams belongs to the first by name.
-func (x *Index) With(teams map[string]*record.Team) *Index {
+// WithTeams returns an Index of the keys of the given teams, which replace those of x. The
+// teams must not be modified afterwards. Unchanged shards are shared with x, which may be
+// nil. A key held by two teams belongs to the first by name.
+func (x *Index) WithTeams(teams map[string]*record.Team) *Index {
 	if x == nil {
 		x = &Index{}
 	}
 	out := &Index{shards: x.shards, teams: teams, size: x.size}
 	edit := editor{index: out}
 	for name, t := range teams {
-		before, known := x.teams[name]
+		old, known := x.teams[name]
 		switch {
-		case before == t:
+		case old == t:
 		case !known:
 			edit.forEach(name, t.KeyHashes, edit.insert)
-		case !slices.Equal(before.KeyHashes, t.KeyHashes):
-			edit.forEach(name, before.KeyHashes, edit.remove)
+		case !slices.Equal(old.KeyHashes, t.KeyHashes):
+			edit.forEach(name, old.KeyHashes, edit.remove)
 			edit.forEach(name, t.KeyHashes, edit.insert)
 		}
 	}
-	for name, before := range x.teams {
-		if _, still := teams[name]; !still {
-			edit.forEach(name, before.KeyHashes, edit.remove)
+	for name, old := range x.teams {
+		if _, kept := teams[name]; !kept {
+			edit.forEach(name, old.KeyHashes, edit.remove)
 		}
 	}
 	return out
@@ -93,20 +93,20 @@
 type editor struct {
 	index *Index
 	// copied marks the shards that are no longer shared.
-	copied [shards]bool
+	copied [shardCount]bool
 }
 
-func (e *editor) forEach(team string, hashes []string, do func(entry)) {
+func (e *editor) forEach(team string, hashes []string, apply func(entry)) {
 	for _, s := range hashes {
 		if h, err := record.ParseTeamKeyHash(s); err == nil {
-			do(entry{hash: h, team: team})
+			apply(entry{hash: h, team: team})
 		}
 	}
 }
 
-// shard returns the shard of an entry, copied if it is still shared, and the entry's
+// locate returns the shard of an entry, copied if it is still shared, and the entry's
 // position in it.
-func (e *editor) shard(item entry) (shard *[]entry, pos int, found bool) {
+func (e *editor) locate(item entry) (shard *[]entry, pos int, found bool) {
 	s := shardOf(item.hash)
 	if !e.copied[s] {
 		e.copied[s] = true
@@ -118,14 +118,14 @@
 }
 
 func (e *editor) insert(item entry) {
-	if shard, i, found := e.shard(item); !found {
+	if shard, i, found := e.locate(item); !found {
 		*shard = slices.Insert(*shard, i, item)
 		e.index.size++
 	}
 }
 
 func (e *editor) remove(item entry) {
-	if shard, i, found := e.shard(item); found {
+	if shard, i, found := e.locate(item); found {
 		*shard = slices.Delete(*shard, i, i+1)
 		e.index.size--
 	}
--- a/internal/core/team/index_test.go
+++ b/internal/core/team/index_test.go
@@ -19,13 +19,13 @@
 	return out
 }
 
-func TestAKeyMovesFromOneTeamToAnother(t *testing.T) {
+func TestKeyMovesBetweenTeams(t *testing.T) {
 	var none *Index
 	_, ok := none.Of("k1")
 	assert.Assert(t, !ok)
-	first := none.With(map[string]*record.Team{"a": {KeyHashes: hashes("k1", "k2")}, "b": {KeyHashes: hashes("k3")}})
-	second := first.With(map[string]*record.Team{"a": {KeyHashes: hashes("k2")}, "b": {KeyHashes: hashes("k3", "k1")}})
-	third := second.With(map[string]*record.Team{"a": {}, "b": {KeyHashes: hashes("k1")}})
+	first := none.WithTeams(map[string]*record.Team{"a": {KeyHashes: hashes("k1", "k2")}, "b": {KeyHashes: hashes("k3")}})
+	second := first.WithTeams(map[string]*record.Team{"a": {KeyHashes: hashes("k2")}, "b": {KeyHashes: hashes("k3", "k1")}})
+	third := second.WithTeams(map[string]*record.Team{"a": {}, "b": {KeyHashes: hashes("k1")}})
 	for _, c := range []struct {
 		index *Index
 		key   string
@@ -43,9 +43,9 @@
 	assert.Equal(t, third.Len(), 1)
 }
 
-// An index changed step by step must answer like one built at once, and the indexes it
-// was derived from must not change.
-func TestChangedStepByStepOrBuiltAtOnce(t *testing.T) {
+// An index that was changed several times must answer like one that was built at once, and
+// the indexes that it was derived from must not change.
+func TestIncrementalIndexEqualsRebuilt(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		key := rapid.SampledFrom([]string{"k0", "k1", "k2", "k3", "k4", "k5", "k6", "k7"})
 		var index *Index
@@ -54,18 +54,18 @@
 			for i := range rapid.IntRange(0, 4).Draw(t, "teams") {
 				teams[fmt.Sprintf("t%d", i)] = &record.Team{KeyHashes: hashes(rapid.SliceOfNDistinct(key, 0, 4, rapid.ID).Draw(t, "keys")...)}
 			}
-			before := answers(index)
-			next := index.With(teams)
-			assert.DeepEqual(t, answers(index), before)
-			rebuilt := (*Index)(nil).With(teams)
-			assert.DeepEqual(t, answers(next), answers(rebuilt))
+			before := lookUpAll(index)
+			next := index.WithTeams(teams)
+			assert.DeepEqual(t, lookUpAll(index), before)
+			rebuilt := (*Index)(nil).WithTeams(teams)
+			assert.DeepEqual(t, lookUpAll(next), lookUpAll(rebuilt))
 			assert.Equal(t, next.Len(), rebuilt.Len())
 			index = next
 		}
 	})
 }
 
-func answers(x *Index) map[string]string {
+func lookUpAll(x *Index) map[string]string {
 	out := make(map[string]string)
 	for i := range 8 {
 		key := fmt.Sprintf("k%d", i)
@@ -85,8 +85,8 @@
 	return teams
 }
 
-func BenchmarkTeamOfAKey(b *testing.B) {
-	index := (*Index)(nil).With(manyTeams())
+func BenchmarkLookup(b *testing.B) {
+	index := (*Index)(nil).WithTeams(manyTeams())
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
 		if _, ok := index.Of("second key of 4711"); !ok {
@@ -95,15 +95,15 @@
 	}
 }
 
-func BenchmarkOneKeyChanged(b *testing.B) {
+func BenchmarkChangeOneKey(b *testing.B) {
 	teams := manyTeams()
-	index := (*Index)(nil).With(teams)
+	index := (*Index)(nil).WithTeams(teams)
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
 		b.StopTimer()
 		teams = maps.Clone(teams)
 		b.StartTimer()
 		teams["team-04711"] = &record.Team{KeyHashes: hashes(fmt.Sprintf("key %d", i))}
-		index = index.With(teams)
+		index = index.WithTeams(teams)
 	}
 }
