--- a/internal/core/directory/directory.go
+++ b/internal/core/directory/directory.go
@@ -1,6 +1,7 @@
-// Package directory provides the view of routes, teams, services and instances that a
-// front uses. It is compiled from the record set and the hosts' announcements. A
-// Directory is immutable; each change creates a new one that replaces it.
+// Package directory provides the view of routes, teams, services and instances by which a
+// front matches requests and chooses targets. It is compiled from the record set and the
+// hosts' announcements. A Directory is immutable; each change creates a new one that
+// replaces it.
 package directory
 
 import (
@@ -32,7 +33,8 @@
 	Version string
 	State   InstanceState
 	Health  detect.Health
-	// Evidence ranks suspects, in hundredths of a nat.
+	// Evidence is the evidence against a suspect, in hundredths of a nat. It ranks
+	// suspects.
 	Evidence uint32
 	// StartedMS is when the instance was first announced, in Unix milliseconds by the
 	// clock of its guard.
@@ -43,14 +45,14 @@
 	WarmUpEnd time.Time
 }
 
-// Host is one host, with its announcement and its membership state.
+// Host is one host, with what it announced and its membership state.
 type Host struct {
 	Name        string
 	DC          string
 	Peer        string
 	Admin       string
 	Incarnation uint64
-	// Alive is false once membership considers the host dead or it has left.
+	// Alive is false once membership considers the host dead or the host has left.
 	Alive bool
 	// Suspected reports whether membership suspects the host and waits for it to refute
 	// that.
@@ -82,20 +84,20 @@
 	Hosts int
 }
 
-// Directory is the complete view.
+// Directory is the view of one process at one time.
 type Directory struct {
 	Routes   *route.Table
 	Services map[string]*Service
 	Teams    map[string]*record.Team
-	// Keys maps callers' keys to teams. RequireKeys reports whether callers must present
-	// one.
+	// Keys maps API keys to teams. RequireKeys reports whether callers must present one.
 	Keys        *team.Index
 	RequireKeys bool
 	Hosts       map[string]*Host
 	Stops       []*record.Stop
 	// Maps holds the shard maps by service.
 	Maps map[string]*ShardMap
-	// Limits holds the limits on callers' requests, if a Configuration sets any.
+	// Limits holds the limits on callers' requests and connections, if a Configuration
+	// sets any.
 	Limits record.Limits
 	// Configurations holds the versions of the Configuration records in force, by name.
 	Configurations map[string]int64
@@ -109,8 +111,8 @@
 	*record.ShardMap
 }
 
-// DefaultWarmUp is the time in which a new instance reaches its full share of requests, if it
-// does not announce a warm-up time.
+// DefaultWarmUp is the time in which a new instance reaches its full share of requests if
+// it does not announce a warm-up time.
 const DefaultWarmUp = 10 * time.Second
 
 // Build returns the Directory for compiled records and the announced hosts.
@@ -119,7 +121,7 @@
 		Routes: records.routes, Teams: records.teams, Keys: records.keys, RequireKeys: records.requireKeys, Stops: records.stops, Maps: records.maps,
 		Services: make(map[string]*Service, len(records.services)),
 		Hosts:    make(map[string]*Host, len(hosts)),
-		Complete: records.whole,
+		Complete: records.complete,
 		Limits:   records.limits,
 
 		Configurations: records.configurations,
--- a/internal/core/directory/records.go
+++ b/internal/core/directory/records.go
@@ -20,25 +20,26 @@
 	limits      record.Limits
 	// configurations holds the versions of the Configuration records by name.
 	configurations map[string]int64
-	whole          bool
+	complete       bool
 }
 
-// Compile compiles parsed records for lookup.
-func Compile(all []*record.Record, whole bool) *Records {
-	return (&Records{}).Recompile(all, whole)
+// Compile compiles parsed records for lookup. complete reports whether the record set is
+// complete.
+func Compile(parsed []*record.Record, complete bool) *Records {
+	return (&Records{}).Recompile(parsed, complete)
 }
 
 // Recompile is like Compile, but reuses the parts of r that are still valid.
-func (r *Records) Recompile(all []*record.Record, whole bool) *Records {
+func (r *Records) Recompile(parsed []*record.Record, complete bool) *Records {
 	out := &Records{
-		teams: make(map[string]*record.Team),
-		maps:  make(map[string]*ShardMap),
-		whole: whole,
+		teams:    make(map[string]*record.Team),
+		maps:     make(map[string]*ShardMap),
+		complete: complete,
 
 		configurations: make(map[string]int64),
 	}
 	var routes []*route.Route
-	for _, rec := range all {
+	for _, rec := range parsed {
 		switch spec := rec.Spec.(type) {
 		case *record.Service:
 			out.services = append(out.services, &Service{Name: rec.Name, Version: rec.Version, Record: spec})
@@ -62,11 +63,11 @@
 
 // addConfiguration adds the services, teams and limits of a Configuration and returns its
 // routes. All of them get the record's version.
-func (r *Records) addConfiguration(from *record.Record, c *record.Configuration) []*route.Route {
-	r.configurations[from.Name] = from.Version
+func (r *Records) addConfiguration(rec *record.Record, c *record.Configuration) []*route.Route {
+	r.configurations[rec.Name] = rec.Version
 	for i := range c.Services {
 		s := &c.Services[i]
-		r.services = append(r.services, &Service{Name: s.Name, Version: from.Version, Record: &s.Service})
+		r.services = append(r.services, &Service{Name: s.Name, Version: rec.Version, Record: &s.Service})
 	}
 	for i := range c.Teams {
 		r.teams[c.Teams[i].Name] = &c.Teams[i].Team
@@ -77,7 +78,7 @@
 	}
 	routes := make([]*route.Route, 0, len(c.Routes))
 	for _, named := range c.Routes {
-		routes = append(routes, &route.Route{Name: named.Name, Version: from.Version, Route: named.Route})
+		routes = append(routes, &route.Route{Name: named.Name, Version: rec.Version, Route: named.Route})
 	}
 	return routes
 }
