--- a/internal/core/quota/account.go
+++ b/internal/core/quota/account.go
@@ -6,7 +6,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// account is one host's view of a team's usage.
+// account is a host's view of a team's usage.
 type account struct {
 	node     *Node
 	team     string
@@ -18,8 +18,8 @@
 	// applies after a start, until a host that has been running longer reports the real
 	// one.
 	used, assumed bucket
-	// levelWithRetries is the level including the refused requests that were told when to
-	// retry. Each refusal raises it by one, so that the retries do not all arrive at once.
+	// levelWithRetries is the level including one request for each refusal. The retry
+	// delay is derived from it, so that refused callers do not all retry at once.
 	levelWithRetries bucket
 	// standalone counts what this host admitted against its own share. successorUsed
 	// counts what it granted in place of an unresponsive home, against the share of the
@@ -47,7 +47,7 @@
 	timeouts         int
 
 	nearLimitUntil, refusedUntil, standaloneUntil time.Time
-	refusalWait                                   time.Duration
+	refusalRetryAfter                             time.Duration
 	// admitted and refused count this host's requests.
 	admitted, refused uint64
 
@@ -57,9 +57,9 @@
 	lastNotice time.Time
 }
 
-// grantsKept is the number of grants remembered per host, so that a repeated query is
-// answered without being counted twice.
-const grantsKept = 8
+// maxRememberedGrants is the number of grants remembered per host, so that a repeated
+// query is answered without being counted twice.
+const maxRememberedGrants = 8
 
 // reporter is the usage that one host has reported.
 type reporter struct {
@@ -68,8 +68,9 @@
 	seq              uint32
 	count, confirmed int64
 	reportedAt       time.Time
-	// granted holds the IDs of the host's latest granted queries.
-	granted [grantsKept]uint32
+	// grantedQueries holds the IDs of the host's latest granted queries, each at its ID
+	// modulo maxRememberedGrants.
+	grantedQueries [maxRememberedGrants]uint32
 }
 
 // account returns the account of a team, creating it if needed.
@@ -87,7 +88,7 @@
 	return a
 }
 
-// setLimit applies a new limit. Usage beyond the new limit is not held against the team.
+// setLimit applies a new limit. Usage beyond the new capacity is dropped.
 func (a *account) setLimit(now time.Time, limit Limit) {
 	before := a.level(now)
 	a.limit = limit
@@ -126,9 +127,9 @@
 // isKnown reports whether the level no longer depends on an assumption.
 func (a *account) isKnown(now time.Time) bool { return a.assumed.levelAt(now, a.rate()) == 0 }
 
-// add counts n admitted requests, or takes back requests that did not run if n is
-// negative. The level is bounded, so requests admitted beyond the limit because hosts did
-// not know of each other are compensated only in part.
+// add counts n admitted requests, or subtracts requests that did not run if n is negative.
+// The level is bounded, so requests that were admitted beyond the limit because hosts did
+// not know of each other's are compensated only in part.
 func (a *account) add(now time.Time, n float64) {
 	a.used.set(now, min(a.used.levelAt(now, a.rate())+n, a.capacity()+a.node.cfg.ExtraBurst))
 	if !a.isKnown(now) {
@@ -154,9 +155,9 @@
 		a.add(now, 1)
 		return true, 0
 	}
-	ahead := max(level, a.levelWithRetries.levelAt(now, a.rate())) + 1
-	a.levelWithRetries.set(now, ahead)
-	return false, drainTime(ahead-a.capacity(), a.rate())
+	levelAfterRetry := max(level, a.levelWithRetries.levelAt(now, a.rate())) + 1
+	a.levelWithRetries.set(now, levelAfterRetry)
+	return false, drainTime(levelAfterRetry-a.capacity(), a.rate())
 }
 
 // admitStandalone admits a request within this host's own share of the rate.
@@ -170,9 +171,9 @@
 }
 
 // admitAsSuccessor admits a request in place of a home that does not answer this host's
-// reports. It grants at most the part successorFraction of the share of this host and of
-// those that reported to it within requestingPeriod, because other hosts may still reach
-// the home, which grants the whole rate until it learns of the partition.
+// reports. It grants at most the fraction successorFraction of the share of this host and
+// of those that reported to it within requestingPeriod, because other hosts may still
+// reach the home, which grants the whole rate until it learns of the partition.
 func (a *account) admitAsSuccessor(now time.Time) (bool, time.Duration) {
 	requesting := 1
 	for _, r := range a.reporters {
@@ -191,11 +192,11 @@
 	if level+1 > capacity {
 		return false, drainTime(level+1-capacity, rate)
 	}
-	ok, wait := a.admit(now)
+	ok, retryAfter := a.admit(now)
 	if ok {
 		a.successorUsed.add(now, rate, 1)
 	}
-	return ok, wait
+	return ok, retryAfter
 }
 
 // enterStandalone makes this host enforce its own share for standalonePeriod. The share
@@ -218,7 +219,7 @@
 // drainTime returns how long n requests take to drain, bounded by maxWait.
 func drainTime(n, perSecond float64) time.Duration {
 	d := time.Duration(n / max(perSecond, 1e-9) * float64(time.Second))
-	return min(max(d, time.Millisecond), maxWait)
+	return min(max(d, time.Millisecond), maxRetryAfter)
 }
 
 // homes returns the home of a team's account and its successor, "" for none. It uses
--- a/internal/core/quota/admit.go
+++ b/internal/core/quota/admit.go
@@ -10,16 +10,16 @@
 
 // query is a request for a decision, sent to the home of the account.
 type query struct {
-	account *account
-	sentAt  time.Time
-	tries   int
+	account  *account
+	sentAt   time.Time
+	attempts int
 }
 
-// resolvedQuery is a query that has been decided by a host, or by this one if by is
-// empty.
+// resolvedQuery is a query that has been decided by another host, or by this one if
+// decidedBy is empty.
 type resolvedQuery struct {
-	by string
-	at time.Time
+	decidedBy string
+	at        time.Time
 }
 
 // Admit decides on a request of a team, or queries the team's home.
@@ -27,17 +27,17 @@
 	a := n.account(now, team, limit)
 	switch {
 	case n.isHome(a):
-		ok, wait := n.admitAsHome(now, a)
+		ok, retryAfter := n.admitAsHome(now, a)
 		n.checkNearLimit(now, a)
-		return a.recordDecision(now, ok, wait)
+		return a.recordDecision(now, ok, retryAfter)
 	case now.Before(a.refusedUntil):
-		return a.recordDecision(now, false, a.refusalWait)
+		return a.recordDecision(now, false, a.refusalRetryAfter)
 	case now.Before(a.standaloneUntil):
-		ok, wait := a.admitStandalone(now)
+		ok, retryAfter := a.admitStandalone(now)
 		if ok {
 			n.admitUnconfirmed(now, a)
 		}
-		return a.recordDecision(now, ok, wait)
+		return a.recordDecision(now, ok, retryAfter)
 	case n.mustQuery(now, a):
 		return Result{Decision: Pending, QueryID: n.sendQuery(now, a)}
 	default:
@@ -51,8 +51,8 @@
 // it dead and use another home, so its own share applies as well.
 func (n *Node) admitAsHome(now time.Time, a *account) (bool, time.Duration) {
 	if n.inStartup(now) && len(n.hosts) > 1 {
-		if ok, wait := a.admitStandalone(now); !ok {
-			return false, wait
+		if ok, retryAfter := a.admitStandalone(now); !ok {
+			return false, retryAfter
 		}
 	}
 	return a.admit(now)
@@ -62,10 +62,10 @@
 func (n *Node) inStartup(now time.Time) bool { return now.Sub(n.started) < startupPeriod }
 
 // recordDecision counts a decision on a request of this host and returns it as a Result.
-func (a *account) recordDecision(now time.Time, ok bool, wait time.Duration) Result {
+func (a *account) recordDecision(now time.Time, ok bool, retryAfter time.Duration) Result {
 	if !ok {
 		a.refused++
-		return Result{Decision: Refused, Wait: wait}
+		return Result{Decision: Refused, RetryAfter: retryAfter}
 	}
 	a.recordAdmitted(now)
 	return Result{Decision: Admitted}
@@ -92,7 +92,7 @@
 	n.unconfirmed[a.team] = a
 }
 
-// Release takes back an admitted request that did not run.
+// Release subtracts an admitted request that did not run from its team's usage.
 func (n *Node) Release(now time.Time, team string) {
 	a, ok := n.accounts[team]
 	if !ok {
@@ -108,7 +108,7 @@
 
 func (n *Node) sendQuery(now time.Time, a *account) uint32 {
 	n.lastQueryID++
-	n.queries[n.lastQueryID] = &query{account: a, sentAt: now, tries: 1}
+	n.queries[n.lastQueryID] = &query{account: a, sentAt: now, attempts: 1}
 	n.sendUsage(now, a, n.homes(a)[0], n.lastQueryID)
 	return n.lastQueryID
 }
@@ -136,7 +136,7 @@
 // alternates between the successor and the home.
 func (n *Node) reportUsage(now time.Time, a *account) {
 	if n.isHome(a) {
-		// This host has become the home: its level includes the usage already.
+		// This host has become the home, and its level already includes the usage.
 		a.confirmed = a.count
 	}
 	if a.count == a.confirmed {
@@ -170,12 +170,12 @@
 			continue
 		}
 		a := q.account
-		to := n.homes(a)[min(q.tries/2, 1)]
-		if q.tries >= maxQueryTries || to == "" || to == n.cfg.Host {
+		to := n.homes(a)[min(q.attempts/2, 1)]
+		if q.attempts >= maxQueryAttempts || to == "" || to == n.cfg.Host {
 			n.decideStandalone(now, id, a)
 			continue
 		}
-		q.tries++
+		q.attempts++
 		q.sentAt = now
 		n.sendUsage(now, a, to, id)
 	}
@@ -187,28 +187,28 @@
 	delete(n.queries, id)
 	n.resolved[id] = resolvedQuery{at: now}
 	var ok bool
-	var wait time.Duration
+	var retryAfter time.Duration
 	if n.isHome(a) {
-		ok, wait = n.admitAsHome(now, a)
+		ok, retryAfter = n.admitAsHome(now, a)
 	} else {
 		a.enterStandalone(now)
-		if ok, wait = a.admitStandalone(now); ok {
+		if ok, retryAfter = a.admitStandalone(now); ok {
 			n.admitUnconfirmed(now, a)
 		}
 	}
-	n.resolve(now, id, a, ok, wait)
+	n.resolve(now, id, a, ok, retryAfter)
 }
 
-func (n *Node) resolve(now time.Time, id uint32, a *account, ok bool, wait time.Duration) {
+func (n *Node) resolve(now time.Time, id uint32, a *account, ok bool, retryAfter time.Duration) {
 	if ok {
 		a.recordAdmitted(now)
 	} else {
 		a.refused++
 	}
-	n.answers = append(n.answers, Answer{QueryID: id, Granted: ok, Wait: wait})
+	n.answers = append(n.answers, Answer{QueryID: id, Granted: ok, RetryAfter: retryAfter})
 }
 
-// handleLevel processes a home's answer.
+// handleLevel processes the answer of a home, or of a host that acts for it.
 func (n *Node) handleLevel(now time.Time, from string, l *msg.TeamLevel) {
 	a, ok := n.accounts[l.Team]
 	if !ok {
@@ -231,9 +231,10 @@
 		return
 	}
 	if _, pending := n.queries[l.QueryID]; !pending {
-		// The query was resolved elsewhere; a second grant, by a late home or its
-		// successor, is taken off count, so the level falls with the next report.
-		if resolved, known := n.resolved[l.QueryID]; known && l.Granted && resolved.by != from {
+		// The query has already been resolved. A second grant, by a late home or its
+		// successor, is subtracted from count, so that the level falls with the next
+		// report.
+		if resolved, known := n.resolved[l.QueryID]; known && l.Granted && resolved.decidedBy != from {
 			delete(n.resolved, l.QueryID)
 			a.count--
 			n.unconfirmed[a.team] = a
@@ -241,12 +242,12 @@
 		return
 	}
 	delete(n.queries, l.QueryID)
-	n.resolved[l.QueryID] = resolvedQuery{by: from, at: now}
-	wait := time.Duration(l.RetryAfterMS) * time.Millisecond
+	n.resolved[l.QueryID] = resolvedQuery{decidedBy: from, at: now}
+	retryAfter := time.Duration(l.RetryAfterMS) * time.Millisecond
 	if !l.Granted {
-		a.refusalWait, a.refusedUntil = wait, now.Add(min(wait, maxRefusalCache))
+		a.refusalRetryAfter, a.refusedUntil = retryAfter, now.Add(min(retryAfter, maxRefusalCache))
 	}
-	n.resolve(now, l.QueryID, a, l.Granted, wait)
+	n.resolve(now, l.QueryID, a, l.Granted, retryAfter)
 }
 
 // extendNearLimit makes this host query the home for each request for the next ms
--- a/internal/core/quota/home.go
+++ b/internal/core/quota/home.go
@@ -78,7 +78,7 @@
 // without being counted. Only a successor whose own reports the home does not answer
 // limits itself to admitAsSuccessor; any other queried host grants from the whole rate.
 func (n *Node) grant(now time.Time, a *account, r *reporter, u *msg.TeamUsage, l *msg.TeamLevel) {
-	if r.granted[u.QueryID%grantsKept] == u.QueryID {
+	if r.grantedQueries[u.QueryID%maxRememberedGrants] == u.QueryID {
 		l.Granted = true
 		return
 	}
@@ -86,15 +86,15 @@
 	if n.actsForHome(a) {
 		admit = a.admitAsSuccessor
 	}
-	ok, wait := admit(now)
+	ok, retryAfter := admit(now)
 	if ok && !n.isHome(a) && !u.Forwarded {
 		a.count++
 		n.unconfirmed[a.team] = a
 	}
 	if ok {
-		r.granted[u.QueryID%grantsKept] = u.QueryID
+		r.grantedQueries[u.QueryID%maxRememberedGrants] = u.QueryID
 	}
-	l.Granted, l.RetryAfterMS = ok, uint32(wait.Milliseconds())
+	l.Granted, l.RetryAfterMS = ok, uint32(retryAfter.Milliseconds())
 }
 
 // checkNearLimit notifies all hosts when a team comes near its limit, if this host is the
@@ -114,8 +114,8 @@
 	relaysPerDC    = 2
 )
 
-// updateSuccessor sends the level of a team that is near its limit to the successor of
-// its home.
+// updateSuccessor sends the level of a team that is near its limit to the successor of its
+// home, which thereby knows it if the home fails.
 func (n *Node) updateSuccessor(now time.Time, a *account) {
 	if successor := n.homes(a)[1]; successor != "" && successor != n.cfg.Host {
 		p := n.packet(successor)
--- a/internal/core/quota/quota.go
+++ b/internal/core/quota/quota.go
@@ -14,9 +14,9 @@
 //
 // A host that reaches no home admits requests of a team within its own share of the rate
 // (standalone mode). A host that has just started assumes that every account is used up
-// as of its start, but for the part startupExtraFraction of Config.ExtraBurst, until
-// another host reports the real level. Restarting the whole fleet grants no new burst
-// beyond that part.
+// as of its start, except for the fraction startupExtraFraction of Config.ExtraBurst, until
+// another host reports the real level. Restarting the whole fleet therefore grants no new
+// burst beyond that fraction.
 package quota
 
 import (
@@ -58,8 +58,8 @@
 	startupPeriod = 5 * time.Second
 	// queryTimeout is how long to wait for a home before a query is repeated;
 	// maxQueryTries is the number of attempts, including those at the successor.
-	queryTimeout  = 60 * time.Millisecond
-	maxQueryTries = 3
+	queryTimeout     = 60 * time.Millisecond
+	maxQueryAttempts = 3
 	// usageTimeout is how long a home has to confirm a usage report before the successor
 	// is tried.
 	usageTimeout = 150 * time.Millisecond
@@ -73,23 +73,24 @@
 	// nearLimitEnter and nearLimitExit are the fractions of the capacity at which a team
 	// starts and stops counting as near its limit.
 	nearLimitEnter, nearLimitExit = 0.5, 0.25
-	// startupExtraFraction is the part of ExtraBurst that a host grants at its start,
+	// startupExtraFraction is the fraction of ExtraBurst that a host grants at its start,
 	// when it knows no levels.
 	startupExtraFraction = 0.5
-	// successorFraction is the part of the requesting hosts' share that a successor
+	// successorFraction is the fraction of the requesting hosts' share that a successor
 	// grants while the home does not answer its reports. A successor that has not noticed
 	// this, or a queried host that is neither home nor successor, grants from the whole
 	// rate.
 	successorFraction = 0.5
-	// singleLossFraction is the fraction of peakShare that must remain for a loss to
-	// be treated as that of single hosts.
+	// singleLossFraction is the fraction of peakShare that must remain for a loss to be
+	// treated as that of single hosts, which raises levels only by the lost part of the
+	// capacity.
 	singleLossFraction = 0.9
 	// minUnconfirmedAllowance is the minimum of the limit on a host's unconfirmed requests
 	// while the team is far from its limit.
 	minUnconfirmedAllowance = 2
 	// pauseThreshold is the time without a call of Step or Tick after which a host assumes
-	// that others acted in its place. relearnPeriod is how long it then leaves the queries
-	// of other hosts unanswered; it still decides on requests of its own callers.
+	// that others acted in its place. relearnPeriod is how long it then does not answer
+	// the queries of other hosts; it still decides on requests of its own callers.
 	pauseThreshold = 500 * time.Millisecond
 	relearnPeriod  = 250 * time.Millisecond
 	// requestingPeriod is how long a successor counts a host among the requesting hosts
@@ -98,8 +99,8 @@
 	// maxRefusalCache bounds how long a host refuses requests by the home's last refusal
 	// without a new query.
 	maxRefusalCache = 50 * time.Millisecond
-	// maxWait bounds the retry delay given to refused callers.
-	maxWait = 5 * time.Second
+	// maxRetryAfter bounds the retry delay given to refused callers.
+	maxRetryAfter = 5 * time.Second
 	// accountIdleTimeout is how long an unused account is kept.
 	accountIdleTimeout = time.Minute
 	// sweepInterval is the time between two removals of idle accounts.
@@ -112,7 +113,7 @@
 const (
 	// Admitted means that the request may run.
 	Admitted Decision = iota
-	// Refused means that it may not; Result.Wait says when to retry.
+	// Refused means that the request may not run; Result.RetryAfter says when to retry.
 	Refused
 	// Pending means that the home was queried and an Answer follows.
 	Pending
@@ -121,8 +122,8 @@
 // Result is the result of Admit.
 type Result struct {
 	Decision Decision
-	// Wait is the time until a retry, if refused.
-	Wait time.Duration
+	// RetryAfter is the time until a retry, if refused.
+	RetryAfter time.Duration
 	// QueryID identifies the Answer that follows, if pending.
 	QueryID uint32
 }
@@ -131,8 +132,8 @@
 type Answer struct {
 	QueryID uint32
 	Granted bool
-	// Wait is the time until a retry, if not granted.
-	Wait time.Duration
+	// RetryAfter is the time until a retry, if not granted.
+	RetryAfter time.Duration
 }
 
 // Outbound is a datagram to send to a host.
@@ -162,8 +163,8 @@
 
 	accounts map[string]*account
 	// unconfirmed holds the accounts with usage that no home has confirmed. nearLimit
-	// holds the accounts near their limit for which this host is the home or acts for
-	// it.
+	// holds the accounts of teams near their limit for which this host is the home or
+	// acts for it.
 	unconfirmed, nearLimit map[string]*account
 	queries                map[uint32]*query
 	lastQueryID            uint32
@@ -214,9 +215,10 @@
 }
 
 // compensateLostHosts raises the levels of teams that were near their limit when hosts
-// become unreachable: the requests those hosts admitted were not reported, and the level
-// has drained as if there had been none. remaining is the new live share over peakShare,
-// the largest recent one. If many hosts were lost at once, the bucket counts as used up.
+// become unreachable: the requests that those hosts admitted were not reported, and the
+// level has drained as if there had been none. remaining is the new live share divided by
+// peakShare, the largest recent one. If many hosts were lost at once, the bucket counts as
+// used up.
 func (n *Node) compensateLostHosts(now time.Time, remaining float64) {
 	for _, a := range n.accounts {
 		if now.Before(a.nearLimitUntil.Add(startupPeriod)) || n.nearLimit[a.team] != nil {
@@ -241,13 +243,14 @@
 	return out, answers
 }
 
-// maxEntries bounds the entries of a datagram, so that it fits into one network packet.
-const maxEntries = 16
+// maxEntriesPerPacket bounds the entries of a datagram, so that it fits into one network
+// packet.
+const maxEntriesPerPacket = 16
 
 // packet returns the datagram to a host that still has room for an entry.
 func (n *Node) packet(to string) *msg.TeamPacket {
 	if i, ok := n.openPackets[to]; ok {
-		if p := n.out[i].Packet; len(p.Usages)+len(p.Levels)+len(p.Notices) < maxEntries {
+		if p := n.out[i].Packet; len(p.Usages)+len(p.Levels)+len(p.Notices) < maxEntriesPerPacket {
 			return p
 		}
 	}
@@ -295,8 +298,9 @@
 	}
 }
 
-// detectPause notes that this host was kept from running. Others have acted in its place
-// in the meantime, and the queries sent to it are no longer waiting.
+// detectPause records when this host resumes after it did not run for longer than
+// pauseThreshold. Other hosts have acted in its place in the meantime and no longer wait
+// for answers to the queries that they sent to it.
 func (n *Node) detectPause(now time.Time) {
 	if now.Sub(n.lastCall) > pauseThreshold {
 		n.resumedAt = now
@@ -304,12 +308,13 @@
 	n.lastCall = now
 }
 
-// relearning reports whether this host is still collecting what others did in its place
-// after a pause.
+// relearning reports whether this host has resumed so recently that it may not yet know
+// which requests other hosts admitted in its place.
 func (n *Node) relearning(now time.Time) bool {
 	return !n.resumedAt.IsZero() && now.Sub(n.resumedAt) < relearnPeriod
 }
 
+// sweep removes idle accounts and old resolved queries.
 func (n *Node) sweep(now time.Time) {
 	n.lastSweep = now
 	for id, r := range n.resolved {
--- a/internal/core/quota/quota_test.go
+++ b/internal/core/quota/quota_test.go
@@ -45,7 +45,7 @@
 			}
 		})
 	}},
-	{"datagrams are lost and repeated", func(s *sim) { s.lost, s.repeated = 0.05, 0.05 }},
+	{"datagrams are lost and repeated", func(s *sim) { s.lossRate, s.duplicateRate = 0.05, 0.05 }},
 }
 
 // homeOf returns the home of a team's account, as seen by the first host.
@@ -78,9 +78,10 @@
 	})
 }
 
-// Guards against enforcing the limit at each host alone, which let 91 hosts together
-// admit nearly all of a team's excess, and again after each restart. Over all hosts, a
-// team may exceed its limit in any five seconds by at most a tenth plus twenty requests.
+// Guards against enforcing the limit at each host separately: 91 hosts together then
+// admitted nearly all of a team's excess, and did so again after each restart. Over all
+// hosts, a team may exceed its limit in any five seconds by at most a tenth plus twenty
+// requests.
 func TestATeamIsHeldToItsRateOverAllHosts(t *testing.T) {
 	for _, hosts := range []int{6, 24, 91} {
 		for name, limit := range map[string]Limit{"large": large, "medium": medium} {
@@ -95,9 +96,9 @@
 						s.load("hot", usual, 11500*time.Millisecond, 20*time.Second, s.randomHost)
 						sc.inject(s)
 						s.run(20 * time.Second)
-						over := s.over("hot")
-						t.Logf("seed %d: %.0f beyond the limit of %.0f allowed; admitted %d of %d", seed, over, s.allowed("hot"), len(s.admitted["hot"]), s.offered["hot"])
-						assert.Check(t, over <= s.allowed("hot"), "seed %d: %.0f beyond the limit, %.0f allowed", seed, over, s.allowed("hot"))
+						excess := s.excess("hot")
+						t.Logf("seed %d: %.0f beyond the limit of %.0f allowed; admitted %d of %d", seed, excess, s.allowedExcess("hot"), len(s.admitted["hot"]), s.offered["hot"])
+						assert.Check(t, excess <= s.allowedExcess("hot"), "seed %d: %.0f beyond the limit, %.0f allowed", seed, excess, s.allowedExcess("hot"))
 					}
 				})
 			}
--- a/internal/core/quota/sim_test.go
+++ b/internal/core/quota/sim_test.go
@@ -48,8 +48,8 @@
 type simHost struct {
 	name, dc string
 	node     *Node
-	// up is false while the process is down. frozen delays its incoming datagrams in
-	// heldPackets.
+	// up is false while the process is down. While frozen is set, incoming datagrams are
+	// kept in heldPackets.
 	up, frozen  bool
 	heldPackets []*msg.TeamPacket
 	generation  int
@@ -68,9 +68,9 @@
 	hosts                                    []*simHost
 	limits                                   map[string]Limit
 	extraBurst, extraRate, extraRateFraction float64
-	// lost is the fraction of datagrams that are dropped, repeated the fraction
+	// lossRate is the fraction of datagrams that are dropped, duplicateRate the fraction
 	// delivered twice.
-	lost, repeated float64
+	lossRate, duplicateRate float64
 	// blocked reports whether datagrams from one host to the other are dropped.
 	blocked func(from, to int) bool
 	// alwaysQuery and neverQuery make hosts query the home for each request, or for
@@ -80,7 +80,7 @@
 	admitted         map[string][]time.Duration
 	refused, queried map[string]int
 	offered          map[string]int
-	waited           []time.Duration
+	decisionTimes    []time.Duration
 	packets, bytes   int
 }
 
@@ -219,7 +219,7 @@
 		s.packets++
 		s.bytes += o.Packet.Msgsize()
 		to := s.index(o.To)
-		if to < 0 || s.blocked(i, to) || s.rng.Float64() < s.lost {
+		if to < 0 || s.blocked(i, to) || s.rng.Float64() < s.lossRate {
 			continue
 		}
 		raw, err := o.Packet.MarshalMsg(nil)
@@ -227,7 +227,7 @@
 			panic(err)
 		}
 		times := 1
-		if s.rng.Float64() < s.repeated {
+		if s.rng.Float64() < s.duplicateRate {
 			times = 2
 		}
 		for range times {
@@ -269,8 +269,8 @@
 	return i
 }
 
-// request offers a team's request to a host. If fails is set, an admitted request does
-// not run and is returned.
+// request offers a team's request to a host. If fails is set, an admitted request does not
+// run and is released after 100 ms.
 func (s *sim) request(i int, team string, fails bool) {
 	h := s.hosts[i]
 	if !h.up || h.frozen {
@@ -283,7 +283,7 @@
 	began := s.now
 	done := func(ok bool) {
 		if team != "hot" {
-			s.waited = append(s.waited, s.now-began)
+			s.decisionTimes = append(s.decisionTimes, s.now-began)
 		}
 		if !ok {
 			s.refused[team]++
@@ -334,9 +334,9 @@
 	}
 }
 
-// over returns by how many requests the worst window of a team exceeds its limit;
+// excess returns by how many requests the worst window of a team exceeds its limit;
 // negative values are within the limit.
-func (s *sim) over(team string) float64 {
+func (s *sim) excess(team string) float64 {
 	l := s.limits[team]
 	most, first := 0, 0
 	times := s.admitted[team]
@@ -349,8 +349,8 @@
 	return float64(most) - (l.Rate*simWindow.Seconds() + l.Burst)
 }
 
-// allowed returns by how many requests a team may exceed its limit in any window.
-func (s *sim) allowed(team string) float64 {
+// allowedExcess returns by how many requests a team may exceed its limit in any window.
+func (s *sim) allowedExcess(team string) float64 {
 	l := s.limits[team]
 	return 0.1*(l.Rate*simWindow.Seconds()+l.Burst) + 20
 }
@@ -358,9 +358,9 @@
 // p99 returns the 99th percentile of the decision time for requests of teams other than
 // "hot".
 func (s *sim) p99() time.Duration {
-	sort.Slice(s.waited, func(i, j int) bool { return s.waited[i] < s.waited[j] })
-	if len(s.waited) == 0 {
+	sort.Slice(s.decisionTimes, func(i, j int) bool { return s.decisionTimes[i] < s.decisionTimes[j] })
+	if len(s.decisionTimes) == 0 {
 		return 0
 	}
-	return s.waited[int(math.Ceil(0.99*float64(len(s.waited))))-1]
+	return s.decisionTimes[int(math.Ceil(0.99*float64(len(s.decisionTimes))))-1]
 }
--- a/internal/core/quota/strategies_test.go
+++ b/internal/core/quota/strategies_test.go
@@ -53,10 +53,10 @@
 			}
 			perHost := 1 / (float64(hosts) * (end - begin).Seconds())
 			t.Logf("%4d hosts, %-48s beyond the limit %4.0f of %.0f; refused below it %4.1f %%; p99 %6s; %.2f datagrams and %3.0f bytes per second and host",
-				hosts, st.name, s.over("hot"), s.allowed("hot"), 100*float64(refused)/float64(offered), s.p99().Round(100*time.Microsecond),
+				hosts, st.name, s.excess("hot"), s.allowedExcess("hot"), 100*float64(refused)/float64(offered), s.p99().Round(100*time.Microsecond),
 				float64(s.packets)*perHost, float64(s.bytes)*perHost)
 			if st.name == strategies[len(strategies)-1].name {
-				assert.Check(t, s.over("hot") <= s.allowed("hot"))
+				assert.Check(t, s.excess("hot") <= s.allowedExcess("hot"))
 				assert.Check(t, refused*200 <= offered, "%d of %d refused", refused, offered)
 			}
 		}
--- a/internal/teams/teams.go
+++ b/internal/teams/teams.go
@@ -110,7 +110,7 @@
 		out := r.deliverAnswers()
 		r.mu.Unlock()
 		r.send(out)
-		return result.Decision == quota.Admitted, true, result.Wait
+		return result.Decision == quota.Admitted, true, result.RetryAfter
 	}
 	w := &waiter{team: team, answer: make(chan quota.Answer, 1)}
 	r.waiters[result.QueryID] = w
@@ -119,7 +119,7 @@
 	r.send(out)
 	select {
 	case a := <-w.answer:
-		return a.Granted, true, a.Wait
+		return a.Granted, true, a.RetryAfter
 	case <-ctx.Done():
 		r.abandon(result.QueryID, w)
 		return false, true, time.Second
