--- a/internal/teams/teams.go
+++ b/internal/teams/teams.go
@@ -1,5 +1,5 @@
-// Package teams connects the rate limiter of package quota to the clock, the network and
-// the requests that wait for a decision.
+// Package teams enforces the rate limits of teams. It connects package quota, which decides
+// without I/O, to the clock, the network and the requests that wait for a decision.
 package teams
 
 import (
@@ -22,9 +22,9 @@
 	Incarnation uint64
 	// Allowance and AllowanceFraction are what a team may use beyond its limit in any
 	// Window over all hosts: a number of requests, and a fraction of what the limit
-	// allows. Most of Allowance is granted as extra burst and rate, and a smaller part of
-	// AllowanceFraction as extra rate; the rest covers requests that hosts have not
-	// reported to each other yet.
+	// allows. Most of Allowance is granted as extra burst and extra rate, and a smaller
+	// part of AllowanceFraction as extra rate; the rest covers requests that hosts have
+	// not reported to each other yet.
 	Allowance, AllowanceFraction float64
 	Window                       time.Duration
 	// Send sends a datagram to a host; it may be lost.
@@ -84,7 +84,7 @@
 	return quota.Limit{Rate: t.RatePerSecond, Burst: burst}, true
 }
 
-// SetHosts sets the live hosts, and the number of known hosts, including those that died
+// SetHosts sets the live hosts and the number of known hosts, including those that died
 // recently.
 func (r *RateLimiter) SetHosts(alive []quota.Host, known int) {
 	r.mu.Lock()
@@ -98,8 +98,9 @@
 
 // Admit decides whether a request of a team may run, and otherwise returns when to retry.
 // It blocks while the home of the team's account is queried. limited reports whether the
-// team has a limit: an admitted request then counts, and Release may take it back.
-func (r *RateLimiter) Admit(ctx context.Context, team string) (ok, limited bool, wait time.Duration) {
+// team has a limit: an admitted request then counts against it, and Release subtracts it
+// again if it did not run.
+func (r *RateLimiter) Admit(ctx context.Context, team string) (ok, limited bool, retryAfter time.Duration) {
 	limit, limited := r.limit(team)
 	if !limited {
 		return true, false, 0
@@ -126,7 +127,8 @@
 	}
 }
 
-// abandon drops the waiter of a request that was cancelled; a grant is returned.
+// abandon drops the waiter of a cancelled request. If the query has already been granted,
+// or is granted later, the request is released.
 func (r *RateLimiter) abandon(queryID uint32, w *waiter) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -139,7 +141,7 @@
 	}
 }
 
-// Release takes back an admitted request that did not run.
+// Release subtracts an admitted request that did not run from its team's usage.
 func (r *RateLimiter) Release(team string) {
 	r.mu.Lock()
 	r.node.Release(time.Now(), team)
@@ -190,7 +192,7 @@
 	}
 }
 
-// State is this host's view of one team's usage.
+// State is this host's view of a team's usage.
 type State = quota.State
 
 // State returns the accounts of this host, for operators.
--- a/internal/teams/teams_test.go
+++ b/internal/teams/teams_test.go
@@ -17,7 +17,7 @@
 // warmUp is how long a host runs until it no longer assumes that accounts are used up.
 const warmUp = time.Minute
 
-func TestTeamOverItsRateGetsRetryTime(t *testing.T) {
+func TestTeamOverItsRateGetsRetryAfter(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := New(Config{Host: "h1"})
 		r.SetTeams(map[string]*record.Team{"desk": {Office: "o", RatePerSecond: 2, Burst: 3}})
@@ -27,9 +27,9 @@
 			ok, limited, _ := r.Admit(ctx, "desk")
 			assert.Assert(t, ok && limited)
 		}
-		ok, _, wait := r.Admit(ctx, "desk")
-		assert.Assert(t, !ok && wait > 0 && wait <= time.Second)
-		time.Sleep(wait)
+		ok, _, retryAfter := r.Admit(ctx, "desk")
+		assert.Assert(t, !ok && retryAfter > 0 && retryAfter <= time.Second)
+		time.Sleep(retryAfter)
 		ok, _, _ = r.Admit(ctx, "desk")
 		assert.Assert(t, ok)
 		ok, limited, _ := r.Admit(ctx, "unknown")
@@ -41,14 +41,14 @@
 	})
 }
 
-// A host that has just started grants no burst: it may have been granted before the whole
-// fleet stopped.
+// A host that has just started grants no burst, since the team may have used it up before
+// the whole fleet stopped.
 func TestRestartGrantsNoBurst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := New(Config{Host: "h1"})
 		r.SetTeams(map[string]*record.Team{"desk": {Office: "o", RatePerSecond: 2, Burst: 30}})
-		ok, _, wait := r.Admit(context.Background(), "desk")
-		assert.Assert(t, !ok && wait > 0)
+		ok, _, retryAfter := r.Admit(context.Background(), "desk")
+		assert.Assert(t, !ok && retryAfter > 0)
 		time.Sleep(time.Second)
 		admitted := 0
 		for range 30 {
@@ -62,38 +62,38 @@
 
 // pair is two hosts whose datagrams arrive after a delay, or not at all.
 type pair struct {
-	rates       map[string]*RateLimiter
+	limiters    map[string]*RateLimiter
 	partitioned bool
 }
 
 func newPair(delay time.Duration) *pair {
-	p := &pair{rates: make(map[string]*RateLimiter)}
+	p := &pair{limiters: make(map[string]*RateLimiter)}
 	for _, name := range []string{"h1", "h2"} {
-		p.rates[name] = New(Config{Host: name, Send: func(to string, m *msg.TeamPacket) {
+		p.limiters[name] = New(Config{Host: name, Send: func(to string, m *msg.TeamPacket) {
 			if p.partitioned {
 				return
 			}
 			go func() {
 				time.Sleep(delay)
-				p.rates[to].Receive(m)
+				p.limiters[to].Receive(m)
 			}()
 		}})
 	}
-	for _, r := range p.rates {
+	for _, r := range p.limiters {
 		r.SetHosts([]quota.Host{{Name: "h1", DC: "a"}, {Name: "h2", DC: "a"}}, 2)
 		r.SetTeams(map[string]*record.Team{"desk": {Office: "o", RatePerSecond: 1, Burst: 4}})
 	}
 	return p
 }
 
-// notHome returns the host that is not the home of the team's account.
-func (p *pair) notHome() *RateLimiter {
-	r := p.rates["h1"]
+// nonHome returns the host that is not the home of the team's account.
+func (p *pair) nonHome() *RateLimiter {
+	r := p.limiters["h1"]
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.node.Admit(time.Now(), "desk", quota.Limit{Rate: 1, Burst: 4})
 	if r.node.State(time.Now())[0].Home == "h1" {
-		return p.rates["h2"]
+		return p.limiters["h2"]
 	}
 	return r
 }
@@ -102,18 +102,18 @@
 func TestGrantForCancelledRequestIsReleased(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newPair(20 * time.Millisecond)
-		notHome := p.notHome()
+		nonHome := p.nonHome()
 		p.run(warmUp)
 		ctx, cancel := context.WithCancel(context.Background())
 		cancel()
 		for range maxUnconfirmed {
-			ok, _, _ := notHome.Admit(context.Background(), "desk")
+			ok, _, _ := nonHome.Admit(context.Background(), "desk")
 			assert.Assert(t, ok)
 		}
-		ok, _, _ := notHome.Admit(ctx, "desk")
+		ok, _, _ := nonHome.Admit(ctx, "desk")
 		assert.Assert(t, !ok)
 		p.run(maxUnconfirmed * time.Second)
-		for _, r := range p.rates {
+		for _, r := range p.limiters {
 			for _, s := range r.State() {
 				assert.Assert(t, s.Level < 1, "%+v", s)
 			}
@@ -128,17 +128,17 @@
 // run ticks both hosts for a period.
 func (p *pair) run(d time.Duration) {
 	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
-		for _, r := range p.rates {
+		for _, r := range p.limiters {
 			r.Tick()
 		}
 	}
 }
 
 // If no home responds, a host decides by its own share, each time within 250 ms.
-func TestHostWithoutHomeDecidesByItsShare(t *testing.T) {
+func TestHostWithoutHomeEnforcesItsShare(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newPair(time.Millisecond)
-		notHome := p.notHome()
+		nonHome := p.nonHome()
 		p.run(warmUp)
 		p.partitioned = true
 		var wg sync.WaitGroup
@@ -146,7 +146,7 @@
 		admitted := 0
 		for range 100 {
 			began := time.Now()
-			if ok, _, _ := notHome.Admit(context.Background(), "desk"); ok {
+			if ok, _, _ := nonHome.Admit(context.Background(), "desk"); ok {
 				admitted++
 			}
 			assert.Assert(t, time.Since(began) <= 250*time.Millisecond, "decided after %s", time.Since(began))
