--- a/internal/core/config/set.go
+++ b/internal/core/config/set.go
@@ -95,8 +95,8 @@
 	}
 }
 
-// dropTombstone removes an entry if it is still deleted, and raises maxDroppedVersion to
-// its version.
+// dropTombstone removes an entry if it is a tombstone, and raises maxDroppedVersion to at
+// least its version.
 func (s *Set) dropTombstone(key Key) {
 	e, ok := s.entries[key]
 	if !ok || !e.Deleted {
--- a/internal/core/directory/directory.go
+++ b/internal/core/directory/directory.go
@@ -155,8 +155,8 @@
 	}
 }
 
-// PlannedStop returns a planned stop that covers an instance of a host, or nil. An empty
-// instance stands for the whole host.
+// PlannedStop returns a planned stop that covers an instance of a host, or nil if there is
+// none. For an empty instance it returns only a stop of the whole host.
 func (d *Directory) PlannedStop(host, instance string) *record.Stop {
 	for _, s := range d.Stops {
 		if s.Host == host && (s.Instance == "" || s.Instance == instance) {
--- a/internal/core/quota/account.go
+++ b/internal/core/quota/account.go
@@ -216,7 +216,7 @@
 	a.standalone.add(now, rate, 1)
 }
 
-// drainTime returns how long n requests take to drain, bounded by maxWait.
+// drainTime returns how long n requests take to drain, bounded by maxRetryAfter.
 func drainTime(n, perSecond float64) time.Duration {
 	d := time.Duration(n / max(perSecond, 1e-9) * float64(time.Second))
 	return min(max(d, time.Millisecond), maxRetryAfter)
--- a/internal/core/quota/quota.go
+++ b/internal/core/quota/quota.go
@@ -57,7 +57,7 @@
 	// it may have missed a notice that a team is near its limit.
 	startupPeriod = 5 * time.Second
 	// queryTimeout is how long to wait for a home before a query is repeated;
-	// maxQueryTries is the number of attempts, including those at the successor.
+	// maxQueryAttempts is the number of attempts, including those at the successor.
 	queryTimeout     = 60 * time.Millisecond
 	maxQueryAttempts = 3
 	// usageTimeout is how long a home has to confirm a usage report before the successor
