--- a/internal/core/config/node.go
+++ b/internal/core/config/node.go
@@ -99,7 +99,8 @@
 	pullTimeout = 300 * time.Millisecond
 )
 
-// snapshotTimeout is how long to wait for a complete set before another peer is asked.
+// snapshotTimeout is how long to wait for a complete set before it is requested again, from
+// a random peer.
 const snapshotTimeout = 3 * time.Second
 
 // NewNode returns a Node with empty sets.
--- a/internal/core/config/step.go
+++ b/internal/core/config/step.go
@@ -143,8 +143,8 @@
 }
 
 // sendSnapshot sends the complete set in parts. If this host's own set is incomplete, it
-// sends one empty part that is marked as incomplete. The requester does not apply it, and
-// asks another peer after snapshotTimeout.
+// sends one empty part that is marked as incomplete. The requester ignores it and requests
+// the set again after snapshotTimeout.
 func (n *Node) sendSnapshot(to string, id msg.SetID) {
 	var entries []msg.Entry
 	n.sets[id].Each(func(e msg.Entry) { entries = append(entries, e) })
@@ -159,7 +159,7 @@
 }
 
 // handleSnapshot accepts parts in order from the peer that was asked. If a part is
-// missing, the set stays incomplete, and another peer is asked after snapshotTimeout. Host
+// missing, the set stays incomplete and is requested again after snapshotTimeout. Host
 // entries are applied in any order and from any peer, since their set need not be complete
 // at the start.
 func (n *Node) handleSnapshot(from string, m *msg.Snapshot) {
