--- a/internal/core/admit/admit.go
+++ b/internal/core/admit/admit.go
@@ -1,12 +1,12 @@
-// Package admit is the admission control of one instance. It grants slots,
+// Package admit implements the admission control of one instance. It assigns slots,
 // queues requests that can still meet their deadline, refuses the others early,
-// and handles cancellation. A slot is the right to run one request. The fronts are the
-// proxies at the callers: they choose instances and send the requests to them.
+// and handles cancellation. A slot is the capacity to run one request. A front is a proxy
+// on the caller's side, which selects an instance and sends it the request.
 //
-// A Queue has no clock and does no I/O. The caller passes in the time,
-// serializes the calls, and carries out the returned decisions. Because start
-// and cancel are decided by the same Queue, a request reported as not run can
-// no longer start.
+// A Queue does not read the clock and does no I/O. The caller passes in the time,
+// serializes the calls, and carries out the returned decisions. Because the same
+// Queue decides whether a request starts and whether it is cancelled, a request
+// reported as not run can no longer start.
 package admit
 
 import (
@@ -26,27 +26,27 @@
 	// Class is the fairness class of the caller's team.
 	Class uint32
 	// Priority is 0 to 3; higher runs first. SubPriority, also 0 to 3, orders requests
-	// of equal Priority. The front sets it to the priority of the route, which is the
-	// record that the request matched. Priority is that of the caller's team if the team
-	// defines one, and otherwise also that of the route.
+	// of equal Priority. The front sets SubPriority to the priority of the matched route,
+	// and Priority to that of the caller's team, or of the route if the team defines none.
 	Priority, SubPriority uint8
-	// Deadline is when the caller stops waiting.
+	// Deadline is the time at which the caller stops waiting.
 	Deadline time.Time
-	// Objective is the latency objective as a point in time. Of the waiting requests of
-	// a rank, those that can still be answered by then run first; a request that is still
-	// waiting when the objective has passed is refused. The zero value means the deadline.
+	// Objective is the time by which the request must complete to meet its latency
+	// objective. Among waiting requests of equal priorities, those that can still meet it
+	// run first, and a request that is still waiting when it has passed is refused. The
+	// zero value stands for Deadline.
 	Objective time.Time
-	// ExpectedServiceTime is the expected service time, 0 if the front does not know it.
+	// ExpectedServiceTime is 0 if the front does not know it.
 	ExpectedServiceTime time.Duration
-	// AllowLate queues the request even if it is expected to miss its objective. A
-	// front sets it when it has no better instance to try.
+	// AllowLate allows the request to be queued even if it is expected to miss its
+	// objective. A front sets it when it has no better instance to try.
 	AllowLate bool
-	// Reserve asks for a grant, to be used by a later Run, instead of an
-	// immediate start.
+	// Reserve requests a grant instead of an immediate start. A grant reserves a slot,
+	// which a later Run uses.
 	Reserve bool
 }
 
-// Action is what the caller must do with a request.
+// Action is what the caller of the Queue must do with a request.
 type Action uint8
 
 const (
@@ -54,9 +54,9 @@
 	Wait Action = iota
 	// Start runs the request now.
 	Start
-	// Grant tells the front that a slot is reserved for the request.
+	// Grant informs the front that a slot is reserved for the request.
 	Grant
-	// Refuse ends the request. It has not run and never will.
+	// Refuse ends the request, which has not run and will not run.
 	Refuse
 )
 
@@ -74,7 +74,7 @@
 	Slots int
 	// QueuePerSlot is the maximum number of waiting requests per slot.
 	QueuePerSlot int
-	// GrantLife is how long a grant stays valid without a Run.
+	// GrantLife is how long a grant remains valid if it is not used by a Run.
 	GrantLife time.Duration
 }
 
@@ -93,7 +93,7 @@
 	state state
 	// late reports that the request was expected to miss its objective when offered.
 	late bool
-	// expires is when the grant expires.
+	// expires is the time at which the grant expires.
 	expires time.Time
 }
 
@@ -173,7 +173,7 @@
 // SetSlots changes the number of slots. Running requests are not affected.
 func (q *Queue) SetSlots(now time.Time, slots int) []Decision {
 	q.cfg.Slots = slots
-	return q.fill(now, nil)
+	return q.assignFreeSlots(now, nil)
 }
 
 // Drain refuses all waiting and future requests. Granted and running requests
@@ -187,7 +187,7 @@
 	return out
 }
 
-// Revoke cancels all unused grants. A later Run for any of them is refused.
+// Revoke cancels all unused grants. A later Run with any of them is refused.
 func (q *Queue) Revoke() []Decision {
 	var out []Decision
 	for _, t := range q.tickets {
@@ -199,14 +199,14 @@
 	return out
 }
 
-// Resume reverses Drain, for a planned stop that was withdrawn.
+// Resume accepts requests again after Drain, when a planned stop was withdrawn.
 func (q *Queue) Resume() { q.draining = false }
 
-// Idle reports whether no request is running, waiting or granted.
+// Idle reports whether the Queue holds no running, waiting or granted requests.
 func (q *Queue) Idle() bool { return len(q.tickets) == 0 }
 
 // Offer submits a request. The first decision is for the request itself, any
-// others are for requests evicted in its favour.
+// others are for requests evicted to make room for it.
 func (q *Queue) Offer(now time.Time, r Request) []Decision {
 	if q.draining {
 		return []Decision{{ID: r.ID, Action: Refuse, Reason: verdict.ReasonDraining}}
@@ -224,11 +224,11 @@
 		return []Decision{q.assignSlot(now, t)}
 	}
 	wait := q.expectedWait(now, t)
-	end := now.Add(wait + r.ExpectedServiceTime)
-	missesDeadline := end.After(r.Deadline)
+	expectedEnd := now.Add(wait + r.ExpectedServiceTime)
+	missesDeadline := expectedEnd.After(r.Deadline)
 	// Without AllowLate the front can still try another instance, so a late request is
-	// refused at once. With AllowLate, late requests are limited to one per slot: any
-	// more would only wait to be refused.
+	// refused at once. With AllowLate, late requests are limited to one per slot, because
+	// any others would wait only to be refused later.
 	if missesDeadline || t.late && (!r.AllowLate || q.countLate(now) >= q.cfg.Slots) {
 		return []Decision{{ID: r.ID, Action: Refuse, Reason: verdict.ReasonQueueFull, RetryAfter: max(wait, minRetryAfter)}}
 	}
@@ -236,7 +236,7 @@
 }
 
 // enqueue adds a request to the queue. If the queue is full, it evicts the request that
-// evictionCandidate selects, or refuses the newcomer if there is none.
+// evictionCandidate selects, or refuses the incoming request if there is none.
 func (q *Queue) enqueue(t *ticket, wait time.Duration) []Decision {
 	out := []Decision{{ID: t.ID, Action: Wait}}
 	if q.queued >= q.cfg.Slots*q.cfg.QueuePerSlot {
@@ -255,37 +255,38 @@
 }
 
 // Run consumes a grant. It returns Start, or Refuse if the grant has expired or
-// does not exist. Expiry is checked here as well as in Tick, because the process
-// may have been suspended since the grant.
+// does not exist. Expiry is checked here as well as in Tick, because Tick may not have
+// run since the grant was given if the process was suspended.
 func (q *Queue) Run(now time.Time, id ID) Decision {
 	t, ok := q.tickets[id]
 	if !ok || t.state != granted {
 		return Decision{ID: id, Action: Refuse, Reason: verdict.ReasonGrantExpired}
 	}
 	if !now.Before(t.expires) {
-		q.free(t)
+		q.releaseSlot(t)
 		return Decision{ID: id, Action: Refuse, Reason: verdict.ReasonGrantExpired}
 	}
 	t.state = running
 	return Decision{ID: id, Action: Start}
 }
 
-// Cancel withdraws a request. It returns NotRun if the request had not started
-// and now never will, or MayHaveRun if it is running, in which case the caller
-// stops it and then calls Done. It also returns MayHaveRun for a request that the
-// Queue no longer holds. The decisions are for requests that get the freed slot.
+// Cancel cancels a request. It returns NotRun if the request has not started and can no
+// longer start, or MayHaveRun if it is running, in which case the caller stops it and
+// then calls Done. It also returns MayHaveRun for a request that the Queue no longer
+// holds. The decisions are for the waiting requests considered for the released slot.
 func (q *Queue) Cancel(now time.Time, id ID) (verdict.Verdict, []Decision) {
 	t, ok := q.tickets[id]
 	if !ok {
-		// Already refused or finished. It can no longer start, but it may have run.
+		// The request was refused or has finished. It can no longer start, but it may
+		// have run.
 		return verdict.MayHaveRun, nil
 	}
 	switch t.state {
 	case running:
 		return verdict.MayHaveRun, nil
 	case granted:
-		q.free(t)
-		return verdict.NotRun, q.fill(now, nil)
+		q.releaseSlot(t)
+		return verdict.NotRun, q.assignFreeSlots(now, nil)
 	default:
 		q.ranks[t.rank()].remove(t)
 		q.queued--
@@ -294,9 +295,9 @@
 	}
 }
 
-// Done frees the slot of a request that ran. serviceTime is its service time. It is 0
-// if it says nothing about the instance's speed, and is then left out of the moving
-// average.
+// Done releases the slot of a request that has finished running. A serviceTime of 0 is
+// excluded from the moving average; the caller passes 0 if the service time does not
+// indicate the instance's speed.
 func (q *Queue) Done(now time.Time, id ID, serviceTime time.Duration) []Decision {
 	t, ok := q.tickets[id]
 	if !ok || t.state != running {
@@ -305,22 +306,22 @@
 	if serviceTime > 0 {
 		q.serviceTime += time.Duration(serviceTimeWeight * float64(serviceTime-q.serviceTime))
 	}
-	q.free(t)
-	return q.fill(now, nil)
+	q.releaseSlot(t)
+	return q.assignFreeSlots(now, nil)
 }
 
 // Tick expires grants and refuses waiting requests that can no longer meet their
-// deadline or are past their objective. The caller calls it every few tens of
+// deadline or are past their objective. It must be called every few tens of
 // milliseconds.
 func (q *Queue) Tick(now time.Time) []Decision {
 	var out []Decision
 	for _, t := range q.tickets {
 		if t.state == granted && !now.Before(t.expires) {
-			q.free(t)
+			q.releaseSlot(t)
 			out = append(out, Decision{ID: t.ID, Action: Refuse, Reason: verdict.ReasonGrantExpired})
 		}
 	}
-	out = q.fill(now, out)
+	out = q.assignFreeSlots(now, out)
 	for i := range q.ranks {
 		for _, t := range q.ranks[i].expired(now) {
 			q.ranks[i].remove(t)
@@ -331,8 +332,9 @@
 	return out
 }
 
-// fill assigns free slots to waiting requests.
-func (q *Queue) fill(now time.Time, out []Decision) []Decision {
+// assignFreeSlots assigns free slots to waiting requests, and refuses those that come up
+// for a slot but can no longer meet their deadline. It appends the decisions to out.
+func (q *Queue) assignFreeSlots(now time.Time, out []Decision) []Decision {
 	for q.busy < q.cfg.Slots && q.queued > 0 {
 		t := q.popNext(now)
 		if now.Add(t.ExpectedServiceTime).After(t.Deadline) {
@@ -344,7 +346,7 @@
 	return out
 }
 
-// assignSlot gives a free slot to a request.
+// assignSlot assigns a free slot to a request, by a grant if the request asks for one.
 func (q *Queue) assignSlot(now time.Time, t *ticket) Decision {
 	q.busy++
 	if t.Reserve {
@@ -356,12 +358,13 @@
 	return Decision{ID: t.ID, Action: Start}
 }
 
-// free releases the slot of a granted or running request.
-func (q *Queue) free(t *ticket) {
+// releaseSlot removes a granted or running request and releases its slot.
+func (q *Queue) releaseSlot(t *ticket) {
 	delete(q.tickets, t.ID)
 	q.busy--
 }
 
+// refuse removes a request and returns the decision to refuse it.
 func (q *Queue) refuse(t *ticket, reason verdict.Reason, retryAfter time.Duration) Decision {
 	delete(q.tickets, t.ID)
 	return Decision{ID: t.ID, Action: Refuse, Reason: reason, RetryAfter: retryAfter}
--- a/internal/core/admit/admit_test.go
+++ b/internal/core/admit/admit_test.go
@@ -87,7 +87,7 @@
 	r := request(1, 0)
 	r.Reserve = true
 	assert.Equal(t, q.Offer(base, r)[0].Action, Grant)
-	// The process was suspended, so no Tick has expired the grant.
+	// No Tick has expired the grant, as after a suspension of the process.
 	d := q.Run(base.Add(2*time.Second), 1)
 	assert.Equal(t, d.Action, Refuse)
 	assert.Equal(t, q.BusySlots(), 0)
@@ -136,7 +136,7 @@
 	assert.Assert(t, q.Idle())
 }
 
-// Revoke cancels unused grants and leaves running and waiting requests alone.
+// Revoke cancels unused grants and does not affect running and waiting requests.
 func TestRevokedGrantsCannotRun(t *testing.T) {
 	now := time.Unix(1000, 0)
 	q := NewQueue(Config{Slots: 2, QueuePerSlot: 2, GrantLife: time.Minute})
@@ -153,9 +153,9 @@
 	assert.Equal(t, q.Queued(), 1)
 }
 
-// Requests are ordered by the team's priority, and by the route's among equal team
-// priorities. Without the second rule, important routes queued behind unimportant ones
-// as soon as all teams had the same priority.
+// Requests are ordered by team priority, and by route priority among equal team
+// priorities. Without the second rule, high-priority routes queued behind low-priority
+// ones as soon as all teams had the same priority.
 func TestTeamPriorityOutranksRoutePriority(t *testing.T) {
 	now := time.Unix(0, 0)
 	q := NewQueue(Config{Slots: 1, QueuePerSlot: 8, GrantLife: time.Second})
--- a/internal/core/admit/fair.go
+++ b/internal/core/admit/fair.go
@@ -2,18 +2,18 @@
 
 import "time"
 
-// Classes is the number of fairness classes. Teams are hashed into classes, so
-// that the number of queues is bounded for any number of teams. Teams that hash
-// to the same class share its turn in the round robin.
+// Classes is the number of fairness classes. Teams are hashed into classes to bound
+// the number of queues for any number of teams. Teams that hash to the same class
+// share its turn in the round robin.
 const Classes = 64
 
-// rankQueue holds the waiting requests of one rank: a list per fairness class in
-// order of arrival, with the classes served round robin.
+// rankQueue holds the waiting requests of one rank, in a list per fairness class in
+// order of arrival. The classes are served round robin.
 type rankQueue struct {
 	classes   [Classes][]*ticket
 	count     int
 	nextClass int
-	// work is the sum of the expected service times.
+	// work is the sum of the expected service times of the waiting requests.
 	work time.Duration
 }
 
@@ -24,9 +24,9 @@
 	rq.work += t.ExpectedServiceTime
 }
 
-// pop removes and returns an eligible request from the next class, in round-robin
-// order, that has one: the request with the earliest key, or the oldest of those
-// with equal keys. It returns nil if no request is eligible.
+// pop removes and returns an eligible request from the next class in round-robin
+// order that has one. Within the class, it selects the request with the earliest key,
+// and the oldest of those with equal keys. It returns nil if no request is eligible.
 func (rq *rankQueue) pop(eligible func(*ticket) bool, key func(*ticket) time.Time) *ticket {
 	if rq.count == 0 {
 		return nil
@@ -90,9 +90,10 @@
 
 // popNext removes and returns the request to run next. Higher ranks go first.
 // Within a rank, requests that can still meet their objective, ordered by
-// objective, go before late ones, ordered by deadline; classes take turns. Serving
-// late requests first would make all those behind them late as well. Ordering by
-// objective lets short requests, whose objectives are near, pass long ones.
+// objective, go before late ones, ordered by deadline; fairness classes take turns.
+// Running late requests first would make the requests queued behind them late as well.
+// Ordering by objective lets short requests, whose objectives are near, overtake long
+// ones.
 func (q *Queue) popNext(now time.Time) *ticket {
 	inTime := func(t *ticket) bool { return t.meetsObjective(now) }
 	anyTicket := func(*ticket) bool { return true }
@@ -109,13 +110,14 @@
 	return nil
 }
 
-// evictionCandidate selects the request to evict for a newcomer when the queue is
+// evictionCandidate selects the request to evict for an incoming one when the queue is
 // full: the newest of the class with the most waiting requests, in the lowest
-// occupied rank up to the newcomer's. It returns nil if the newcomer itself is to be
-// refused: no lower rank has waiting requests, and either its own rank has none, or after
-// an eviction the newcomer's class would have more of them than the evicted request's class.
-func (q *Queue) evictionCandidate(newcomer *ticket) *ticket {
-	for rank := range newcomer.rank() + 1 {
+// non-empty rank up to that of the incoming request. It returns nil if the incoming
+// request is to be refused instead. This is the case if no lower rank has waiting
+// requests, and either its own rank has none, or after an eviction its class would have
+// more of them than the class of the evicted request.
+func (q *Queue) evictionCandidate(incoming *ticket) *ticket {
+	for rank := range incoming.rank() + 1 {
 		rq := &q.ranks[rank]
 		if rq.count == 0 {
 			continue
@@ -126,8 +128,8 @@
 				most, class = len(rq.classes[c]), c
 			}
 		}
-		own := len(rq.classes[newcomer.Class%Classes])
-		if rank == newcomer.rank() && own+1 > most-1 {
+		own := len(rq.classes[incoming.Class%Classes])
+		if rank == incoming.rank() && own+1 > most-1 {
 			return nil
 		}
 		return rq.classes[class][most-1]
--- a/internal/core/admit/load_test.go
+++ b/internal/core/admit/load_test.go
@@ -32,9 +32,9 @@
 type outcome struct{ sent, inTime, late, refusedOnArrival, refusedInQueue int }
 
 // simulate offers requests with a mean service time of 400 ms to an instance with 4
-// slots: 9/s, which is just within its capacity, and 22/s between seconds 5 and 15.
-// The objective is 1.5 s, the deadline 8 s. Requests carry the objective only if
-// byObjective is set.
+// slots, at 9/s, which is just within its capacity, and at 22/s between seconds 5 and
+// 15. The objective is 1.5 s and the deadline 8 s. Requests have an objective only if
+// byObjective is true.
 func simulate(byObjective bool) outcome {
 	rng := rand.New(rand.NewPCG(7, 11))
 	q := NewQueue(Config{Slots: 4, QueuePerSlot: 8, GrantLife: time.Second})
@@ -92,9 +92,9 @@
 	return out
 }
 
-// In a burst of twice the capacity, a queue that knows the objectives uses most of
-// the capacity for requests in time and refuses the rest on arrival. A queue that
-// knows only the deadlines serves nearly as many, but late, and stays late after the
+// In a burst of twice the capacity, a queue with objectives uses most of the capacity
+// for requests that complete in time, and refuses the rest on arrival. A queue with
+// deadlines only serves nearly as many requests, but late, and remains late after the
 // burst.
 func TestBurstIsServedWithinObjectiveOrRefusedOnArrival(t *testing.T) {
 	byDeadline, byObjective := simulate(false), simulate(true)
@@ -148,9 +148,9 @@
 	return 0
 }
 
-// A short request with a near objective runs before longer waiting ones, so it must
-// be queued and not refused. Calls made by an instance while it runs a request are of
-// this kind, and a refused call fails the request that made it.
+// A short request with a near objective runs before longer requests that are waiting, so
+// it must be queued and not refused. Calls made by an instance while it runs a request
+// are of this kind, and a refused call makes that request fail.
 func TestShortRequestWithNearObjectiveIsQueuedAheadOfLongOnes(t *testing.T) {
 	q := NewQueue(Config{Slots: 4, QueuePerSlot: 8, GrantLife: time.Second})
 	q.serviceTime = 400 * time.Millisecond
@@ -178,9 +178,9 @@
 }
 
 // Under sustained overload, a waiting request is refused when its objective passes.
-// Requests in time run before it, so holding it longer only delays the refusal: with
-// an objective of 2 s, refusals came after up to 4.02 s when late requests were kept
-// for twice the objective.
+// Requests that can meet their objective run before it, so keeping it longer only delays
+// the refusal: when late requests were kept for twice the objective of 2 s, refusals came
+// after up to 4.02 s.
 func TestLateRequestIsRefusedAtItsObjective(t *testing.T) {
 	const objective, service, tick = 2 * time.Second, 500 * time.Millisecond, 20 * time.Millisecond
 	q := NewQueue(Config{Slots: 2, QueuePerSlot: 8, GrantLife: time.Second})
--- a/internal/core/admit/wait.go
+++ b/internal/core/admit/wait.go
@@ -7,10 +7,10 @@
 	return !now.Add(t.ExpectedServiceTime).After(t.Objective)
 }
 
-// pastObjective reports whether the request's objective has passed. Such a request
-// is refused: requests that can still meet their objective run before it, so under
-// overload it would mostly wait only to be refused later. An early refusal with
-// Retry-After serves its caller better.
+// pastObjective reports whether the request's objective has passed. Such a request is
+// refused, because requests that can still meet their objective run before it: under
+// overload, most such requests would wait only to be refused later. An early refusal
+// with Retry-After allows the caller to retry sooner.
 func (t *ticket) pastObjective(now time.Time) bool { return now.After(t.Objective) }
 
 // countLate returns the number of waiting requests that miss their objective or are
@@ -27,29 +27,29 @@
 	return late
 }
 
-// expectedWait estimates how long a newcomer waits, and sets t.late if it is
-// expected to miss its objective.
+// expectedWait estimates how long an incoming request waits for a slot, and sets t.late
+// if it is expected to miss its objective.
 //
-// Only work that runs before the newcomer counts. Counting all work of its priority
-// would refuse short requests with a near objective, such as calls made by targets,
-// although they would be next.
+// Only work that runs before the incoming request counts. If all work of its priority
+// counted, short requests with a near objective, such as calls made by targets, would be
+// refused although they would run next.
 func (q *Queue) expectedWait(now time.Time, t *ticket) time.Duration {
-	wait := q.waitBehind(now, t)
+	wait := q.queueingDelay(now, t)
 	t.late = now.Add(wait + t.ExpectedServiceTime).After(t.Objective)
 	if t.late {
-		wait = q.waitBehind(now, t)
+		wait = q.queueingDelay(now, t)
 	}
 	return wait
 }
 
-// waitBehind returns the expected wait of a newcomer. It adds one service time, for a
-// slot to become free, to the expected service times of the requests that run before the
-// newcomer, and divides the sum by the number of slots.
-func (q *Queue) waitBehind(now time.Time, newcomer *ticket) time.Duration {
+// queueingDelay returns the expected wait of an incoming request, given its late flag. It
+// adds one mean service time, for a slot to become free, to the expected service times
+// of the requests that run before it, and divides the sum by the number of slots.
+func (q *Queue) queueingDelay(now time.Time, incoming *ticket) time.Duration {
 	ahead := q.serviceTime
-	for rank := newcomer.rank(); rank < rankCount; rank++ {
+	for rank := incoming.rank(); rank < rankCount; rank++ {
 		q.ranks[rank].each(func(t *ticket) {
-			if rank > newcomer.rank() || t.precedes(now, newcomer) {
+			if rank > incoming.rank() || t.precedes(now, incoming) {
 				ahead += t.ExpectedServiceTime
 			}
 		})
@@ -57,18 +57,19 @@
 	return ahead / time.Duration(max(q.cfg.Slots, 1))
 }
 
-// precedes reports whether a waiting request runs before a newcomer of the same rank.
-// It follows the order of popNext with two exceptions. It ignores the round robin of
-// classes. It also treats a request as late that was expected to miss its objective when
-// offered, although popNext asks only whether the objective can be met now.
-func (t *ticket) precedes(now time.Time, newcomer *ticket) bool {
+// precedes reports whether a waiting request runs before an incoming one of the same
+// rank. It follows the order of popNext with two exceptions: it ignores the round robin
+// of classes, and it also treats a request as late if it was expected to miss its
+// objective when offered, whereas popNext checks only whether the objective can be met
+// now.
+func (t *ticket) precedes(now time.Time, incoming *ticket) bool {
 	late := t.late || !t.meetsObjective(now)
 	switch {
-	case late != newcomer.late:
-		return newcomer.late
+	case late != incoming.late:
+		return incoming.late
 	case late:
-		return !t.Deadline.After(newcomer.Deadline)
+		return !t.Deadline.After(incoming.Deadline)
 	default:
-		return !t.Objective.After(newcomer.Objective)
+		return !t.Objective.After(incoming.Objective)
 	}
 }
