--- a/internal/core/eject/eject.go
+++ b/internal/core/eject/eject.go
@@ -1,9 +1,10 @@
-// Package eject decides which suspect instances a front leaves out, without taking
-// a service below its capacity floor.
+// Package eject decides which suspect instances a front ejects, without taking a service
+// below its capacity floor. An ejected instance is not selected as a target except for
+// trials or as a fallback.
 //
 // Suspects are considered in a total order: highest evidence first, ties by name.
-// Fronts with the same evidence therefore leave out the same instances without any
-// other coordination.
+// Fronts with the same evidence therefore eject the same instances without any other
+// coordination.
 package eject
 
 import (
@@ -17,9 +18,9 @@
 	Name  string
 	Slots int
 	// Usable is false for instances that are leaving, dead, cold or unreachable. They
-	// reduce the healthy capacity before any suspect is left out.
+	// reduce the healthy capacity before any suspect is ejected.
 	Usable bool
-	// Suspect marks the instance as a candidate to be left out.
+	// Suspect marks the instance as a candidate for ejection.
 	Suspect bool
 	// Evidence ranks suspects; higher is worse.
 	Evidence uint32
@@ -27,21 +28,21 @@
 
 // Result is the outcome of Apply.
 type Result struct {
-	// Ejected reports which members are left out, by index.
+	// Ejected reports, by index, which members are ejected.
 	Ejected []bool
-	// Healthy is the remaining capacity, in slots.
+	// Healthy is the capacity that remains after the ejections, in slots.
 	Healthy int
-	// Required is the floor, in slots.
+	// Required is the capacity floor, in slots.
 	Required int
 	// Known is the total capacity of all members, in slots.
 	Known int
-	// KeptSuspects is the number of suspects that remain in use because of the floor.
+	// KeptSuspects is the number of suspects that are not ejected because of the floor.
 	KeptSuspects int
 }
 
-// Apply decides which members to leave out. The required capacity is the floor's
-// percentage of all known slots, rounded up. The floor's number of instances, at
-// least one, must remain usable as well.
+// Apply decides which members to eject. The required capacity is the floor's percentage
+// of all known slots, rounded up. In addition, the floor's number of instances, at least
+// one, must remain usable.
 func Apply(members []Member, floor record.Floor) Result {
 	res := Result{Ejected: make([]bool, len(members))}
 	usable := 0
@@ -58,22 +59,22 @@
 		}
 	}
 	res.Required = (res.Known*floor.Percent + 99) / 100
-	sort.Slice(suspects, func(a, b int) bool { return ranksWorse(members[suspects[a]], members[suspects[b]]) })
+	sort.Slice(suspects, func(a, b int) bool { return ejectedBefore(members[suspects[a]], members[suspects[b]]) })
 	for _, i := range suspects {
-		left := res.Healthy - members[i].Slots
-		if left < res.Required || usable-1 < max(floor.Instances, 1) {
+		remaining := res.Healthy - members[i].Slots
+		if remaining < res.Required || usable-1 < max(floor.Instances, 1) {
 			res.KeptSuspects++
 			continue
 		}
 		res.Ejected[i] = true
-		res.Healthy = left
+		res.Healthy = remaining
 		usable--
 	}
 	return res
 }
 
-// ranksWorse reports whether a is left out before b.
-func ranksWorse(a, b Member) bool {
+// ejectedBefore reports whether suspect a is considered for ejection before suspect b.
+func ejectedBefore(a, b Member) bool {
 	if a.Evidence != b.Evidence {
 		return a.Evidence > b.Evidence
 	}
--- a/internal/core/eject/eject_test.go
+++ b/internal/core/eject/eject_test.go
@@ -27,18 +27,18 @@
 		}
 		floor := record.Floor{Percent: rapid.IntRange(1, 100).Draw(t, "percent"), Instances: rapid.IntRange(0, 10).Draw(t, "instances")}
 		r := Apply(members, floor)
-		left, ejected := 0, false
+		remaining, ejected := 0, false
 		for i, m := range members {
 			ejected = ejected || r.Ejected[i]
 			assert.Assert(t, !r.Ejected[i] || m.Usable && m.Suspect)
 			if m.Usable && !r.Ejected[i] {
-				left += m.Slots
+				remaining += m.Slots
 			}
 		}
-		assert.Equal(t, left, r.Healthy)
-		assert.Assert(t, !ejected || left >= r.Required, "ejected to %d below the floor of %d", left, r.Required)
-		assert.Assert(t, usable == 0 || left > 0)
-		// The order in which members are listed must not matter.
+		assert.Equal(t, remaining, r.Healthy)
+		assert.Assert(t, !ejected || remaining >= r.Required, "ejected to %d below the floor of %d", remaining, r.Required)
+		assert.Assert(t, usable == 0 || remaining > 0)
+		// The result must not depend on the order of the members.
 		reversed := make([]Member, n)
 		for i := range members {
 			reversed[n-1-i] = members[i]
@@ -56,6 +56,6 @@
 		{Name: "c", Slots: 5, Usable: true}, {Name: "d", Slots: 5, Usable: true},
 	}
 	r := Apply(members, record.Floor{Percent: 75})
-	assert.Equal(t, r.Ejected[1], false, "a suspect was left out although a dead instance already brings the service to its floor")
+	assert.Equal(t, r.Ejected[1], false, "a suspect was ejected although a dead instance already brings the service to its floor")
 	assert.Equal(t, r.KeptSuspects, 1)
 }
