--- a/internal/core/balance/balance.go
+++ b/internal/core/balance/balance.go
@@ -1,13 +1,13 @@
-// Package balance selects a target among the instances a front may use.
+// Package balance selects a target among the instances that a front may use.
 //
-// The cost of a candidate, in seconds, is the expected time until its answer
+// The cost of a candidate, in seconds, is the expected time until its response
 // arrives plus the expected loss of the request's value, due to failure, a late
-// answer or traffic between data centres. The candidate with the lowest cost is
+// response or traffic between data centres. The candidate with the lowest cost is
 // selected. If there are many candidates, only a random sample is evaluated.
 //
-// The value of a request is what its answer is worth to the caller. FailureWeight,
-// RemoteWeight and lateValue are shares of its full value, that of an answer well within
-// the latency objective.
+// The value of a request is the value of its response to the caller. FailureWeight,
+// RemoteWeight and lateValue are shares of its full value, which is that of a response
+// well within the latency objective.
 package balance
 
 import (
@@ -16,7 +16,7 @@
 	"time"
 )
 
-// Candidate is one instance as the front sees it.
+// Candidate is what the front knows about one instance.
 type Candidate struct {
 	Slots int
 	// Running is the number of running requests in the guard's last load report, and
@@ -26,17 +26,17 @@
 	QueuedWork time.Duration
 	// LoadAge is the age of that load report.
 	LoadAge time.Duration
-	// Typical is the load assumed as the load report gets old.
+	// Typical is the load that is assumed increasingly as the load report ages.
 	Typical TypicalLoad
-	// Pending is the number of requests this front has in flight to the instance
-	// that the load report does not include.
+	// Pending is the number of requests that this front has in flight to the instance
+	// and that the load report does not include.
 	Pending int
 	// Service is the expected service time of this request at the instance, 0 if
 	// unknown.
 	Service time.Duration
 	// RoundTrip is the round-trip time to the instance's host, 0 if unknown.
 	RoundTrip time.Duration
-	// Warmth rises from 0 just after the instance's start to 1 when it is warmed up.
+	// Warmth is the progress of the instance's warm-up, from 0 at its start to 1.
 	Warmth float64
 	// Local reports whether the instance is in the front's data centre.
 	Local bool
@@ -53,9 +53,9 @@
 	QueuedWork time.Duration
 }
 
-// CostWeights describes what a late or failed answer costs for one request.
+// CostWeights describes the cost of a late or failed response to one request.
 type CostWeights struct {
-	// Objective is the latency objective, and Left the time left of it.
+	// Objective is the latency objective, and Left the part of it that remains.
 	Objective, Left time.Duration
 	// FailureWeight is the share of the request's value that a failure costs: 1 for requests
 	// that cannot be retried, less for those that can.
@@ -75,26 +75,26 @@
 	loadHalfLife = 2 * time.Second
 	// minWarmth bounds the cost of a cold instance, so that it still gets requests.
 	minWarmth = 0.05
-	// fullLoadSlowdown is the relative increase of the service time at an instance with
+	// fullLoadSlowdown is the relative increase of the service time of an instance with
 	// all slots busy, compared with an idle one.
 	fullLoadSlowdown = 0.5
-	// valueWeight converts a loss of value into time: losing the full value of a request
-	// costs as much as this many objectives.
+	// valueWeight converts a loss of value into time: the loss of a request's full value
+	// costs this many times its objective.
 	valueWeight = 4.0
-	// lateValue is the value of an answer after its objective, as a share of the full
-	// value. Deployments put it between 0.1 and 0.5.
+	// lateValue is the value of a response after the objective, as a share of the full
+	// value. Deployments value late responses at 0.1 to 0.5.
 	lateValue = 0.4
-	// jitter is the relative random increase of a cost. It makes fronts with the same
-	// information choose different instances.
+	// jitter is the maximum relative random increase of a cost. It makes fronts with the
+	// same information select different instances.
 	jitter = 0.1
-	// maxSampled is the number of candidates evaluated for one choice. A larger sample
-	// more often includes a healthy instance, but if many fronts have the same
-	// information, they all select the same few instances and overload them.
+	// maxSampled is the maximum number of candidates evaluated for one selection. A larger
+	// sample more often includes a healthy instance, but many fronts with the same
+	// information then select the same few instances and overload them.
 	maxSampled = 12
 )
 
 // Cost returns the estimated cost of a request at a candidate, in seconds.
-func Cost(c Candidate, s CostWeights) float64 {
+func Cost(c Candidate, w CostWeights) float64 {
 	service := c.Service
 	if service <= 0 {
 		service = defaultService
@@ -111,20 +111,20 @@
 	wait := queued + service.Seconds()*max(running+1-slots, 0)/slots
 	run := (service.Seconds()*(1+fullLoadSlowdown*busy*busy) + wait) / max(c.Warmth, minWarmth)
 	total := roundTrip.Seconds() + run
-	value := (1 - c.FailureProbability*s.FailureWeight) * s.valueAfter(total)
+	value := (1 - c.FailureProbability*w.FailureWeight) * w.valueShareAfter(total)
 	if !c.Local {
-		value -= s.RemoteWeight
+		value -= w.RemoteWeight
 	}
-	return total + valueWeight*s.Objective.Seconds()*(1-value)
+	return total + valueWeight*w.Objective.Seconds()*(1-value)
 }
 
-// valueAfter returns the expected share of its value that a request keeps if its answer
-// is expected after the given time: all of it well before the objective, lateValue
-// well after it. Service times vary by half of their mean and more, so the value
-// falls gradually in between.
-func (s CostWeights) valueAfter(seconds float64) float64 {
-	left := s.Left.Seconds()
-	if s.Objective <= 0 {
+// valueShareAfter returns the expected share of its value that a request keeps if its response
+// is expected after the given time: all of it well before the objective, and lateValue
+// well after it. Service times vary by half of their mean and more, so the share
+// decreases gradually in between.
+func (w CostWeights) valueShareAfter(seconds float64) float64 {
+	left := w.Left.Seconds()
+	if w.Objective <= 0 {
 		return 1
 	}
 	const early, late = 0.5, 1.5
@@ -146,22 +146,22 @@
 		return -1
 	}
 	best, bestCost := -1, math.Inf(1)
-	consider := func(i int) {
+	evaluate := func(i int) {
 		if c := cost(i) * (1 + jitter*rng.Float64()); best < 0 || c < bestCost {
 			best, bestCost = i, c
 		}
 	}
 	if n <= maxSampled {
 		for i := range n {
-			consider(i)
+			evaluate(i)
 		}
 		return best
 	}
 	for k := range maxSampled {
 		if k%2 == 0 && len(local) > 0 {
-			consider(local[rng.IntN(len(local))])
+			evaluate(local[rng.IntN(len(local))])
 		} else {
-			consider(rng.IntN(n))
+			evaluate(rng.IntN(n))
 		}
 	}
 	return best
--- a/internal/core/balance/balance_test.go
+++ b/internal/core/balance/balance_test.go
@@ -13,31 +13,31 @@
 	return Candidate{Slots: 4, Service: 400 * time.Millisecond, RoundTrip: time.Millisecond, Warmth: 1, Local: true, FailureProbability: 0.03}
 }
 
-func unrepeatable() CostWeights {
+func nonRetryable() CostWeights {
 	return CostWeights{Objective: 1500 * time.Millisecond, Left: 1500 * time.Millisecond, FailureWeight: 1, RemoteWeight: 0.03}
 }
 
 func TestCostOrder(t *testing.T) {
-	repeatable := unrepeatable()
-	repeatable.FailureWeight = 0.3
+	retryable := nonRetryable()
+	retryable.FailureWeight = 0.3
 	for _, c := range []struct {
 		name          string
-		stakes        CostWeights
+		weights       CostWeights
 		better, worse func(*Candidate)
 	}{
-		{"a probable failure", unrepeatable(), func(*Candidate) {}, func(c *Candidate) { c.FailureProbability = 0.5 }},
-		{"a probable failure against a queue that still meets the objective", unrepeatable(), func(c *Candidate) { c.Running, c.QueuedWork = 4, 1200*time.Millisecond }, func(c *Candidate) { c.FailureProbability = 0.6 }},
-		{"a queue that misses the objective against a moderate failure probability", unrepeatable(), func(c *Candidate) { c.FailureProbability = 0.3 }, func(c *Candidate) { c.Running, c.QueuedWork = 4, 12*time.Second }},
-		{"another data centre", unrepeatable(), func(*Candidate) {}, func(c *Candidate) { c.Local, c.RoundTrip = false, 2*time.Millisecond }},
-		{"a failure costs more than distance", unrepeatable(), func(c *Candidate) { c.Local = false }, func(c *Candidate) { c.FailureProbability = 0.2 }},
-		{"a cold start", unrepeatable(), func(*Candidate) {}, func(c *Candidate) { c.Warmth = 0.3 }},
-		{"a busy instance", repeatable, func(*Candidate) {}, func(c *Candidate) { c.Running = 4 }},
+		{"a probable failure", nonRetryable(), func(*Candidate) {}, func(c *Candidate) { c.FailureProbability = 0.5 }},
+		{"a probable failure against a queue that still meets the objective", nonRetryable(), func(c *Candidate) { c.Running, c.QueuedWork = 4, 1200*time.Millisecond }, func(c *Candidate) { c.FailureProbability = 0.6 }},
+		{"a queue that misses the objective against a moderate failure probability", nonRetryable(), func(c *Candidate) { c.FailureProbability = 0.3 }, func(c *Candidate) { c.Running, c.QueuedWork = 4, 12*time.Second }},
+		{"another data centre", nonRetryable(), func(*Candidate) {}, func(c *Candidate) { c.Local, c.RoundTrip = false, 2*time.Millisecond }},
+		{"a failure costs more than a remote instance", nonRetryable(), func(c *Candidate) { c.Local = false }, func(c *Candidate) { c.FailureProbability = 0.2 }},
+		{"a cold start", nonRetryable(), func(*Candidate) {}, func(c *Candidate) { c.Warmth = 0.3 }},
+		{"a busy instance", retryable, func(*Candidate) {}, func(c *Candidate) { c.Running = 4 }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			better, worse := idle(), idle()
 			c.better(&better)
 			c.worse(&worse)
-			assert.Assert(t, Cost(better, c.stakes) < Cost(worse, c.stakes), "%f, %f", Cost(better, c.stakes), Cost(worse, c.stakes))
+			assert.Assert(t, Cost(better, c.weights) < Cost(worse, c.weights), "%f, %f", Cost(better, c.weights), Cost(worse, c.weights))
 		})
 	}
 }
@@ -53,12 +53,12 @@
 	assert.Equal(t, evaluated, maxSampled)
 }
 
-// Fronts with the same information must not all choose the same instance.
+// Fronts with the same information must not all select the same instance.
 func TestEqualInstancesAreChosenEvenly(t *testing.T) {
 	rng := rand.New(rand.NewPCG(3, 4))
 	counts := make([]int, 8)
 	for range 8000 {
-		counts[Pick(rng, 8, nil, func(int) float64 { return Cost(idle(), unrepeatable()) })]++
+		counts[Pick(rng, 8, nil, func(int) float64 { return Cost(idle(), nonRetryable()) })]++
 	}
 	for _, n := range counts {
 		assert.Assert(t, n > 800 && n < 1200, "%v", counts)
