--- a/internal/core/detect/detect_test.go
+++ b/internal/core/detect/detect_test.go
@@ -9,7 +9,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// fixture runs a Detector for one instance against a Reference of healthy peers.
+// fixture runs a Detector for one instance with a Reference of healthy peers.
 type fixture struct {
 	rng *rand.Rand
 	now time.Time
@@ -25,19 +25,20 @@
 	return f
 }
 
-func (f *fixture) draw(slow float64) time.Duration {
-	return time.Duration(slow * 0.05 * math.Exp(0.5*f.rng.NormFloat64()) * float64(time.Second))
+// draw returns a random service time, with a median of 50 ms times the slowdown.
+func (f *fixture) draw(slowdown float64) time.Duration {
+	return time.Duration(slowdown * 0.05 * math.Exp(0.5*f.rng.NormFloat64()) * float64(time.Second))
 }
 
-// runUntilChange feeds 20 answers per second until the health changes and returns the
-// time that took, or false if it has not changed within the limit. peers and own are
-// slowdown factors, failing is the failure rate of the instance.
-func (f *fixture) runUntilChange(limit time.Duration, peers, own float64, failing float64) (time.Duration, bool) {
+// runUntilChange adds 20 responses per second until the health changes, and returns the
+// time elapsed and whether it changed within the limit. failureRate is the failure rate of
+// the instance.
+func (f *fixture) runUntilChange(limit time.Duration, peerSlowdown, ownSlowdown float64, failureRate float64) (time.Duration, bool) {
 	start := f.now
 	for f.now.Sub(start) < limit {
 		f.now = f.now.Add(50 * time.Millisecond)
-		f.ref.Add(f.now, f.draw(peers), false)
-		if f.det.AddAnswer(f.now, f.ref.At(f.now), f.draw(own), f.rng.Float64() < failing) {
+		f.ref.Add(f.now, f.draw(peerSlowdown), false)
+		if f.det.AddAnswer(f.now, f.ref.At(f.now), f.draw(ownSlowdown), f.rng.Float64() < failureRate) {
 			return f.now.Sub(start), true
 		}
 	}
@@ -46,10 +47,10 @@
 
 func TestGrayInstancesAreDetected(t *testing.T) {
 	for _, c := range []struct {
-		name          string
-		params        Params
-		slow, failing float64
-		within        time.Duration
+		name                  string
+		params                Params
+		slowdown, failureRate float64
+		within                time.Duration
 	}{
 		{"quick, 5x", Quick(), 5, 0, 3 * time.Second},
 		{"quick, 3x", Quick(), 3, 0, 5 * time.Second},
@@ -59,8 +60,8 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			f := newFixture(c.params)
-			took, found := f.runUntilChange(time.Minute, 1, c.slow, c.failing)
-			assert.Assert(t, found && took <= c.within, "found %v after %s", found, took)
+			elapsed, found := f.runUntilChange(time.Minute, 1, c.slowdown, c.failureRate)
+			assert.Assert(t, found && elapsed <= c.within, "found %v after %s", found, elapsed)
 			assert.Equal(t, f.det.Health(), Suspect)
 		})
 	}
