--- a/internal/core/chance/chance.go
+++ b/internal/core/chance/chance.go
@@ -1,12 +1,12 @@
 // Package chance estimates the probability that an instance fails the next request,
 // from the outcomes observed by its guard.
 //
-// Gray failures are intermittent: for some seconds most answers of an instance are
-// failures, then it works normally again. At a few requests per second and instance,
-// a failure count reacts too slowly. The package uses a hidden Markov model with two
+// Gray failures are intermittent: for some seconds most requests to an instance fail,
+// then it works normally again. At a few requests per second and instance, a failure
+// count reacts too slowly. The package therefore uses a hidden Markov model with two
 // states, well and sick, whose durations are exponentially distributed. The estimate
-// is the probability of the sick state given all outcomes so far (forward
-// filtering). Each outcome updates it, and without outcomes it decays towards the
+// is the probability of the sick state given all outcomes so far, computed by forward
+// filtering. Each outcome updates it, and without outcomes it decays towards the
 // steady state. The package does no I/O.
 package chance
 
@@ -16,8 +16,8 @@
 )
 
 // Model holds the assumed parameters of an instance. The estimate is not sensitive to
-// an error of a factor of two in any of them: a single failure is strong evidence in
-// each case.
+// an error by a factor of two in any of them, because a single failure remains strong
+// evidence.
 type Model struct {
 	// MeanWell and MeanSick are the mean durations of the two states.
 	MeanWell, MeanSick time.Duration
@@ -25,7 +25,7 @@
 	WellFailureRate, SickFailureRate float64
 }
 
-// Default is a Model for instances that are sick for several seconds at a time.
+// Default returns a Model for instances that are sick for several seconds at a time.
 func Default() Model {
 	return Model{MeanWell: 30 * time.Second, MeanSick: 12 * time.Second, WellFailureRate: 0.03, SickFailureRate: 0.8}
 }
@@ -46,12 +46,13 @@
 	at   time.Time
 }
 
-// EstimateAt returns an Estimate with a value reported by the instance's guard.
+// EstimateAt returns an Estimate with a value reported by the instance's guard, limited
+// to the range from 0 to 1.
 func EstimateAt(now time.Time, sick float64) Estimate {
 	return Estimate{sick: min(max(sick, 0), 1), at: now}
 }
 
-// Sick returns the probability that the instance is in the sick state.
+// Sick returns the probability that the instance is in the sick state at the given time.
 func (e *Estimate) Sick(now time.Time, m Model) float64 {
 	if e.at.IsZero() {
 		return m.steadyStateSick()
@@ -60,15 +61,15 @@
 	return m.steadyStateSick() + (e.sick-m.steadyStateSick())*decay
 }
 
-// maxSickWithoutOutcomes is the level up to which SickForSelection rises without new
+// maxSickWithoutOutcomes is the maximum to which SickForSelection rises without new
 // outcomes.
 const maxSickWithoutOutcomes = 0.05
 
 // SickForSelection returns the probability of the sick state for use in selecting an
 // instance. An instance without recent outcomes may have become sick, but if it were
-// avoided for that reason, there would never be new outcomes. Time alone therefore
-// raises SickForSelection to maxSickWithoutOutcomes at most. After an observed failure,
-// SickForSelection decays like Sick.
+// avoided for that reason, it would never have new outcomes. Without new outcomes,
+// SickForSelection therefore rises to maxSickWithoutOutcomes at most. After an observed
+// failure, it decays like Sick.
 func (e *Estimate) SickForSelection(now time.Time, m Model) float64 {
 	return min(e.Sick(now, m), max(e.sick, maxSickWithoutOutcomes))
 }
--- a/internal/core/chance/chance_test.go
+++ b/internal/core/chance/chance_test.go
@@ -40,12 +40,12 @@
 	})
 }
 
-// Guards against equal, healthy instances that get no requests for many seconds after a
-// start or an idle time. Without outcomes the estimate decays to the steady state. When
-// the choice of an instance used that value, an instance without outcomes was avoided like
-// one that had failed some time ago, and so never got new outcomes. In a fleet of 354
-// equal instances at a tenth of their slots, an instance got less than half of its share
-// in 58 of 2,478 intervals of 5 s.
+// Guards against healthy instances that get no requests for many seconds after a start or
+// an idle period. Without outcomes the estimate decays to the steady state. When that
+// value was used to select an instance, an instance without outcomes was avoided like one
+// that had failed some time ago, and so got no new outcomes. In a fleet of 354 equal
+// instances at a tenth of their capacity, an instance got less than half of its share of
+// requests in 58 of 2,478 intervals of 5 s.
 func TestSilenceRaisesSickForSelectionOnlySlightly(t *testing.T) {
 	m := Default()
 	const rounding = 1e-9
@@ -61,7 +61,7 @@
 		observed := e.SickForSelection(now, m)
 		later := now.Add(time.Duration(rapid.IntRange(0, 100000).Draw(t, "silentMS")) * time.Millisecond)
 		forSelection := e.SickForSelection(later, m)
-		assert.Assert(t, forSelection <= max(observed, maxSickWithoutOutcomes)+rounding, "silence alone raised SickForSelection above its limit")
+		assert.Assert(t, forSelection <= max(observed, maxSickWithoutOutcomes)+rounding, "SickForSelection rose above its limit without new outcomes")
 		assert.Assert(t, forSelection <= e.Sick(later, m)+rounding)
 		if observed > m.steadyStateSick() {
 			assert.Equal(t, forSelection, e.Sick(later, m), "an observed failure must decay like Sick")
@@ -70,57 +70,57 @@
 }
 
 // Eight instances change between the well and the sick state as in the default model.
-// Of 50 requests per second, 60% cannot be repeated and go to the instance with the lowest
-// estimate; the others go to a random one. Placement by estimate must fail far less often
-// than random placement, which fails about a quarter of the time.
+// Of 50 requests per second, 60% cannot be retried and go to the instance with the lowest
+// estimate; the others go to a random one. The former must fail far less often than they
+// would at random instances, where about a quarter of all requests fail.
 func TestPlacementByEstimateAvoidsSickInstances(t *testing.T) {
-	const instances, perSecond, unrepeatable, seconds = 8, 50, 0.6, 600
+	const instances, perSecond, nonRetryable, seconds = 8, 50, 0.6, 600
 	m := Default()
 	rng := rand.New(rand.NewPCG(1, 2))
 	sick := make([]bool, instances)
 	estimates := make([]Estimate, instances)
-	failed, random, sent := 0, 0, 0
+	failedByEstimate, failedAtRandom, sent := 0, 0, 0
 	now := start
 	for range perSecond * seconds {
 		now = now.Add(time.Second / perSecond)
 		for i := range sick {
-			stay := m.MeanWell
+			meanDuration := m.MeanWell
 			if sick[i] {
-				stay = m.MeanSick
+				meanDuration = m.MeanSick
 			}
-			if rng.Float64() < 1/(stay.Seconds()*perSecond) {
+			if rng.Float64() < 1/(meanDuration.Seconds()*perSecond) {
 				sick[i] = !sick[i]
 			}
 		}
 		fails := func(i int) bool {
-			share := m.WellFailureRate
+			failureRate := m.WellFailureRate
 			if sick[i] {
-				share = m.SickFailureRate
+				failureRate = m.SickFailureRate
 			}
-			return rng.Float64() < share
+			return rng.Float64() < failureRate
 		}
 		i := rng.IntN(instances)
-		if rng.Float64() < unrepeatable {
+		if rng.Float64() < nonRetryable {
 			sent++
 			if fails(i) {
-				random++
+				failedAtRandom++
 			}
 			i = leastSick(estimates, now, m, rng)
 			if fails(i) {
-				failed++
+				failedByEstimate++
 			}
 		}
 		estimates[i].Observe(now, fails(i), m)
 	}
-	byEstimate, atRandom := float64(failed)/float64(sent), float64(random)/float64(sent)
-	t.Logf("failed: %.3f by the estimate, %.3f at random", byEstimate, atRandom)
-	assert.Assert(t, byEstimate < 0.4*atRandom)
+	shareByEstimate, shareAtRandom := float64(failedByEstimate)/float64(sent), float64(failedAtRandom)/float64(sent)
+	t.Logf("share of failed requests: %.3f by estimate, %.3f at random", shareByEstimate, shareAtRandom)
+	assert.Assert(t, shareByEstimate < 0.4*shareAtRandom)
 }
 
-func leastSick(all []Estimate, now time.Time, m Model, rng *rand.Rand) int {
-	best := rng.IntN(len(all))
-	for i := range all {
-		if all[i].Sick(now, m) < all[best].Sick(now, m) {
+func leastSick(estimates []Estimate, now time.Time, m Model, rng *rand.Rand) int {
+	best := rng.IntN(len(estimates))
+	for i := range estimates {
+		if estimates[i].Sick(now, m) < estimates[best].Sick(now, m) {
 			best = i
 		}
 	}
--- a/internal/core/chance/share.go
+++ b/internal/core/chance/share.go
@@ -6,38 +6,39 @@
 )
 
 const (
-	// shareWeight is the weight of a new outcome in a Share, which therefore reflects
+	// shareWeight is the weight of a new outcome in a Share. A Share therefore reflects
 	// about the last ten outcomes.
 	shareWeight = 0.1
-	// shareHalfLife is the half-life of a Share without outcomes. It lets an instance
-	// that is avoided because of its Share be tried again after some seconds.
+	// shareHalfLife is the half-life of a Share without new outcomes. The decay allows an
+	// instance that is avoided because of its Share to be tried again after some seconds.
 	shareHalfLife = 3 * time.Second
 )
 
-// Share is a moving average of the share of outcomes that are of one kind. It decays
-// over time. The zero value has no outcomes.
+// Share is an exponentially weighted moving average of the share of outcomes that are of
+// one kind. It also decays towards 0 over time. The zero value has no outcomes.
 type Share struct {
 	value float64
 	at    time.Time
 }
 
-// ShareAt returns a Share with a value reported by another process.
+// ShareAt returns a Share with a value reported by another process, limited to the range
+// from 0 to 1.
 func ShareAt(now time.Time, value float64) Share {
 	return Share{value: min(max(value, 0), 1), at: now}
 }
 
-// At returns the value at the given time.
+// At returns the share at the given time.
 func (s *Share) At(now time.Time) float64 {
 	return s.value * math.Exp2(-max(now.Sub(s.at), 0).Seconds()/shareHalfLife.Seconds())
 }
 
-// Observe adds one outcome; is reports whether it is of the kind counted.
-func (s *Share) Observe(now time.Time, is bool) {
-	x := 0.0
-	if is {
-		x = 1
+// Observe adds one outcome; counted states whether it is of the kind that is counted.
+func (s *Share) Observe(now time.Time, counted bool) {
+	outcome := 0.0
+	if counted {
+		outcome = 1
 	}
 	s.value = s.At(now)
-	s.value += shareWeight * (x - s.value)
+	s.value += shareWeight * (outcome - s.value)
 	s.at = now
 }
