--- a/internal/core/retry/origin.go
+++ b/internal/core/retry/origin.go
@@ -8,68 +8,68 @@
 const (
 	// originHalfLife is the half-life of the request counts of a route.
 	originHalfLife = 30 * time.Second
-	// minCallerShare is the share of requests from idle hosts from which on a route is
-	// taken to be used by callers. In deployments, a fifth of the callers' requests
-	// begin on idle hosts even under the highest load, but hardly any calls do, since
-	// a call needs a run that makes it.
+	// minCallerShare is the minimum share of requests from idle hosts for a route to be
+	// classified as used by callers. In deployments, a fifth of the callers' requests
+	// begin on idle hosts even under the highest load, but hardly any calls do, because a
+	// call is made by a running request.
 	minCallerShare = 0.05
-	// minCallerRequests is the minimum count of requests from idle hosts for a route to be
-	// taken to be used by callers.
+	// minCallerRequests is the minimum decayed count of requests from idle hosts for a
+	// route to be classified as used by callers.
 	minCallerRequests = 1.5
-	// maxCallIdleShare is the share of requests from idle hosts up to which a route is
-	// taken to be used by calls only, and minCallRequests the minimum count of all requests
-	// of such a route. The share is not 0, because a call of a run that has just been aborted
-	// may begin on an idle host.
+	// maxCallIdleShare is the maximum share of requests from idle hosts for a route to be
+	// classified as used by calls only, and minCallRequests the minimum decayed count of
+	// all its requests. The share is not 0, because a call made by a run that has just been
+	// aborted may begin on an idle host.
 	maxCallIdleShare = 0.01
 	minCallRequests  = 40
 	// maxOrigins is the maximum number of routes tracked.
 	maxOrigins = 4096
 )
 
-// Origins distinguishes the routes that callers use from those used only for calls, which
-// are requests made by instances while they run a request. It is not safe for concurrent
-// use.
+// Origins distinguishes routes used by callers from routes used only for calls. A call is
+// a request made by an instance while it runs another request. Origins is not safe for
+// concurrent use.
 type Origins struct {
-	byRoute map[uint32]*origin
+	countsByRoute map[uint32]*routeCounts
 }
 
-// origin holds the exponentially decaying request counts of one route: those that began
-// on idle hosts, and all.
-type origin struct {
+// routeCounts holds the exponentially decaying counts of the requests of one route: those
+// that began on idle hosts, and all.
+type routeCounts struct {
 	fromIdle, total float64
 	at              time.Time
 }
 
-// NewOrigins returns an Origins without any routes.
-func NewOrigins() *Origins { return &Origins{byRoute: make(map[uint32]*origin)} }
+// NewOrigins returns an empty Origins.
+func NewOrigins() *Origins { return &Origins{countsByRoute: make(map[uint32]*routeCounts)} }
 
-// Observe records one request of a route. idle reports whether no request was running
+// Observe records one request of a route. idle states whether no request was running
 // on the host where it began.
 func (o *Origins) Observe(now time.Time, route uint32, idle bool) {
-	e, ok := o.byRoute[route]
+	c, ok := o.countsByRoute[route]
 	if !ok {
-		if len(o.byRoute) >= maxOrigins {
-			o.byRoute = make(map[uint32]*origin)
+		if len(o.countsByRoute) >= maxOrigins {
+			o.countsByRoute = make(map[uint32]*routeCounts)
 		}
-		e = &origin{at: now}
-		o.byRoute[route] = e
+		c = &routeCounts{at: now}
+		o.countsByRoute[route] = c
 	}
-	decay := math.Exp2(-max(now.Sub(e.at), 0).Seconds() / originHalfLife.Seconds())
-	e.fromIdle, e.total, e.at = e.fromIdle*decay, e.total*decay+1, now
+	decay := math.Exp2(-max(now.Sub(c.at), 0).Seconds() / originHalfLife.Seconds())
+	c.fromIdle, c.total, c.at = c.fromIdle*decay, c.total*decay+1, now
 	if idle {
-		e.fromIdle++
+		c.fromIdle++
 	}
 }
 
 // IsCallerRoute reports whether the route is known to be used by callers.
 func (o *Origins) IsCallerRoute(route uint32) bool {
-	e, ok := o.byRoute[route]
-	return ok && e.fromIdle >= minCallerRequests && e.fromIdle >= minCallerShare*e.total
+	c, ok := o.countsByRoute[route]
+	return ok && c.fromIdle >= minCallerRequests && c.fromIdle >= minCallerShare*c.total
 }
 
-// IsCallRoute reports whether the route is known to be used by calls only. If hosts are
-// hardly ever idle, both IsCallerRoute and IsCallRoute may be false.
+// IsCallRoute reports whether the route is known to be used only for calls. Both
+// IsCallerRoute and IsCallRoute may be false, for example if hosts are rarely idle.
 func (o *Origins) IsCallRoute(route uint32) bool {
-	e, ok := o.byRoute[route]
-	return ok && e.total >= minCallRequests && e.fromIdle <= maxCallIdleShare*e.total
+	c, ok := o.countsByRoute[route]
+	return ok && c.total >= minCallRequests && c.fromIdle <= maxCallIdleShare*c.total
 }
--- a/internal/core/retry/origin_test.go
+++ b/internal/core/retry/origin_test.go
@@ -9,8 +9,8 @@
 )
 
 // A route used by callers is recognized after some requests from idle hosts. A route used
-// only for calls is not, although some calls begin on an idle host because the run that
-// made them has just been aborted.
+// only for calls is not taken for one, although some calls begin on an idle host because
+// the run that made them has just been aborted.
 func TestCallerRoutesAreDistinguishedFromCalls(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	o := NewOrigins()
@@ -46,5 +46,5 @@
 	for route := range uint32(3 * maxOrigins) {
 		o.Observe(time.Unix(1000, 0), route, true)
 	}
-	assert.Assert(t, len(o.byRoute) <= maxOrigins)
+	assert.Assert(t, len(o.countsByRoute) <= maxOrigins)
 }
--- a/internal/core/retry/retry_test.go
+++ b/internal/core/retry/retry_test.go
@@ -8,33 +8,33 @@
 	"pgregory.net/rapid"
 )
 
-// At every position of the window, the repeats stay within the share of its requests plus
+// At every position of the window, the retries do not exceed the share of its requests plus
 // the reserve.
-func TestBudgetBoundsRepeatsInEveryWindow(t *testing.T) {
+func TestBudgetBoundsRetriesInEveryWindow(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		share := float64(rapid.IntRange(1, 50).Draw(t, "percent")) / 100
 		reserve := float64(rapid.IntRange(0, 5).Draw(t, "reserve"))
 		window := 10 * time.Second
 		b := NewBudget(time.Unix(0, 0), Limits{Share: share, Reserve: reserve, Window: window})
 		now := time.Unix(1000, 0)
-		var fresh, repeats []time.Time
+		var requests, retries []time.Time
 		for range rapid.IntRange(1, 500).Draw(t, "requests") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 400).Draw(t, "gapMS")) * time.Millisecond)
 			b.AddRequest(now, 0)
-			fresh = append(fresh, now)
+			requests = append(requests, now)
 			for b.Take(now) {
-				repeats = append(repeats, now)
+				retries = append(retries, now)
 			}
 		}
-		for _, end := range repeats {
+		for _, end := range retries {
 			from := end.Add(-window)
-			assert.Assert(t, float64(countBetween(repeats, from, end)) <= share*float64(countBetween(fresh, from, end))+reserve)
+			assert.Assert(t, float64(countBetween(retries, from, end)) <= share*float64(countBetween(requests, from, end))+reserve)
 		}
 	})
 }
 
-// Requests that have left the window no longer allow repeats, so that a burst of failures
-// causes no more repeats than the share of the last window.
+// Requests that have left the window no longer allow retries, so that a burst of failures
+// causes no more retries than the share of the last window.
 func TestBudgetForgetsOldRequests(t *testing.T) {
 	b := NewBudget(time.Unix(0, 0), Limits{Share: 0.1, Window: 10 * time.Second})
 	now := time.Unix(1000, 0)
@@ -55,7 +55,7 @@
 	return n
 }
 
-// After a restart, earlier repeats are unknown, so there is no reserve until all of them
+// After a restart, earlier retries are unknown, so there is no reserve until all of them
 // have left the window.
 func TestRestartDoesNotGrantReserveTwice(t *testing.T) {
 	now := time.Unix(1000, 0)
@@ -69,8 +69,8 @@
 	assert.Assert(t, !b.Take(now))
 }
 
-// A repeat that waits for a slot is held in the budget, and released if it is not sent.
-func TestHeldRepeatIsSpentOnce(t *testing.T) {
+// A retry that waits for a slot is held in the budget, and released if it is not sent.
+func TestHeldRetryIsSpentOnce(t *testing.T) {
 	now := time.Unix(1000, 0)
 	b := NewBudget(now.Add(-time.Minute), Limits{Reserve: 2, Window: 10 * time.Second})
 	assert.Assert(t, b.Hold(now, 0))
@@ -79,17 +79,18 @@
 	b.Release()
 	b.UseHeld(now)
 	assert.Equal(t, b.Available(now), 1.0)
-	assert.Assert(t, !b.Hold(now, 0.5), "half of the allowance must remain for more important repeats")
+	assert.Assert(t, !b.Hold(now, 0.5), "half of the allowance must remain for more important retries")
 	assert.Assert(t, b.Hold(now, 0))
 	b.Release()
 	b.Release()
-	assert.Equal(t, b.Available(now), 1.0, "releasing a repeat held by another Budget must not increase this one")
+	assert.Equal(t, b.Available(now), 1.0, "releasing a retry held by another Budget must not increase this one")
 }
 
-// A request that may be a call of a repeated run counts as a repeat and does not add to
-// the allowance. Known calls never add to it. When requests of the first kind added to
-// the allowance, a service had 217 repeats where 199 were allowed.
-func TestCallsOfRepeatsCountAsRepeats(t *testing.T) {
+// A request that may be a call made by a retried run counts as a retry and does not add to
+// the allowance, in proportion to the probability. Known calls never add to it. When
+// requests of the first kind added to the allowance, a service had 217 retries where 199
+// were allowed.
+func TestCallsOfRetriesCountAsRetries(t *testing.T) {
 	now := time.Unix(1000, 0)
 	b := NewBudget(now.Add(-time.Minute), Limits{Reserve: 2, Window: 10 * time.Second})
 	b.AddRequest(now, 0.75)
@@ -101,7 +102,7 @@
 	for range 10 {
 		b.AddRequest(now, 1)
 	}
-	assert.Equal(t, b.Available(now), 0.0, "calls of repeats must not add to the allowance")
+	assert.Equal(t, b.Available(now), 0.0, "calls made by retries must not add to the allowance")
 	b = NewBudget(now, Limits{Share: 0.5, Window: 10 * time.Second})
 	for range 10 {
 		b.AddCall(now, 0)
