--- a/internal/core/loadreport/loadreport.go
+++ b/internal/core/loadreport/loadreport.go
@@ -1,6 +1,6 @@
-// Package loadreport selects the hosts that receive a load report, which carries the load
-// and the failure estimate of an instance. Rate limits keep the traffic that a host sends
-// for it independent of the size of the fleet. The package does no I/O.
+// Package loadreport selects the hosts that receive a load report, which contains the load
+// and the failure estimate of an instance. Rate limits bound the traffic that each host
+// sends for load reports, whatever the size of the fleet. The package does no I/O.
 package loadreport
 
 import (
@@ -16,23 +16,23 @@
 	// of any size, of the 19 KB/s available for control traffic. Above the limit, each
 	// change is sent to fewer hosts, and to different ones each time.
 	//
-	// The rate must suffice for fronts to learn of instances without work: a front that
-	// gets no load reports of an instance hardly ever chooses it.
+	// The rate must be high enough for fronts to learn which instances are idle, because
+	// a front that gets no load reports of an instance rarely selects it.
 	MaxRate = 64
-	// Burst is the number of load reports that may be sent at once. It is enough to
-	// send and relay a changed estimate in a fleet of 300 hosts.
+	// Burst is the maximum number of load reports sent at once. It is enough to send and
+	// relay a changed estimate in a fleet of 300 hosts.
 	Burst = 128
 	// ChangeReserve is the part of Burst reserved for load reports about a
 	// significantly changed estimate, which are sent ToAll.
 	ChangeReserve = Burst / 2
-	// fewHosts is the number of hosts that are told that an instance would like to get a
-	// request: enough for one of them to have a request soon, but so few that the
-	// instance does not get one from each of many hosts.
+	// fewHosts is the number of hosts that an instance asks for a request. It is enough
+	// for one of them to have a request soon, and limits how many requests the instance
+	// gets at the same time.
 	fewHosts = 4
-	// FewHostsMaxRate is the maximum number per second, and burst, of the load reports
-	// to few hosts, which do not count towards MaxRate. When the estimates of many
-	// instances change, the reports about them use up MaxRate, and just then recovered
-	// instances need requests that show their recovery.
+	// FewHostsMaxRate is the maximum number per second, and the burst, of load reports
+	// sent ToFew, which do not count towards MaxRate. When the estimates of many
+	// instances change, the reports about them use up MaxRate, although at that time
+	// recovered instances need requests that prove their recovery.
 	FewHostsMaxRate = 16
 )
 
@@ -40,9 +40,9 @@
 type Reach int
 
 const (
-	// ToFew is a few hosts of the own data centre.
+	// ToFew is a few hosts of the local data centre.
 	ToFew Reach = iota
-	// ToLocal is the hosts of the own data centre.
+	// ToLocal is the hosts of the local data centre.
 	ToLocal
 	// ToAll is the hosts of all data centres. It may use the whole rate limit, including
 	// ChangeReserve.
@@ -61,19 +61,20 @@
 	return &Limiter{rng: rng, limit: rate.NewLimiter(MaxRate, Burst), fewLimit: rate.NewLimiter(FewHostsMaxRate, FewHostsMaxRate)}
 }
 
-// SelectRemote selects one host in each of the other data centres, to relay a changed
-// estimate there, because traffic between data centres is expensive.
+// SelectRemote selects one host in each of the other data centres, as far as the rate
+// limit allows. Each relays a changed estimate within its data centre, because traffic
+// between data centres is expensive.
 func (l *Limiter) SelectRemote(now time.Time, dcs [][]string) []string {
 	var out []string
 	for _, hosts := range dcs {
-		if l.take(now, 1, ToAll) == 1 {
+		if l.takeTokens(now, 1, ToAll) == 1 {
 			out = append(out, hosts[l.rng.IntN(len(hosts))])
 		}
 	}
 	return out
 }
 
-// SelectLocal selects recipients among the hosts of the own data centre, starting at a
+// SelectLocal selects recipients among the hosts of the local data centre, starting at a
 // random one, as many as the rate limit allows.
 func (l *Limiter) SelectLocal(now time.Time, hosts []string, to Reach) []string {
 	if len(hosts) == 0 {
@@ -83,16 +84,16 @@
 	if to == ToFew {
 		count = min(count, fewHosts)
 	}
-	out := make([]string, l.take(now, count, to))
+	out := make([]string, l.takeTokens(now, count, to))
 	for i := range out {
 		out[i] = hosts[(first+i)%len(hosts)]
 	}
 	return out
 }
 
-// take deducts up to count load reports from the rate limit and returns the number
-// deducted.
-func (l *Limiter) take(now time.Time, count int, to Reach) int {
+// takeTokens takes up to count tokens, one per load report, from the rate limiter and
+// returns the number taken.
+func (l *Limiter) takeTokens(now time.Time, count int, to Reach) int {
 	limit := l.limit
 	if to == ToFew {
 		limit = l.fewLimit
