--- a/internal/core/route/route.go
+++ b/internal/core/route/route.go
@@ -1,5 +1,5 @@
-// Package route matches requests to routes. A Table is immutable; a change of the
-// records creates a new one.
+// Package route matches requests to routes. A Table is immutable; when the records change,
+// a new one is created.
 package route
 
 import (
@@ -17,7 +17,7 @@
 	record.Route
 }
 
-// mountPoint is the host and path prefix at which a route is mounted.
+// mountPoint is the host and path prefix of a route.
 type mountPoint struct {
 	host string
 	path string
@@ -29,7 +29,7 @@
 	count   int
 }
 
-// NewTable compiles routes. If several routes at the same host and path prefix match a
+// NewTable compiles routes. If several routes with the same host and path prefix match a
 // request, those that list methods take precedence, then the first by name.
 func NewTable(routes []*Route) *Table {
 	t := &Table{byMount: make(map[mountPoint][]*Route, len(routes)), count: len(routes)}
@@ -37,8 +37,8 @@
 		p := mountPoint{host: strings.ToLower(r.Host), path: r.PathPrefix}
 		t.byMount[p] = append(t.byMount[p], r)
 	}
-	for _, mounted := range t.byMount {
-		sort.Slice(mounted, func(i, j int) bool { return takesPrecedence(mounted[i], mounted[j]) })
+	for _, candidates := range t.byMount {
+		sort.Slice(candidates, func(i, j int) bool { return takesPrecedence(candidates[i], candidates[j]) })
 	}
 	return t
 }
@@ -54,9 +54,9 @@
 // Len returns the number of routes.
 func (t *Table) Len() int { return t.count }
 
-// Match returns the route with the longest path prefix, by whole segments, or nil if
-// none matches. Routes for the request's host are tried before routes without a host.
-// host is in lower case and has no port; path is the path as received, not decoded.
+// Match returns the matching route with the longest path prefix, by whole segments, or nil
+// if none matches. Routes for the request's host are tried before routes without a host.
+// host must be in lower case and without a port; path is the undecoded path as received.
 func (t *Table) Match(host, path, method string) *Route {
 	if r := t.matchHost(host, path, method); r != nil || host == "" {
 		return r
@@ -77,8 +77,8 @@
 	return nil
 }
 
-// parentPrefix removes the trailing slash of a prefix, or else its last segment. "/" is
-// the shortest prefix, followed by "".
+// parentPrefix removes the trailing slash of a prefix or, if there is none, its last
+// segment. The shortest prefix is "/", whose parent is "".
 func parentPrefix(prefix string) string {
 	last := strings.LastIndexByte(prefix, '/')
 	switch {
