--- a/internal/core/header/header.go
+++ b/internal/core/header/header.go
@@ -1,4 +1,4 @@
-// Package header defines the HTTP headers the system reads and writes, and removes
+// Package header defines the HTTP headers that the system reads and writes, and removes
 // hop-by-hop headers.
 package header
 
@@ -10,28 +10,29 @@
 )
 
 // Dialect holds the header names that a deployment may configure, for requests and
-// answers exchanged with callers and targets. A header whose name is empty is not used.
+// responses exchanged with callers and targets. A header whose name is empty is not used.
 type Dialect struct {
 	// Timeout is the header with the remaining time, in milliseconds. A caller may use
-	// it to shorten the route's timeout, and a target receives the time that remains.
+	// it to shorten the route's timeout, and a target receives the time left for the
+	// request.
 	Timeout string
 	// CallerService is the header that tells a target which service runs on the host
 	// where the request originated.
 	CallerService string
-	// ExpectedInstance is the header with the name of the instance a request is
-	// intended for. Any other instance answers 421 and does not run the request.
+	// ExpectedInstance is the header with the name of the instance for which a request
+	// is intended. Any other instance responds with status 421 and does not run it.
 	ExpectedInstance string
 	// NotRun is the response header by which a target states that it did not run the
 	// request.
 	NotRun string
-	// TargetMarker is the response header present in every success response of a target. A
-	// success response without it did not come from the target.
+	// TargetMarker is the response header present in every successful (2xx) response of a
+	// target. A successful response without it did not come from the target.
 	TargetMarker string
 	// Team is the header that tells a target the caller's team, if teams authenticate
 	// with keys. A value sent by the caller itself is removed.
 	Team string
-	// EchoesRequestID states that targets repeat the request ID in every answer, so that
-	// an answer without it cannot be attributed to a request.
+	// EchoesRequestID states that targets repeat the request ID in every successful
+	// response, so that one without it cannot be attributed to a request.
 	EchoesRequestID bool
 }
 
@@ -47,34 +48,36 @@
 }
 
 const (
-	// RequestID identifies a request. If the target repeats it in the answer, the guard
-	// can detect an answer that belongs to another request.
+	// RequestID identifies a request. If the target repeats it in the response, the guard
+	// can detect a response that belongs to another request.
 	RequestID = "X-Request-Id"
 	// Team is the name of the caller's team. If teams have no keys, the caller sets it.
 	Team = "Radishhoist-Team"
-	// IdempotencyKey identifies repeats of the same non-idempotent request.
+	// IdempotencyKey identifies retries of the same non-idempotent request.
 	IdempotencyKey = "Idempotency-Key"
-	// Target is the name of the instance that answered.
+	// Target is the name of the instance that sent the response.
 	Target = "Radishhoist-Target"
-	// Replayed marks a stored answer that is returned for a repeated idempotency key.
+	// Replayed marks a stored response that is returned for a retry with the same idempotency
+	// key.
 	Replayed = "Radishhoist-Replayed"
 	// Attempts is the number of attempts made.
 	Attempts = "Radishhoist-Attempts"
 )
 
-// hopByHop holds the hop-by-hop headers of RFC 9110 section 7.6.1.
+// hopByHop holds the hop-by-hop headers of RFC 9110 section 7.6.1 and of RFC 2616 section
+// 13.5.1.
 var hopByHop = map[string]bool{
 	"Connection": true, "Proxy-Connection": true, "Keep-Alive": true,
 	"Proxy-Authenticate": true, "Proxy-Authorization": true, "Te": true,
 	"Trailer": true, "Transfer-Encoding": true, "Upgrade": true,
 }
 
-// ToFields returns the end-to-end headers as fields.
+// ToFields converts headers to fields, without the hop-by-hop ones.
 func ToFields(h http.Header) []msg.Field {
-	connectionOnly := connectionHeaders(h["Connection"])
+	listedInConnection := connectionHeaders(h["Connection"])
 	out := make([]msg.Field, 0, len(h))
 	for name, values := range h {
-		if hopByHop[name] || connectionOnly[name] {
+		if hopByHop[name] || listedInConnection[name] {
 			continue
 		}
 		for _, v := range values {
@@ -84,8 +87,8 @@
 	return out
 }
 
-// connectionHeaders returns the header names listed in Connection headers, which are
-// hop-by-hop as well.
+// connectionHeaders returns the header names listed in Connection headers. The headers
+// with these names are hop-by-hop as well.
 func connectionHeaders(connection []string) map[string]bool {
 	if len(connection) == 0 {
 		return nil
@@ -99,7 +102,7 @@
 	return out
 }
 
-// FromFields converts fields back to headers; it is the inverse of ToFields.
+// FromFields converts fields to headers.
 func FromFields(fields []msg.Field) http.Header {
 	h := make(http.Header, len(fields)+2)
 	for _, f := range fields {
