--- a/internal/core/admit/admit.go
+++ b/internal/core/admit/admit.go
@@ -36,7 +36,8 @@
 	// run first, and a request that is still waiting when it has passed is refused. The
 	// zero value stands for Deadline.
 	Objective time.Time
-	// ExpectedServiceTime is 0 if the front does not know it.
+	// ExpectedServiceTime is 0 if the front does not know it; the Queue then assumes its
+	// mean service time.
 	ExpectedServiceTime time.Duration
 	// AllowLate allows the request to be queued even if it is expected to miss its
 	// objective. A front sets it when it has no better instance to try.
