--- a/internal/core/chance/chance_test.go
+++ b/internal/core/chance/chance_test.go
@@ -46,7 +46,7 @@
 // that had failed some time ago, and so got no new outcomes. In a fleet of 354 equal
 // instances at a tenth of their capacity, an instance got less than half of its share of
 // requests in 58 of 2,478 intervals of 5 s.
-func TestSilenceRaisesSickForSelectionOnlySlightly(t *testing.T) {
+func TestIdleTimeRaisesSickForSelectionOnlySlightly(t *testing.T) {
 	m := Default()
 	const rounding = 1e-9
 	var unknown Estimate
