--- a/internal/guard/announce.go
+++ b/internal/guard/announce.go
@@ -22,10 +22,11 @@
 	maxConnections = 100000
 	// maxAnnouncementBytes limits the size of an announcement, in bytes.
 	maxAnnouncementBytes = 16 << 10
-	maxNameLength        = 128
+	// maxNameLength limits the names of instances and services, in bytes.
+	maxNameLength = 128
 )
 
-var errTooMany = errors.Errorf("this host has reached its limit of %d instances", maxInstances)
+var errTooManyInstances = errors.Errorf("this host has reached its limit of %d instances", maxInstances)
 
 // Announcement is the body by which an instance registers and refreshes itself
 // periodically.
@@ -33,7 +34,8 @@
 	Service string `json:"service"`
 	// Address is where the instance serves HTTP, as IP:port.
 	Address string `json:"address"`
-	// DC is the instance's data centre, which is that of this host.
+	// DC is the instance's data centre. It is not used: the instance is in that of this
+	// host.
 	DC string `json:"dc,omitempty"`
 	// Slots is the number of requests the instance runs concurrently.
 	Slots int `json:"slots"`
@@ -102,12 +104,12 @@
 	defer g.mu.Unlock()
 	inst, known := g.instances[name]
 	if !known && len(g.instances) >= maxInstances {
-		return nil, false, errTooMany
+		return nil, false, errTooManyInstances
 	}
 	sameService := known && inst.service == a.Service
 	if !sameService && g.presetsComplete && !g.serviceInForce(a.Service) {
 		if a.isLeaving() {
-			return nil, false, nil // it gets no work here, which is what it asks for
+			return nil, false, nil // no requests reach it here, as it asks
 		}
 		return nil, false, errors.Errorf("service: no Service record in force is named %q; use the name of an existing one", a.Service)
 	}
@@ -133,7 +135,8 @@
 	return inst, true, nil
 }
 
-// validate returns the first fault of an announcement, with the accepted values.
+// validate returns an error for the first invalid field of an announcement, which names
+// the accepted values.
 func (a *Announcement) validate(name string) error {
 	switch {
 	case name == "" || len(name) > maxNameLength:
@@ -158,8 +161,9 @@
 	return nil
 }
 
-// Withdraw removes an instance at its own request. startedMS identifies the start that
-// asks for it, 0 if not given: a delayed request from an earlier start removes nothing.
+// Withdraw removes an instance at its own request. startedMS is the start time of the
+// instance as in its announcements, 0 if not given: a delayed request from an earlier
+// start removes nothing.
 func (g *Guard) Withdraw(now time.Time, name string, startedMS int64) {
 	g.mu.Lock()
 	if g.announcements.Leave(now, name, startedMS) {
@@ -188,6 +192,7 @@
 
 // withdrawal is the optional body of a DELETE request.
 type withdrawal struct {
+	// StartedMS is as in Announcement.
 	StartedMS int64 `json:"born"`
 }
 
@@ -219,23 +224,23 @@
 
 func (g *Guard) deleteInstance(w http.ResponseWriter, r *http.Request) {
 	name := r.PathValue("name")
-	var l withdrawal
-	err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxAnnouncementBytes)).Decode(&l)
+	var body withdrawal
+	err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxAnnouncementBytes)).Decode(&body)
 	if err != nil && !errors.Is(err, io.EOF) {
 		g.refuseAnnouncement(w, name, err)
 		return
 	}
-	g.Withdraw(time.Now(), name, l.StartedMS)
+	g.Withdraw(time.Now(), name, body.StartedMS)
 	w.WriteHeader(http.StatusNoContent)
 }
 
 // refuseAnnouncement reports the error to the sender and logs it.
 func (g *Guard) refuseAnnouncement(w http.ResponseWriter, name string, err error) {
 	http.Error(w, err.Error(), http.StatusBadRequest)
-	leftOut, ok := g.announceLogLimiter.Allow(time.Now())
+	suppressed, ok := g.announceLogLimiter.Allow(time.Now())
 	if !ok {
 		return
 	}
 	event.Log(g.log, event.AnnounceRefused, slog.String("instance", name), slog.String("cause", err.Error()),
-		slog.Uint64("linesLeftOut", leftOut))
+		slog.Uint64("linesLeftOut", suppressed))
 }
--- a/internal/guard/blame.go
+++ b/internal/guard/blame.go
@@ -8,18 +8,19 @@
 const (
 	// excuseWindow is the longest delay between the failure of an instance's own
 	// outgoing call and a failure of the instance that is attributed to it. Instances
-	// pass such failures on at once, on the same host; a longer window would excuse
-	// failures with other causes.
+	// pass such failures on at once, and to the guard on the same host; a longer window
+	// would excuse failures with other causes.
 	excuseWindow = 20 * time.Millisecond
 	// maxFailedCalls limits the number of remembered failed calls.
 	maxFailedCalls = 64
 )
 
-// failedCalls remembers failed requests that originated on this host. The instances
-// there make nested requests of their own, here called calls, and a failure that follows
-// a failed call does not count in the instance's failure estimate.
+// failedCalls remembers when requests that originated on this host failed. The instances
+// on the host make nested requests, here called calls, and a failure of an instance that
+// follows a failed call does not count in its failure estimate.
 type failedCalls struct {
-	mu    sync.Mutex
+	mu sync.Mutex
+	// times holds the times of the failures, oldest first.
 	times []time.Time
 }
 
@@ -34,8 +35,8 @@
 	}
 }
 
-// excuse consumes a call that failed within excuseWindow before now; each call
-// excuses one failure.
+// excuse reports whether a call failed within excuseWindow before now, and removes that
+// call, since each excuses one failure only.
 func (c *failedCalls) excuse(now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/guard/blame_test.go
+++ b/internal/guard/blame_test.go
@@ -7,8 +7,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// A failure of an instance's own outgoing call is passed on at once: each failed call
-// excuses one failure that follows it closely, and no other.
+// Each failed outgoing call of an instance excuses one failure that follows within
+// excuseWindow, and no other. The number of remembered calls is limited.
 func TestAFailedCallExcusesOneFailure(t *testing.T) {
 	var g Guard
 	now := time.Unix(100, 0)
--- a/internal/guard/call.go
+++ b/internal/guard/call.go
@@ -17,11 +17,11 @@
 	"github.com/radishhoist/radishhoist/verdict"
 )
 
-// call forwards the request to the instance and relays the response. The goroutine that
-// calls it has a slot for the request, which call releases.
+// call forwards the request to the instance and relays the response. The request must hold
+// a slot, which call releases.
 func (x *exchange) call(m *msg.Run) {
 	if e := x.checkBlocked(); e != nil {
-		x.inst.finish(time.Now(), x.id, result{shed: true})
+		x.inst.finish(time.Now(), x.queueID, result{shed: true})
 		x.refuse(e)
 		return
 	}
@@ -31,9 +31,9 @@
 	go func() {
 		select {
 		case <-x.disconnected:
-			// Requests that are not idempotent continue if their body has arrived
-			// whole (without the rest, bodyReader aborts them): stopping one half
-			// way is worse than a response that nobody receives.
+			// A request that is not idempotent continues: aborting it midway is worse
+			// than a response that nobody receives. If its body is incomplete,
+			// bodyReader aborts it.
 			if m.Idempotent {
 				cancel()
 			}
@@ -78,18 +78,21 @@
 	}
 	x.logEnd(started, res, failure)
 	x.guard.counts.ended(started.Sub(x.arrived), res)
-	x.inst.finish(time.Now(), x.id, res)
+	x.inst.finish(time.Now(), x.queueID, res)
 	if failure != nil {
 		x.fail(failure)
 	}
 }
 
 // mayHaveTerminated reports whether the failure may be due to the target's termination.
-// It is true also for some complete but unacceptable responses, see classifyResponse.
+// It also returns true for some complete but unacceptable responses, see
+// classifyResponse.
 func mayHaveTerminated(failure *verdict.Error) bool {
 	return failure != nil && (failure.Reason == verdict.ReasonTargetBroke || failure.Reason == verdict.ReasonTargetDown)
 }
 
+// errDeadline is the cause with which a call's context is cancelled at the request's
+// deadline.
 var errDeadline = errors.New("deadline")
 
 // exchangeHTTP sends the request to the instance and relays its response. The End
@@ -108,8 +111,8 @@
 	if failure != nil {
 		return res, failure
 	}
-	// The instance may have failed only because a request that originated on this host,
-	// and so perhaps in the instance, has just failed.
+	// If a request that originated on this host has just failed, the instance may have
+	// sent it, and have failed only because of that.
 	res.excused = res.failed && x.guard.failedCalls.excuse(time.Now())
 	head := &msg.Head{
 		RequestID: m.RequestID, Status: uint16(resp.Status),
@@ -121,11 +124,12 @@
 	return res, nil
 }
 
+// micros converts a duration to whole microseconds, at most the maximum of a uint32.
 func micros(d time.Duration) uint32 { return uint32(min(d.Microseconds(), 1<<32-1)) }
 
 // relayBody sends the response: the head together with the first chunk, and with the
-// last chunk the End message that confirms completeness. A small response is sent in
-// one piece.
+// last chunk the End message that confirms completeness. A response of one chunk is sent
+// in one go.
 func (x *exchange) relayBody(ctx context.Context, resp *targetconn.Response, head *msg.Head, res result, started time.Time) *verdict.Error {
 	hash := xxhash.New()
 	end := &msg.End{}
@@ -182,7 +186,7 @@
 	case resp.Length >= 0 && bytesRead+int64(n) != resp.Length:
 		return nil, false, err
 	case resp.Length < 0:
-		if _, again := resp.Body.Read(make([]byte, 1)); again != io.EOF {
+		if _, next := resp.Body.Read(make([]byte, 1)); next != io.EOF {
 			return nil, false, err
 		}
 	}
@@ -193,8 +197,8 @@
 	return verdict.New(verdict.Ran, verdict.ReasonTargetBroke, "the target's response body was truncated")
 }
 
-// buildRequest builds the request to the target: the caller's request with the
-// remaining time and the name of the intended instance added.
+// buildRequest builds the request to the target: the caller's request, with the request
+// id, the remaining time and the name of the intended instance added.
 func (x *exchange) buildRequest(m *msg.Run) *targetconn.Request {
 	d := x.guard.cfg.Dialect
 	req := &targetconn.Request{
@@ -211,8 +215,8 @@
 	return req
 }
 
-// set sets a header if the dialect, which holds the header names configured for the
-// deployment, has a name for it.
+// set sets a header whose name comes from the dialect, the header names configured for the
+// deployment. An empty name means that the deployment does not use the header.
 func set(h http.Header, name, value string) {
 	if name != "" {
 		h.Set(name, value)
@@ -224,6 +228,7 @@
 	x      *exchange
 	hash   *xxhash.Digest
 	length uint64
+	// unread is the rest of the last chunk, and done reports that the body is complete.
 	unread []byte
 	done   bool
 }
@@ -244,6 +249,7 @@
 	return n, nil
 }
 
+// next receives the next chunk or the end of the body.
 func (b *bodyReader) next() error {
 	var m msg.Message
 	select {
--- a/internal/guard/call_test.go
+++ b/internal/guard/call_test.go
@@ -19,10 +19,12 @@
 	"github.com/radishhoist/radishhoist/verdict"
 )
 
+// allowAllFence is a Fence that lets every run start.
 type allowAllFence struct{}
 
 func (allowAllFence) MayRun(string, uint32, uint64) bool { return true }
 
+// newTestGuard returns a guard with the instance i of service s at the address.
 func newTestGuard(t *testing.T, address string) *Guard {
 	t.Helper()
 	g := New(Config{Host: "h", QueuePerSlot: 2, GrantLife: time.Minute, TargetIdle: time.Minute}, Limits{AnnounceExpiry: time.Hour},
@@ -54,14 +56,14 @@
 	}
 }
 
-// The HTTP client library resends requests it considers replayable when a kept-alive
-// connection breaks, and an Idempotency-Key header makes it consider them so. The guard
-// must prevent this: the target may already have run the request.
+// When a kept-alive connection breaks, Go's HTTP client resends requests that it considers
+// replayable, such as those with an Idempotency-Key header. The guard must prevent this:
+// the target may already have run the request.
 func TestRequestIsNotResentOnBrokenConnection(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	defer func() { _ = l.Close() }()
-	var seen atomic.Int64
+	var received atomic.Int64
 	go func() {
 		for {
 			c, err := l.Accept()
@@ -70,14 +72,14 @@
 			}
 			go func() {
 				r := bufio.NewReader(c)
-				for answered := false; ; answered = true {
+				for responded := false; ; responded = true {
 					req, err := http.ReadRequest(r)
 					if err != nil {
 						return
 					}
 					_, _ = io.Copy(io.Discard, req.Body)
-					seen.Add(1)
-					if answered {
+					received.Add(1)
+					if responded {
 						_ = c.Close()
 						return
 					}
@@ -98,7 +100,7 @@
 	f, failed := run("two").(*msg.Fail)
 	assert.Assert(t, failed, "the second request got a response, so it was resent")
 	assert.Equal(t, f.Verdict, verdict.MayHaveRun)
-	assert.Equal(t, seen.Load(), int64(2), "the target saw the request twice")
+	assert.Equal(t, received.Load(), int64(2), "the target must get each request once")
 }
 
 func TestRefusedConnectionMeansNotRun(t *testing.T) {
--- a/internal/guard/counters.go
+++ b/internal/guard/counters.go
@@ -12,7 +12,7 @@
 // run in one process.
 type counters struct {
 	set         *metrics.Set
-	queue       *metrics.Histogram
+	queueTime   *metrics.Histogram
 	serviceTime *metrics.Histogram
 	// terminated counts the instances whose port was found to refuse connections.
 	terminated *metrics.Counter
@@ -22,7 +22,7 @@
 	set := metrics.NewSet()
 	return counters{
 		set:         set,
-		queue:       set.NewHistogram("radishhoist_queue_seconds"),
+		queueTime:   set.NewHistogram("radishhoist_queue_seconds"),
 		serviceTime: set.NewHistogram("radishhoist_service_seconds"),
 		terminated:  set.NewCounter("radishhoist_instances_ended_total"),
 	}
@@ -35,7 +35,7 @@
 
 // ended counts a request that was sent to an instance.
 func (c *counters) ended(queued time.Duration, r result) {
-	c.queue.Update(queued.Seconds())
+	c.queueTime.Update(queued.Seconds())
 	outcome := "whole"
 	switch {
 	case r.excused:
--- a/internal/guard/crashes.go
+++ b/internal/guard/crashes.go
@@ -16,8 +16,9 @@
 )
 
 const (
-	// probeTimeout limits the check whether an instance still accepts connections:
-	// it runs on the same host, and the verdict on the request waits for it.
+	// probeTimeout limits the check whether an instance still accepts connections. It is
+	// short because the instance runs on the same host and the verdict on the request
+	// waits for the check.
 	probeTimeout = 50 * time.Millisecond
 	// maxLoggedRequests limits the requests named in the log line about a crash.
 	maxLoggedRequests = 8
@@ -31,8 +32,9 @@
 }
 
 // checkTerminated reports whether the instance has terminated, which is the case when
-// its port refuses connections. The first caller to detect it takes the instance out
-// of service and reports to the fleet what was running there.
+// its port refuses connections. The first call to detect it takes the instance out of
+// service and, unless the instance had announced its shutdown, reports to the fleet which
+// requests were running there.
 func (i *instance) checkTerminated() bool {
 	i.probeMu.Lock()
 	defer i.probeMu.Unlock()
@@ -54,9 +56,9 @@
 	return true
 }
 
-// markTerminated takes the instance out of service and reports whether this call is the
-// first to do so. announced reports that the instance had announced its shutdown;
-// then none of its requests is to blame.
+// markTerminated takes the instance out of service. announced reports that the instance
+// had announced its shutdown, in which case none of its requests caused it, and first that
+// this call is the first to detect the termination.
 func (i *instance) markTerminated() (announced, first bool) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -72,35 +74,35 @@
 // fleet.
 func (i *instance) reportCrash(now time.Time) {
 	software := i.software()
-	e := crash.Crash{ID: crashID(i.name, i.started), Software: software, Host: i.guard.cfg.Host, DetectedAt: now}
+	c := crash.Crash{ID: crashID(i.name, i.started), Software: software, Host: i.guard.cfg.Host, DetectedAt: now}
 	var requests []string
 	descriptions := make(map[crash.Fingerprint]string)
-	for _, u := range i.inFlight() {
-		if i.guard.suspects.completedRecently(now, u.fingerprint, software) {
+	for _, r := range i.inFlight() {
+		if i.guard.suspects.completedRecently(now, r.fingerprint, software) {
 			continue
 		}
-		requests = append(requests, u.run.RequestID)
-		if _, seen := descriptions[u.fingerprint]; seen {
+		requests = append(requests, r.run.RequestID)
+		if _, seen := descriptions[r.fingerprint]; seen {
 			continue
 		}
-		e.Fingerprints = append(e.Fingerprints, u.fingerprint)
-		descriptions[u.fingerprint] = u.describe()
+		c.Fingerprints = append(c.Fingerprints, r.fingerprint)
+		descriptions[r.fingerprint] = r.describe()
 	}
 	event.Log(i.guard.log, event.InstanceEnded, slog.String("instance", i.name), slog.String("service", software.Service),
-		slog.String("version", software.Version), slog.Int("suspects", len(e.Fingerprints)), slog.Any("requests", requests[:min(len(requests), maxLoggedRequests)]))
-	if len(e.Fingerprints) == 0 {
+		slog.String("version", software.Version), slog.Int("suspects", len(c.Fingerprints)), slog.Any("requests", requests[:min(len(requests), maxLoggedRequests)]))
+	if len(c.Fingerprints) == 0 {
 		return
 	}
-	e.Fingerprints = e.Fingerprints[:min(len(e.Fingerprints), crash.MaxFingerprints)]
-	i.guard.suspects.storeDescriptions(e.ID, descriptions)
-	i.guard.ApplyCrash(e)
-	i.guard.onCrash(e)
-	for _, p := range e.Fingerprints {
+	c.Fingerprints = c.Fingerprints[:min(len(c.Fingerprints), crash.MaxFingerprints)]
+	i.guard.suspects.storeDescriptions(c.ID, descriptions)
+	i.guard.ApplyCrash(c)
+	i.guard.onCrashed(c)
+	for _, fp := range c.Fingerprints {
 		// The host of the crash with the greatest ID stores a blocked request, and
-		// this crash may now be that one. ApplyCrash does not see to it if the request
-		// was already blocked before.
-		if v := i.guard.CrashAssessment(p); !v.BlockedUntil.IsZero() {
-			i.guard.scheduleStore(p)
+		// this crash may now be that one. ApplyCrash schedules that only for requests
+		// that were not blocked before.
+		if a := i.guard.CrashAssessment(fp); !a.BlockedUntil.IsZero() {
+			i.guard.scheduleStore(fp)
 		}
 	}
 }
@@ -121,12 +123,13 @@
 }
 
 // describe describes the request for operators: method, host and path.
-func (u *inFlight) describe() string {
-	path, _, _ := strings.Cut(u.run.URI, "?")
-	return u.run.Method + " " + u.run.Host + path
+func (r *inFlight) describe() string {
+	path, _, _ := strings.Cut(r.run.URI, "?")
+	return r.run.Method + " " + r.run.Host + path
 }
 
-// inFlight returns the requests running at the instance, most recently started first.
+// inFlight returns the requests running at the instance that have a fingerprint, most
+// recently started first.
 func (i *instance) inFlight() []inFlight {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -140,7 +143,8 @@
 	return out
 }
 
-// crashID returns the fleet-wide id of one run of an instance.
+// crashID returns the id of an instance's crash: its name and start time, unique in the
+// fleet.
 func crashID(name string, started time.Time) string {
 	return name + "@" + started.UTC().Format("20060102T150405.000")
 }
--- a/internal/guard/estimate.go
+++ b/internal/guard/estimate.go
@@ -32,8 +32,8 @@
 }
 
 // hadFreeSlot reports whether the instance had a free slot for a request that it
-// refused: all its requests pass through this guard. An instance that refuses
-// requests while slots are free looks idle and would attract more and more load.
+// refused, which the guard knows because all requests pass through it. An instance that
+// refuses requests while slots are free looks idle and would attract more and more load.
 // Requests that were aborted may keep slots busy for a while. The caller must hold
 // i.mu; the refused request still counts as running.
 func (i *instance) hadFreeSlot(now time.Time) bool {
@@ -48,19 +48,19 @@
 	// loadChangeThreshold is the change in load, as a fraction of the slots, at which
 	// nearby fronts are updated.
 	loadChangeThreshold = 0.3
-	// publishInterval is the interval at which nearby fronts are updated in any case:
-	// some have just started or do not know the instance yet.
+	// publishInterval is the interval at which nearby fronts are updated even without a
+	// change: some have just started or do not know the instance yet.
 	publishInterval = 2 * time.Second
 	// abortedWorkGrace is how long an instance may keep working on a request that was
-	// aborted, and so keep a slot busy that counts as free here: about as long as one
-	// request takes in the deployments.
+	// aborted, and so keep a slot busy that counts as free here: about the duration of
+	// one request in the known deployments.
 	abortedWorkGrace = time.Second
 	// workRequestInterval is the minimum interval between requests for work.
 	workRequestInterval = 300 * time.Millisecond
 )
 
-// publishLoad publishes significant changes to the fronts: load to those nearby, a
-// change between healthy and failing to all.
+// publishLoad sends significant changes to the fronts: a changed load to those nearby, a
+// changed failure estimate or refusal share to all.
 func (i *instance) publishLoad(now time.Time) {
 	i.mu.Lock()
 	load := i.loadAt(now)
@@ -79,21 +79,20 @@
 	if !publish {
 		return
 	}
-	to := loadreport.ToLocal
+	reach := loadreport.ToLocal
 	if healthChanged {
-		to = loadreport.ToAll
+		reach = loadreport.ToAll
 	}
-	i.sendLoadReport(load, to)
+	i.sendLoadReport(load, reach)
 }
 
-func (i *instance) sendLoadReport(load msg.Load, to loadreport.Reach) {
-	i.guard.sendLoadReport(&msg.LoadReport{Loads: []msg.InstanceLoad{{Service: i.service, Instance: i.name, Load: load}}}, to)
+func (i *instance) sendLoadReport(load msg.Load, reach loadreport.Reach) {
+	i.guard.sendLoadReport(&msg.LoadReport{Loads: []msg.InstanceLoad{{Service: i.service, Instance: i.name, Load: load}}}, reach)
 }
 
-// requestWork asks a few fronts for a request if the instance has been idle for a
-// while, a different selection each time. Without it the instances that reported last
-// would get all requests, and the state of the others would be unknown when they are
-// needed.
+// requestWork asks a few fronts, different ones each time, for a request if the instance
+// has been idle for a while. Without it the instances that reported last would get all
+// requests, and the state of the others would be unknown when they are needed.
 func (i *instance) requestWork(now time.Time) {
 	i.mu.Lock()
 	if now.Sub(i.lastWorkRequest) < workRequestInterval || !i.wantsWork(now) {
@@ -107,11 +106,12 @@
 	i.sendLoadReport(load, loadreport.ToFew)
 }
 
+// occupancy returns the number of running and queued requests.
 func occupancy(l msg.Load) int { return int(l.Running + l.Queued) }
 
 func absDiff(a, b int) int { return max(a-b, b-a) }
 
-// load returns the exact load that is sent with responses.
+// load returns the exact current load, which is sent with responses.
 func (i *instance) load() msg.Load {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -120,16 +120,16 @@
 
 // loadAt is load for callers that hold i.mu.
 func (i *instance) loadAt(now time.Time) msg.Load {
-	sick := i.failureEstimate.SickForSelection(now, i.guard.model)
-	var waiting [admit.Priorities]uint32
-	for p, work := range i.queue.QueuedWork() {
-		waiting[p] = uint32(work.Milliseconds())
+	failureProbability := i.failureEstimate.SickForSelection(now, i.guard.model)
+	var waitingMS [admit.Priorities]uint32
+	for priority, work := range i.queue.QueuedWork() {
+		waitingMS[priority] = uint32(work.Milliseconds())
 	}
 	return msg.Load{
-		WaitingMS: waiting,
+		WaitingMS: waitingMS,
 		Slots:     uint32(i.slots), Running: uint32(i.queue.BusySlots()), Queued: uint32(i.queue.Queued()),
 		Health: uint8(i.detector.Health()), Evidence: uint32(i.detector.Evidence() * evidenceScale),
-		FailureEstimate: uint16(sick * msg.Thousandths), ShedShare: uint16(i.shedShare.At(now) * msg.Thousandths),
+		FailureEstimate: uint16(failureProbability * msg.Thousandths), ShedShare: uint16(i.shedShare.At(now) * msg.Thousandths),
 		RetryBudgetLeft: i.guard.retryBudgets.remaining(now, i.service),
 	}
 }
@@ -138,9 +138,10 @@
 	// trialFailureThreshold is the failure estimate from which the instance's health
 	// is in doubt.
 	trialFailureThreshold = 0.1
-	// trialDelay is the time between a failed trial and the next one. A shorter
-	// delay spends the retry budget on instances that stay unhealthy for seconds; a
-	// longer one delays the return of those that have recovered.
+	// trialDelay is the time between a failed trial, a request that shows whether a
+	// doubtful instance works again, and the next one. A shorter delay spends the retry
+	// budget on instances that stay unhealthy for seconds; a longer one delays the return
+	// of those that have recovered.
 	trialDelay = time.Second
 	// idleDelay is how long an instance that is considered healthy must be idle
 	// before it asks for work.
--- a/internal/guard/explore_test.go
+++ b/internal/guard/explore_test.go
@@ -30,8 +30,8 @@
 	executes bool
 	// complete reports that its response is complete.
 	complete bool
-	// response is what the target writes. The connection is closed after it if close
-	// is set, and reset if reset is set.
+	// response is what the target writes. If close is set, the connection is closed
+	// after it, with a TCP reset if reset is set as well.
 	response string
 	// beforeBody makes the target respond before it reads the body.
 	beforeBody bool
@@ -43,19 +43,20 @@
 
 var behaviours = []targetBehaviour{
 	{name: "ok", executes: true, complete: true, response: "200 OK\r\nContent-Length: 10\r\n\r\n" + completeBody},
-	{name: "not executed", response: "503 Full\r\nRadishhoist-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"},
-	{name: "another instance", response: "421 Misdirected\r\nContent-Length: 0\r\n\r\n"},
+	{name: "marked as not run", response: "503 Full\r\nRadishhoist-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"},
+	{name: "misdirected", response: "421 Misdirected\r\nContent-Length: 0\r\n\r\n"},
 	{name: "refused without the not-run header", executes: true, response: "503 Full\r\nContent-Length: 10\r\n\r\n" + completeBody},
 	{name: "failed", executes: true, response: "500 Failed\r\nContent-Length: 10\r\n\r\n" + completeBody},
 	{name: "no response", executes: true, close: true},
 	{name: "reset", executes: true, close: true, reset: true},
-	{name: "cut short", executes: true, response: "200 OK\r\nContent-Length: 10\r\n\r\n01234", close: true},
-	{name: "no length", executes: true, complete: true, response: "200 OK\r\nConnection: close\r\n\r\n" + completeBody, close: true},
-	{name: "no length, reset", executes: true, response: "200 OK\r\nConnection: close\r\n\r\n01234", close: true, reset: true},
+	{name: "truncated body", executes: true, response: "200 OK\r\nContent-Length: 10\r\n\r\n01234", close: true},
+	{name: "no content length", executes: true, complete: true, response: "200 OK\r\nConnection: close\r\n\r\n" + completeBody, close: true},
+	{name: "no content length, reset", executes: true, response: "200 OK\r\nConnection: close\r\n\r\n01234", close: true, reset: true},
 	{name: "response before the body", executes: true, complete: true, beforeBody: true, response: "200 OK\r\nContent-Length: 10\r\n\r\n" + completeBody},
 }
 
-// interruption is an event during a request, and stage the point at which it occurs.
+// interruption is an event that interferes with a request, and stage the point at which it
+// occurs.
 type interruption string
 
 type stage string
@@ -79,11 +80,11 @@
 	serving   sync.WaitGroup
 }
 
-func startScriptedTarget(t *testing.T, m targetBehaviour) *scriptedTarget {
+func startScriptedTarget(t *testing.T, behaviour targetBehaviour) *scriptedTarget {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
-	s := &scriptedTarget{behaviour: m, listener: l}
+	s := &scriptedTarget{behaviour: behaviour, listener: l}
 	s.serving.Go(func() {
 		for {
 			c, err := l.Accept()
@@ -144,107 +145,108 @@
 	idempotent   bool
 	interruption interruption
 	stage        stage
-	body         []byte
-	last         *msg.Fail
+	// body is the response body received so far, and failure the last Fail received.
+	body    []byte
+	failure *msg.Fail
 }
 
-func (e *scenario) interruptAt(m stage) {
-	if m != e.stage {
+func (s *scenario) interruptAt(at stage) {
+	if at != s.stage {
 		return
 	}
-	switch e.interruption {
+	switch s.interruption {
 	case hostDrains:
-		e.guard.Drain()
+		s.guard.Drain()
 	case instanceLeaves:
-		a := Announcement{Service: "s", Address: e.address, Slots: 2, Connections: 4, State: stateDraining}
-		assert.NilError(e.t, e.guard.Announce(time.Now(), "i", a))
+		a := Announcement{Service: "s", Address: s.address, Slots: 2, Connections: 4, State: stateDraining}
+		assert.NilError(s.t, s.guard.Announce(time.Now(), "i", a))
 	case frontCancels:
-		if e.attempt.Abort() == once.SendCancel {
+		if s.attempt.Abort() == once.SendCancel {
 			// The stream may have ended concurrently.
-			_ = e.near.Send(context.Background(), &msg.Cancel{})
+			_ = s.near.Send(context.Background(), &msg.Cancel{})
 		}
 	}
 }
 
 const requestBody = "the request's body"
 
-func (e *scenario) runMessage() *msg.Run {
+func (s *scenario) runMessage() *msg.Run {
 	return &msg.Run{
-		RequestID: "r", Service: "s", Instance: "i", TimeoutMS: 20000, Reserved: !e.idempotent, Idempotent: e.idempotent,
+		RequestID: "r", Service: "s", Instance: "i", TimeoutMS: 20000, Reserved: !s.idempotent, Idempotent: s.idempotent,
 		Method: "POST", URI: "/", Host: "x", BodyLength: int64(len(requestBody)),
 	}
 }
 
 // sendBody ignores send errors, since the guard may have ended the stream.
-func (e *scenario) sendBody() {
+func (s *scenario) sendBody() {
 	end := &msg.End{Length: uint64(len(requestBody)), Hash: xxhash.Sum64String(requestBody)}
-	_ = e.near.Send(context.Background(), &msg.Data{Bytes: []byte(requestBody)}, end)
-	e.interruptAt(afterSend)
+	_ = s.near.Send(context.Background(), &msg.Data{Bytes: []byte(requestBody)}, end)
+	s.interruptAt(afterSend)
 }
 
-func (e *scenario) execute() {
+func (s *scenario) execute() {
 	near, far := wire.Pipe()
-	e.near = near
-	e.interruptAt(beforeRequest)
+	s.near = near
+	s.interruptAt(beforeRequest)
 	var first msg.Message = &msg.Reserve{RequestID: "r", Service: "s", Instance: "i", TimeoutMS: 20000}
-	if e.attempt.Begin(e.idempotent, false) == once.SendRun {
-		first = e.runMessage()
+	if s.attempt.Begin(s.idempotent, false) == once.SendRun {
+		first = s.runMessage()
 	}
 	served := make(chan struct{})
 	go func() {
 		defer close(served)
-		e.guard.Serve(far, first)
+		s.guard.Serve(far, first)
 	}()
-	if e.idempotent {
-		e.sendBody()
+	if s.idempotent {
+		s.sendBody()
 	}
-	for e.attempt.Phase() != once.Done {
+	for s.attempt.Phase() != once.Done {
 		m, err := near.Recv(context.Background())
 		if err != nil {
-			e.attempt.Abort()
+			s.attempt.Abort()
 			break
 		}
-		e.receive(m)
+		s.receive(m)
 	}
 	near.Close()
 	<-served
 }
 
-func (e *scenario) receive(m msg.Message) {
+func (s *scenario) receive(m msg.Message) {
 	switch m := m.(type) {
 	case *msg.Grant:
-		e.interruptAt(onGrant)
-		if e.attempt.HandleGrant() == once.SendRun {
-			_ = e.near.Send(context.Background(), e.runMessage())
-			e.sendBody()
+		s.interruptAt(onGrant)
+		if s.attempt.HandleGrant() == once.SendRun {
+			_ = s.near.Send(context.Background(), s.runMessage())
+			s.sendBody()
 		}
 	case *msg.Head:
-		e.attempt.HandleResponseStart()
+		s.attempt.HandleResponseStart()
 	case *msg.Data:
-		e.body = append(e.body, m.Bytes...)
+		s.body = append(s.body, m.Bytes...)
 	case *msg.End:
-		e.attempt.HandleResponseEnd(m.Length == uint64(len(e.body)) && m.Hash == xxhash.Sum64(e.body))
+		s.attempt.HandleResponseEnd(m.Length == uint64(len(s.body)) && m.Hash == xxhash.Sum64(s.body))
 	case *msg.Fail:
-		e.last = m
-		e.attempt.HandleFailure(m.Verdict)
+		s.failure = m
+		s.attempt.HandleFailure(m.Verdict)
 	}
 }
 
 // Combines every target behaviour with a cancellation, a drain of the host or the
 // instance leaving, at every stage. A request reported as not run must never have
-// run, work that is not idempotent must run at most once, an incomplete response must
-// not look complete, and no request may reach an instance whose leaving was
-// acknowledged.
+// run, a request that is not idempotent must run at most once, an incomplete response
+// must not look complete, and no request may reach an instance after its announcement
+// of leaving was acknowledged.
 func TestVerdictIsTrueForEveryTargetBehaviour(t *testing.T) {
-	for _, m := range behaviours {
+	for _, behaviour := range behaviours {
 		for _, idempotent := range []bool{false, true} {
-			for _, ev := range []interruption{noInterruption, frontCancels, hostDrains, instanceLeaves} {
+			for _, event := range []interruption{noInterruption, frontCancels, hostDrains, instanceLeaves} {
 				for _, at := range []stage{beforeRequest, onGrant, afterSend} {
-					if ev == noInterruption && at != beforeRequest {
+					if event == noInterruption && at != beforeRequest {
 						continue
 					}
-					t.Run(fmt.Sprintf("%s/idempotent=%v/%s/%s", m.name, idempotent, ev, at), func(t *testing.T) {
-						runScenario(t, m, idempotent, ev, at)
+					t.Run(fmt.Sprintf("%s/idempotent=%v/%s/%s", behaviour.name, idempotent, event, at), func(t *testing.T) {
+						runScenario(t, behaviour, idempotent, event, at)
 					})
 				}
 			}
@@ -252,12 +254,12 @@
 	}
 }
 
-func runScenario(t *testing.T, m targetBehaviour, idempotent bool, ev interruption, at stage) {
-	target := startScriptedTarget(t, m)
+func runScenario(t *testing.T, behaviour targetBehaviour, idempotent bool, event interruption, at stage) {
+	target := startScriptedTarget(t, behaviour)
 	g := newTestGuard(t, target.listener.Addr().String())
 	g.cfg.Dialect = header.Default()
-	e := &scenario{t: t, guard: g, address: target.listener.Addr().String(), idempotent: idempotent, interruption: ev, stage: at}
-	e.execute()
+	s := &scenario{t: t, guard: g, address: target.listener.Addr().String(), idempotent: idempotent, interruption: event, stage: at}
+	s.execute()
 	assert.Assert(t, g.Wait(nil))
 	for _, inst := range g.all() {
 		inst.client.Close()
@@ -267,23 +269,23 @@
 	if !idempotent {
 		assert.Assert(t, runs <= 1, "ran %d times", runs)
 	}
-	if e.attempt.Verdict() == verdict.NotRun {
+	if s.attempt.Verdict() == verdict.NotRun {
 		assert.Equal(t, runs, 0, "reported as not run")
 	}
-	if e.attempt.ResponseComplete() {
-		assert.Equal(t, string(e.body), completeBody)
-		assert.Assert(t, m.complete || slices.Contains([]string{"failed", "refused without the not-run header"}, m.name), "a truncated response looks complete")
+	if s.attempt.ResponseComplete() {
+		assert.Equal(t, string(s.body), completeBody)
+		assert.Assert(t, behaviour.complete || slices.Contains([]string{"failed", "refused without the not-run header"}, behaviour.name), "a truncated response looks complete")
 	}
-	if e.last != nil {
-		status := verdict.New(e.last.Verdict, e.last.Reason, "").Status()
+	if s.failure != nil {
+		status := verdict.New(s.failure.Verdict, s.failure.Reason, "").Status()
 		impliesNotRun := status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests
-		assert.Assert(t, !impliesNotRun || e.last.Verdict == verdict.NotRun)
+		assert.Assert(t, !impliesNotRun || s.failure.Verdict == verdict.NotRun)
 	}
-	if at == beforeRequest && (ev == hostDrains || ev == instanceLeaves) {
+	if at == beforeRequest && (event == hostDrains || event == instanceLeaves) {
 		assert.Equal(t, runs, 0)
-		assert.Equal(t, e.attempt.Verdict(), verdict.NotRun)
+		assert.Equal(t, s.attempt.Verdict(), verdict.NotRun)
 	}
-	if ev == noInterruption {
-		assert.Equal(t, e.attempt.ResponseComplete(), m.complete || m.name == "failed" || m.name == "refused without the not-run header" && idempotent)
+	if event == noInterruption {
+		assert.Equal(t, s.attempt.ResponseComplete(), behaviour.complete || behaviour.name == "failed" || behaviour.name == "refused without the not-run header" && idempotent)
 	}
 }
--- a/internal/guard/guard.go
+++ b/internal/guard/guard.go
@@ -55,7 +55,7 @@
 
 // Fence decides whether a run claimed at an epoch may still start.
 type Fence interface {
-	// MayRun reports false if this guard knows a greater epoch of the shard.
+	// MayRun returns false if a greater epoch of the shard is known on this host.
 	MayRun(service string, shard uint32, epoch uint64) bool
 }
 
@@ -66,13 +66,13 @@
 	// LoadReport is called with load updates that fronts need without delay.
 	LoadReport func(p *msg.LoadReport, to loadreport.Reach)
 	// Crashed is called when an instance on this host has crashed, and Cleared when a
-	// request suspected of causing a crash has completed. Both must reach all hosts.
+	// request suspected of causing a crash has completed. Both must be sent to all hosts.
 	// Nil disables the callback.
 	Crashed func(e crash.Crash)
 	Cleared func(crashID string, p crash.Fingerprint)
-	// Blocked is called on one host of the fleet with a blocked request, which must
-	// be stored so that it survives a restart of all processes. It must not block.
-	// Nil disables the callback.
+	// Blocked is called on one host of the fleet with a request that is blocked. The
+	// callback stores it, so that the block survives a restart of all processes, and must
+	// return without waiting. Nil disables the callback.
 	Blocked func(BlockedRequest)
 }
 
@@ -82,6 +82,7 @@
 	log   *slog.Logger
 	fence Fence
 
+	// model holds the assumed parameters of the instances' failure estimates.
 	model  chance.Model
 	limits atomic.Pointer[Limits]
 	// shutdownAt is the planned time of process exit, nil while the process is not
@@ -89,16 +90,17 @@
 	shutdownAt  atomic.Pointer[time.Time]
 	failedCalls failedCalls
 	// retryBudgets holds this host's part of the retry budgets.
-	retryBudgets      *retryBudgets
-	requestLogLimiter event.Limiter
-	// announceLogLimiter limits the log lines about refused announcements.
+	retryBudgets *retryBudgets
+	// requestLogLimiter limits the log lines about single requests, announceLogLimiter
+	// those about refused announcements.
+	requestLogLimiter  event.Limiter
 	announceLogLimiter event.Limiter
 	counts             counters
 	// sendLoadReport is called, without locks held, with updates that fronts need without
 	// delay.
 	sendLoadReport func(p *msg.LoadReport, to loadreport.Reach)
 	onChanged      func()
-	onCrash        func(crash.Crash)
+	onCrashed      func(crash.Crash)
 	onCleared      func(string, crash.Fingerprint)
 	onBlocked      func(BlockedRequest)
 	// suspects tracks the requests suspected of crashing the instances that run
@@ -108,8 +110,8 @@
 	mu            sync.Mutex
 	announcements *announce.Tracker
 	instances     map[string]*instance
-	// presets holds the detection parameters of the services in force;
-	// presetsComplete reports that the set is complete.
+	// presets holds the detection parameters of each service whose record is in force;
+	// presetsComplete reports that no such service is missing.
 	presets         map[string]detect.Params
 	presetsComplete bool
 	draining        bool
@@ -123,14 +125,14 @@
 func New(cfg Config, limits Limits, log *slog.Logger, fence Fence, hooks Hooks) *Guard {
 	g := &Guard{
 		cfg: cfg, log: log, fence: fence, onChanged: hooks.Changed, sendLoadReport: hooks.LoadReport, model: chance.Default(), counts: newCounters(),
-		onCrash: hooks.Crashed, onCleared: hooks.Cleared, onBlocked: hooks.Blocked, suspects: newSuspects(),
+		onCrashed: hooks.Crashed, onCleared: hooks.Cleared, onBlocked: hooks.Blocked, suspects: newSuspects(),
 		retryBudgets:  newRetryBudgets(),
 		announcements: announce.NewTracker(),
 		instances:     make(map[string]*instance),
 		presets:       make(map[string]detect.Params),
 	}
-	if g.onCrash == nil {
-		g.onCrash = func(crash.Crash) {}
+	if g.onCrashed == nil {
+		g.onCrashed = func(crash.Crash) {}
 	}
 	if g.onCleared == nil {
 		g.onCleared = func(string, crash.Fingerprint) {}
@@ -160,8 +162,8 @@
 	event.Log(g.log, event.InstanceGone, slog.String("instance", name), slog.String("cause", cause))
 }
 
-// Apply takes over the records in force: the services' detection presets and the
-// planned stops of instances on this host.
+// Apply applies the records in force: the services' retry shares and detection presets
+// and the planned stops of instances on this host.
 func (g *Guard) Apply(d *directory.Directory) {
 	g.retryBudgets.apply(time.Now(), d, *g.limits.Load())
 	presets := make(map[string]detect.Params, len(d.Services))
@@ -184,7 +186,8 @@
 	}
 }
 
-// params returns a service's detection parameters, Careful if no record sets them.
+// params returns a service's detection parameters, detect.Careful if no Service record of
+// that name is in force.
 func (g *Guard) params(service string) detect.Params {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -194,12 +197,14 @@
 	return detect.Careful()
 }
 
-// serviceInForce reports whether a service is in force. The caller must hold g.mu.
+// serviceInForce reports whether a Service record of that name is in force. The caller
+// must hold g.mu.
 func (g *Guard) serviceInForce(service string) bool {
 	_, ok := g.presets[service]
 	return ok
 }
 
+// list returns the instances. The caller must hold g.mu.
 func (g *Guard) list() []*instance {
 	out := make([]*instance, 0, len(g.instances))
 	for _, inst := range g.instances {
@@ -208,6 +213,7 @@
 	return out
 }
 
+// all is list for callers that do not hold g.mu.
 func (g *Guard) all() []*instance {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -221,8 +227,9 @@
 	return inst, ok && inst.service == service
 }
 
-// Tick expires grants, drops requests past their deadline, checks for stuck requests
-// and removes instances that no longer announce themselves.
+// Tick expires grants, drops requests past their deadline, checks for stuck requests,
+// publishes load, and removes instances that no longer announce themselves. It must be
+// called periodically.
 func (g *Guard) Tick(now time.Time) {
 	changed := false
 	for _, inst := range g.all() {
@@ -263,8 +270,8 @@
 	return *end, true
 }
 
-// shutdownMargin is the multiple of a request's expected duration that must remain
-// before process exit for the request to be admitted: service times have a long tail.
+// shutdownMargin is the multiple of its expected duration that must remain before process
+// exit for a request to be admitted. It exceeds 1 because service times have a long tail.
 const shutdownMargin = 3
 
 // finishesBeforeShutdown reports whether a request with the given expected duration
@@ -360,6 +367,7 @@
 	}
 }
 
+// refusal returns the error for a request that has not been run.
 func refusal(r verdict.Reason, detail string) *verdict.Error {
 	return verdict.New(verdict.NotRun, r, detail)
 }
--- a/internal/guard/instance.go
+++ b/internal/guard/instance.go
@@ -43,7 +43,8 @@
 	reference detect.Reference
 	// failureEstimate is the probability that the instance fails most requests.
 	failureEstimate chance.Estimate
-	// lastFailed is when a request last failed, and lastEnded when one last ended.
+	// lastFailed is when a request last failed, and lastEnded when one last ended, with
+	// any result.
 	lastFailed time.Time
 	lastEnded  time.Time
 	// shedShare is the share of recent requests that were refused while a slot was
@@ -65,17 +66,18 @@
 	version           string
 	leaving           bool
 	stopped           bool
-	// terminated reports that the instance has terminated, announced or not, judged by
-	// its port. It gets no requests until it announces itself again: each would lose one
-	// of its attempts there.
+	// terminated reports that the instance's port refuses connections: it has terminated,
+	// whether or not it announced its shutdown. It gets no requests until it announces
+	// itself again, because each would waste one of its attempts there.
 	terminated bool
-	// warmUpEnd is when the instance reaches its full speed.
+	// warmUpEnd is when the instance is expected to reach its full speed.
 	warmUpEnd     time.Time
 	lastAnnounced time.Time
 	counts        Counts
 }
 
-// waiter is the state of the goroutine that serves one request.
+// waiter is the state of one request, queued or running, and of the goroutine that serves
+// it.
 type waiter struct {
 	decisions chan admit.Decision
 	// run is the request as sent to the target, nil before; fingerprint is the
@@ -84,8 +86,8 @@
 	fingerprint crash.Fingerprint
 	// started is when the target was called, zero before that.
 	started time.Time
-	// reported is the age last reported to the detector.
-	reported time.Duration
+	// reportedAge is the age last reported to the detector.
+	reportedAge time.Duration
 	// expected is the expected duration, 0 if the front did not give one.
 	expected time.Duration
 	// overdueAfter is the running time after which the request counts against the
@@ -96,7 +98,7 @@
 	overdue bool
 }
 
-// Counts are an instance's counters since its announcement.
+// Counts are an instance's counters since its first announcement.
 type Counts struct {
 	Ran       uint64 `json:"ran"`
 	Failed    uint64 `json:"failed"`
@@ -150,24 +152,24 @@
 		i.updateQueue()
 		event.Log(i.guard.log, event.InstanceLeaving, slog.String("instance", i.name), slog.Bool("leaving", i.leaving))
 	}
-	return i.setWarmup(now, a) || changed
+	return i.setWarmUp(now, a) || changed
 }
 
-// setWarmup applies the announced warm-up time and reports whether it changed enough
+// setWarmUp applies the announced warm-up time and reports whether it changed enough
 // to be published. The caller must hold i.mu.
-func (i *instance) setWarmup(now time.Time, a Announcement) bool {
+func (i *instance) setWarmUp(now time.Time, a Announcement) bool {
 	if a.WarmupLeftMS == nil {
 		return false
 	}
-	was := max(i.warmUpEnd.Sub(now), 0)
+	previous := max(i.warmUpEnd.Sub(now), 0)
 	left := time.Duration(*a.WarmupLeftMS) * time.Millisecond
 	i.warmUpEnd = now.Add(left)
-	return (was - left).Abs() > warmupChangeThreshold
+	return (previous - left).Abs() > warmUpChangeThreshold
 }
 
-// warmupChangeThreshold is the change in remaining warm-up time above which it is
+// warmUpChangeThreshold is the change in remaining warm-up time above which it is
 // published again: smaller changes hardly affect target selection.
-const warmupChangeThreshold = 500 * time.Millisecond
+const warmUpChangeThreshold = 500 * time.Millisecond
 
 // apply sets the detection parameters and whether a planned stop covers the instance,
 // and reports whether the latter has changed.
@@ -205,7 +207,7 @@
 // i.mu.
 func (i *instance) unavailable() bool { return i.leaving || i.stopped || i.terminated }
 
-// close refuses queued requests and closes idle connections; running requests
+// close refuses queued and new requests and closes idle connections; running requests
 // continue.
 func (i *instance) close() {
 	i.mu.Lock()
@@ -239,8 +241,8 @@
 	}
 }
 
-// waiterDepth holds one grant and one refusal or start.
-const waiterDepth = 2
+// decisionCapacity is the capacity of waiter.decisions: one grant and one refusal or start.
+const decisionCapacity = 2
 
 // offer submits a request for admission; the decisions arrive on the waiter's
 // channel.
@@ -250,20 +252,21 @@
 	defer i.mu.Unlock()
 	i.nextID++
 	r.ID = i.nextID
-	w.decisions, w.expected = make(chan admit.Decision, waiterDepth), r.ExpectedServiceTime
+	w.decisions, w.expected = make(chan admit.Decision, decisionCapacity), r.ExpectedServiceTime
 	i.waiters[r.ID] = w
 	i.deliver(i.queue.Offer(now, r))
 	return r.ID
 }
 
-// run redeems a grant.
+// run starts a request that holds a grant.
 func (i *instance) run(now time.Time, id admit.ID) admit.Decision {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	return i.queue.Run(now, id)
 }
 
-// cancel cancels a request and reports whether it had started.
+// cancel cancels a request. It returns verdict.NotRun if the request had not started and
+// now never will.
 func (i *instance) cancel(now time.Time, id admit.ID) verdict.Verdict {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -273,7 +276,7 @@
 	return v
 }
 
-// start records the time at which the target is called.
+// start records that the request is sent to the target.
 func (i *instance) start(now time.Time, w *waiter, m *msg.Run) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -288,6 +291,7 @@
 	delete(i.waiters, id)
 }
 
+// expired reports whether the last announcement is older than AnnounceExpiry.
 func (i *instance) expired(now time.Time) bool {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -297,6 +301,7 @@
 // evidenceScale converts evidence from nats to the hundredths sent on the wire.
 const evidenceScale = 100
 
+// announced returns the instance as this host announces it to its peers.
 func (i *instance) announced() directory.Instance {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -306,8 +311,8 @@
 		WarmUpLeft: max(time.Until(i.warmUpEnd), 0),
 	}
 	if out.Health == detect.Suspect {
-		// Send the evidence at the time of suspicion, not the current one, which
-		// would change with every response.
+		// Send the evidence at which the suspicion began. The current evidence changes
+		// with every response, and so would the announcement.
 		out.Evidence = uint32(i.detector.SuspicionEvidence() * evidenceScale)
 	}
 	if i.unavailable() {
--- a/internal/guard/judge.go
+++ b/internal/guard/judge.go
@@ -13,22 +13,22 @@
 
 // classifyResponse classifies a response by its head: what it says about the instance,
 // and whether the response may be passed to the caller.
-func classifyResponse(a *targetconn.Response, m *msg.Run, d header.Dialect) (result, *verdict.Error) {
+func classifyResponse(resp *targetconn.Response, m *msg.Run, d header.Dialect) (result, *verdict.Error) {
 	switch {
-	case a.Status == http.StatusMisdirectedRequest && d.ExpectedInstance != "":
+	case resp.Status == http.StatusMisdirectedRequest && d.ExpectedInstance != "":
 		return result{shed: true}, verdict.New(verdict.NotRun, verdict.ReasonTargetShed, "the address belongs to another instance")
-	case d.NotRun != "" && a.Header.Get(d.NotRun) != "":
+	case d.NotRun != "" && resp.Header.Get(d.NotRun) != "":
 		return result{shed: true}, verdict.New(verdict.NotRun, verdict.ReasonTargetShed, "the target did not run the request")
-	case impliesNotRun(a.Status) && !m.Idempotent:
+	case impliesNotRun(resp.Status) && !m.Idempotent:
 		// The status would tell the caller that the request may safely be sent
 		// again.
 		return result{failed: true}, verdict.New(verdict.MayHaveRun, verdict.ReasonTargetBroke, "the target refused the request without stating that it was not run")
-	case a.Status/100 == 2 && d.TargetMarker != "" && a.Header.Get(d.TargetMarker) == "":
+	case resp.Status/100 == 2 && d.TargetMarker != "" && resp.Header.Get(d.TargetMarker) == "":
 		return result{failed: true}, verdict.New(verdict.Ran, verdict.ReasonTargetBroke, "the response lacks the required target marker header")
-	case unrequestedEncoding(a.Header, m.Header):
+	case unrequestedEncoding(resp.Header, m.Header):
 		return result{failed: true}, verdict.New(verdict.Ran, verdict.ReasonTargetBroke, "the response has a content encoding that the caller did not accept")
 	}
-	return classifyStatus(a.Status), nil
+	return classifyStatus(resp.Status), nil
 }
 
 // impliesNotRun reports whether a caller may conclude from the status that the
@@ -56,8 +56,8 @@
 	return true
 }
 
-// classifyStatus classifies a status. A target that sheds load answers 503 or 429,
-// which is not a fault.
+// classifyStatus classifies a response by its status. A target that sheds load responds
+// with 503 or 429, which is not a failure.
 func classifyStatus(status int) result {
 	switch status {
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests:
@@ -73,8 +73,8 @@
 	}
 }
 
-// callVerdict returns the verdict on a call without a response. A request is known not
-// to have run only if nothing of it was sent.
+// callVerdict returns the verdict on a request that got no response. It is known not to
+// have run only if nothing of it was sent.
 func callVerdict(err error) *verdict.Error {
 	var failed *targetconn.Error
 	switch {
--- a/internal/guard/judge_test.go
+++ b/internal/guard/judge_test.go
@@ -15,8 +15,8 @@
 
 func TestResponsesPassedToCaller(t *testing.T) {
 	d := header.Default()
-	d.TargetMarker = "Proof"
-	proof := http.Header{"Proof": {"x"}}
+	d.TargetMarker = "Target-Marker"
+	marked := http.Header{"Target-Marker": {"x"}}
 	for _, c := range []struct {
 		name       string
 		status     int
@@ -26,17 +26,17 @@
 		want       *verdict.Error
 		failed     bool
 	}{
-		{name: "success", status: 200, header: proof},
-		{name: "success without proof", status: 200, header: http.Header{}, want: &verdict.Error{Verdict: verdict.Ran}, failed: true},
-		{name: "failure needs no proof", status: 500, header: http.Header{}, failed: true},
-		{name: "not found is the target's answer", status: 404, header: proof},
+		{name: "success", status: 200, header: marked},
+		{name: "success without the target marker", status: 200, header: http.Header{}, want: &verdict.Error{Verdict: verdict.Ran}, failed: true},
+		{name: "failure without the target marker", status: 500, header: http.Header{}, failed: true},
+		{name: "not found is not a failure", status: 404, header: marked},
 		{name: "refused, marked as not run", status: 503, header: http.Header{d.NotRun: {"1"}}, want: &verdict.Error{Verdict: verdict.NotRun}},
-		{name: "another instance", status: 421, header: http.Header{}, want: &verdict.Error{Verdict: verdict.NotRun}},
-		{name: "503 that proves nothing", status: 503, header: proof, want: &verdict.Error{Verdict: verdict.MayHaveRun}, failed: true},
-		{name: "429 that proves nothing", status: 429, header: proof, want: &verdict.Error{Verdict: verdict.MayHaveRun}, failed: true},
-		{name: "503 to idempotent work", status: 503, header: proof, idempotent: true},
-		{name: "encoded, not accepted", status: 200, header: http.Header{"Proof": {"x"}, "Content-Encoding": {"gzip"}}, want: &verdict.Error{Verdict: verdict.Ran}, failed: true},
-		{name: "encoded, accepted", status: 200, header: http.Header{"Proof": {"x"}, "Content-Encoding": {"gzip"}}, accepted: []msg.Field{{Name: "Accept-Encoding", Value: "gzip"}}},
+		{name: "misdirected", status: 421, header: http.Header{}, want: &verdict.Error{Verdict: verdict.NotRun}},
+		{name: "503 without the not-run header", status: 503, header: marked, want: &verdict.Error{Verdict: verdict.MayHaveRun}, failed: true},
+		{name: "429 without the not-run header", status: 429, header: marked, want: &verdict.Error{Verdict: verdict.MayHaveRun}, failed: true},
+		{name: "503 to an idempotent request", status: 503, header: marked, idempotent: true},
+		{name: "encoded, not accepted", status: 200, header: http.Header{"Target-Marker": {"x"}, "Content-Encoding": {"gzip"}}, want: &verdict.Error{Verdict: verdict.Ran}, failed: true},
+		{name: "encoded, accepted", status: 200, header: http.Header{"Target-Marker": {"x"}, "Content-Encoding": {"gzip"}}, accepted: []msg.Field{{Name: "Accept-Encoding", Value: "gzip"}}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			res, fail := classifyResponse(&targetconn.Response{Status: c.status, Header: c.header}, &msg.Run{Idempotent: c.idempotent, Header: c.accepted}, d)
--- a/internal/guard/pace.go
+++ b/internal/guard/pace.go
@@ -60,12 +60,12 @@
 	}
 }
 
-// latencyRatioUnit stands for the ratio 1, that of a request that takes as long as its
+// latencyRatioUnit represents the ratio 1, that of a request that takes as long as its
 // front expects at this instance: the mean time of the route times the instance's own
 // latency ratio, as measured by that front. The samples that fronts send, by contrast,
 // are relative to the mean time of the route alone. The detector compares ratios instead
-// of service times, because routes differ in the work per request. Failures are covered
-// by the failure estimate.
+// of service times, because routes differ in the work per request. It gets no failures,
+// which the failure estimate covers.
 const latencyRatioUnit = time.Second
 
 // latencyRatio returns the ratio of a service time to the expected duration, in units
@@ -85,13 +85,15 @@
 	i.observePeer(now, time.Duration(s.LatencyRatio)*latencyRatioUnit/msg.Thousandths)
 }
 
+// observePeer adds the latency ratio of another instance of the service to the reference.
 func (i *instance) observePeer(now time.Time, ratio time.Duration) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	i.reference.Add(now, ratio, false)
 }
 
-// tick expires grants and reports stuck requests.
+// tick expires grants, counts overdue requests against the instance and passes the ages of
+// running requests to the detector. It reports whether the instance's health has changed.
 func (i *instance) tick(now time.Time) bool {
 	i.mu.Lock()
 	i.deliver(i.queue.Tick(now))
@@ -103,10 +105,10 @@
 			w.overdue = true
 			i.failureEstimate.Observe(now, true, i.guard.model)
 		}
-		if w.started.IsZero() || age < 2*w.reported || age < minStuckAge {
+		if w.started.IsZero() || age < 2*w.reportedAge || age < minStuckAge {
 			continue
 		}
-		w.reported = age
+		w.reportedAge = age
 		if ratio := w.latencyRatio(age); ratio > 0 && i.detector.AddPending(now, ref, ratio) {
 			changed = true
 		}
@@ -118,9 +120,10 @@
 	return changed
 }
 
-// minStuckAge is the minimum age at which a running request is checked.
+// minStuckAge is the minimum age at which a running request is passed to the detector.
 const minStuckAge = 20 * time.Millisecond
 
+// logHealth logs a change of the detector's verdict.
 func (i *instance) logHealth() {
 	i.mu.Lock()
 	health, evidence := i.detector.Health(), i.detector.Evidence()
--- a/internal/guard/repeats.go
+++ b/internal/guard/repeats.go
@@ -11,17 +11,18 @@
 
 const (
 	// guardBudgetPart is the part of the retry budget that guards grant. The rest
-	// covers retries that no guard can know of or refuse: calls made by retried runs,
-	// which are distributed unevenly over the guards, and hosts that join.
+	// covers what guards cannot know of or refuse: calls made by retried runs, which are
+	// distributed unevenly over the guards, and the retries of hosts that join.
 	guardBudgetPart = 0.8
-	// timelyRetryPart is the part of the allowance that hedges and retries after the
-	// objective leave for retries that can still complete in time.
+	// timelyRetryPart is the part of the allowance that is reserved for retries that can
+	// still meet the latency objective. Hedges and retries after the objective must leave
+	// it unused.
 	timelyRetryPart = 0.5
-	// overdrawnPause is how long a host makes no retries after a call made by one of
+	// overdrawnPause is how long a host grants no retries after a call made by one of
 	// its runs found the budget empty: about the duration of a run with its calls.
 	overdrawnPause = time.Second
 	// guardDecreaseWindows is the number of windows for which a service keeps its
-	// previous guard count after guards have gone: these may have spent their part.
+	// previous guard count after guards have left: these may have spent their part.
 	guardDecreaseWindows = 2
 )
 
@@ -49,10 +50,11 @@
 	// origins tracks which routes to the service are used for calls between
 	// services.
 	origins *retry.Origins
-	share   float64
+	// share is the number of retries allowed per request.
+	share float64
 	// guards is the number of guards among which the reserve is divided.
 	// reducedGuards is the lower number observed since reducedSince, if guards have
-	// gone.
+	// left.
 	guards        int
 	reducedGuards int
 	reducedSince  time.Time
@@ -72,14 +74,14 @@
 		}
 	}
 	for name, s := range d.Services {
-		k, ok := r.byService[name]
+		b, ok := r.byService[name]
 		if !ok {
-			k = &serviceBudget{budget: retry.NewBudget(now, retry.Limits{}), origins: retry.NewOrigins()}
-			r.byService[name] = k
+			b = &serviceBudget{budget: retry.NewBudget(now, retry.Limits{}), origins: retry.NewOrigins()}
+			r.byService[name] = b
 		}
-		k.share = s.Record.RetryShare()
-		k.setGuards(now, s.Hosts, guardDecreaseWindows*l.RetryWindow)
-		k.applyLimits(l)
+		b.share = s.Record.RetryShare()
+		b.setGuards(now, s.Hosts, guardDecreaseWindows*l.RetryWindow)
+		b.applyLimits(l)
 	}
 }
 
@@ -87,46 +89,47 @@
 func (r *retryBudgets) setLimits(l Limits) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, k := range r.byService {
-		k.applyLimits(l)
+	for _, b := range r.byService {
+		b.applyLimits(l)
 	}
 }
 
 // setGuards updates the service's number of guards. A decrease takes effect after it
 // has persisted for the hold time.
-func (k *serviceBudget) setGuards(now time.Time, guards int, hold time.Duration) {
+func (b *serviceBudget) setGuards(now time.Time, guards int, hold time.Duration) {
 	switch {
-	case guards >= k.guards:
-		k.guards, k.reducedGuards = guards, guards
-	case guards != k.reducedGuards:
-		k.reducedGuards, k.reducedSince = guards, now
-	case now.Sub(k.reducedSince) > hold:
-		k.guards = guards
+	case guards >= b.guards:
+		b.guards, b.reducedGuards = guards, guards
+	case guards != b.reducedGuards:
+		b.reducedGuards, b.reducedSince = guards, now
+	case now.Sub(b.reducedSince) > hold:
+		b.guards = guards
 	}
 }
 
-func (k *serviceBudget) applyLimits(l Limits) {
-	k.budget.SetLimits(retry.Limits{
-		Share:   guardBudgetPart * k.share,
-		Reserve: guardBudgetPart * l.RetryReserve / float64(max(k.guards, 1)),
+func (b *serviceBudget) applyLimits(l Limits) {
+	b.budget.SetLimits(retry.Limits{
+		Share:   guardBudgetPart * b.share,
+		Reserve: guardBudgetPart * l.RetryReserve / float64(max(b.guards, 1)),
 		Window:  l.RetryWindow,
 	})
 }
 
-// reserve reserves a retry for a request that is about to be admitted.
+// reserve reserves a retry for a request that is about to be admitted and reports whether
+// the budget permits it.
 func (r *retryBudgets) reserve(now time.Time, service string, hints msg.AdmissionHints) bool {
-	kept := 0.0
+	keep := 0.0
 	if hints.Hedge || hints.ObjectiveMS > 0 && hints.UsedMS >= hints.ObjectiveMS {
-		kept = timelyRetryPart
+		keep = timelyRetryPart
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	k, ok := r.byService[service]
-	return ok && now.Sub(r.overdrawnAt) > overdrawnPause && k.budget.Hold(now, kept)
+	b, ok := r.byService[service]
+	return ok && now.Sub(r.overdrawnAt) > overdrawnPause && b.budget.Hold(now, keep)
 }
 
 // PauseRetries records that a call that may come from a retried run on this host has
-// found the retry budget empty. Such calls cannot be refused, so the host makes no
+// found the retry budget empty. Such calls cannot be refused, so the host grants no
 // retries for a while.
 func (g *Guard) PauseRetries(now time.Time) {
 	g.retryBudgets.mu.Lock()
@@ -138,8 +141,8 @@
 func (r *retryBudgets) release(service string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if k, ok := r.byService[service]; ok {
-		k.budget.Release()
+	if b, ok := r.byService[service]; ok {
+		b.budget.Release()
 	}
 }
 
@@ -158,14 +161,14 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var run activeRun
-	k, ok := r.byService[service]
+	b, ok := r.byService[service]
 	switch {
 	case !ok:
 	case reserved:
 		run.retryFraction = msg.Thousandths
-		k.budget.UseHeld(now)
+		b.budget.UseHeld(now)
 	default:
-		run.retryFraction = k.recordFirstAttempt(now, hints)
+		run.retryFraction = b.recordFirstAttempt(now, hints)
 	}
 	run.retryable = idempotent || reserved
 	r.countRun(run, 1)
@@ -174,17 +177,17 @@
 
 // recordFirstAttempt records a first attempt and returns the fraction that counts as a
 // retry, in thousandths.
-func (k *serviceBudget) recordFirstAttempt(now time.Time, hints msg.AdmissionHints) uint16 {
-	k.origins.Observe(now, hints.Route, hints.OriginIdle)
-	if k.origins.IsCallerRoute(hints.Route) {
-		k.budget.AddRequest(now, 0)
+func (b *serviceBudget) recordFirstAttempt(now time.Time, hints msg.AdmissionHints) uint16 {
+	b.origins.Observe(now, hints.Route, hints.OriginIdle)
+	if b.origins.IsCallerRoute(hints.Route) {
+		b.budget.AddRequest(now, 0)
 		return 0
 	}
 	fraction := min(hints.NestedRetryChance, msg.Thousandths)
-	if k.origins.IsCallRoute(hints.Route) {
-		k.budget.AddCall(now, float64(fraction)/msg.Thousandths)
+	if b.origins.IsCallRoute(hints.Route) {
+		b.budget.AddCall(now, float64(fraction)/msg.Thousandths)
 	} else {
-		k.budget.AddRequest(now, float64(fraction)/msg.Thousandths)
+		b.budget.AddRequest(now, float64(fraction)/msg.Thousandths)
 	}
 	return fraction
 }
@@ -210,11 +213,11 @@
 func (r *retryBudgets) remaining(now time.Time, service string) uint16 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	k, ok := r.byService[service]
+	b, ok := r.byService[service]
 	if !ok {
 		return 0
 	}
-	return uint16(min(k.budget.Available(now), 1<<16-1))
+	return uint16(min(b.budget.Available(now), 1<<16-1))
 }
 
 // CallOrigin describes a request that originates on this host now. nestedRetryChance is
--- a/internal/guard/repeats_test.go
+++ b/internal/guard/repeats_test.go
@@ -29,7 +29,8 @@
 
 func retryLimits() Limits { return Limits{RetryReserve: testReserve, RetryWindow: testWindow} }
 
-// testDirectory returns the directory of a host that considers the given hosts alive.
+// testDirectory returns the directory of a host that knows the given hosts, each with one
+// instance of service s. alive reports for each whether it is considered alive.
 func testDirectory(alive []bool) *directory.Directory {
 	svc := &record.Record{Key: record.Key{Kind: record.KindService, Name: "s"}, Spec: &record.Service{RetryPercent: testPercent}}
 	var hosts []*directory.Host
@@ -58,7 +59,7 @@
 			all[i].apply(now, testDirectory(alive), retryLimits())
 		}
 		now = now.Add(testWindow)
-		var fresh, sent []time.Time
+		var firstAttempts, retries []time.Time
 		for range rapid.IntRange(100, 3000).Draw(t, "steps") {
 			now = now.Add(time.Duration(rng.IntN(40)) * time.Millisecond)
 			i := rng.IntN(guards)
@@ -75,13 +76,13 @@
 				continue
 			}
 			all[i].end(all[i].begin(now, "s", false, true, msg.AdmissionHints{}))
-			fresh = append(fresh, now)
+			firstAttempts = append(firstAttempts, now)
 			for all[i].reserve(now, "s", msg.AdmissionHints{}) {
 				all[i].end(all[i].begin(now, "s", true, true, msg.AdmissionHints{}))
-				sent = append(sent, now)
+				retries = append(retries, now)
 			}
 		}
-		checkWindows(t, fresh, sent)
+		checkWindows(t, firstAttempts, retries)
 	})
 }
 
@@ -98,20 +99,20 @@
 
 // checkWindows checks every window that ends with a retry against the allowance. If
 // load drops, the number of requests is that of the preceding window or of the one
-// half a window earlier: a retry is earned by the requests before it.
-func checkWindows(t *rapid.T, fresh, sent []time.Time) {
-	first := 0
-	for i, end := range sent {
+// half a window earlier: the requests before a retry add to its allowance.
+func checkWindows(t *rapid.T, firstAttempts, retries []time.Time) {
+	oldest := 0
+	for i, end := range retries {
 		from := end.Add(-testWindow)
-		for sent[first].Before(from) {
-			first++
+		for retries[oldest].Before(from) {
+			oldest++
 		}
 		requests := 0
 		for _, back := range []time.Duration{0, testWindow / 2, testWindow} {
-			requests = max(requests, countWithin(fresh, from.Add(-back), end.Add(-back)))
+			requests = max(requests, countWithin(firstAttempts, from.Add(-back), end.Add(-back)))
 		}
 		bound := testPercent/100.0*float64(requests) + testReserve
-		assert.Assert(t, float64(i+1-first) <= bound, "%d retries, at most %.1f allowed", i+1-first, bound)
+		assert.Assert(t, float64(i+1-oldest) <= bound, "%d retries, at most %.1f allowed", i+1-oldest, bound)
 	}
 }
 
@@ -122,8 +123,9 @@
 	return after - first
 }
 
-// Nearly all of the fleet's allowance can be spent where retries are needed.
-// Regression test for dividing it among the fronts: each part was too small to use.
+// Regression test for an allowance that could not be spent where retries were needed: it
+// was divided among the fronts, and each part was too small to use. Guards must be able to
+// spend nearly all of it.
 func TestFewGuardsCanSpendNearlyTheWholeBudget(t *testing.T) {
 	const guards, perSecond = 8, 60
 	now := time.Unix(1000, 0)
@@ -150,6 +152,8 @@
 	assert.Assert(t, float64(spent) > 0.85*guardBudgetPart*allowed, "%d of %.0f", spent, allowed)
 }
 
+// Hedges and retries after the objective leave half of the budget to retries that can
+// still meet it.
 func TestHedgesAndLateRetriesLeaveHalfOfTheBudget(t *testing.T) {
 	now := time.Unix(1000, 0)
 	r := newRetryBudgets()
@@ -165,8 +169,8 @@
 	assert.Assert(t, r.reserve(now, "s", msg.AdmissionHints{ObjectiveMS: 500, UsedMS: 100}))
 }
 
-// Requests that originate on a host running retries may be calls made by them, unless
-// callers use the route.
+// Requests that originate on a host running retries may be calls made by these, and then
+// count in part as retries, unless callers use the route.
 func TestCallsOfRetriedRunsAreEstimated(t *testing.T) {
 	now := time.Now()
 	g := newTestGuard(t, "127.0.0.1:1")
--- a/internal/guard/restart_test.go
+++ b/internal/guard/restart_test.go
@@ -28,6 +28,8 @@
 	return w.Code
 }
 
+// readyBody returns the announcement of a ready instance, with a field that the guard does
+// not know and must ignore.
 func readyBody(address string, startedMS, sequence int) string {
 	return fmt.Sprintf(`{"service":"s","address":%q,"slots":2,"state":"ready","sequence":%d,"born":%d,"another":{"field":1}}`, address, sequence, startedMS)
 }
@@ -53,7 +55,7 @@
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
-	t.Fatal("the condition never held")
+	t.Fatal("the condition did not hold within 10 s")
 }
 
 // An instance that restarts under the same name inherits no state. A request that was
@@ -81,25 +83,25 @@
 	assert.Equal(t, fail.Verdict, verdict.MayHaveRun)
 	assert.Equal(t, fail.Reason, verdict.ReasonTargetBroke)
 
-	now, ok := g.find("s", "n")
-	assert.Assert(t, ok && now != old)
-	load := now.load()
+	restarted, ok := g.find("s", "n")
+	assert.Assert(t, ok && restarted != old)
+	load := restarted.load()
 	assert.Equal(t, load.Running, uint32(0))
 	assert.Assert(t, load.FailureProbability() < 0.5)
-	assert.Equal(t, now.announced().State, directory.Serving)
-	// Delayed announcements of the previous run have no effect.
+	assert.Equal(t, restarted.announced().State, directory.Serving)
+	// Delayed announcements of the previous start have no effect.
 	assert.Equal(t, sendAnnouncement(g, http.MethodPut, "n", strings.Replace(readyBody(address, 1000, 9), "ready", "draining", 1)), http.StatusOK)
 	assert.Equal(t, sendAnnouncement(g, http.MethodDelete, "n", `{"born":1000}`), http.StatusNoContent)
-	same, ok := g.find("s", "n")
-	assert.Assert(t, ok && same == now)
-	assert.Equal(t, same.announced().State, directory.Serving)
-	// A withdrawal by the current run does.
+	current, ok := g.find("s", "n")
+	assert.Assert(t, ok && current == restarted)
+	assert.Equal(t, current.announced().State, directory.Serving)
+	// A withdrawal by the current start removes the instance.
 	assert.Equal(t, sendAnnouncement(g, http.MethodDelete, "n", ""), http.StatusNoContent)
 	_, ok = g.find("s", "n")
 	assert.Assert(t, !ok)
 }
 
-// A slot granted by the previous run of an instance cannot be used at the new one.
+// A slot granted before an instance restarted cannot be used after the restart.
 func TestRestartRevokesGrants(t *testing.T) {
 	address := startHungTarget(t)
 	g := newTestGuard(t, address)
@@ -139,7 +141,7 @@
 	`{"service":"s","address":"127.0.0.1:1","slots":2,"warmupLeftMS":{}}`,
 }
 
-// applyTestService puts service s into force as the only one.
+// applyTestService applies records in which s is the only service.
 func applyTestService(g *Guard) {
 	s := &record.Record{Key: record.Key{Kind: record.KindService, Name: "s"}, Spec: &record.Service{Preset: record.PresetQuick, Floor: record.Floor{Percent: 50}}}
 	g.Apply(directory.Build(directory.Compile([]*record.Record{s}, true), nil))
@@ -154,10 +156,10 @@
 			g := newTestGuard(t, "127.0.0.1:1")
 			g.log = slog.New(slog.NewJSONHandler(out, nil))
 			applyTestService(g)
-			held, _ := g.find("s", "i")
+			before, _ := g.find("s", "i")
 			status := sendAnnouncement(g, http.MethodPut, name, body)
-			still, ok := g.find("s", "i")
-			assert.Assert(t, ok && still == held, "%s as %s", body, name)
+			after, ok := g.find("s", "i")
+			assert.Assert(t, ok && after == before, "%s as %s", body, name)
 			assert.Equal(t, len(g.all()), 1, "%s as %s", body, name)
 			assert.Equal(t, status, http.StatusBadRequest, "%s as %s", body, name)
 		}
@@ -177,8 +179,8 @@
 	assert.Assert(t, strings.Count(out.String(), "announce refused") < sent/2)
 }
 
-// Whatever bytes are sent, the existing instance remains, and no instance is created
-// for a service that is not in force.
+// Whatever bytes are sent, every registered instance is of the service in force and has
+// at least one slot.
 func FuzzAnnouncements(f *testing.F) {
 	for _, body := range invalidAnnouncements {
 		f.Add("other", []byte(body))
--- a/internal/guard/serve.go
+++ b/internal/guard/serve.go
@@ -28,20 +28,25 @@
 // exchange is the state of one request in the guard.
 type exchange struct {
 	guard *Guard
-	// request is the request id; service and instance are the ones it names.
-	request, service, instance string
-	stream                     wire.Stream
-	ctx                        context.Context
-	arrived                    time.Time
-	inst                       *instance
-	id                         admit.ID
-	waiter                     *waiter
-	inbox                      chan msg.Message
-	disconnected               chan struct{}
+	// service and instanceName are the service and instance that the front asked for.
+	requestID, service, instanceName string
+
+	stream  wire.Stream
+	ctx     context.Context
+	arrived time.Time
+	// inst is the instance named by instanceName, nil if there is none.
+	inst *instance
+	// queueID identifies the request in the instance's queue.
+	queueID admit.ID
+	waiter  *waiter
+	// inbox receives the front's messages, and disconnected is closed when the front
+	// cancels or disconnects.
+	inbox        chan msg.Message
+	disconnected chan struct{}
 	// deadline is when the caller stops waiting, by this host's clock.
 	deadline time.Time
-	// hints is the front's data on the request; retryReserved reports that a retry is
-	// reserved in the budget for it and not yet used.
+	// hints is the front's information on the request; retryReserved reports that a retry
+	// is reserved in the budget for it and not yet used.
 	hints         msg.AdmissionHints
 	retryReserved bool
 	// fingerprint is the request's fingerprint, 0 if it has none.
@@ -57,12 +62,12 @@
 func (x *exchange) serve(first msg.Message) {
 	switch m := first.(type) {
 	case *msg.Run:
-		x.request = m.RequestID
+		x.requestID = m.RequestID
 		if x.admit(m.Service, m.Instance, m.TimeoutMS, admit.Request{Class: m.Class, Priority: m.Priority, SubPriority: m.SubPriority}, m.Hints, m.Sample) {
 			x.serveRun(m)
 		}
 	case *msg.Reserve:
-		x.request = m.RequestID
+		x.requestID = m.RequestID
 		r := admit.Request{Class: m.Class, Priority: m.Priority, SubPriority: m.SubPriority, Reserve: true}
 		if x.admit(m.Service, m.Instance, m.TimeoutMS, r, m.Hints, m.Sample) {
 			x.serveReserve()
@@ -74,7 +79,7 @@
 
 // admit offers the request to its instance and starts reading the stream.
 func (x *exchange) admit(service, name string, timeoutMS uint32, r admit.Request, hints msg.AdmissionHints, sample msg.Sample) bool {
-	x.service, x.instance = service, name
+	x.service, x.instanceName = service, name
 	x.deadline = x.arrived.Add(time.Duration(timeoutMS) * time.Millisecond)
 	inst, ok := x.guard.find(service, name)
 	if !ok {
@@ -103,7 +108,7 @@
 	r.ExpectedServiceTime, r.AllowLate = time.Duration(hints.ExpectedMS)*time.Millisecond, hints.AllowLate
 	inst.observe(x.arrived, sample)
 	x.waiter = &waiter{fingerprint: x.fingerprint, overdueAfter: overdueAfter(hints)}
-	x.id = inst.offer(x.arrived, r, x.waiter)
+	x.queueID = inst.offer(x.arrived, r, x.waiter)
 	x.inbox = make(chan msg.Message, 1)
 	x.disconnected = make(chan struct{})
 	go x.read()
@@ -112,15 +117,14 @@
 
 // A request that runs longer than both of these multiples, of its objective and of its
 // expected duration, indicates a hung instance. Service times have a long tail: at
-// twice the objective, one response in a hundred of a healthy instance was still
-// outstanding.
+// twice the objective, a healthy instance still had one response in a hundred outstanding.
 const (
 	overdueObjectiveFactor = 2
 	overdueExpectedFactor  = 5
 )
 
 // overdueAfter returns the running time after which a request counts against its
-// instance.
+// instance, 0 if the front gave neither an objective nor an expected duration.
 func overdueAfter(hints msg.AdmissionHints) time.Duration {
 	ms := max(overdueObjectiveFactor*hints.ObjectiveMS, overdueExpectedFactor*hints.ExpectedMS)
 	return time.Duration(ms) * time.Millisecond
@@ -151,7 +155,7 @@
 	select {
 	case d := <-x.waiter.decisions:
 		if d.Action != admit.Start {
-			x.refused(d)
+			x.refuseDecision(d)
 			return
 		}
 		x.call(m)
@@ -160,12 +164,12 @@
 	}
 }
 
-// serveReserve waits for a slot, grants it, and waits for Run.
+// serveReserve waits for a slot, grants it to the front, waits for Run and runs the request.
 func (x *exchange) serveReserve() {
 	select {
 	case d := <-x.waiter.decisions:
 		if d.Action != admit.Grant {
-			x.refused(d)
+			x.refuseDecision(d)
 			return
 		}
 	case <-x.disconnected:
@@ -181,12 +185,13 @@
 	case m := <-x.inbox:
 		x.runReserved(m)
 	case d := <-x.waiter.decisions:
-		x.refused(d)
+		x.refuseDecision(d)
 	case <-x.disconnected:
 		x.abandon()
 	}
 }
 
+// runReserved handles the front's message after a grant, which must be Run.
 func (x *exchange) runReserved(m msg.Message) {
 	run, ok := m.(*msg.Run)
 	if !ok || !run.Reserved {
@@ -199,27 +204,27 @@
 		x.fail(refusal(verdict.ReasonKeyNoOwner, "the claim on the idempotency key is from an older epoch"))
 		return
 	}
-	if d := x.inst.run(time.Now(), x.id); d.Action != admit.Start {
-		x.refused(d)
+	if d := x.inst.run(time.Now(), x.queueID); d.Action != admit.Start {
+		x.refuseDecision(d)
 		return
 	}
 	x.call(run)
 }
 
-// abandon cancels the request before it has run.
+// abandon cancels a request that has not been sent to the instance.
 func (x *exchange) abandon() {
-	v := x.inst.cancel(time.Now(), x.id)
+	v := x.inst.cancel(time.Now(), x.queueID)
 	if v != verdict.NotRun {
 		// The slot was assigned concurrently and has not been used.
-		x.inst.finish(time.Now(), x.id, result{shed: true})
+		x.inst.finish(time.Now(), x.queueID, result{shed: true})
 	}
-	x.inst.forget(x.id)
+	x.inst.forget(x.queueID)
 	x.logRefusal(refusal(verdict.ReasonCancelled, ""))
 }
 
-// refused reports an admission decision against running the request.
-func (x *exchange) refused(d admit.Decision) {
-	x.inst.forget(x.id)
+// refuseDecision refuses the request for the reason given in the admission decision.
+func (x *exchange) refuseDecision(d admit.Decision) {
+	x.inst.forget(x.queueID)
 	x.inst.mu.Lock()
 	x.inst.counts.Refused++
 	x.inst.mu.Unlock()
@@ -271,5 +276,5 @@
 	_ = x.stream.Send(ctx, f)
 }
 
-// failTimeout limits the sending of a failure.
+// failTimeout limits how long sending a failure to the front may take.
 const failTimeout = 5 * time.Second
--- a/internal/guard/state.go
+++ b/internal/guard/state.go
@@ -35,7 +35,8 @@
 	Counts          Counts  `json:"counts"`
 }
 
-// Suspect reports whether the guard asks target selection to avoid the instance.
+// Suspect reports whether the detector suspects the instance, so that target selection
+// avoids it.
 func (s InstanceState) Suspect() bool { return s.Health == detect.Suspect.String() }
 
 func (i *instance) state() InstanceState {
@@ -70,10 +71,10 @@
 // Suspects returns the suspected requests for the state dump.
 func (g *Guard) Suspects() []SuspectState {
 	out := []SuspectState{}
-	for p, v := range *g.suspects.assessments.Load() {
-		s := SuspectState{Fingerprint: p.String(), Crashes: v.Crashes, Instances: crashRecords(g.suspects.crashesOf(p))}
-		if !v.BlockedUntil.IsZero() {
-			s.Until = v.BlockedUntil.UTC().Format(time.RFC3339)
+	for fp, assessment := range *g.suspects.assessments.Load() {
+		s := SuspectState{Fingerprint: fp.String(), Crashes: assessment.Crashes, Instances: crashRecords(g.suspects.crashesOf(fp))}
+		if !assessment.BlockedUntil.IsZero() {
+			s.Until = assessment.BlockedUntil.UTC().Format(time.RFC3339)
 		}
 		out = append(out, s)
 	}
--- a/internal/guard/suspects_test.go
+++ b/internal/guard/suspects_test.go
@@ -22,8 +22,8 @@
 	"github.com/radishhoist/radishhoist/verdict"
 )
 
-// crashingTarget is a target that crashes, or only closes a connection, on some
-// paths.
+// crashingTarget is a target that crashes on the path /crash, closes the connection on
+// /break and does not respond on /wait.
 type crashingTarget struct {
 	listener net.Listener
 	mu       sync.Mutex
@@ -34,24 +34,24 @@
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
-	f := &crashingTarget{listener: l}
-	t.Cleanup(f.crash)
+	target := &crashingTarget{listener: l}
+	t.Cleanup(target.crash)
 	go func() {
 		for {
 			c, err := l.Accept()
 			if err != nil {
 				return
 			}
-			f.mu.Lock()
-			f.conns = append(f.conns, c)
-			f.mu.Unlock()
-			go f.serve(c)
+			target.mu.Lock()
+			target.conns = append(target.conns, c)
+			target.mu.Unlock()
+			go target.serve(c)
 		}
 	}()
-	return f
+	return target
 }
 
-func (f *crashingTarget) serve(c net.Conn) {
+func (t *crashingTarget) serve(c net.Conn) {
 	in := bufio.NewReader(c)
 	for {
 		r, err := http.ReadRequest(in)
@@ -60,7 +60,7 @@
 		}
 		switch r.URL.Path {
 		case "/crash":
-			f.crash()
+			t.crash()
 		case "/break":
 			_ = c.Close()
 		case "/wait":
@@ -71,12 +71,12 @@
 	}
 }
 
-// crash closes everything at once, like a crashing process.
-func (f *crashingTarget) crash() {
-	_ = f.listener.Close()
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	for _, c := range f.conns {
+// crash closes the listener and all connections, like a crashing process.
+func (t *crashingTarget) crash() {
+	_ = t.listener.Close()
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	for _, c := range t.conns {
 		_ = c.Close()
 	}
 }
@@ -90,16 +90,16 @@
 
 func newSuspectGuard(t *testing.T, address, service string) (*Guard, fleetReports) {
 	t.Helper()
-	n := fleetReports{crashes: make(chan crash.Crash, 4), cleared: make(chan string, 4), blocked: make(chan BlockedRequest, 4)}
+	reports := fleetReports{crashes: make(chan crash.Crash, 4), cleared: make(chan string, 4), blocked: make(chan BlockedRequest, 4)}
 	g := New(Config{Host: "h", QueuePerSlot: 2, GrantLife: time.Minute, TargetIdle: time.Minute}, Limits{AnnounceExpiry: time.Hour},
 		slog.New(slog.NewTextHandler(io.Discard, nil)), allowAllFence{}, Hooks{
 			Changed: func() {}, LoadReport: func(*msg.LoadReport, loadreport.Reach) {},
-			Crashed: func(e crash.Crash) { n.crashes <- e }, Cleared: func(id string, _ crash.Fingerprint) { n.cleared <- id },
-			Blocked: func(s BlockedRequest) { n.blocked <- s },
+			Crashed: func(c crash.Crash) { reports.crashes <- c }, Cleared: func(id string, _ crash.Fingerprint) { reports.cleared <- id },
+			Blocked: func(b BlockedRequest) { reports.blocked <- b },
 		})
 	a := Announcement{Service: service, Address: address, Slots: 4, Connections: 8, Version: "1"}
 	assert.NilError(t, g.Announce(time.Now(), "i", a))
-	return g, n
+	return g, reports
 }
 
 // send runs one request to completion and returns the guard's last message.
@@ -127,72 +127,71 @@
 // returns a channel with the guard's last message on it.
 func startWaiting(t *testing.T, g *Guard) <-chan msg.Message {
 	t.Helper()
-	waits := make(chan msg.Message, 1)
-	go func() { waits <- send(t, g, "/wait", 5) }()
+	waiting := make(chan msg.Message, 1)
+	go func() { waiting <- send(t, g, "/wait", 5) }()
 	for len(g.all()[0].inFlight()) == 0 {
 		time.Sleep(time.Millisecond)
 	}
-	return waits
+	return waiting
 }
 
-// All requests in flight when an instance crashes are reported to the fleet once, and
-// each caller gets the reason target-ended.
+// When an instance crashes, all requests in flight there are reported to the fleet in one
+// report, and each caller gets the reason target-ended.
 func TestCrashReportNamesInFlightRequests(t *testing.T) {
-	f := startCrashingTarget(t)
-	g, n := newSuspectGuard(t, f.listener.Addr().String(), "s")
-	waits := startWaiting(t, g)
+	target := startCrashingTarget(t)
+	g, reports := newSuspectGuard(t, target.listener.Addr().String(), "s")
+	waiting := startWaiting(t, g)
 	fail, ok := send(t, g, "/crash", 7).(*msg.Fail)
 	assert.Assert(t, ok)
 	assert.Equal(t, fail.Reason, verdict.ReasonTargetCrashed)
 	assert.Equal(t, fail.Verdict, verdict.MayHaveRun)
-	e := <-n.crashes
-	assert.DeepEqual(t, e.Fingerprints, []crash.Fingerprint{7, 5})
-	assert.Equal(t, e.Software, crash.Software{Service: "s", Version: "1"})
-	assert.Equal(t, (<-waits).(*msg.Fail).Reason, verdict.ReasonTargetCrashed)
-	assert.Equal(t, len(n.crashes), 0, "a crash is reported once")
+	c := <-reports.crashes
+	assert.DeepEqual(t, c.Fingerprints, []crash.Fingerprint{7, 5})
+	assert.Equal(t, c.Software, crash.Software{Service: "s", Version: "1"})
+	assert.Equal(t, (<-waiting).(*msg.Fail).Reason, verdict.ReasonTargetCrashed)
+	assert.Equal(t, len(reports.crashes), 0, "a crash is reported once")
 }
 
 // A broken connection is not a crash if the instance still accepts others.
 func TestBrokenConnectionIsNotACrash(t *testing.T) {
-	f := startCrashingTarget(t)
-	g, n := newSuspectGuard(t, f.listener.Addr().String(), "s")
+	target := startCrashingTarget(t)
+	g, reports := newSuspectGuard(t, target.listener.Addr().String(), "s")
 	fail, ok := send(t, g, "/break", 7).(*msg.Fail)
 	assert.Assert(t, ok)
 	assert.Equal(t, fail.Reason, verdict.ReasonTargetBroke)
-	assert.Equal(t, len(n.crashes), 0)
+	assert.Equal(t, len(reports.crashes), 0)
 }
 
-// A request that has completed at the instance before is not suspected of crashing
-// it.
+// A request that has recently completed at the instance is not suspected of crashing it.
 func TestCompletedRequestIsNotSuspected(t *testing.T) {
-	f := startCrashingTarget(t)
-	g, n := newSuspectGuard(t, f.listener.Addr().String(), "s")
+	target := startCrashingTarget(t)
+	g, reports := newSuspectGuard(t, target.listener.Addr().String(), "s")
 	_, completed := send(t, g, "/", 5).(*msg.End)
 	assert.Assert(t, completed)
 	startWaiting(t, g)
 	send(t, g, "/crash", 7)
-	assert.DeepEqual(t, (<-n.crashes).Fingerprints, []crash.Fingerprint{7})
+	assert.DeepEqual(t, (<-reports.crashes).Fingerprints, []crash.Fingerprint{7})
 }
 
-// An instance that announced its shutdown was not crashed by its requests.
+// If an instance announced its shutdown, no request is suspected when it terminates.
 func TestAnnouncedShutdownSuspectsNoRequest(t *testing.T) {
-	f := startCrashingTarget(t)
-	g, n := newSuspectGuard(t, f.listener.Addr().String(), "s")
-	waits := startWaiting(t, g)
+	target := startCrashingTarget(t)
+	g, reports := newSuspectGuard(t, target.listener.Addr().String(), "s")
+	waiting := startWaiting(t, g)
 	assert.NilError(t, g.Announce(time.Now(), "i", Announcement{
-		Service: "s", Address: f.listener.Addr().String(), Slots: 4, Connections: 8, Version: "1", Leaving: true,
+		Service: "s", Address: target.listener.Addr().String(), Slots: 4, Connections: 8, Version: "1", Leaving: true,
 	}))
-	f.crash()
-	assert.Equal(t, (<-waits).(*msg.Fail).Reason, verdict.ReasonTargetCrashed)
-	assert.Equal(t, len(n.crashes), 0)
+	target.crash()
+	assert.Equal(t, (<-waiting).(*msg.Fail).Reason, verdict.ReasonTargetCrashed)
+	assert.Equal(t, len(reports.crashes), 0)
 }
 
 // crashAt returns a crash on another host at the given second with one suspected
 // request.
-func crashAt(second int, p crash.Fingerprint) crash.Crash {
+func crashAt(second int, fp crash.Fingerprint) crash.Crash {
 	return crash.Crash{
 		ID: string(rune('a' + second)), Software: crash.Software{Service: "s", Version: "1"},
-		DetectedAt: time.Unix(int64(second), 0), Fingerprints: []crash.Fingerprint{p},
+		DetectedAt: time.Unix(int64(second), 0), Fingerprints: []crash.Fingerprint{fp},
 	}
 }
 
@@ -205,8 +204,8 @@
 }
 
 // A request that this host's front or guard has recently seen complete is not blocked
-// when instances crash elsewhere. Guards of the service report it to the fleet, other
-// hosts only note it locally; an old success has no effect.
+// when instances crash elsewhere. Hosts with instances of the service report it to the
+// fleet, other hosts only record it locally; an old success has no effect.
 func TestRecentlyCompletedRequestIsNotBlocked(t *testing.T) {
 	for name, c := range map[string]struct {
 		service  string
@@ -220,39 +219,38 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				g, n := newSuspectGuard(t, "10.0.0.1:80", c.service)
+				g, reports := newSuspectGuard(t, "10.0.0.1:80", c.service)
 				g.RecordCompletion(5, crash.Software{Service: "s", Version: "1"})
 				time.Sleep(c.ago)
 				reportThreeCrashes(g)
 				time.Sleep(crash.ClearanceWait)
-				v := g.CrashAssessment(5)
-				assert.Equal(t, v.BlockedEverywhere(time.Now()), c.blocked)
-				assert.Equal(t, len(n.cleared), c.reported)
+				assessment := g.CrashAssessment(5)
+				assert.Equal(t, assessment.BlockedEverywhere(time.Now()), c.blocked)
+				assert.Equal(t, len(reports.cleared), c.reported)
 			})
 		})
 	}
 }
 
-// A guard that knows a request to complete reports nothing if another host has
-// reported it by then.
+// A guard that has seen a request complete does not report it as cleared of a crash if
+// another host has reported that first.
 func TestClearingIsReportedOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g, n := newSuspectGuard(t, "10.0.0.1:80", "s")
+		g, reports := newSuspectGuard(t, "10.0.0.1:80", "s")
 		g.RecordCompletion(5, crash.Software{Service: "s", Version: "1"})
 		reportThreeCrashes(g)
 		g.ApplyCleared("a", 5)
 		g.ApplyCleared("b", 5)
 		time.Sleep(crash.ClearanceWait)
-		assert.Equal(t, len(n.cleared), 1)
+		assert.Equal(t, len(reports.cleared), 1)
 		assert.Equal(t, g.CrashAssessment(5).Crashes, 0)
 	})
 }
 
-// A request that arrives just as it would be blocked waits for a report that clears
-// it.
+// A request that arrives just after it was blocked waits for a report that clears it.
 func TestNewSuspectWaitsForClearance(t *testing.T) {
-	f := startCrashingTarget(t)
-	g, _ := newSuspectGuard(t, f.listener.Addr().String(), "s")
+	target := startCrashingTarget(t)
+	g, _ := newSuspectGuard(t, target.listener.Addr().String(), "s")
 	reportThreeCrashes(g)
 	time.AfterFunc(crash.ClearanceWait/3, func() {
 		for _, id := range []string{"a", "b", "c"} {
@@ -263,34 +261,34 @@
 	assert.Assert(t, completed)
 }
 
-// A blocked request is stored only if it has not been cleared for a while. A request
+// A blocked request is stored only if it is not cleared within a short time. A request
 // stored without cause would stay blocked after a restart of all processes, when no
 // host is left on which it could complete.
 func TestPromptlyClearedRequestIsNotStored(t *testing.T) {
 	for name, cleared := range map[string]bool{"cleared": true, "not cleared": false} {
 		t.Run(name, func(t *testing.T) {
-			f := startCrashingTarget(t)
-			g, n := newSuspectGuard(t, f.listener.Addr().String(), "s")
+			target := startCrashingTarget(t)
+			g, reports := newSuspectGuard(t, target.listener.Addr().String(), "s")
 			g.ApplyCrash(crashAt(0, 5))
 			g.ApplyCrash(crashAt(1, 5))
-			waits := startWaiting(t, g)
+			waiting := startWaiting(t, g)
 			send(t, g, "/crash", 7)
-			<-waits
+			<-waiting
 			assert.Equal(t, g.CrashAssessment(5).Crashes, 3)
 			if cleared {
 				g.ApplyCleared("a", 5)
 			}
 			time.Sleep(2 * crash.ClearanceWait)
-			assert.Equal(t, len(n.blocked) == 0, cleared)
+			assert.Equal(t, len(reports.blocked) == 0, cleared)
 		})
 	}
 }
 
-// A request suspected of three crashes anywhere reaches no instance here, whatever the
-// state of the queue; one that completes here is cleared of its crashes.
+// A request suspected of three crashes anywhere reaches no instance on this host, even if
+// a slot is free; one that completes here is cleared of its crashes.
 func TestBlockedRequestReachesNoInstance(t *testing.T) {
-	f := startCrashingTarget(t)
-	g, n := newSuspectGuard(t, f.listener.Addr().String(), "s")
+	target := startCrashingTarget(t)
+	g, reports := newSuspectGuard(t, target.listener.Addr().String(), "s")
 	for second := range 3 {
 		g.ApplyCrash(crashAt(second, 7))
 	}
@@ -302,10 +300,11 @@
 	assert.Assert(t, fail.RetryAfterMS > 60_000)
 	_, completed := send(t, g, "/", 5).(*msg.End)
 	assert.Assert(t, completed, "one crash does not block a request")
-	assert.Equal(t, <-n.cleared, "d")
+	assert.Equal(t, <-reports.cleared, "d")
 	assert.Equal(t, g.CrashAssessment(5).Crashes, 0)
 }
 
+// BenchmarkSuspectLookup measures the lookup made for each request.
 func BenchmarkSuspectLookup(b *testing.B) {
 	g := New(Config{}, Limits{}, slog.New(slog.NewTextHandler(io.Discard, nil)), allowAllFence{}, Hooks{})
 	b.ReportAllocs()
@@ -316,7 +315,7 @@
 	}
 }
 
-// Measures the cost of each success at a front and at a guard.
+// BenchmarkCompleted measures the cost of recording a success, at a front or at a guard.
 func BenchmarkCompleted(b *testing.B) {
 	g := New(Config{}, Limits{}, slog.New(slog.NewTextHandler(io.Discard, nil)), allowAllFence{}, Hooks{})
 	software := crash.Software{Service: "desk", Version: "1.4.2"}
@@ -327,13 +326,13 @@
 }
 
 // Regression test for a crashed instance being offered to fronts until its
-// announcements expire: each request sent there was refused and lost one of its
+// announcements expired: each request sent there was refused and wasted one of its
 // attempts. Only missing announcements took an instance out of service, so its host
 // kept announcing it as available. In ten seconds of the incident, 217 requests were
 // sent to a port that refused connections, up to 3.4 s after the crash.
 func TestTerminatedInstanceIsNotOffered(t *testing.T) {
-	f := startCrashingTarget(t)
-	g, _ := newSuspectGuard(t, f.listener.Addr().String(), "s")
+	target := startCrashingTarget(t)
+	g, _ := newSuspectGuard(t, target.listener.Addr().String(), "s")
 	assert.Equal(t, g.Instances()[0].State, directory.Serving)
 	send(t, g, "/crash", 7)
 	assert.Equal(t, g.Instances()[0].State, directory.Leaving)
@@ -341,20 +340,20 @@
 	assert.Assert(t, ok)
 	assert.Equal(t, fail.Verdict, verdict.NotRun)
 	assert.Equal(t, fail.Reason, verdict.ReasonDraining, "no connection is attempted")
-	assert.NilError(t, g.Announce(time.Now(), "i", Announcement{Service: "s", Address: f.listener.Addr().String(), Slots: 4, Connections: 8, Version: "1"}))
+	assert.NilError(t, g.Announce(time.Now(), "i", Announcement{Service: "s", Address: target.listener.Addr().String(), Slots: 4, Connections: 8, Version: "1"}))
 	assert.Equal(t, g.Instances()[0].State, directory.Serving, "it has announced itself again")
 }
 
-// A port that refuses connections from the start counts like a connection that
-// breaks.
+// An instance whose port refuses connections is also taken out of service if no request
+// was running there. Without suspects, its termination is not reported as a crash.
 func TestUnreachableInstanceIsNotOffered(t *testing.T) {
-	f := startCrashingTarget(t)
-	g, n := newSuspectGuard(t, f.listener.Addr().String(), "s")
-	f.crash()
+	target := startCrashingTarget(t)
+	g, reports := newSuspectGuard(t, target.listener.Addr().String(), "s")
+	target.crash()
 	fail, ok := send(t, g, "/", 5).(*msg.Fail)
 	assert.Assert(t, ok)
 	assert.Equal(t, fail.Reason, verdict.ReasonTargetDown)
 	assert.Equal(t, fail.Verdict, verdict.NotRun)
 	assert.Equal(t, g.Instances()[0].State, directory.Leaving)
-	assert.Equal(t, len(n.crashes), 0, "nothing ran")
+	assert.Equal(t, len(reports.crashes), 0, "nothing ran")
 }
--- a/internal/guard/trail_test.go
+++ b/internal/guard/trail_test.go
@@ -24,8 +24,8 @@
 // unsampledID is a request id for which successes are not logged.
 const unsampledID = "b82bd3c72d3d0916"
 
-// Every request that does not succeed leaves a log line at the guard, so that its
-// failure can be traced from the request id.
+// The guard logs every request that does not succeed, so that its failure can be traced
+// from the request id.
 func TestEveryFailureIsLoggedByTheGuard(t *testing.T) {
 	status := http.StatusOK
 	target := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -39,8 +39,8 @@
 		lines int
 	}{
 		{name: "success", lines: 0},
-		{name: "the instance exceeded the deadline", act: func(*Guard, *msg.Run) { status = http.StatusGatewayTimeout }, lines: 1},
-		{name: "the instance failed", act: func(*Guard, *msg.Run) { status = http.StatusInternalServerError }, lines: 1},
+		{name: "deadline exceeded", act: func(*Guard, *msg.Run) { status = http.StatusGatewayTimeout }, lines: 1},
+		{name: "instance failed", act: func(*Guard, *msg.Run) { status = http.StatusInternalServerError }, lines: 1},
 		{name: "unknown instance", act: func(_ *Guard, run *msg.Run) { run.Instance = "other" }, lines: 1},
 		{name: "shutting down", act: func(g *Guard, run *msg.Run) {
 			g.SetShutdownTime(time.Now().Add(time.Second))
@@ -77,7 +77,7 @@
 	}
 }
 
-// A request that its front cancels while it holds a slot is logged, too.
+// The guard also logs a request that its front cancels while it holds a slot.
 func TestCancelledRequestIsLogged(t *testing.T) {
 	out := &logtest.Buffer{}
 	g := newTestGuard(t, "127.0.0.1:1")
