--- a/internal/front/attempt.go
+++ b/internal/front/attempt.go
@@ -15,11 +15,11 @@
 // outcome is the result of one attempt.
 type outcome struct {
 	target *target
-	// fail is nil where answer holds a complete answer, or a streamed one that is still
+	// fail is nil if response holds a complete response, or a streamed one that is still
 	// being received.
-	fail   *verdict.Error
-	answer *answer
-	load   msg.Load
+	fail     *verdict.Error
+	response *response
+	load     msg.Load
 	// targetObserved reports that the target itself succeeded or failed, so that
 	// serviceTime and failed are valid observations of it.
 	targetObserved bool
@@ -42,30 +42,32 @@
 	stream    wire.Stream
 	conn      *wire.Conn
 	startedAt time.Time
-	answer    *answer
+	response  *response
 	// frameCheckAt is the next time to check whether the host has sent a frame.
 	frameCheckAt time.Time
-	frameChecks  int
+	// frameChecks counts the frame checks. It is maxFrameChecks once no more are needed.
+	frameChecks int
 }
 
 // attemptOptions are the options that one attempt passes to the guard.
 type attemptOptions struct {
-	// allowLate asks for a place in the queue even if the answer will miss the objective.
+	// allowLate asks for a place in the queue even if the response will miss the objective.
 	allowLate bool
 	// usesRetryBudget says that the request may have reached an instance before, so that the
 	// attempt draws on the retry budget. hedge says that another attempt is still running.
 	usesRetryBudget, hedge bool
 }
 
-// claimTask is a claim in progress at the key's owner. answer is set once done is closed.
+// claimTask is a claim in progress at the key's owner. claimResult is valid once done is
+// closed.
 type claimTask struct {
-	done   chan struct{}
-	answer ClaimResult
+	done        chan struct{}
+	claimResult ClaimResult
 }
 
 const (
 	// frameTimeout is how long a host may send no frame before it is pinged, and then how
-	// long it has to answer the ping before its path counts as broken. A frame is any
+	// long it has to reply to the ping before its path counts as broken. A frame is any
 	// message on the connection, of whichever request, or the reply to a ping.
 	frameTimeout = 150 * time.Millisecond
 	// cancelTimeout bounds the sending of Cancel.
@@ -110,7 +112,7 @@
 func (a *attempt) receive(ctx context.Context) *outcome {
 	a.frameCheckAt = a.startedAt.Add(frameTimeout)
 	for {
-		m, err := a.next(ctx)
+		m, err := a.nextMessage(ctx)
 		switch {
 		case err == nil:
 			if o := a.handle(ctx, m); o != nil {
@@ -126,12 +128,12 @@
 	}
 }
 
-// errWakeup is returned by next when the claim or the frame check is due and no message has
-// arrived.
+// errWakeup is returned by nextMessage when the claim has finished or a frame check is due
+// and no message has arrived.
 var errWakeup = errors.New("woken")
 
-// next waits for a message, the claim's result or the next frame check.
-func (a *attempt) next(ctx context.Context) (msg.Message, error) {
+// nextMessage waits for a message, the claim's result or the next frame check.
+func (a *attempt) nextMessage(ctx context.Context) (msg.Message, error) {
 	if a.frameChecks == maxFrameChecks && a.claim == nil {
 		return a.stream.Recv(ctx)
 	}
@@ -167,9 +169,9 @@
 	if a.claim != nil {
 		select {
 		case <-a.claim.done:
-			answer := a.claim.answer
+			claimResult := a.claim.claimResult
 			a.claim = nil
-			return a.handleClaim(ctx, answer)
+			return a.handleClaim(ctx, claimResult)
 		default:
 		}
 	}
@@ -205,10 +207,10 @@
 		return a.proceed(ctx, a.state.HandleGrant())
 	case *msg.Head:
 		if m.RequestID != a.req.id {
-			return a.rejectAnswer(verdict.ReasonAnswerMismatch, "the answer carries the id of another request")
+			return a.rejectResponse(verdict.ReasonAnswerMismatch, "the response carries the id of another request")
 		}
 		a.state.HandleResponseStart()
-		a.answer = newAnswer(a, m)
+		a.response = newResponse(a, m)
 	case *msg.Data:
 		return a.handleData(m)
 	case *msg.End:
@@ -219,11 +221,11 @@
 	return nil
 }
 
-// handleClaim processes the key owner's answer to the claim.
+// handleClaim processes the key owner's reply to the claim.
 func (a *attempt) handleClaim(ctx context.Context, k ClaimResult) *outcome {
 	if k.Outcome != once.ClaimRun {
 		o := a.abort(nil)
-		o.fail = keyFailure(k)
+		o.fail = claimFailure(k)
 		return o
 	}
 	a.epoch, a.shard = k.Epoch, k.Shard
@@ -231,30 +233,30 @@
 }
 
 func (a *attempt) handleData(m *msg.Data) *outcome {
-	if a.answer == nil {
-		return a.rejectAnswer(verdict.ReasonTargetBroke, "answer body received before the answer header")
+	if a.response == nil {
+		return a.rejectResponse(verdict.ReasonTargetBroke, "response body received before the response header")
 	}
-	a.answer.add(m.Bytes)
-	if len(a.answer.buffered) <= a.req.service.Record.AnswerBufferBytes() {
+	a.response.add(m.Bytes)
+	if len(a.response.buffered) <= a.req.service.Record.AnswerBufferBytes() {
 		return nil
 	}
 	// Too large to buffer: stream it to the caller.
-	a.answer.streaming = true
-	return &outcome{answer: a.answer}
+	a.response.streaming = true
+	return &outcome{response: a.response}
 }
 
 func (a *attempt) handleEnd(m *msg.End) *outcome {
-	if a.answer == nil {
-		return a.rejectAnswer(verdict.ReasonTargetBroke, "answer ended before the answer header was received")
+	if a.response == nil {
+		return a.rejectResponse(verdict.ReasonTargetBroke, "response ended before the response header was received")
 	}
-	if !a.answer.complete(m) {
-		return a.rejectAnswer(verdict.ReasonTargetBroke, "the answer does not match its length or hash")
+	if !a.response.complete(m) {
+		return a.rejectResponse(verdict.ReasonTargetBroke, "the response does not match its length or hash")
 	}
 	a.state.HandleResponseEnd(true)
 	a.stream.Close()
-	o := &outcome{answer: a.answer, load: m.Load, targetObserved: true}
+	o := &outcome{response: a.response, load: m.Load, targetObserved: true}
 	o.serviceTime = time.Duration(m.ServiceUS) * time.Microsecond
-	o.failed = retriableStatus(a.answer.head.Status)
+	o.failed = retryableStatus(a.response.head.Status)
 	queue := time.Duration(m.QueueUS) * time.Microsecond
 	a.front.paths.recordReply(a.target.Host.Name, time.Since(a.startedAt)-o.serviceTime-queue)
 	return o
@@ -274,8 +276,8 @@
 	return o
 }
 
-// rejectAnswer ends the attempt because of an invalid answer.
-func (a *attempt) rejectAnswer(reason verdict.Reason, detail string) *outcome {
+// rejectResponse ends the attempt because of an invalid response.
+func (a *attempt) rejectResponse(reason verdict.Reason, detail string) *outcome {
 	o := a.abort(nil)
 	o.fail = verdict.New(verdict.Ran, reason, detail)
 	o.targetObserved, o.failed = true, true
--- a/internal/front/choose.go
+++ b/internal/front/choose.go
@@ -10,17 +10,17 @@
 
 // trialShare is the share of a healthy instance's requests that an ejected instance still
 // gets, so that its recovery can be observed. Such a trial is a caller's request that is
-// sent to a target, or over a path, whose state is in doubt, to learn that state. Only first
-// attempts of requests that can be retried are used here. They are hedged like others: if
-// the answer is late, a second attempt is made in parallel.
+// sent to a target, or over a path, whose state is uncertain, in order to learn that state.
+// Ejected instances are tried only with first attempts of requests that can be retried.
+// Trials are hedged like other attempts: if the response is late, a second attempt is made
+// in parallel.
 const trialShare = 0.05
 
-// pick is a chosen target. A target is an instance together with this front's observations
-// of it.
+// pick is the target chosen for one attempt.
 type pick struct {
 	target *target
-	// sample is a latency of another instance. It is sent to the guard with the request,
-	// for comparison with the latency of this one.
+	// sample is a latency ratio of another instance. It is sent to the guard with the
+	// request, for comparison with the latency of the chosen one.
 	sample msg.Sample
 	// entry describes the choice in the request log.
 	entry attemptEntry
@@ -28,14 +28,16 @@
 	options attemptOptions
 }
 
-// choose picks a target that is not in tried and counts the request as pending there. A
-// request suspected of crashing instances goes to the instance designated for it. Any other
-// may be used for a trial, and otherwise goes to a usable target. If none of these gives a
-// target, also for a suspected request, pickFallback chooses one: an ejected target, one
-// whose path is excluded, or any other that accepts requests. A path is the network path to
-// the target's host; it is excluded while no frame arrives from there. If usesRetryBudget is
-// set, only targets whose guard may have retry budget left are considered, and there is no
-// fallback. It returns false if no target is left.
+// choose picks a target that is not in tried and counts the request as pending there. It
+// returns false if no target is left.
+//
+// A request suspected of crashing instances goes to the instance designated for it. Any
+// other request may be used for a trial, and otherwise goes to a usable target. If this
+// gives no target, for a suspected request too, pickFallback chooses one: an ejected target,
+// one whose path is excluded, or any other that accepts requests. A path is the network path
+// to the target's host; it is excluded while no frame arrives from that host. If
+// usesRetryBudget is set, only targets whose guard may have retry budget left are
+// considered, and there is no fallback.
 func (f *Front) choose(req *request, tried []*target, usesRetryBudget bool, rng *rand.Rand) (pick, bool) {
 	st := req.state
 	now := time.Now()
@@ -47,7 +49,7 @@
 	var t *target
 	var why string
 	if v := f.guard.CrashAssessment(req.fingerprint); v.Crashes > 0 {
-		t, why = st.pickForSuspect(now, req.fingerprint, &v, tried, usesRetryBudget), whySuspect
+		t, why = st.pickForCrashSuspect(now, req.fingerprint, &v, tried, usesRetryBudget), whyCrashSuspect
 	} else if t, why = st.pickTrial(now, req, tried, rng, f.paths); t == nil {
 		t, why = st.pickUsable(now, req, tried, usesRetryBudget, rng, f.paths, f.cfg), whyCost
 	}
@@ -91,9 +93,9 @@
 const (
 	// trialFailureEstimateMax is the failure estimate up to which a request that cannot be
 	// retried may be used for a trial. The failure estimate is the probability that the
-	// instance is sick, that is, in the state in which it fails most requests (see package
-	// chance). SickForSelection is its value for choosing targets. The probability that one
-	// request is lost is derived from it, see failureChance.
+	// instance is in the state in which it fails most requests, called sick in package
+	// chance. Target selection uses SickForSelection. The probability that one request is
+	// lost is derived from it, see failureChance.
 	trialFailureEstimateMax = 0.1
 	// trialWaitNonIdempotent is how long a guard must have asked for a trial before a
 	// non-idempotent request may be used, so that idempotent ones are used first.
--- a/internal/front/conns.go
+++ b/internal/front/conns.go
@@ -15,24 +15,24 @@
 type limitListener struct {
 	net.Listener
 	front *Front
-	slots chan struct{}
+	sem   chan struct{}
 }
 
 // Limit wraps a listener. It bounds the number of connections and applies the header and
 // idle timeouts of the current configuration.
 func (f *Front) Limit(l net.Listener) net.Listener {
-	return &limitListener{Listener: l, front: f, slots: make(chan struct{}, f.cfg.MaxConns)}
+	return &limitListener{Listener: l, front: f, sem: make(chan struct{}, f.cfg.MaxConns)}
 }
 
 // Accept implements net.Listener.
 func (l *limitListener) Accept() (net.Conn, error) {
-	l.slots <- struct{}{}
+	l.sem <- struct{}{}
 	c, err := l.Listener.Accept()
 	if err != nil {
-		<-l.slots
+		<-l.sem
 		return nil, err
 	}
-	return &callerConn{Conn: c, front: l.front, release: sync.OnceFunc(func() { <-l.slots })}, nil
+	return &callerConn{Conn: c, front: l.front, release: sync.OnceFunc(func() { <-l.sem })}, nil
 }
 
 // callerConn is a caller's connection. The HTTP server sets its read deadline from the
@@ -49,7 +49,7 @@
 // Values of callerConn.awaiting.
 const (
 	awaitingHeader uint32 = iota
-	awaitingRequest
+	awaitingNextRequest
 	awaitingNothing
 )
 
@@ -64,7 +64,7 @@
 	case http.StateNew:
 		c.awaiting.Store(awaitingHeader)
 	case http.StateIdle:
-		c.awaiting.Store(awaitingRequest)
+		c.awaiting.Store(awaitingNextRequest)
 	case http.StateActive:
 		c.awaiting.Store(awaitingNothing)
 	}
@@ -72,9 +72,9 @@
 
 // SetReadDeadline implements net.Conn.
 func (c *callerConn) SetReadDeadline(t time.Time) error {
-	limits := c.front.view.Load().Limits
+	limits := c.front.dir.Load().Limits
 	switch c.awaiting.Load() {
-	case awaitingRequest:
+	case awaitingNextRequest:
 		// The server's next deadline is the one for the request header.
 		c.awaiting.Store(awaitingHeader)
 		t = earlierDeadline(t, limits.IdleTimeoutMS)
--- a/internal/front/conns_test.go
+++ b/internal/front/conns_test.go
@@ -132,7 +132,7 @@
 	split := []record.WeightedService{{Service: "a", Weight: 90}, {Service: "none", Weight: 0}, {Service: "b", Weight: 10}}
 	counts := map[string]int{}
 	for range 10000 {
-		counts[pickSplit(f.rng(), split)]++
+		counts[pickWeightedService(f.rng(), split)]++
 	}
 	assert.Equal(t, counts["none"], 0)
 	assert.Assert(t, counts["b"] > 800 && counts["b"] < 1200, "%v", counts)
--- a/internal/front/cost.go
+++ b/internal/front/cost.go
@@ -45,7 +45,7 @@
 )
 
 // typicalLoad is the load per slot of the usable targets, from recent load reports. Distant
-// hosts report theirs only with answers. The caller must hold st.mu.
+// hosts report theirs only with responses. The caller must hold st.mu.
 func (st *serviceState) typicalLoad(now time.Time, req *request) balance.TypicalLoad {
 	slots, running, waiting := 0, 0, time.Duration(0)
 	for _, i := range st.candidates.usable {
@@ -88,7 +88,7 @@
 const (
 	// retryableFailureWeight is the weight of a failure for a request that can be retried
 	// while budget is left. Most failures are reported within milliseconds, so the retry
-	// still answers in time, and each one reveals a failing instance before a request that
+	// still responds in time, and each one reveals a failing instance before a request that
 	// cannot be retried reaches it.
 	retryableFailureWeight = 0.2
 	// crossDCWeight is the cost of traffic between data centres, relative to the request's
@@ -117,7 +117,7 @@
 }
 
 // expectedServiceTimeLocked is the mean service time of the request's route, or a third of
-// its objective before the first answer. The caller must hold st.mu.
+// its objective before the first response. The caller must hold st.mu.
 func (st *serviceState) expectedServiceTimeLocked(req *request) time.Duration {
 	if l, ok := st.latencies[req.route.Name]; ok && l.mean > 0 {
 		return l.mean
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -1,7 +1,10 @@
 // Package front handles callers' HTTP requests. It matches the route, sets the deadline,
 // enforces the team's rate, chooses targets, retries and hedges within the retry budget,
-// and returns either a complete answer or a failure with a verdict on whether the request
+// and returns either a complete response or a failure with a verdict on whether the request
 // ran.
+//
+// It sends requests to the guards, the proxies in front of the instances on each host, see
+// package guard.
 package front
 
 import (
@@ -57,7 +60,7 @@
 	keys  Keys
 
 	limits   atomic.Pointer[Limits]
-	view     atomic.Pointer[directory.Directory]
+	dir      atomic.Pointer[directory.Directory]
 	rates    RateLimiter
 	paths    *paths
 	services services
@@ -78,7 +81,7 @@
 	f.lifetime, f.cancelLifetime = context.WithCancel(context.Background())
 	f.seed.Store(rand.Uint64())
 	f.limits.Store(&limits)
-	f.view.Store(&directory.Directory{})
+	f.dir.Store(&directory.Directory{})
 	f.services.byName = make(map[string]*serviceState)
 	f.counts = newCounters()
 	return f
@@ -92,7 +95,7 @@
 // SetDirectory replaces the directory used to serve requests.
 func (f *Front) SetDirectory(d *directory.Directory) {
 	f.services.update(d, f.paths, f.cfg)
-	f.view.Store(d)
+	f.dir.Store(d)
 }
 
 // Peers opens streams to the guards of other hosts.
@@ -106,15 +109,15 @@
 func (f *Front) SetPeers(p Peers) { f.peers = p }
 
 // Directory returns the current directory.
-func (f *Front) Directory() *directory.Directory { return f.view.Load() }
+func (f *Front) Directory() *directory.Directory { return f.dir.Load() }
 
 // Drain makes the front ask callers to close their connections.
 func (f *Front) Drain() { f.draining.Store(true) }
 
-// shutdownMargin is how many times the expected service time an attempt must have left
+// shutdownMarginFactor is how many times the expected service time an attempt must have left
 // before shutdown, because service times have a long tail. Without a margin, a request that
 // usually takes 2.6 s was sent to its instance 0.6 s before shutdown and interrupted there.
-const shutdownMargin = 1.5
+const shutdownMarginFactor = 1.5
 
 // fitsBeforeShutdown reports whether an attempt is expected to finish before the process
 // ends.
@@ -123,7 +126,7 @@
 	if !stopping {
 		return true
 	}
-	need := time.Duration(shutdownMargin * float64(req.state.expectedServiceTime(req)))
+	need := time.Duration(shutdownMarginFactor * float64(req.state.expectedServiceTime(req)))
 	return !now.Add(need).After(end)
 }
 
@@ -131,8 +134,9 @@
 // have had time to switch to other hosts.
 func (f *Front) RefuseRequests() { f.refusing.Store(true) }
 
-// CancelRequests ends all requests in progress at the end of a graceful shutdown. Their callers
-// get a failure with the verdict known so far, which is better than a broken connection.
+// CancelRequests ends all requests in progress at the end of a graceful shutdown. Their
+// callers get a failure with the verdict known so far, which is better than a broken
+// connection.
 func (f *Front) CancelRequests() { f.cancelLifetime() }
 
 // Server returns the HTTP server for callers. The caller serves and shuts it down.
--- a/internal/front/hedge.go
+++ b/internal/front/hedge.go
@@ -13,14 +13,14 @@
 }
 
 // runHedge makes a second attempt in parallel to the primary one, and cancels the primary
-// one if the hedge answers first.
+// one if the hedge responds first.
 func (e *execution) runHedge(requestCtx context.Context) {
 	e.mu.Lock()
 	if e.done || e.hedge != nil || !e.req.canResend() || requestCtx.Err() != nil {
 		e.mu.Unlock()
 		return
 	}
-	p, ok := e.next(true)
+	p, ok := e.nextPick(true)
 	if !ok {
 		e.mu.Unlock()
 		return
@@ -42,7 +42,7 @@
 	switch {
 	case e.done:
 		o.discard()
-	case o.fail == nil && !retriableStatus(o.answer.head.Status):
+	case o.fail == nil && !retryableStatus(o.response.head.Status):
 		e.cancelPrimary()
 	}
 }
@@ -79,10 +79,10 @@
 	return e.summary
 }
 
-// discard closes an answer that is not delivered.
+// discard closes a response that is not delivered.
 func (o *outcome) discard() {
-	if o.answer != nil {
-		o.answer.close()
+	if o.response != nil {
+		o.response.close()
 	}
 }
 
--- a/internal/front/hedge_test.go
+++ b/internal/front/hedge_test.go
@@ -32,7 +32,7 @@
 	return s, nil, nil
 }
 
-// newDelayedExecution returns an execution and a target whose guard answers late.
+// newDelayedExecution returns an execution and a target whose guard replies late.
 func newDelayedExecution(t *testing.T) (*execution, pick, delayedStream) {
 	t.Helper()
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
@@ -48,10 +48,10 @@
 	return &execution{front: f, req: req}, pick{target: otherHost}, stream
 }
 
-// An attempt may outlive its request. The race detector once reported that a slow attempt
-// recorded its refusal by the retry budget with the request while the request's log line
-// was being written. The request's end must therefore get a copy of the summary that late
-// attempts do not change. Here the guard's refusal always arrives after the request's end.
+// An attempt may outlive its request. If both share one summary, a late attempt can record
+// its refusal by the retry budget there while the request's log line is written; the race
+// detector has reported this. The request must therefore get a copy that late attempts do
+// not change. Here the guard's refusal always arrives after the request's end.
 func TestLateAttemptDoesNotChangeRequestSummary(t *testing.T) {
 	exec, p, stream := newDelayedExecution(t)
 	done := make(chan struct{})
@@ -61,7 +61,7 @@
 	}()
 	exec.finish()
 	stream.message <- &msg.Fail{Verdict: verdict.NotRun, Reason: verdict.ReasonRetryBudget}
-	exec.front.logAnswer(exec.req, 500)
+	exec.front.logResponse(exec.req, 500)
 	<-done
 }
 
--- a/internal/front/identity.go
+++ b/internal/front/identity.go
@@ -34,27 +34,27 @@
 
 // bearerToken returns the bearer token of the Authorization header, or "".
 func bearerToken(h http.Header) string {
-	scheme, key, found := strings.Cut(h.Get(authorization), " ")
+	scheme, token, found := strings.Cut(h.Get(authorization), " ")
 	if !found || !strings.EqualFold(scheme, "Bearer") {
 		return ""
 	}
-	return strings.TrimSpace(key)
+	return strings.TrimSpace(token)
 }
 
 // identifyTeam finds the caller's team. If API keys are required, it is the team of the
 // key, otherwise the one the caller names. A request without a known key is refused unless
 // its route is open.
-func identifyTeam(view *directory.Directory, req *request) *verdict.Error {
-	req.keyRequired = view.RequireKeys
-	if !req.keyRequired {
+func identifyTeam(dir *directory.Directory, req *request) *verdict.Error {
+	req.apiKeyRequired = dir.RequireKeys
+	if !req.apiKeyRequired {
 		req.team = req.http.Header.Get(header.Team)
-	} else if team, ok := view.Keys.Of(bearerToken(req.http.Header)); ok {
+	} else if team, ok := dir.Keys.Of(bearerToken(req.http.Header)); ok {
 		req.team = team
 	} else if !req.route.Open {
 		return verdict.New(verdict.NotRun, verdict.ReasonNoTeam, "no team has the API key that was sent; send the header Authorization: Bearer KEY")
 	}
 	req.fairnessClass = uint32(guard.InstanceHash(req.team) % admit.Classes)
-	if t, ok := view.Teams[req.team]; ok {
+	if t, ok := dir.Teams[req.team]; ok {
 		req.teamPriority = t.Priority
 	}
 	return nil
@@ -70,7 +70,7 @@
 
 // admitTeam counts the request against the rate of the caller's team and refuses it over
 // that rate.
-func (f *Front) admitTeam(view *directory.Directory, req *request) *verdict.Error {
+func (f *Front) admitTeam(dir *directory.Directory, req *request) *verdict.Error {
 	if f.rates == nil || req.team == "" {
 		return nil
 	}
@@ -82,7 +82,7 @@
 		return nil
 	}
 	return retryLater(verdict.ReasonTeamLimit, fmt.Sprintf("team %s is over its rate of %g requests a second over all hosts",
-		req.team, view.Teams[req.team].RatePerSecond), wait)
+		req.team, dir.Teams[req.team].RatePerSecond), wait)
 }
 
 // releaseRate releases a request that did not run from its team's rate.
@@ -97,7 +97,7 @@
 // caller's API key. It does nothing if no key is required.
 func (f *Front) setTeamHeader(req *request, fields []msg.Field) []msg.Field {
 	name := f.cfg.Dialect.Team
-	if !req.keyRequired {
+	if !req.apiKeyRequired {
 		return fields
 	}
 	fields = slices.DeleteFunc(fields, func(field msg.Field) bool {
--- a/internal/front/keys.go
+++ b/internal/front/keys.go
@@ -12,7 +12,8 @@
 	"github.com/radishhoist/radishhoist/verdict"
 )
 
-// Keys decides whether a request with an idempotency key may run.
+// Keys decides whether a request with an idempotency key may run. The keys of a service are
+// divided into shards, each of which is owned by at most one host, see package once.
 type Keys interface {
 	// Claim asks the owner of the key's shard. It has no error result: a claim that could
 	// not be made is refused.
@@ -30,12 +31,12 @@
 	RequestID string
 }
 
-// ClaimResult is the owner's answer to a claim.
+// ClaimResult is the owner's reply to a claim.
 type ClaimResult struct {
 	Outcome once.ClaimOutcome
 	Shard   uint32
 	Epoch   uint64
-	// Status, Header and Body are the stored answer, for ClaimReplay.
+	// Status, Header and Body are the stored response, for ClaimReplay.
 	Status uint16
 	Header []msg.Field
 	Body   []byte
@@ -46,7 +47,7 @@
 // RequestResult is the result of a claimed request.
 type RequestResult struct {
 	Verdict verdict.Verdict
-	// Complete reports that a complete answer was received, and Stored that it is in the
+	// Complete reports that a complete response was received, and Stored that it is in the
 	// fields below, to be stored for replay.
 	Complete, Stored bool
 	Status           uint16
@@ -54,35 +55,37 @@
 	Body             []byte
 }
 
-// maxKeyBytes is the maximum length of an Idempotency-Key.
-const maxKeyBytes = 256
+// maxIdempotencyKeyBytes is the maximum length of an Idempotency-Key.
+const maxIdempotencyKeyBytes = 256
 
-// runKeyed runs the request as its idempotency and its key require.
-func (f *Front) runKeyed(ctx context.Context, req *request) (*answer, *verdict.Error) {
+// dispatch runs the request. An idempotent one may be retried and hedged. Any other runs at
+// most once; if it has an idempotency key, the key is claimed in parallel with the first
+// attempt.
+func (f *Front) dispatch(ctx context.Context, req *request) (*response, *verdict.Error) {
 	switch {
 	case req.idempotent:
 		return f.runIdempotent(ctx, req)
 	case req.idempotencyKey == "" || f.keys == nil:
 		return f.runNonIdempotent(ctx, req, nil)
-	case len(req.idempotencyKey) > maxKeyBytes:
+	case len(req.idempotencyKey) > maxIdempotencyKeyBytes:
 		return nil, verdict.New(verdict.NotRun, verdict.ReasonBadRequest, "the Idempotency-Key is longer than 256 bytes")
 	}
 	k := KeyRequest{Key: req.idempotencyKey, BodyHash: req.contentHash(), RequestID: req.id}
 	task := &claimTask{done: make(chan struct{})}
 	go func() {
-		task.answer = f.keys.Claim(ctx, req.service, k)
+		task.claimResult = f.keys.Claim(ctx, req.service, k)
 		close(task.done)
 	}()
-	a, fail := f.runNonIdempotent(ctx, req, task)
+	resp, fail := f.runNonIdempotent(ctx, req, task)
 	<-task.done
-	if task.answer.Outcome == once.ClaimReplay {
-		return replay(task.answer), nil
+	if task.claimResult.Outcome == once.ClaimReplay {
+		return replay(task.claimResult), nil
 	}
-	if task.answer.Outcome == once.ClaimRun {
-		result := newRequestResult(a, fail)
+	if task.claimResult.Outcome == once.ClaimRun {
+		result := newRequestResult(resp, fail)
 		go f.keys.Done(req.service, k, result)
 	}
-	return a, fail
+	return resp, fail
 }
 
 // contentHash binds a key to one request. For a body too large to buffer it covers the
@@ -95,27 +98,27 @@
 }
 
 // newRequestResult describes the result of a claimed request for the key's owner.
-func newRequestResult(a *answer, fail *verdict.Error) RequestResult {
+func newRequestResult(resp *response, fail *verdict.Error) RequestResult {
 	if fail != nil {
 		return RequestResult{Verdict: fail.Verdict}
 	}
-	result := RequestResult{Verdict: verdict.Ran, Complete: true, Status: a.head.Status}
-	if !a.streaming {
-		result.Stored, result.Header, result.Body = true, a.head.Header, a.buffered
+	result := RequestResult{Verdict: verdict.Ran, Complete: true, Status: resp.head.Status}
+	if !resp.streaming {
+		result.Stored, result.Header, result.Body = true, resp.head.Header, resp.buffered
 	}
 	return result
 }
 
-// replay returns the answer stored for the key.
-func replay(k ClaimResult) *answer {
+// replay returns the response stored for the key.
+func replay(k ClaimResult) *response {
 	fields := append([]msg.Field{{Name: header.Replayed, Value: "true"}}, k.Header...)
-	return &answer{
+	return &response{
 		head:     &msg.Head{Status: k.Status, Header: fields, Length: int64(len(k.Body))},
 		buffered: k.Body,
 	}
 }
 
-func isKeyReason(r verdict.Reason) bool {
+func isIdempotencyKeyReason(r verdict.Reason) bool {
 	switch r {
 	case verdict.ReasonKeyInProgress, verdict.ReasonKeyReused, verdict.ReasonKeyUnknown, verdict.ReasonKeyNoOwner, verdict.ReasonKeyTooOld:
 		return true
@@ -127,10 +130,10 @@
 // busyRetryAfterMS is the Retry-After for a key whose request is in progress.
 const busyRetryAfterMS = 1000
 
-// keyFailure explains why a claim did not let the request run. This request never ran, so
+// claimFailure explains why a claim did not let the request run. This request never ran, so
 // the verdict covers the earlier requests with the key, where they are known. For a reused
 // key and a refused claim it is about this request only.
-func keyFailure(k ClaimResult) *verdict.Error {
+func claimFailure(k ClaimResult) *verdict.Error {
 	e := verdict.New(verdict.NotRun, verdict.ReasonKeyNoOwner, "the key's shard has no authoritative owner at present")
 	e.RetryAfterMS = max(k.RetryAfterMS, 1)
 	switch k.Outcome {
@@ -142,7 +145,7 @@
 	case once.ClaimMayHaveRun:
 		e = verdict.New(verdict.MayHaveRun, verdict.ReasonKeyUnknown, "a request with this key may have run; it is not run again")
 	case once.ClaimResponseNotStored:
-		e = verdict.New(verdict.Ran, verdict.ReasonKeyUnknown, "the request ran, but its answer was not stored")
+		e = verdict.New(verdict.Ran, verdict.ReasonKeyUnknown, "the request ran, but its response was not stored")
 	case once.ClaimUnknown:
 		e = verdict.New(verdict.MayHaveRun, verdict.ReasonKeyUnknown, "the key's owner took over recently and cannot tell whether a request with this key has run")
 	case once.ClaimTooOld:
--- a/internal/front/latency.go
+++ b/internal/front/latency.go
@@ -12,13 +12,15 @@
 	recent [latencyWindow]time.Duration
 	next   int
 	count  int
-	// p95 is recomputed every latencyRefresh additions.
+	// p95 is the 95th percentile of recent, recomputed every latencyRefreshInterval additions.
 	p95 time.Duration
 }
 
 const (
-	latencyWindow  = 64
-	latencyRefresh = 16
+	// latencyWindow is the number of service times kept for each route.
+	latencyWindow = 64
+	// latencyRefreshInterval is the number of service times after which p95 is recomputed.
+	latencyRefreshInterval = 16
 	// hedgeFactor times the 95th percentile is the hedge delay. It keeps hedges to a few
 	// per cent of requests when nothing is wrong.
 	hedgeFactor = 1.5
@@ -36,7 +38,7 @@
 	l.recent[l.next] = d
 	l.next = (l.next + 1) % latencyWindow
 	l.count = min(l.count+1, latencyWindow)
-	if l.next%latencyRefresh != 0 {
+	if l.next%latencyRefreshInterval != 0 {
 		return
 	}
 	sorted := slices.Clone(l.recent[:l.count])
@@ -44,7 +46,7 @@
 	l.p95 = sorted[len(sorted)*95/100]
 }
 
-// hedgeDelay is how long an idempotent attempt may go unanswered before a hedge is sent to
+// hedgeDelay is how long an idempotent attempt may take before a hedge is sent to
 // another target. It is half the objective until enough service times are known.
 func (l *latency) hedgeDelay(objective time.Duration) time.Duration {
 	if l.p95 == 0 {
--- a/internal/front/paths.go
+++ b/internal/front/paths.go
@@ -9,7 +9,7 @@
 )
 
 // paths tracks the network paths to other hosts, for all instances of a host together. A
-// path's round trip is the time to the answer less the service and queue times that the
+// path's round trip is the time to the response less the service and queue times that the
 // guard reports. A host from which no frame arrives is unreachable or down.
 type paths struct {
 	log *slog.Logger
@@ -41,7 +41,7 @@
 	return &paths{log: log, byHost: make(map[string]*path)}
 }
 
-func (p *paths) entry(host string) *path {
+func (p *paths) getOrCreate(host string) *path {
 	e, ok := p.byHost[host]
 	if !ok {
 		e = &path{}
@@ -85,7 +85,7 @@
 func (p *paths) recordReply(host string, sample time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	e := p.entry(host)
+	e := p.getOrCreate(host)
 	if e.excluded {
 		event.Log(p.log, event.PathBack, slog.String("peer", host))
 	}
@@ -100,12 +100,12 @@
 }
 
 // recordMiss records an attempt after which no frame arrived from the host, not even the
-// answer to a ping. The path is excluded at once, because trying it again later costs only
+// reply to a ping. The path is excluded at once, because trying it again later costs only
 // one request.
 func (p *paths) recordMiss(now time.Time, host string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	e := p.entry(host)
+	e := p.getOrCreate(host)
 	e.misses++
 	if e.excluded && now.Before(e.retryAt.Add(-e.backoff/2)) {
 		return // within half the backoff, so the attempt probably began before the exclusion
--- a/internal/front/request.go
+++ b/internal/front/request.go
@@ -33,10 +33,10 @@
 	state         *serviceState
 	idempotent    bool
 	fairnessClass uint32
-	// team is the caller's team, or "". keyRequired says that callers must send an API
+	// team is the caller's team, or "". apiKeyRequired says that callers must send an API
 	// key, and countedInRate that the request counts against the team's rate.
-	team                       string
-	keyRequired, countedInRate bool
+	team                          string
+	apiKeyRequired, countedInRate bool
 	// teamPriority overrides the route's priority; nil means no override.
 	teamPriority   *int
 	http           *http.Request
@@ -108,8 +108,8 @@
 	if f.refusing.Load() {
 		return nil, retryLater(verdict.ReasonDraining, "this host is shutting down; retry on another host", defaultRetryAfter)
 	}
-	view := f.view.Load()
-	if !view.Complete {
+	dir := f.dir.Load()
+	if !dir.Complete {
 		return nil, retryLater(verdict.ReasonNotReady, "this host has not loaded its whole configuration yet", time.Second)
 	}
 	req := &request{id: requestID(r), arrived: time.Now(), http: r}
@@ -118,13 +118,13 @@
 	if h, _, err := net.SplitHostPort(host); err == nil {
 		host = h
 	}
-	req.route = view.Routes.Match(strings.ToLower(host), rawPath(r), r.Method)
+	req.route = dir.Routes.Match(strings.ToLower(host), rawPath(r), r.Method)
 	if req.route == nil {
 		return nil, verdict.New(verdict.NotRun, verdict.ReasonNoRoute, "no route matches "+r.Method+" "+host+r.URL.Path)
 	}
-	service := pickSplit(f.rng(), req.route.WeightedServices())
+	service := pickWeightedService(f.rng(), req.route.WeightedServices())
 	var ok bool
-	if req.service, ok = view.Services[service]; !ok {
+	if req.service, ok = dir.Services[service]; !ok {
 		return nil, verdict.New(verdict.NotRun, verdict.ReasonNoRoute,
 			"route "+req.route.Name+" refers to service "+service+", which has no record")
 	}
@@ -132,47 +132,47 @@
 	req.idempotent = req.route.IsIdempotent(r.Method)
 	req.idempotencyKey = r.Header.Get(header.IdempotencyKey)
 	req.deadline = req.arrived.Add(f.callerTimeout(r, req.route.Timeout()))
-	if fail := identifyTeam(view, req); fail != nil {
+	if fail := identifyTeam(dir, req); fail != nil {
 		return req, fail
 	}
-	if fail := f.admitTeam(view, req); fail != nil {
+	if fail := f.admitTeam(dir, req); fail != nil {
 		return req, fail
 	}
-	if fail := f.readBody(w, req, view.Limits); fail != nil {
+	if fail := f.readBody(w, req, dir.Limits); fail != nil {
 		return req, fail
 	}
 	// Use the route's host, not the caller's: for a route that matches every host, callers
 	// send the name of whichever front they use.
 	req.fingerprint = (&crash.Request{
-		Method: r.Method, Host: req.route.Host, URI: rawTarget(r), Team: req.team, Body: req.body, Length: req.length,
+		Method: r.Method, Host: req.route.Host, URI: rawRequestURI(r), Team: req.team, Body: req.body, Length: req.length,
 	}).Fingerprint()
 	return req, nil
 }
 
-// pickSplit picks one of the services of a route at random by weight.
-func pickSplit(rng *rand.Rand, parts []record.WeightedService) string {
+// pickWeightedService picks one of the services of a route at random by weight.
+func pickWeightedService(rng *rand.Rand, services []record.WeightedService) string {
 	sum := 0
-	for _, p := range parts {
+	for _, p := range services {
 		sum += p.Weight
 	}
 	n := rng.IntN(max(sum, 1))
-	for _, p := range parts {
+	for _, p := range services {
 		if n -= p.Weight; n < 0 {
 			return p.Service
 		}
 	}
-	return parts[0].Service
+	return services[0].Service
 }
 
 // rawPath is the path as received, without decoding. Paths that are equal only after
 // decoding are different.
 func rawPath(r *http.Request) string {
-	path, _, _ := strings.Cut(rawTarget(r), "?")
+	path, _, _ := strings.Cut(rawRequestURI(r), "?")
 	return path
 }
 
-// rawTarget is the request's path and query as received.
-func rawTarget(r *http.Request) string {
+// rawRequestURI is the request's path and query as received.
+func rawRequestURI(r *http.Request) string {
 	if strings.HasPrefix(r.RequestURI, "/") {
 		return r.RequestURI
 	}
@@ -198,8 +198,8 @@
 // readBody reads the body and buffers it if it is small enough.
 func (f *Front) readBody(w http.ResponseWriter, req *request, limits record.Limits) *verdict.Error {
 	r := req.http
-	if bound := limits.MaxHeaderBytes; bound > 0 && headerBytes(r) > bound {
-		return verdict.New(verdict.NotRun, verdict.ReasonHeaderTooLarge, "the request header is larger than "+strconv.Itoa(bound)+" bytes")
+	if limit := limits.MaxHeaderBytes; limit > 0 && headerBytes(r) > limit {
+		return verdict.New(verdict.NotRun, verdict.ReasonHeaderTooLarge, "the request header is larger than "+strconv.Itoa(limit)+" bytes")
 	}
 	maxBody := f.limits.Load().MaxBodyBytes
 	if limits.MaxBodyBytes > 0 {
@@ -233,8 +233,8 @@
 	return nil
 }
 
-func bodyTooLarge(bound int64) *verdict.Error {
-	return verdict.New(verdict.NotRun, verdict.ReasonBodyTooLarge, "the request body is larger than "+strconv.FormatInt(bound, 10)+" bytes")
+func bodyTooLarge(limit int64) *verdict.Error {
+	return verdict.New(verdict.NotRun, verdict.ReasonBodyTooLarge, "the request body is larger than "+strconv.FormatInt(limit, 10)+" bytes")
 }
 
 // headerBytes is the approximate size of the request header as received: the request line
@@ -265,20 +265,21 @@
 // canResend reports whether another attempt can send the body.
 func (req *request) canResend() bool { return req.unbuffered == nil || !req.unbufferedUsed.Load() }
 
-// run writes the answer to the caller or returns why there is none.
+// run executes the request and writes the response to the caller, or returns why there is
+// none.
 func (f *Front) run(w http.ResponseWriter, req *request) *verdict.Error {
 	ctx, cancel := context.WithDeadline(req.http.Context(), req.deadline)
 	defer cancel()
 	defer context.AfterFunc(f.lifetime, cancel)()
-	answer, fail := f.runKeyed(ctx, req)
+	resp, fail := f.dispatch(ctx, req)
 	if fail != nil {
 		return fail
 	}
-	f.logAnswer(req, int(answer.head.Status))
-	if retriableStatus(answer.head.Status) {
-		// Call this before the answer is written: the instance that made this call may
-		// fail because of the answer before writeTo returns.
+	f.logResponse(req, int(resp.head.Status))
+	if retryableStatus(resp.head.Status) {
+		// Call this before the response is written: the instance that made this call may
+		// fail because of the response before writeTo returns.
 		f.guard.RecordFailedCall(time.Now())
 	}
-	return answer.writeTo(w, req)
+	return resp.writeTo(w, req)
 }
--- a/internal/front/requestlog.go
+++ b/internal/front/requestlog.go
@@ -33,11 +33,11 @@
 
 // Values of attemptEntry.Why.
 const (
-	whyCost     = "least cost"
-	whyTrial    = "trial of an instance"
-	whyPath     = "trial of a path"
-	whyFallback = "fallback: no usable target left"
-	whySuspect  = "designated instance for a request suspected of crashing its targets"
+	whyCost         = "least cost"
+	whyTrial        = "trial of an instance"
+	whyPath         = "trial of a path"
+	whyFallback     = "fallback: no usable target left"
+	whyCrashSuspect = "designated instance for a request suspected of crashing its targets"
 )
 
 // newEntry records what is known of a target when it is chosen. The caller must hold st.mu.
@@ -45,12 +45,12 @@
 	return attemptEntry{
 		Target: t.Name, Host: t.Host.Name, Why: why,
 		FailureEstimate: t.observed.failureEstimate.SickForSelection(now, failureModel), Running: int(t.observed.load.Running), Queued: int(t.observed.load.Queued),
-		AgeMS: age(now, t.observed.loadAt), Usable: len(st.candidates.usable), Ejected: len(st.candidates.ejected), startedAt: now,
+		AgeMS: ageMS(now, t.observed.loadAt), Usable: len(st.candidates.usable), Ejected: len(st.candidates.ejected), startedAt: now,
 	}
 }
 
-// age is the time since at in milliseconds, or -1 if at is zero.
-func age(now, at time.Time) int64 {
+// ageMS is the time since at in milliseconds, or -1 if at is zero.
+func ageMS(now, at time.Time) int64 {
 	if at.IsZero() {
 		return -1
 	}
@@ -64,7 +64,7 @@
 	case o.fail != nil:
 		entry.Outcome = string(o.fail.Reason) + " " + o.fail.Verdict.String()
 	default:
-		entry.Outcome = statusText(int(o.answer.head.Status))
+		entry.Outcome = statusText(int(o.response.head.Status))
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -73,17 +73,17 @@
 	}
 }
 
-// logAnswer logs an answered request: always if the status is a failure of the target,
-// otherwise if the request is sampled.
-func (f *Front) logAnswer(req *request, status int) {
-	failed := retriableStatus(uint16(status))
+// logResponse logs a request that got a response: always if the status is a failure of the
+// target, otherwise if the request is sampled.
+func (f *Front) logResponse(req *request, status int) {
+	failed := retryableStatus(uint16(status))
 	if !failed && !event.Sampled(req.id) {
 		return
 	}
 	f.logRequest(event.RequestAnswered, req, slog.Int("status", status))
 }
 
-// logFailure logs a request that this host answered with a failure.
+// logFailure logs a request for which this host returned a failure.
 func (f *Front) logFailure(req *request, fail *verdict.Error) {
 	f.logRequest(event.RequestFailed, req, slog.Int("status", fail.Status()), slog.String("verdict", fail.Verdict.String()),
 		slog.String("reason", string(fail.Reason)), slog.String("detail", fail.Detail), slog.Int64("retryAfterMS", fail.RetryAfterMS))
--- a/internal/front/requestlog_test.go
+++ b/internal/front/requestlog_test.go
@@ -24,14 +24,14 @@
 	b.Run("unsampled", func(b *testing.B) {
 		b.ReportAllocs()
 		for b.Loop() {
-			f.logAnswer(req, 200)
+			f.logResponse(req, 200)
 		}
 	})
 	b.Run("failure", func(b *testing.B) {
 		b.ReportAllocs()
 		for b.Loop() {
 			f.logLimiter = event.Limiter{}
-			f.logAnswer(req, 500)
+			f.logResponse(req, 500)
 		}
 	})
 }
--- a/internal/front/result.go
+++ b/internal/front/result.go
@@ -15,7 +15,7 @@
 	return fail.Verdict != verdict.NotRun || fail.Reason == verdict.ReasonTargetShed
 }
 
-// accept records an outcome and reports whether its answer goes to the caller.
+// accept records an outcome and reports whether its response goes to the caller.
 func (e *execution) accept(o *outcome) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -24,23 +24,23 @@
 		return false
 	}
 	e.reachedInstance = true
-	if !retriableStatus(o.answer.head.Status) || o.answer.streaming {
+	if !retryableStatus(o.response.head.Status) || o.response.streaming {
 		return true
 	}
-	e.fallback = o.answer
+	e.fallback = o.response
 	return false
 }
 
-// addFailure records an attempt that ended without an answer. The caller must hold e.mu or
+// addFailure records an attempt that ended without a response. The caller must hold e.mu or
 // have exclusive access.
 func (e *execution) addFailure(fail *verdict.Error) {
 	e.failures = append(e.failures, fail)
 	e.reachedInstance = e.reachedInstance || reachedInstance(fail)
 }
 
-// retriableStatus reports whether a status indicates a failure of the target and not a
+// retryableStatus reports whether a status indicates a failure of the target and not a
 // fault in the request.
-func retriableStatus(status uint16) bool {
+func retryableStatus(status uint16) bool {
 	switch int(status) {
 	case http.StatusInternalServerError, http.StatusBadGateway, http.StatusServiceUnavailable, http.StatusGatewayTimeout:
 		return true
@@ -51,7 +51,7 @@
 
 // finalResult returns the best result once no attempt can follow. It prevents a hedge from
 // starting, so that the failures no longer change.
-func (e *execution) finalResult() (*answer, *verdict.Error) {
+func (e *execution) finalResult() (*response, *verdict.Error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.done = true
--- a/internal/front/run.go
+++ b/internal/front/run.go
@@ -28,18 +28,18 @@
 	// reachedInstance says that an attempt has reached an instance. Any further attempt
 	// draws on the retry budget.
 	reachedInstance bool
-	// done says that the request has its answer or its failure.
+	// done says that the request has its response or its failure.
 	done bool
 	// summary describes the attempts so far.
 	summary attemptSummary
-	// cancelPrimary cancels the primary attempt if the hedge answers first.
+	// cancelPrimary cancels the primary attempt if the hedge responds first.
 	cancelPrimary context.CancelFunc
 
-	// failures are those of the attempts that ended without an answer.
+	// failures are those of the attempts that ended without a response.
 	failures []*verdict.Error
-	// fallback is a complete answer with a retriable status. The caller gets it if no
+	// fallback is a complete response with a retryable status. The caller gets it if no
 	// attempt does better.
-	fallback *answer
+	fallback *response
 }
 
 // attemptSummary describes the attempts of a request. While they run it belongs to the
@@ -53,10 +53,10 @@
 	budgetExhausted bool
 }
 
-// next chooses the target of the next attempt. It returns false if no target is left or no
-// attempt is allowed. hedge says that another attempt is running. The caller must hold e.mu
-// or have exclusive access.
-func (e *execution) next(hedge bool) (pick, bool) {
+// nextPick chooses the target of the next attempt. It returns false if no target is left or
+// no attempt is allowed. hedge says that another attempt is running. The caller must hold
+// e.mu or have exclusive access.
+func (e *execution) nextPick(hedge bool) (pick, bool) {
 	if e.attemptsExhausted() {
 		return pick{}, false
 	}
@@ -123,9 +123,9 @@
 	return o
 }
 
-// clearTried makes a target eligible again that could not have answered within the
-// objective. A late answer from a healthy instance is better than a failure from a failing
-// one.
+// clearTried makes a target eligible again that could not have responded within the
+// objective. A late response from a healthy instance is better than a failure from a
+// failing one.
 func (e *execution) clearTried(t *target) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -144,15 +144,15 @@
 	return e.summary.attempts-refused >= e.req.route.Attempts() || refused >= maxGuardRefusals
 }
 
-// onTimeAttempts is the number of attempts that require a place in the queue within the
-// objective, before a late one is accepted. The first refusal reports the actual load of
-// the best target, which the next choice takes into account.
+// onTimeAttempts is the number of failures before attempts accept a place in the queue that
+// will miss the objective. The first refusal reports the actual load of the best target,
+// which the next choice takes into account.
 const onTimeAttempts = 1
 
 // runIdempotent makes attempts one after the other, with at most one hedge, until one
-// returns a complete answer. The first attempt runs in the caller's goroutine, because a
+// returns a complete response. The first attempt runs in the caller's goroutine, because a
 // separate goroutine would cost two wake-ups.
-func (f *Front) runIdempotent(ctx context.Context, req *request) (*answer, *verdict.Error) {
+func (f *Front) runIdempotent(ctx context.Context, req *request) (*response, *verdict.Error) {
 	exec := &execution{front: f, req: req, rng: f.rng()}
 	defer func() { req.summary = exec.finish() }()
 	for {
@@ -161,10 +161,10 @@
 			return exec.finalResult()
 		}
 		if exec.accept(o) {
-			return o.answer, nil
+			return o.response, nil
 		}
 		if o := exec.awaitHedge(); o != nil && exec.accept(o) {
-			return o.answer, nil
+			return o.response, nil
 		}
 		if ctx.Err() != nil || !exec.req.canResend() {
 			return exec.finalResult()
@@ -179,7 +179,7 @@
 	ctx, cancel := context.WithCancel(requestCtx)
 	e.awaitClearance(ctx)
 	e.mu.Lock()
-	chosen, ok := e.next(false)
+	chosen, ok := e.nextPick(false)
 	e.cancelPrimary = cancel
 	e.mu.Unlock()
 	if !ok {
@@ -193,37 +193,37 @@
 	return o
 }
 
-// bindCancel cancels the attempt's context, or, for a streamed answer, leaves that to the
-// answer's close.
+// bindCancel cancels the attempt's context, or, for a streamed response, leaves that to the
+// response's close.
 func (o *outcome) bindCancel(cancel context.CancelFunc) {
-	if o.fail == nil && o.answer.streaming {
-		o.answer.cancel = cancel
+	if o.fail == nil && o.response.streaming {
+		o.response.cancel = cancel
 		return
 	}
 	cancel()
 }
 
-// runNonIdempotent makes attempts one after the other. Another one is made only if the one
-// before is proved not to have run.
-func (f *Front) runNonIdempotent(ctx context.Context, req *request, claim *claimTask) (*answer, *verdict.Error) {
+// runNonIdempotent makes attempts one after the other. A further attempt is made only if the
+// previous one is known not to have run.
+func (f *Front) runNonIdempotent(ctx context.Context, req *request, claim *claimTask) (*response, *verdict.Error) {
 	exec := &execution{front: f, req: req, rng: f.rng()}
 	defer func() { req.summary = exec.finish() }()
 	for {
 		exec.awaitClearance(ctx)
-		p, ok := exec.next(false)
+		p, ok := exec.nextPick(false)
 		if !ok {
 			break
 		}
 		o := exec.runAttempt(ctx, p, claim)
 		if o.fail == nil {
-			return o.answer, nil
+			return o.response, nil
 		}
 		exec.addFailure(o.fail)
-		if o.fail.Verdict != verdict.NotRun || ctx.Err() != nil || !req.canResend() || isKeyReason(o.fail.Reason) {
+		if o.fail.Verdict != verdict.NotRun || ctx.Err() != nil || !req.canResend() || isIdempotencyKeyReason(o.fail.Reason) {
 			break
 		}
 		if claim.pending() {
-			// The slot's reservation expired before the key's owner had answered. This does
+			// The slot's reservation expired before the key's owner had replied. This does
 			// not count as an attempt at the target.
 			claim.wait(ctx)
 			exec.clearTried(p.target)
--- a/internal/front/run_test.go
+++ b/internal/front/run_test.go
@@ -48,7 +48,7 @@
 
 	f.guard.SetShutdownTime(now.Add(time.Second))
 	exec := &execution{front: f, req: req}
-	_, ok := exec.next(false)
+	_, ok := exec.nextPick(false)
 	assert.Assert(t, !ok)
 	got := exec.combinedFailure()
 	assert.Equal(t, got.Reason, verdict.ReasonDraining)
--- a/internal/front/send.go
+++ b/internal/front/send.go
@@ -58,7 +58,7 @@
 		RequestID: a.req.id, Service: a.target.Service, Instance: a.target.Name,
 		TimeoutMS: a.remainingMS(), Class: a.req.fairnessClass, Priority: uint8(a.req.priority()), SubPriority: uint8(a.req.route.Priority), Hints: a.hints(),
 		Reserved: !a.req.idempotent, Idempotent: a.req.idempotent, Shard: a.shard, Epoch: a.epoch,
-		Method: r.Method, URI: rawTarget(r), Host: r.Host,
+		Method: r.Method, URI: rawRequestURI(r), Host: r.Host,
 		Header: a.front.targetHeader(a.req), BodyLength: a.req.length, Sample: a.sample,
 	}
 	body, ok := a.req.bodyReader()
--- a/internal/front/service.go
+++ b/internal/front/service.go
@@ -12,7 +12,7 @@
 	"github.com/radishhoist/radishhoist/internal/msg"
 )
 
-// services holds what the front has learnt about each service.
+// services holds this front's state of each service.
 type services struct {
 	mu     sync.Mutex
 	byName map[string]*serviceState
@@ -24,9 +24,10 @@
 	// targets are those of the current directory. candidates holds indexes into them.
 	targets    []*target
 	candidates candidateSets
-	// samples are outcomes not yet passed on to a guard.
-	samples [sampleRingSize]sample
-	next    int
+	// samples is a ring buffer of recent latency samples, each sent to one guard at most.
+	// nextSample is the index of the next write.
+	samples    [sampleRingSize]latencySample
+	nextSample int
 	// latencies are the recent service times by route, since routes of one service differ
 	// in service time.
 	latencies map[string]*latency
@@ -44,6 +45,7 @@
 // observations are what this front knows of an instance. They are guarded by the service's
 // lock.
 type observations struct {
+	// pending is the number of this front's attempts in progress at the instance.
 	pending int
 	load    msg.Load
 	loadAt  time.Time
@@ -56,7 +58,7 @@
 	// slots.
 	shedShare chance.Share
 	// latencyRatio is the instance's service time relative to that of other instances on
-	// the same routes; 0 before any answer.
+	// the same routes; 0 before its first response.
 	latencyRatio float64
 }
 
@@ -73,10 +75,12 @@
 	computedAt  time.Time
 }
 
-// sampleRingSize is the number of outcomes kept for guards.
+// sampleRingSize is the number of latency samples kept for each service.
 const sampleRingSize = 16
 
-type sample struct {
+// latencySample is the latency ratio of one response. sent reports that takeSample has
+// returned it.
+type latencySample struct {
 	msg.Sample
 	at   time.Time
 	sent bool
@@ -88,7 +92,7 @@
 	return s.byName[name]
 }
 
-// update adapts the states to a new directory and keeps what has been learnt.
+// update applies a new directory and keeps the observations of instances that remain.
 func (s *services) update(d *directory.Directory, p *paths, cfg Config) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -197,9 +201,9 @@
 }
 
 const (
-	// latencyRatioWeight is the weight of a new answer in an instance's latency ratio.
+	// latencyRatioWeight is the weight of a new response in an instance's latency ratio.
 	latencyRatioWeight = 0.2
-	// latencyRatioMin and latencyRatioMax bound the effect of one answer, because service
+	// latencyRatioMin and latencyRatioMax bound the effect of one response, because service
 	// times of one route have a long tail.
 	latencyRatioMin, latencyRatioMax = 0.2, 5
 	// maxRoutes is the maximum number of routes whose service times are kept.
@@ -207,7 +211,7 @@
 )
 
 // observe records the outcome of one attempt: the guard's load report, and the service time
-// if the target answered. The latency ratio divides it by the mean time of the route alone.
+// if the target responded. The latency ratio divides it by the mean time of the route alone.
 // The guard's own ratio divides by the time expected at this target, see serviceTime.
 func (st *serviceState) observe(req *request, t *target, o *outcome) {
 	now := time.Now()
@@ -227,8 +231,8 @@
 	}
 	ratio := float64(o.serviceTime) / float64(max(st.expectedServiceTimeLocked(req), 1))
 	st.routeLatency(req.route.Name).add(o.serviceTime)
-	st.samples[st.next] = sample{Sample: newSample(t.hash, ratio), at: now}
-	st.next = (st.next + 1) % sampleRingSize
+	st.samples[st.nextSample] = latencySample{Sample: newSample(t.hash, ratio), at: now}
+	st.nextSample = (st.nextSample + 1) % sampleRingSize
 	ratio = min(max(ratio, latencyRatioMin), latencyRatioMax)
 	if t.observed.latencyRatio == 0 {
 		t.observed.latencyRatio = 1
@@ -295,14 +299,14 @@
 	}
 }
 
-// sampleMaxAge is the maximum age of an outcome that is passed on to a guard.
+// sampleMaxAge is the maximum age of a latency sample that is sent to a guard.
 const sampleMaxAge = 10 * time.Second
 
-// takeSample returns the newest outcome of an instance other than exclude that has not been
-// passed on yet. The caller must hold st.mu.
+// takeSample returns the newest unsent latency sample of an instance other than exclude and
+// marks it as sent. The caller must hold st.mu.
 func (st *serviceState) takeSample(now time.Time, exclude uint64) msg.Sample {
 	for k := range sampleRingSize {
-		candidate := &st.samples[(st.next-1-k+2*sampleRingSize)%sampleRingSize]
+		candidate := &st.samples[(st.nextSample-1-k+2*sampleRingSize)%sampleRingSize]
 		if candidate.sent || candidate.Instance == 0 || candidate.Instance == exclude || now.Sub(candidate.at) > sampleMaxAge {
 			continue
 		}
--- a/internal/front/status.go
+++ b/internal/front/status.go
@@ -16,11 +16,11 @@
 	Version int64  `json:"version"`
 	Preset  string `json:"preset"`
 	// KnownSlots, HealthySlots and RequiredSlots are numbers of slots: all, those in use,
-	// and the floor.
+	// and the capacity floor.
 	KnownSlots    int `json:"knownSlots"`
 	HealthySlots  int `json:"healthySlots"`
 	RequiredSlots int `json:"requiredSlots"`
-	// SuspectsKept is the number of suspects used only because of the floor.
+	// SuspectsKept is the number of suspect targets used only because of the capacity floor.
 	SuspectsKept int            `json:"suspectsKept"`
 	Targets      []TargetStatus `json:"targets"`
 }
@@ -51,9 +51,9 @@
 
 // Status returns the capacity of every service and how each of its targets is used.
 func (f *Front) Status() []ServiceStatus {
-	view := f.view.Load()
+	dir := f.dir.Load()
 	out := []ServiceStatus{}
-	for name, svc := range view.Services {
+	for name, svc := range dir.Services {
 		if st := f.services.get(name); st != nil {
 			out = append(out, f.serviceStatus(svc, st))
 		}
@@ -135,32 +135,32 @@
 // Explain says how a request would be handled now, by the first of the route's weighted
 // services. It sends nothing.
 func (f *Front) Explain(method, host, path, team string) Explanation {
-	view := f.view.Load()
-	if view.Routes == nil {
+	dir := f.dir.Load()
+	if dir.Routes == nil {
 		return Explanation{Problem: "this host has not loaded its whole configuration yet"}
 	}
-	r := view.Routes.Match(strings.ToLower(host), path, method)
+	r := dir.Routes.Match(strings.ToLower(host), path, method)
 	if r == nil {
 		return Explanation{Problem: "no route matches; run `radishhoist list routes` to see all routes"}
 	}
 	out := Explanation{
 		Matched: true, Route: r.Name, Version: r.Version, Service: r.WeightedServices()[0].Service,
 		Idempotent: r.IsIdempotent(method), IdempotencyReason: "the method " + method + " says so",
-		TimeoutMS: r.Timeout().Milliseconds(), Priority: r.Priority, Team: team, Open: r.Open || !view.RequireKeys,
+		TimeoutMS: r.Timeout().Milliseconds(), Priority: r.Priority, Team: team, Open: r.Open || !dir.RequireKeys,
 	}
 	if r.Idempotent != "" {
 		out.IdempotencyReason = "the route says idempotent: " + r.Idempotent
 	}
-	if t, ok := view.Teams[team]; ok {
+	if t, ok := dir.Teams[team]; ok {
 		out.TeamRate = t.RatePerSecond
 	}
-	svc, ok := view.Services[out.Service]
+	svc, ok := dir.Services[out.Service]
 	if !ok {
 		out.Problem = "service " + out.Service + " has no record"
 		return out
 	}
 	req := &request{route: r, idempotent: out.Idempotent, arrived: time.Now()}
-	if t, ok := view.Teams[team]; ok {
+	if t, ok := dir.Teams[team]; ok {
 		req.teamPriority = t.Priority
 	}
 	out.Priority = req.priority()
--- a/internal/front/suspect.go
+++ b/internal/front/suspect.go
@@ -60,10 +60,10 @@
 	}
 }
 
-// pickForSuspect chooses the target of a suspected request among the instances that it may
-// reach. The choice depends only on the request's fingerprint and the instances' names, so
-// that all hosts agree. The caller must hold st.mu.
-func (st *serviceState) pickForSuspect(now time.Time, fingerprint crash.Fingerprint, v *crash.Assessment, tried []*target, usesRetryBudget bool) *target {
+// pickForCrashSuspect chooses the target of a suspected request among the instances that it
+// may reach. The choice depends only on the request's fingerprint and the instances' names,
+// so that all hosts agree. The caller must hold st.mu.
+func (st *serviceState) pickForCrashSuspect(now time.Time, fingerprint crash.Fingerprint, v *crash.Assessment, tried []*target, usesRetryBudget bool) *target {
 	var best *target
 	lowest := uint64(0)
 	for _, i := range st.untried(st.candidates.usable, tried) {
@@ -91,8 +91,8 @@
 	return crash.Software{Service: t.Service, Version: t.Version}
 }
 
-// succeeded reports whether a complete answer with a success status was received, which
+// succeeded reports whether a complete response with a success status was received, which
 // proves that the request has run to completion.
 func (o *outcome) succeeded() bool {
-	return o.fail == nil && !o.answer.streaming && o.answer.head.Status < http.StatusBadRequest
+	return o.fail == nil && !o.response.streaming && o.response.head.Status < http.StatusBadRequest
 }
--- a/internal/front/suspect_test.go
+++ b/internal/front/suspect_test.go
@@ -29,9 +29,9 @@
 	return st
 }
 
-// All hosts send a suspect to the same instance, whatever loads they know of. It must be
-// untried, and of software that the request may reach. No target is chosen only if no such
-// instance is left.
+// All hosts send a request suspected of crashing its targets to the same instance, whatever
+// loads they know of. The instance must be untried and run a version that the request may
+// reach. No target is chosen only if no such instance is left.
 func TestAllHostsChooseSameInstanceForSuspect(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1000, 0)
@@ -43,7 +43,7 @@
 
 		var tried []*target
 		for left := instances / 2; ; left-- {
-			a, b := one.pickForSuspect(now, fingerprint, v, tried, false), other.pickForSuspect(now, fingerprint, v, sameTargets(other, tried), false)
+			a, b := one.pickForCrashSuspect(now, fingerprint, v, tried, false), other.pickForCrashSuspect(now, fingerprint, v, sameTargets(other, tried), false)
 			if a == nil {
 				assert.Equal(t, left, 0, "no target chosen although an untried one of the other version is left")
 				assert.Assert(t, b == nil)
@@ -69,13 +69,13 @@
 	return out
 }
 
-// A suspect is retried only where retry budget is left.
+// A request suspected of crashing its targets is retried only where retry budget is left.
 func TestSuspectIsRetriedOnlyWithinRetryBudget(t *testing.T) {
 	now := time.Unix(1000, 0)
 	v := &crash.Assessment{Crashes: 1}
 	for seed := range uint64(50) {
 		st := newServiceView(8, rand.New(rand.NewPCG(1, seed)))
-		if picked := st.pickForSuspect(now, 7, v, nil, true); picked != nil {
+		if picked := st.pickForCrashSuspect(now, 7, v, nil, true); picked != nil {
 			assert.Assert(t, picked.observed.retryBudgetLeft(now))
 		}
 	}
