--- a/internal/core/crash/assessment.go
+++ b/internal/core/crash/assessment.go
@@ -8,83 +8,86 @@
 )
 
 const (
-	// BlockAfterIncidents is the number of incidents after which a request is blocked. A
-	// lower number would block a request that happened to run on two instances that
-	// crashed for another reason.
+	// BlockAfterIncidents is the number of incidents at which a request is blocked. With
+	// a lower number, a request would be blocked if it happened to run on two instances
+	// that crashed for another reason.
 	BlockAfterIncidents = 3
-	// RetryBelowIncidents is the number of incidents from which a suspected request is
-	// no longer retried: the second may be a coincidence, but a third instance
-	// is not put at risk.
+	// RetryBelowIncidents is the number of incidents at which a suspected request is no
+	// longer retried. Two incidents may be a coincidence, which does not justify blocking
+	// the request, but a retry could crash a third instance.
 	RetryBelowIncidents = 2
-	// IncidentWindow is the period within which crashes are counted as one incident.
-	// They then have a common cause, such as a power failure in a rack: a request that
-	// crashes its instances runs for longer than that before each crash, though still so
-	// briefly that it is among the last that the instance started (MaxFingerprints).
+	// IncidentWindow is the period within which crashes count as one incident. Crashes
+	// that close together are assumed to have a common cause, such as a power failure in a
+	// rack. A request that crashes its instances is assumed to run longer than that before
+	// each crash, but still briefly enough to be among the MaxFingerprints requests that
+	// the instance started last.
 	IncidentWindow = 10 * time.Millisecond
-	// ClearanceWait is how long after its last crash a request waits before it is
-	// refused or aborted. By then a host that has seen the request complete has nearly
-	// always cleared it.
+	// ClearanceWait is the minimum time between the report of a request's latest crash
+	// and refusing or aborting the request. If any host has seen the request complete, its
+	// clearance nearly always arrives within that time.
 	ClearanceWait = 250 * time.Millisecond
 )
 
 const (
-	// otherSoftwareBlock is how long after its last crash a request is blocked from
-	// software that it has not crashed.
-	otherSoftwareBlock = time.Minute
-	// initialBlock is how long a request is blocked from software that it has crashed.
-	// Each further incident doubles it, up to maxBlock.
-	initialBlock = 5 * time.Minute
-	maxBlock     = 40 * time.Minute
+	// otherSoftwareBlockDuration is how long after its latest crash a request is blocked
+	// from software that it has not crashed.
+	otherSoftwareBlockDuration = time.Minute
+	// initialBlockDuration is how long after its latest crash a request is blocked from
+	// software that it has crashed. Each incident beyond BlockAfterIncidents doubles the
+	// duration, up to maxBlockDuration.
+	initialBlockDuration = 5 * time.Minute
+	maxBlockDuration     = 40 * time.Minute
 )
 
-// Assessment is the assessment of one request. The zero value is that of a request
-// that is not suspected.
+// Assessment states whether a request is suspected of crashing its instances, and whether
+// it is blocked. The zero value is the assessment of a request that is not suspected.
 type Assessment struct {
-	// Crashes is the number of crashes that the request was involved in and that no
-	// other request explains, or the number of all its crashes if the request is
-	// blocked. Incidents is the number of incidents they form, see IncidentWindow.
+	// Crashes is the number of crashes that the request is suspected of. For a request
+	// that is not blocked, it excludes crashes that are attributed to blocked requests.
+	// Incidents is the number of incidents that these crashes form, see IncidentWindow.
 	Crashes, Incidents int
 	// LastReceived is when this host learned of the latest of these crashes.
 	LastReceived time.Time
-	// BlockedUntil is when the request may again reach software that it has crashed, and
-	// OtherSoftwareUntil when it may reach other software. Both are zero if it is not
-	// blocked.
+	// BlockedUntil is when the block from software that the request has crashed ends, and
+	// OtherSoftwareUntil when the block from other software ends. Both are zero if the
+	// request is not blocked.
 	BlockedUntil, OtherSoftwareUntil time.Time
 	// CrashedSoftware is the software that the request has crashed.
 	CrashedSoftware []Software
 }
 
 // Blocked reports whether the request must not reach instances of software s.
-func (v *Assessment) Blocked(now time.Time, s Software) bool {
-	if slices.Contains(v.CrashedSoftware, s) {
-		return now.Before(v.BlockedUntil)
+func (a *Assessment) Blocked(now time.Time, s Software) bool {
+	if slices.Contains(a.CrashedSoftware, s) {
+		return now.Before(a.BlockedUntil)
 	}
-	return now.Before(v.OtherSoftwareUntil)
+	return now.Before(a.OtherSoftwareUntil)
 }
 
 // ClearanceTimeLeft returns how much longer a request waits to be cleared before it is
 // refused or aborted. It is zero or negative if there is no need to wait.
-func (v *Assessment) ClearanceTimeLeft(now time.Time) time.Duration {
-	if v.Incidents < RetryBelowIncidents {
+func (a *Assessment) ClearanceTimeLeft(now time.Time) time.Duration {
+	if a.Incidents < RetryBelowIncidents {
 		return 0
 	}
-	return v.LastReceived.Add(ClearanceWait).Sub(now)
+	return a.LastReceived.Add(ClearanceWait).Sub(now)
 }
 
 // BlockedEverywhere reports whether the request must not reach any instance.
-func (v *Assessment) BlockedEverywhere(now time.Time) bool { return now.Before(v.OtherSoftwareUntil) }
+func (a *Assessment) BlockedEverywhere(now time.Time) bool { return now.Before(a.OtherSoftwareUntil) }
 
 // Assessments holds the assessment of each suspected request. It is immutable once
 // returned by Tracker.Assess.
 type Assessments map[Fingerprint]Assessment
 
-// Assess assesses each suspected request. Among the requests involved in at least
-// BlockAfterIncidents incidents, it blocks the one that explains the most crashes, which
-// are then no longer attributed to the requests that ran concurrently. It continues with
-// the one that explains the most of the remaining crashes, and so on. A single
-// unexplained crash is sufficient here, since several such requests at the same time run
-// concurrently with each other. A request with crashes that remain is suspected but not
-// blocked.
+// Assess returns the assessment of each suspected request. It is a greedy set cover:
+// among the requests suspected of at least BlockAfterIncidents incidents, Assess blocks
+// the one suspected of the most crashes and attributes these crashes to it. They no longer
+// count for the requests that ran concurrently. Assess then repeats this with the crashes
+// that are left, until none of these requests is suspected of any. From the second
+// request on, one crash that is not yet attributed is enough, since several crashing
+// requests that are sent at the same time share most of their crashes. Requests that still
+// have crashes at the end are suspected but not blocked.
 func (t *Tracker) Assess(now time.Time) Assessments {
 	t.prune(now)
 	remaining := t.byFingerprint()
@@ -92,82 +95,84 @@
 	maps.DeleteFunc(eligible, func(_ Fingerprint, crashes []*entry) bool { return countIncidents(crashes) < BlockAfterIncidents })
 	out := make(Assessments)
 	for {
-		worst, found := mostCrashes(eligible, remaining)
+		next, found := mostCrashes(eligible, remaining)
 		if !found {
 			break
 		}
-		out[worst] = newBlock(eligible[worst])
-		removeExplained(remaining, eligible[worst])
+		out[next] = blockedAssessment(eligible[next])
+		removeAttributed(remaining, eligible[next])
 	}
-	for p, crashes := range remaining {
-		out[p] = Assessment{Crashes: len(crashes), Incidents: countIncidents(crashes), LastReceived: lastReceived(crashes)}
+	for fp, crashes := range remaining {
+		out[fp] = Assessment{Crashes: len(crashes), Incidents: countIncidents(crashes), LastReceived: lastReceived(crashes)}
 	}
 	return out
 }
 
-// byFingerprint returns the crashes that each request is suspected of.
+// byFingerprint returns, for each suspected request, the crashes that it is suspected of.
 func (t *Tracker) byFingerprint() map[Fingerprint][]*entry {
 	out := make(map[Fingerprint][]*entry)
 	for _, e := range t.crashes {
-		for _, p := range e.Fingerprints {
-			if t.suspects(e, p) {
-				out[p] = append(out[p], e)
+		for _, fp := range e.Fingerprints {
+			if t.isSuspected(e, fp) {
+				out[fp] = append(out[fp], e)
 			}
 		}
 	}
 	return out
 }
 
-// mostCrashes returns the request among the eligible ones that explains the
-// most of the remaining crashes. Ties are resolved by the smallest
+// mostCrashes returns the eligible request with the most remaining crashes, false if none
+// has any. Of requests with equally many crashes, it returns the one with the smallest
 // fingerprint, so that all hosts choose the same request.
-func mostCrashes(eligible, remaining map[Fingerprint][]*entry) (worst Fingerprint, found bool) {
-	for p := range eligible {
-		crashes, unexplained := remaining[p]
-		if !unexplained {
+func mostCrashes(eligible, remaining map[Fingerprint][]*entry) (best Fingerprint, found bool) {
+	for fp := range eligible {
+		crashes, ok := remaining[fp]
+		if !ok {
 			continue
 		}
-		if !found || len(crashes) > len(remaining[worst]) || len(crashes) == len(remaining[worst]) && p < worst {
-			worst, found = p, true
+		if !found || len(crashes) > len(remaining[best]) || len(crashes) == len(remaining[best]) && fp < best {
+			best, found = fp, true
 		}
 	}
-	return worst, found
+	return best, found
 }
 
-// removeExplained removes the given crashes from all suspected requests.
-func removeExplained(remaining map[Fingerprint][]*entry, crashes []*entry) {
-	explained := make(map[string]bool, len(crashes))
+// removeAttributed removes the crashes that were attributed to a blocked request from the
+// remaining crashes of all requests.
+func removeAttributed(remaining map[Fingerprint][]*entry, crashes []*entry) {
+	attributed := make(map[string]bool, len(crashes))
 	for _, e := range crashes {
-		explained[e.ID] = true
+		attributed[e.ID] = true
 	}
-	for p, list := range remaining {
-		rest := slices.DeleteFunc(slices.Clone(list), func(e *entry) bool { return explained[e.ID] })
+	for fp, list := range remaining {
+		rest := slices.DeleteFunc(slices.Clone(list), func(e *entry) bool { return attributed[e.ID] })
 		if len(rest) == 0 {
-			delete(remaining, p)
+			delete(remaining, fp)
 		} else {
-			remaining[p] = rest
+			remaining[fp] = rest
 		}
 	}
 }
 
-// newBlock returns the assessment that blocks a request because of the given crashes.
-func newBlock(crashes []*entry) Assessment {
-	v := Assessment{Crashes: len(crashes), Incidents: countIncidents(crashes), LastReceived: lastReceived(crashes)}
-	v.OtherSoftwareUntil = v.LastReceived.Add(otherSoftwareBlock)
-	v.BlockedUntil = v.LastReceived.Add(blockDuration(v.Incidents))
+// blockedAssessment returns the assessment of a request that is blocked because of the
+// given crashes.
+func blockedAssessment(crashes []*entry) Assessment {
+	a := Assessment{Crashes: len(crashes), Incidents: countIncidents(crashes), LastReceived: lastReceived(crashes)}
+	a.OtherSoftwareUntil = a.LastReceived.Add(otherSoftwareBlockDuration)
+	a.BlockedUntil = a.LastReceived.Add(blockDuration(a.Incidents))
 	for _, e := range crashes {
-		if !slices.Contains(v.CrashedSoftware, e.Software) {
-			v.CrashedSoftware = append(v.CrashedSoftware, e.Software)
+		if !slices.Contains(a.CrashedSoftware, e.Software) {
+			a.CrashedSoftware = append(a.CrashedSoftware, e.Software)
 		}
 	}
-	slices.SortFunc(v.CrashedSoftware, func(x, y Software) int {
+	slices.SortFunc(a.CrashedSoftware, func(x, y Software) int {
 		return cmp.Or(cmp.Compare(x.Service, y.Service), cmp.Compare(x.Version, y.Version))
 	})
-	return v
+	return a
 }
 
 // countIncidents returns the number of incidents that the crashes form. An
-// incident spans IncidentWindow from its first crash.
+// incident comprises the crashes within IncidentWindow of its first crash.
 func countIncidents(crashes []*entry) int {
 	times := make([]time.Time, 0, len(crashes))
 	for _, e := range crashes {
@@ -190,12 +195,12 @@
 	return slices.MaxFunc(crashes, func(x, y *entry) int { return x.receivedAt.Compare(y.receivedAt) }).receivedAt
 }
 
-// blockDuration returns how long a request is blocked from software that it has crashed
-// in a number of incidents.
+// blockDuration returns how long a request is blocked from the software that it has
+// crashed, given the number of incidents.
 func blockDuration(incidents int) time.Duration {
-	p := initialBlock
+	d := initialBlockDuration
 	for range incidents - BlockAfterIncidents {
-		p = min(2*p, maxBlock)
+		d = min(2*d, maxBlockDuration)
 	}
-	return p
+	return d
 }
--- a/internal/core/crash/crash.go
+++ b/internal/core/crash/crash.go
@@ -1,13 +1,17 @@
 // Package crash detects requests that crash the instances that run them.
 //
-// When an instance crashes, every request it was running becomes a suspect.
-// A request that crashes every instance is involved in one crash after another, while
-// the requests that ran concurrently with it complete elsewhere. A Tracker records the
-// crashes in the whole fleet and decides which requests must not reach another instance,
-// and for how long. Hosts that know the same crashes block the same requests, whatever
-// the order in which they received them. Each host counts the duration of a block from
-// when it learned of the request's latest crash, so the blocks end at different times, by
-// the difference in the delays of that report. The package does no I/O.
+// When an instance crashes, every request that it was running is suspected of having
+// caused the crash. A request that crashes every instance accumulates crashes, while the
+// requests that ran concurrently with it complete elsewhere. A Tracker records the
+// crashes in the whole fleet, and from them computes which requests are blocked, meaning
+// that they must not reach another instance, and for how long. A request is cleared of a
+// crash once it has completed on the same software.
+//
+// Hosts that know the same crashes block the same requests, regardless of the order in
+// which they received them. Each host counts the duration of a block from when it learned
+// of the request's latest crash. Blocks of the same request therefore end at slightly
+// different times on different hosts, according to how long the report took to reach
+// them. The package does no I/O.
 package crash
 
 import (
@@ -37,11 +41,11 @@
 }
 
 const (
-	// MaxFingerprints limits the suspects of one crash. The most recently started
-	// requests are kept: a request that crashes its instance does so soon after it
-	// starts, but not within IncidentWindow.
+	// MaxFingerprints limits the requests recorded for one crash. The most recently
+	// started ones are kept, since a request that crashes its instance does so soon
+	// after it starts, though not within IncidentWindow.
 	MaxFingerprints = 32
-	// maxCrashes limits the recorded crashes; the oldest are evicted first.
+	// maxCrashes limits the number of recorded crashes. The oldest are evicted first.
 	maxCrashes = 256
 	// RetentionPeriod is how long a crash is recorded. It exceeds the longest time
 	// for which a request is blocked.
@@ -51,8 +55,8 @@
 // Tracker records the crashes in the fleet. It is not safe for concurrent use.
 type Tracker struct {
 	crashes map[string]*entry
-	// cleared holds the requests cleared of a crash, with the time they
-	// were cleared. The crash itself may not be known yet.
+	// cleared maps each clearance to the time at which this host recorded it. The crash
+	// itself may not be known yet.
 	cleared map[clearance]time.Time
 }
 
@@ -62,9 +66,9 @@
 	receivedAt time.Time
 }
 
-// clearance identifies a request that did not cause a crash.
+// clearance identifies a crash and a request that did not cause it.
 type clearance struct {
-	crash       string
+	crashID     string
 	fingerprint Fingerprint
 }
 
@@ -73,42 +77,42 @@
 	return &Tracker{crashes: make(map[string]*entry), cleared: make(map[clearance]time.Time)}
 }
 
-// Add records a crash, or further requests that the instance was running, and reports
-// whether that added any request. The stored record of a blocked request lists its
-// crashes with that request alone, so a crash may arrive in parts.
-func (t *Tracker) Add(now time.Time, e Crash) bool {
-	if len(e.Fingerprints) == 0 {
+// Add records a crash, or adds requests to a crash that is already known. It reports
+// whether any request was added. A crash may arrive in parts, since the stored record of
+// a blocked request lists that request alone for each of its crashes.
+func (t *Tracker) Add(now time.Time, c Crash) bool {
+	if len(c.Fingerprints) == 0 {
 		return false
 	}
-	e.DetectedAt = e.DetectedAt.Truncate(time.Millisecond)
-	known, ok := t.crashes[e.ID]
+	c.DetectedAt = c.DetectedAt.Truncate(time.Millisecond)
+	known, ok := t.crashes[c.ID]
 	if !ok {
-		known = &entry{Crash: e, receivedAt: now}
+		known = &entry{Crash: c, receivedAt: now}
 		known.Fingerprints = nil
-		t.crashes[e.ID] = known
+		t.crashes[c.ID] = known
 		t.prune(now)
 	}
 	before := len(known.Fingerprints)
-	known.Fingerprints = distinct(slices.Concat(known.Fingerprints, e.Fingerprints))
+	known.Fingerprints = distinct(slices.Concat(known.Fingerprints, c.Fingerprints))
 	known.Fingerprints = known.Fingerprints[:min(len(known.Fingerprints), MaxFingerprints)]
 	return len(known.Fingerprints) > before
 }
 
-// distinct removes duplicate fingerprints, keeping the first. A crash counts
-// once against a request that the instance was running several times.
+// distinct removes duplicate fingerprints, keeping the first of each. A crash counts
+// only once for a request that the instance was running several times.
 func distinct(fingerprints []Fingerprint) []Fingerprint {
 	seen := make(map[Fingerprint]bool, len(fingerprints))
-	return slices.DeleteFunc(fingerprints, func(p Fingerprint) bool {
-		duplicate := seen[p]
-		seen[p] = true
+	return slices.DeleteFunc(fingerprints, func(fp Fingerprint) bool {
+		duplicate := seen[fp]
+		seen[fp] = true
 		return duplicate
 	})
 }
 
-// Clear records that a request did not cause a crash, because it has
-// completed on the same software. It reports whether this was new.
-func (t *Tracker) Clear(now time.Time, crash string, p Fingerprint) bool {
-	c := clearance{crash, p}
+// Clear records that a request did not cause a crash, because it has completed on the
+// same software. It reports whether the clearance is new.
+func (t *Tracker) Clear(now time.Time, crashID string, fp Fingerprint) bool {
+	c := clearance{crashID, fp}
 	if _, known := t.cleared[c]; known {
 		return false
 	}
@@ -118,10 +122,10 @@
 }
 
 // CrashesOf returns the crashes that a request is suspected of, sorted by ID.
-func (t *Tracker) CrashesOf(p Fingerprint) []Crash {
+func (t *Tracker) CrashesOf(fp Fingerprint) []Crash {
 	var out []Crash
 	for _, e := range t.crashes {
-		if t.suspects(e, p) {
+		if t.isSuspected(e, fp) {
 			out = append(out, e.Crash)
 		}
 	}
@@ -129,17 +133,18 @@
 	return out
 }
 
-// suspects reports whether request p is suspected of crash e.
-func (t *Tracker) suspects(e *entry, p Fingerprint) bool {
-	if !slices.Contains(e.Fingerprints, p) {
+// isSuspected reports whether request fp is suspected of crash e: the instance was running
+// it, and it has not been cleared.
+func (t *Tracker) isSuspected(e *entry, fp Fingerprint) bool {
+	if !slices.Contains(e.Fingerprints, fp) {
 		return false
 	}
-	_, cleared := t.cleared[clearance{e.ID, p}]
+	_, cleared := t.cleared[clearance{e.ID, fp}]
 	return !cleared
 }
 
-// prune removes crashes and clearances older than RetentionPeriod, and the oldest
-// crashes in excess of maxCrashes.
+// prune removes crashes and clearances older than RetentionPeriod. It also removes the
+// oldest crashes in excess of maxCrashes, and all clearances if there are too many.
 func (t *Tracker) prune(now time.Time) {
 	for id, e := range t.crashes {
 		if now.Sub(e.receivedAt) > RetentionPeriod {
@@ -159,6 +164,7 @@
 	}
 }
 
+// oldest returns the ID of the crash that was received first.
 func (t *Tracker) oldest() string {
 	var first *entry
 	for _, e := range t.crashes {
--- a/internal/core/crash/crash_test.go
+++ b/internal/core/crash/crash_test.go
@@ -22,12 +22,12 @@
 	tracker.Add(at, Crash{ID: fmt.Sprint(second), Software: s, DetectedAt: at, Fingerprints: fingerprints})
 }
 
-func assessAt(tracker *Tracker, second int, p Fingerprint) Assessment {
-	return tracker.Assess(start.Add(time.Duration(second) * time.Second))[p]
+func assessAt(tracker *Tracker, second int, fp Fingerprint) Assessment {
+	return tracker.Assess(start.Add(time.Duration(second) * time.Second))[fp]
 }
 
-// A request involved in three consecutive crashes is blocked at the third.
-// The requests that ran concurrently with it once or twice are not.
+// A request that was running in three crashes in a row is blocked at the third. The
+// requests that ran concurrently with it in one or two of them are not.
 func TestRequestCommonToCrashesIsBlocked(t *testing.T) {
 	tracker := NewTracker()
 	add(tracker, 1, v1, 7, 10, 11, 12)
@@ -36,55 +36,54 @@
 	suspect := assessAt(tracker, 2, 7)
 	assert.Assert(t, !suspect.Blocked(start.Add(2*time.Second), v1))
 	add(tracker, 3, v1, 14, 7)
-	v := assessAt(tracker, 3, 7)
+	a := assessAt(tracker, 3, 7)
 	now := start.Add(3 * time.Second)
-	assert.Equal(t, v.Crashes, 3)
-	assert.Assert(t, v.Blocked(now, v1) && v.Blocked(now, v2) && v.BlockedEverywhere(now))
-	for _, innocent := range []Fingerprint{10, 11, 12, 13, 14} {
-		assert.Equal(t, assessAt(tracker, 3, innocent).Crashes, 0, "%d: its crashes are explained", innocent)
+	assert.Equal(t, a.Crashes, 3)
+	assert.Assert(t, a.Blocked(now, v1) && a.Blocked(now, v2) && a.BlockedEverywhere(now))
+	for _, concurrent := range []Fingerprint{10, 11, 12, 13, 14} {
+		assert.Equal(t, assessAt(tracker, 3, concurrent).Crashes, 0, "request %d: its crashes must be attributed to request 7", concurrent)
 	}
 }
 
-// An instance that crashes while it runs the same request in several slots
-// counts as one crash. Counting each run blocked the request on all hosts
-// for minutes after a single crash that listed it four times.
+// An instance that crashes while it runs the same request several times counts as one
+// crash. If each run were counted, one crash that lists a request four times would block
+// the request on all hosts for minutes.
 func TestCrashCountsOncePerRequest(t *testing.T) {
 	tracker := NewTracker()
 	add(tracker, 1, v1, 7, 7, 7, 10)
 	assert.Equal(t, assessAt(tracker, 1, 7).Crashes, 1)
 	add(tracker, 2, v1, 7, 7)
-	v := assessAt(tracker, 2, 7)
-	assert.Equal(t, v.Crashes, 2)
-	assert.Assert(t, !v.BlockedEverywhere(start.Add(2*time.Second)))
+	a := assessAt(tracker, 2, 7)
+	assert.Equal(t, a.Crashes, 2)
+	assert.Assert(t, !a.BlockedEverywhere(start.Add(2*time.Second)))
 }
 
-// Instances that are lost together count as one incident. When four instances of
-// a newly started service lost power within two milliseconds, before any had
-// completed a common request, each crash counted against that request. All
-// hosts refused it for minutes, so that no completion could clear it.
+// Instances that are lost together count as one incident. Otherwise, when four instances
+// of a newly started service lose power within two milliseconds and none has completed a
+// request that all four run, that request is blocked. All hosts then refuse it for
+// minutes, so that it cannot complete and be cleared.
 func TestInstancesLostTogetherAreOneIncident(t *testing.T) {
 	tracker := NewTracker()
 	for n := range 7 {
 		at := start.Add(time.Duration(n) * IncidentWindow / 6)
 		tracker.Add(at, Crash{ID: fmt.Sprint("rack", n), Software: v1, DetectedAt: at, Fingerprints: []Fingerprint{7, Fingerprint(100 + n)}})
 	}
-	v := assessAt(tracker, 1, 7)
-	assert.Equal(t, v.Crashes, 7)
-	assert.Equal(t, v.Incidents, 1)
-	assert.Assert(t, !v.BlockedEverywhere(start.Add(time.Second)))
+	a := assessAt(tracker, 1, 7)
+	assert.Equal(t, a.Crashes, 7)
+	assert.Equal(t, a.Incidents, 1)
+	assert.Assert(t, !a.BlockedEverywhere(start.Add(time.Second)))
 	add(tracker, 2, v1, 7)
 	add(tracker, 3, v1, 7)
-	v = assessAt(tracker, 3, 7)
-	assert.Equal(t, v.Incidents, 3)
-	assert.Assert(t, v.BlockedEverywhere(start.Add(3*time.Second)), "crashes in other incidents count")
+	a = assessAt(tracker, 3, 7)
+	assert.Equal(t, a.Incidents, 3)
+	assert.Assert(t, a.BlockedEverywhere(start.Add(3*time.Second)), "crashes in further incidents must count")
 }
 
-// A crash that is received in parts includes the requests of all parts. A
-// host that had just started learned of crashes first from the stored record
-// of one blocked request, which lists that request alone, and then ignored the
-// further requests reported by other hosts. A second request that had crashed
-// three instances could thus reach more instances through that host. The test of
-// agreement in any order, with crashes received in parts, found this.
+// A crash that is received in parts includes the requests of all parts. A host that has
+// just started first learns of a crash from the stored record of one blocked request,
+// which lists that request alone. If it ignored the requests that other hosts report
+// later for the same crash, a second request that has crashed three instances could reach
+// more instances through this host.
 func TestCrashReceivedInPartsIsComplete(t *testing.T) {
 	tracker := NewTracker()
 	for second := range 3 {
@@ -93,13 +92,13 @@
 	}
 	add(tracker, 3, v1, 8)
 	now := start.Add(3 * time.Second)
-	v := assessAt(tracker, 3, 8)
-	assert.Assert(t, v.BlockedEverywhere(now), "it was involved in four crashes")
+	a := assessAt(tracker, 3, 8)
+	assert.Assert(t, a.BlockedEverywhere(now), "a request that was running in four crashes must be blocked")
 	assert.Assert(t, !tracker.Add(now, Crash{ID: "0", Software: v1, DetectedAt: start, Fingerprints: []Fingerprint{8, 7}}), "must not report a known crash as new")
 }
 
-// Two crashing requests at the same time are both blocked, even if they were
-// involved in the same crash.
+// Two crashing requests that are sent at the same time are both blocked, even if one
+// instance was running both of them when it crashed.
 func TestTwoRequestsAtOnceAreBothBlocked(t *testing.T) {
 	tracker := NewTracker()
 	for second := range 3 {
@@ -109,47 +108,47 @@
 	add(tracker, 30, v1, 7, 8)
 	assessments := tracker.Assess(start.Add(30 * time.Second))
 	assert.Equal(t, assessments[7].Crashes, 4)
-	assert.Equal(t, assessments[8].Crashes, 4, "a shared crash counts for both")
+	assert.Equal(t, assessments[8].Crashes, 4, "a shared crash must count for both")
 	assert.Equal(t, len(assessments), 2)
 }
 
-// A blocked request that ran on every crashed instance but completes elsewhere
-// is cleared.
+// A blocked request that every crashed instance was running is no longer suspected once
+// it has been cleared of each crash, since it has completed elsewhere.
 func TestCompletedRequestIsCleared(t *testing.T) {
 	tracker := NewTracker()
 	for second := range 3 {
 		add(tracker, second, v1, 7, Fingerprint(100+second))
 	}
 	now := start.Add(3 * time.Second)
-	v := assessAt(tracker, 3, 7)
-	assert.Assert(t, v.Blocked(now, v1))
-	for _, e := range tracker.CrashesOf(7) {
-		assert.Assert(t, tracker.Clear(now, e.ID, 7))
-		assert.Assert(t, !tracker.Clear(now, e.ID, 7), "a repeated clearance must not be reported as new")
+	a := assessAt(tracker, 3, 7)
+	assert.Assert(t, a.Blocked(now, v1))
+	for _, c := range tracker.CrashesOf(7) {
+		assert.Assert(t, tracker.Clear(now, c.ID, 7))
+		assert.Assert(t, !tracker.Clear(now, c.ID, 7), "a repeated clearance must not be reported as new")
 	}
 	assert.Equal(t, assessAt(tracker, 3, 7).Crashes, 0)
 	assert.Equal(t, len(tracker.CrashesOf(7)), 0)
 }
 
-// A blocked request is tried again on other software first, and later on software
-// that it has crashed. Each further incident prolongs the latter.
-func TestBlockedRequestIsTriedAgain(t *testing.T) {
+// A block ends first for software that the request has not crashed, and later for software
+// that it has crashed. Each further incident prolongs the latter block.
+func TestBlockEndsFirstForOtherSoftware(t *testing.T) {
 	tracker := NewTracker()
 	for second := range 3 {
 		add(tracker, second, v1, 7)
 	}
-	v := assessAt(tracker, 2, 7)
+	a := assessAt(tracker, 2, 7)
 	last := start.Add(2 * time.Second)
-	assert.Assert(t, v.Blocked(last.Add(otherSoftwareBlock-1), v2))
-	assert.Assert(t, !v.Blocked(last.Add(otherSoftwareBlock), v2), "a new version may handle the request")
-	assert.Assert(t, v.Blocked(last.Add(initialBlock-1), v1))
-	assert.Assert(t, !v.Blocked(last.Add(initialBlock), v1))
+	assert.Assert(t, a.Blocked(last.Add(otherSoftwareBlockDuration-1), v2))
+	assert.Assert(t, !a.Blocked(last.Add(otherSoftwareBlockDuration), v2), "the block from another version must have ended")
+	assert.Assert(t, a.Blocked(last.Add(initialBlockDuration-1), v1))
+	assert.Assert(t, !a.Blocked(last.Add(initialBlockDuration), v1))
 	add(tracker, 400, v1, 7)
-	v = assessAt(tracker, 400, 7)
-	assert.Assert(t, v.Blocked(start.Add(400*time.Second+2*initialBlock-1), v1), "another incident doubles the block duration")
+	a = assessAt(tracker, 400, 7)
+	assert.Assert(t, a.Blocked(start.Add(400*time.Second+2*initialBlockDuration-1), v1), "another incident must double the block duration")
 	add(tracker, 500, v2, 7)
-	v = assessAt(tracker, 500, 7)
-	assert.Assert(t, v.Blocked(start.Add(500*time.Second+otherSoftwareBlock), v2), "the new version crashed as well")
+	a = assessAt(tracker, 500, 7)
+	assert.Assert(t, a.Blocked(start.Add(500*time.Second+otherSoftwareBlockDuration), v2), "software version 2 has crashed as well")
 }
 
 func TestOldCrashesAreRemoved(t *testing.T) {
@@ -162,15 +161,14 @@
 		add(tracker, 10000+n, v1, Fingerprint(n+1))
 	}
 	assert.Equal(t, len(tracker.crashes), maxCrashes)
-	_, newest := tracker.crashes[fmt.Sprint(10000+3*maxCrashes-1)]
-	assert.Assert(t, newest, "the oldest crashes must be evicted first")
+	_, kept := tracker.crashes[fmt.Sprint(10000+3*maxCrashes-1)]
+	assert.Assert(t, kept, "the oldest crashes must be evicted first")
 }
 
-// Hosts that know the same crashes reach the same assessments, whatever the
-// order in which they received them. A request that was cleared of every
-// crash is not blocked, and a request is blocked only from BlockAfterIncidents
-// incidents on.
-func TestHostsAgreeWhateverTheOrder(t *testing.T) {
+// Hosts that know the same crashes compute the same assessments, regardless of the order
+// in which they received them. A request that was cleared of every crash is not blocked,
+// and no request is blocked before BlockAfterIncidents incidents.
+func TestAssessmentsDoNotDependOnOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		software := rapid.SampledFrom([]Software{v1, v2})
 		var crashes []Crash
@@ -179,16 +177,16 @@
 			at := start.Add(time.Duration(rapid.IntRange(0, 8).Draw(t, "time")) * 2 * IncidentWindow)
 			crashes = append(crashes, Crash{ID: fmt.Sprint(n), Software: software.Draw(t, "software"), DetectedAt: at, Fingerprints: fingerprints})
 		}
-		completes := Fingerprint(rapid.IntRange(0, 6).Draw(t, "completes"))
+		cleared := Fingerprint(rapid.IntRange(0, 6).Draw(t, "cleared"))
 		first, second := NewTracker(), NewTracker()
 		rng := rand.New(rand.NewPCG(1, rapid.Uint64().Draw(t, "order")))
 		order := rng.Perm(len(crashes))
 		for i := range crashes {
 			first.Add(start, crashes[i])
-			first.Clear(start, crashes[i].ID, completes)
+			first.Clear(start, crashes[i].ID, cleared)
 		}
 		for _, i := range order {
-			second.Clear(start, crashes[i].ID, completes)
+			second.Clear(start, crashes[i].ID, cleared)
 			part := crashes[i]
 			part.Fingerprints = part.Fingerprints[:len(part.Fingerprints)/2]
 			second.Add(start, part)
@@ -197,59 +195,59 @@
 		}
 		assessments := first.Assess(start)
 		assert.DeepEqual(t, assessments, second.Assess(start))
-		assert.Equal(t, assessments[completes].Crashes, 0)
-		parts := make(map[Fingerprint]int)
-		at := make(map[Fingerprint]map[time.Time]bool)
-		for _, e := range crashes {
-			for _, p := range e.Fingerprints {
-				parts[p]++
-				if at[p] == nil {
-					at[p] = make(map[time.Time]bool)
+		assert.Equal(t, assessments[cleared].Crashes, 0)
+		crashCount := make(map[Fingerprint]int)
+		times := make(map[Fingerprint]map[time.Time]bool)
+		for _, c := range crashes {
+			for _, fp := range c.Fingerprints {
+				crashCount[fp]++
+				if times[fp] == nil {
+					times[fp] = make(map[time.Time]bool)
 				}
-				at[p][e.DetectedAt] = true
+				times[fp][c.DetectedAt] = true
 			}
 		}
-		unexplained := make(map[Fingerprint]int)
-		for _, e := range crashes {
-			if slices.ContainsFunc(e.Fingerprints, func(p Fingerprint) bool { v := assessments[p]; return !v.BlockedUntil.IsZero() }) {
+		unattributed := make(map[Fingerprint]int)
+		for _, c := range crashes {
+			if slices.ContainsFunc(c.Fingerprints, func(fp Fingerprint) bool { a := assessments[fp]; return !a.BlockedUntil.IsZero() }) {
 				continue
 			}
-			for _, p := range e.Fingerprints {
-				unexplained[p]++
+			for _, fp := range c.Fingerprints {
+				unattributed[fp]++
 			}
 		}
-		for p, count := range parts {
-			v := assessments[p]
+		for fp, n := range crashCount {
+			a := assessments[fp]
 			switch {
-			case !v.BlockedUntil.IsZero():
-				assert.Assert(t, v.Incidents >= BlockAfterIncidents && v.Incidents == len(at[p]) && v.Crashes <= count)
-			case p != completes:
-				assert.Equal(t, v.Crashes, unexplained[p])
-				assert.Assert(t, len(at[p]) < BlockAfterIncidents || unexplained[p] == 0, "%d: must be explained by blocked requests", p)
+			case !a.BlockedUntil.IsZero():
+				assert.Assert(t, a.Incidents >= BlockAfterIncidents && a.Incidents == len(times[fp]) && a.Crashes <= n)
+			case fp != cleared:
+				assert.Equal(t, a.Crashes, unattributed[fp])
+				assert.Assert(t, len(times[fp]) < BlockAfterIncidents || unattributed[fp] == 0, "request %d: its crashes must be attributed to blocked requests", fp)
 			}
 		}
 	})
 }
 
-// When several crashing requests arrive together, each crash involves
-// several of them. A request with at least three incidents is blocked as soon as
-// one of them is not explained by another request.
+// When several crashing requests are sent at the same time, each crashed instance was
+// running several of them. A request with at least three incidents is blocked as soon as
+// one of its crashes is not attributed to another request.
 func TestRequestsThatCrashTogetherAreAllBlocked(t *testing.T) {
 	tracker := NewTracker()
 	for second := range 4 {
 		add(tracker, second, v1, 7, 8)
 	}
-	assert.Equal(t, len(tracker.Assess(start.Add(4*time.Second))), 1, "one request explains all crashes")
+	assert.Equal(t, len(tracker.Assess(start.Add(4*time.Second))), 1, "all crashes must be attributed to one request")
 	add(tracker, 5, v1, 8, 100)
 	assessments := tracker.Assess(start.Add(5 * time.Second))
 	assert.Equal(t, assessments[8].Crashes, 5)
 	add(tracker, 6, v1, 7, 101)
 	assessments = tracker.Assess(start.Add(6 * time.Second))
 	assert.Assert(t, !assessments[7].BlockedUntil.IsZero() && !assessments[8].BlockedUntil.IsZero())
-	assert.Equal(t, len(assessments), 2, "the two requests explain all crashes")
+	assert.Equal(t, len(assessments), 2, "all crashes must be attributed to the two requests")
 }
 
-func TestFingerprintCoversWhatTheCallerSends(t *testing.T) {
+func TestFingerprintCoversRequest(t *testing.T) {
 	base := Request{Method: "POST", Host: "Desk.example", URI: "/a/b?c", Team: "x", Body: []byte("body"), Length: 4}
 	same := base
 	same.Host = "desk.example"
--- a/internal/core/crash/fingerprint.go
+++ b/internal/core/crash/fingerprint.go
@@ -8,21 +8,21 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Fingerprint is the fingerprint of a request as the target sees it; 0 means none.
-// Requests with equal fingerprints are treated as repeats of one request.
+// Fingerprint is a hash of a request as the target receives it; 0 means none. Requests
+// with equal fingerprints are treated as repeats of the same request.
 type Fingerprint uint64
 
 // String returns the fingerprint in the form shown to operators.
-func (p Fingerprint) String() string { return fmt.Sprintf("%016x", uint64(p)) }
+func (fp Fingerprint) String() string { return fmt.Sprintf("%016x", uint64(fp)) }
 
 // ParseFingerprint parses a fingerprint in the format of String.
 func ParseFingerprint(s string) (Fingerprint, error) {
-	p, err := strconv.ParseUint(s, 16, 64)
-	return Fingerprint(p), err
+	fp, err := strconv.ParseUint(s, 16, 64)
+	return Fingerprint(fp), err
 }
 
-// Request holds the input of a fingerprint: what the caller sent, without
-// anything that differs between repeats of a request or between hosts.
+// Request holds the parts of a request that its fingerprint is computed from: what the
+// caller sent, except for anything that differs between repeats or between hosts.
 type Request struct {
 	// Host is the host name of the route, empty if the route matches any.
 	Method, Host, URI string
