--- a/internal/core/once/attempt.go
+++ b/internal/core/once/attempt.go
@@ -4,15 +4,19 @@
 // I/O, and callers pass in the time.
 //
 // A request passes from the front, the proxy at the caller, to the guard, the proxy at
-// the target, which is the instance that runs it. A service's idempotency keys are
-// divided into shards. The service's shard map names the owner of each shard, which is a
-// host, and numbers each assignment by an epoch. The front claims the key at the owner
-// before the request runs. The owner needs the lease of its epoch from a majority of the
-// guards in the map. These are the guards of up to maxGuards hosts, or of one more while
-// a lost one is replaced, and here they grant leases; the instances that run the
-// service's requests may be at other hosts. The guard that runs a request checks the
-// epoch of its claim. At a planned change of owner, the old owner hands its table over
-// to the next.
+// the target, which is the instance that runs it. An attempt sends the request to one
+// guard once. Its verdict states whether the request ran, did not run, or may have run.
+//
+// A service's idempotency keys are divided into shards. The service's shard map assigns
+// each shard to a host, its owner, and numbers each assignment by an epoch. Before a
+// request with a key runs, the front claims the key at the owner of the key's shard. The
+// guard that runs the request checks the epoch of the claim. At a planned change of owner,
+// the old owner hands its table over to the next.
+//
+// An owner may accept claims only while it has authority, that is, while it holds the
+// lease of its epoch from a majority of the guards named in the shard map. These are
+// guards of up to maxGuards hosts, or of one more while a lost one is replaced. They
+// grant leases, and need not be the guards that run the service's requests.
 package once
 
 import "github.com/radishhoist/radishhoist/verdict"
@@ -24,13 +28,13 @@
 const (
 	// Idle means that nothing has been sent.
 	Idle Phase = iota
-	// Reserving means that a slot was requested but the request was not sent.
+	// Reserving means that a slot was requested and the request has not been sent.
 	Reserving
 	// Running means that the request was sent.
 	Running
 	// Responding means that the start of the target's response was received.
 	Responding
-	// Done means that the verdict of the attempt is final.
+	// Done means that the attempt has ended and its verdict is final.
 	Done
 )
 
@@ -45,31 +49,33 @@
 	SendCancel
 )
 
-// Attempt is the front's state machine for sending one request to one guard
-// once. It is a plain value: a copy is an independent attempt, which the model
-// checker relies on.
+// Attempt is the front's state machine for sending one request to one guard once. Its
+// zero value is ready to use. A copy is an independent attempt, which the model checker
+// in the tests relies on.
 type Attempt struct {
 	phase    Phase
 	verdict  verdict.Verdict
 	complete bool
-	// awaitClaim delays SendRun until the key's owner has accepted the claim.
+	// awaitClaim is set until the key's owner has accepted the claim. SendRun waits for
+	// it.
 	awaitClaim bool
 	// haveSlot is set once the guard has granted a slot.
 	haveSlot bool
 }
 
+// Phase returns the current phase.
 func (a *Attempt) Phase() Phase { return a.phase }
 
 // Verdict returns the verdict, which is final once the phase is Done.
 func (a *Attempt) Verdict() verdict.Verdict { return a.verdict }
 
-// ResponseComplete reports whether the complete response arrived and its length and hash
-// were verified.
+// ResponseComplete reports whether the whole response arrived with the expected length
+// and hash.
 func (a *Attempt) ResponseComplete() bool { return a.phase == Done && a.complete }
 
-// Begin starts the attempt. An idempotent request without a claim is run
-// directly. Any other request reserves a slot first and, if claim is set, also
-// waits until the key's owner has accepted the claim.
+// Begin starts the attempt. An idempotent request without a claim is sent at once. Any
+// other request is sent once the guard has granted a slot and, if claim is set, the key's
+// owner has accepted the claim.
 func (a *Attempt) Begin(idempotent, claim bool) Action {
 	if a.phase != Idle {
 		return SendNothing
@@ -84,8 +90,8 @@
 }
 
 // HandleGrant handles the guard's grant of a slot. A duplicate grant has no effect. A
-// grant that arrives after the attempt has ended is ignored and expires at the guard,
-// unless the attempt's cancellation has freed the slot before.
+// grant that arrives after the attempt has ended is ignored. Its slot is freed at the
+// guard by the attempt's cancellation, or else when the grant expires.
 func (a *Attempt) HandleGrant() Action {
 	if a.phase != Reserving {
 		return SendNothing
@@ -128,9 +134,9 @@
 	a.finish(verdict.Ran)
 }
 
-// HandleFailure handles the guard's report that the attempt failed with verdict v.
-// Before Run was sent the request cannot have run, and once the response has
-// started it did run, whatever verdict the guard reports.
+// HandleFailure handles the guard's report that the attempt failed with verdict v. The
+// reported verdict counts only while the phase is Running: before that, the request cannot
+// have run, and once the response has started, it has run.
 func (a *Attempt) HandleFailure(v verdict.Verdict) {
 	switch a.phase {
 	case Reserving:
@@ -142,9 +148,9 @@
 	}
 }
 
-// Abort aborts the attempt on the front's side: the connection was lost, the
-// deadline has passed, the caller has disconnected or the claim was refused.
-// The result tells whether to send a cancellation to the guard.
+// Abort ends the attempt from the front's side, after the connection was lost, the
+// deadline has passed, the caller has disconnected or the claim was refused. It returns
+// SendCancel if the guard must be sent a cancellation.
 func (a *Attempt) Abort() Action {
 	switch a.phase {
 	case Idle:
--- a/internal/core/once/history_test.go
+++ b/internal/core/once/history_test.go
@@ -9,9 +9,9 @@
 	"github.com/radishhoist/radishhoist/internal/core/once"
 )
 
-// keyModel is the sequential specification of one key: the request runs at most
-// once, a replay returns the response of that run and cannot precede it, and a
-// run without a response may or may not have happened.
+// keyModel is the sequential specification of one key. The request runs at most once. A
+// replay returns the response of that run and cannot precede it. A request whose response
+// was lost may or may not have run. The state is the response of the run, "" before it.
 var keyModel = porcupine.NondeterministicModel{
 	Partition: func(history []porcupine.Operation) [][]porcupine.Operation {
 		byKey := map[string][]porcupine.Operation{}
@@ -30,12 +30,12 @@
 		ran, o := state.(string), output.(keyOutput)
 		switch {
 		case o.ran && ran == "":
-			return []any{o.answer}
+			return []any{o.response}
 		case o.ran:
 			return nil
 		case o.lost && ran == "":
-			return []any{"", "unanswered"}
-		case o.outcome == once.ClaimReplay && o.answer != ran:
+			return []any{"", "response lost"}
+		case o.outcome == once.ClaimReplay && o.response != ran:
 			return nil
 		default:
 			return []any{ran}
@@ -52,13 +52,13 @@
 				s, violation := simulate(seed+uint64(a)*100+uint64(b)*1000, a, b, simMutation{})
 				assert.Equal(t, violation, "", "faults %d and %d", a, b)
 				runs++
-				for o, n := range s.counts {
+				for o, n := range s.outcomes {
 					total[o] += n
 				}
 			}
 		}
 	}
-	assert.Assert(t, total[once.ClaimRun] > 100*runs, "too few requests ran: %v", total)
+	assert.Assert(t, total[once.ClaimRun] > 100*runs, "too few requests were permitted to run: %v", total)
 	assert.Assert(t, total[once.ClaimReplay] > 0 && total[once.ClaimUnknown] > 0, "%v", total)
 	t.Logf("%d histories, outcomes by kind %v", runs, total)
 }
--- a/internal/core/once/lease.go
+++ b/internal/core/once/lease.go
@@ -11,31 +11,31 @@
 	Shard   uint32
 }
 
-// LeaseGranter is a guard's side of shard ownership. Acquire and Release serve as one of
-// the guards in the shard map, MayRun as the guard that runs a request. The granter gives the
-// lease of each shard to one epoch at a time. A lease is timed by the guard's own
-// monotonic clock, and a greater epoch is refused until it has expired. Two owners would
-// need majorities of the same guards, and the guard common to both majorities grants the
-// lease to only one of them.
+// LeaseGranter is a guard's side of shard ownership. It grants the lease of a shard to one
+// epoch at a time: until the lease has expired by the guard's own monotonic clock, a
+// greater epoch is refused. Two owners cannot have authority at the same time, since any
+// two majorities have a guard in common, and that guard grants the lease to only one of
+// them. Acquire and Release are used on the guards in the shard map, and MayRun on any
+// guard that runs a request.
 //
 // A process that has just started may have granted leases before its restart. It
 // therefore grants none until those have expired and it has read the shard maps from the
-// platform, the store of the records: a map received from a peer may be older than the
-// epochs granted before the restart.
+// platform, which stores the records. A map received from another host is not sufficient,
+// as it may be older than the epochs granted before the restart.
 type LeaseGranter struct {
-	duration time.Duration
-	started  time.Time
-	synced   bool
-	shards   map[ShardID]lease
-	// minEpoch is the epoch in the newest shard map. Older epochs get no lease
-	// and may not start requests.
-	minEpoch map[ShardID]uint64
+	leaseDuration time.Duration
+	startedAt     time.Time
+	synced        bool
+	leases        map[ShardID]lease
+	// mapEpoch is the greatest epoch of each shard in any shard map received. Older
+	// epochs get no lease and may not start requests.
+	mapEpoch map[ShardID]uint64
 }
 
 type lease struct {
-	epoch uint64
-	owner string
-	until time.Time
+	epoch     uint64
+	owner     string
+	expiresAt time.Time
 }
 
 // LeaseReply is a guard's reply to a lease request.
@@ -49,49 +49,51 @@
 	RetryAfter time.Duration
 }
 
-// NewLeaseGranter creates a LeaseGranter for a process that starts now.
-func NewLeaseGranter(now time.Time, duration time.Duration) *LeaseGranter {
-	return &LeaseGranter{duration: duration, started: now, shards: make(map[ShardID]lease), minEpoch: make(map[ShardID]uint64)}
+// NewLeaseGranter creates a LeaseGranter for a process that starts at now.
+func NewLeaseGranter(now time.Time, leaseDuration time.Duration) *LeaseGranter {
+	return &LeaseGranter{leaseDuration: leaseDuration, startedAt: now, leases: make(map[ShardID]lease), mapEpoch: make(map[ShardID]uint64)}
 }
 
 // MarkSynced records that the shard maps were read from the platform since the
 // process started.
 func (g *LeaseGranter) MarkSynced() { g.synced = true }
 
-// ObserveEpoch records a shard's epoch in the shard map. Older epochs are refused
-// from then on.
+// ObserveEpoch records the epoch of a shard in a shard map. Older epochs are refused from
+// then on.
 func (g *LeaseGranter) ObserveEpoch(id ShardID, epoch uint64) {
-	g.minEpoch[id] = max(g.minEpoch[id], epoch)
+	g.mapEpoch[id] = max(g.mapEpoch[id], epoch)
 }
 
 // epoch returns the greatest known epoch of a shard.
-func (g *LeaseGranter) epoch(id ShardID) uint64 { return max(g.shards[id].epoch, g.minEpoch[id]) }
+func (g *LeaseGranter) epoch(id ShardID) uint64 { return max(g.leases[id].epoch, g.mapEpoch[id]) }
 
-// Acquire requests or renews the lease of a shard at an epoch for an owner.
+// Acquire grants or renews the lease of a shard to the owner of an epoch. It refuses if
+// a greater epoch is known, if this epoch was granted to another owner, if the lease of an
+// earlier epoch has not expired, or if the process may not grant leases yet.
 func (g *LeaseGranter) Acquire(now time.Time, id ShardID, epoch uint64, owner string) LeaseReply {
-	if holdOff := g.started.Add(g.duration).Sub(now); holdOff > 0 || !g.synced {
-		return LeaseReply{Epoch: g.epoch(id), RetryAfter: max(holdOff, g.duration/4)}
+	if holdOff := g.startedAt.Add(g.leaseDuration).Sub(now); holdOff > 0 || !g.synced {
+		return LeaseReply{Epoch: g.epoch(id), RetryAfter: max(holdOff, g.leaseDuration/4)}
 	}
-	held := g.shards[id]
+	current := g.leases[id]
 	switch {
 	case epoch < g.epoch(id):
 		return LeaseReply{Epoch: g.epoch(id)}
-	case epoch == held.epoch && held.owner != "" && owner != held.owner:
-		return LeaseReply{Epoch: held.epoch}
-	case epoch > held.epoch && now.Before(held.until):
-		return LeaseReply{Epoch: held.epoch, RetryAfter: held.until.Sub(now)}
+	case epoch == current.epoch && current.owner != "" && owner != current.owner:
+		return LeaseReply{Epoch: current.epoch}
+	case epoch > current.epoch && now.Before(current.expiresAt):
+		return LeaseReply{Epoch: current.epoch, RetryAfter: current.expiresAt.Sub(now)}
 	}
-	g.shards[id] = lease{epoch: epoch, owner: owner, until: now.Add(g.duration)}
-	return LeaseReply{Granted: true, Epoch: epoch, TTL: g.duration}
+	g.leases[id] = lease{epoch: epoch, owner: owner, expiresAt: now.Add(g.leaseDuration)}
+	return LeaseReply{Granted: true, Epoch: epoch, TTL: g.leaseDuration}
 }
 
-// Release ends a lease before it expires. Requests by anyone but its owner are
-// ignored.
+// Release ends a lease before it expires. It has no effect unless owner holds the lease of
+// this epoch.
 func (g *LeaseGranter) Release(now time.Time, id ShardID, epoch uint64, owner string) {
-	held := g.shards[id]
-	if held.epoch == epoch && held.owner == owner && now.Before(held.until) {
-		held.until = now
-		g.shards[id] = held
+	current := g.leases[id]
+	if current.epoch == epoch && current.owner == owner && now.Before(current.expiresAt) {
+		current.expiresAt = now
+		g.leases[id] = current
 	}
 }
 
@@ -101,30 +103,31 @@
 	return epoch >= g.epoch(id)
 }
 
-// Authority is the owner's side of shard ownership. The owner has authority
-// while a majority of the guards has granted it the lease of the epoch. Each
-// lease counts from when it was requested, so that it expires at the owner
-// before it expires at the guard.
+// Authority is the owner's side of shard ownership at one epoch. The owner has authority
+// while it holds leases of the epoch from a majority of the guards. The owner counts the
+// duration of a lease from when it sent the request, so that the lease expires at the
+// owner before it expires at the guard.
 type Authority struct {
-	epoch  uint64
-	guards []string
-	prev   []string
-	until  map[string]time.Time
+	epoch      uint64
+	guards     []string
+	prevGuards []string
+	expiresAt  map[string]time.Time
 }
 
-// NewAuthority creates the Authority for an epoch, without leases. prev are the
-// guards before the last guard change, or nil: until every owner has held
-// authority under both sets, a majority of each is required.
-func NewAuthority(epoch uint64, guards, prev []string) *Authority {
-	return &Authority{epoch: epoch, guards: guards, prev: prev, until: make(map[string]time.Time)}
+// NewAuthority creates an Authority without leases. prevGuards are the guards before the
+// last guard change, or nil. Until the owner of every shard has had authority under both
+// sets, a majority of each is required.
+func NewAuthority(epoch uint64, guards, prevGuards []string) *Authority {
+	return &Authority{epoch: epoch, guards: guards, prevGuards: prevGuards, expiresAt: make(map[string]time.Time)}
 }
 
+// Epoch returns the epoch that the leases are for.
 func (a *Authority) Epoch() uint64 { return a.epoch }
 
 // Guards returns the guards to request leases from.
 func (a *Authority) Guards() []string {
 	out := append([]string{}, a.guards...)
-	for _, g := range a.prev {
+	for _, g := range a.prevGuards {
 		if !slices.Contains(out, g) {
 			out = append(out, g)
 		}
@@ -132,23 +135,24 @@
 	return out
 }
 
-// AddLease records a lease that was requested from a guard at requested.
-func (a *Authority) AddLease(guard string, requested time.Time, duration time.Duration) {
-	if until := requested.Add(duration); until.After(a.until[guard]) {
-		a.until[guard] = until
+// AddLease records a lease granted by a guard, which was requested at requestedAt.
+func (a *Authority) AddLease(guard string, requestedAt time.Time, duration time.Duration) {
+	if expiresAt := requestedAt.Add(duration); expiresAt.After(a.expiresAt[guard]) {
+		a.expiresAt[guard] = expiresAt
 	}
 }
 
-// Held reports whether the owner has authority at now. It must be checked again
-// after every blocking operation, since the process may have been paused.
+// Held reports whether the owner has authority at now. It must be called again after every
+// blocking operation, since the process may have been paused and the leases have expired.
 func (a *Authority) Held(now time.Time) bool {
-	return a.majority(now, a.guards) && (len(a.prev) == 0 || a.majority(now, a.prev))
+	return a.hasMajority(now, a.guards) && (len(a.prevGuards) == 0 || a.hasMajority(now, a.prevGuards))
 }
 
-func (a *Authority) majority(now time.Time, guards []string) bool {
+// hasMajority reports whether the owner holds valid leases from a majority of the guards.
+func (a *Authority) hasMajority(now time.Time, guards []string) bool {
 	n := 0
 	for _, g := range guards {
-		if now.Before(a.until[g]) {
+		if now.Before(a.expiresAt[g]) {
 			n++
 		}
 	}
--- a/internal/core/once/model_test.go
+++ b/internal/core/once/model_test.go
@@ -15,27 +15,29 @@
 	"github.com/radishhoist/radishhoist/verdict"
 )
 
-// This file is a model checker for one non-idempotent request, one front, and
-// two guards that are tried one after the other. Messages may be lost,
-// duplicated and reordered. A guard may let its grant expire, may be killed and
-// lose its state, or may be paused until after its grant has expired. The front
-// may abort at any time. Every interleaving within the limits is explored with
-// the production Attempt and Queue.
+// This file is a model checker for one non-idempotent request that a front sends to up to
+// two guards, one after the other. Messages may be lost, duplicated and reordered. A
+// guard's grant may expire, and the guard may be killed and lose its state, or be paused
+// until after its grant has expired. The front may abort at any time. The checker explores
+// every interleaving, with a limited number of faults, of the production Attempt and
+// Queue.
 
-// The message types of the model.
+// The types of message.
 const (
-	reserveMsg = "reserve"
-	runMsg     = "run"
-	cancelMsg  = "cancel"
-	grantMsg   = "grant"
-	refuseMsg  = "refuse"
-	answerMsg  = "answer"
+	reserveMsg  = "reserve"
+	runMsg      = "run"
+	cancelMsg   = "cancel"
+	grantMsg    = "grant"
+	refuseMsg   = "refuse"
+	responseMsg = "response"
 )
 
-// mutation is a bug injected to verify that the checker detects it.
+// mutation selects a bug to inject, to verify that the checker detects it.
 type mutation struct {
+	// startAfterCancel makes a guard run a request whose reservation has ended.
 	startAfterCancel bool
-	retryMayHaveRun  bool
+	// retryMayHaveRun makes the front retry a request that may have run.
+	retryMayHaveRun bool
 }
 
 type guardModel struct {
@@ -57,7 +59,7 @@
 	toFront  [2][]string
 	done     bool
 	final    verdict.Verdict
-	// The faults that may still occur.
+	// losses, duplicates and kills are the numbers of faults that may still occur.
 	losses, duplicates, kills int
 }
 
@@ -70,8 +72,8 @@
 	}
 }
 
-func newModel(p mutation) *model {
-	m := &model{mutation: p, losses: 1, duplicates: 1, kills: 1}
+func newModel(injected mutation) *model {
+	m := &model{mutation: injected, losses: 1, duplicates: 1, kills: 1}
 	for i := range m.guards {
 		m.guards[i] = newGuard()
 	}
@@ -91,8 +93,8 @@
 	}
 }
 
-// settle starts the next attempt, or ends the request, once attempt i is done.
-func (m *model) settle(i int) {
+// advance starts the next attempt, or ends the request, once attempt i is done.
+func (m *model) advance(i int) {
 	a := &m.attempts[i]
 	if a.Phase() != once.Done || m.done || i != m.started-1 {
 		return
@@ -112,7 +114,7 @@
 	}
 }
 
-// step is a possible next event.
+// step is an event that can occur next.
 type step struct {
 	name func() string
 	do   func(*model)
@@ -152,13 +154,13 @@
 		}
 	}
 	if cur := m.started - 1; m.attempts[cur].Phase() != once.Done {
-		add(func() string { return "front aborts" }, func(m *model) { m.send(cur, m.attempts[cur].Abort()); m.settle(cur) })
+		add(func() string { return "front aborts" }, func(m *model) { m.send(cur, m.attempts[cur].Abort()); m.advance(cur) })
 	}
 	return out
 }
 
-// unique returns the distinct messages in sorted order, so that replaying a path
-// yields the same events.
+// unique returns the distinct messages in sorted order, so that replaying a path yields the
+// same steps.
 func unique(list []string) []string {
 	out := slices.Clone(list)
 	slices.Sort(out)
@@ -175,7 +177,7 @@
 	panic("message is not in transit")
 }
 
-// deliverToGuard handles a message at guard i, which serves one request on one stream.
+// deliverToGuard delivers a message to guard i, which serves one request on one stream.
 func (m *model) deliverToGuard(i int, message string) {
 	g := m.guards[i]
 	switch message {
@@ -210,9 +212,11 @@
 	g := m.guards[i]
 	g.finished = true
 	g.queue.Done(g.now, 1, time.Millisecond)
-	m.toFront[i] = append(m.toFront[i], answerMsg)
+	m.toFront[i] = append(m.toFront[i], responseMsg)
 }
 
+// expireGrant advances guard i's clock beyond the end of its grant. Without tick, the guard
+// does not notice, as after a pause.
 func (m *model) expireGrant(i int, tick bool) {
 	g := m.guards[i]
 	g.now, g.paused = g.now.Add(2*grantLife), true
@@ -231,10 +235,11 @@
 	m.toGuard[i], m.toFront[i] = nil, nil
 	if m.attempts[i].Phase() != once.Done && i < m.started {
 		m.attempts[i].Abort()
-		m.settle(i)
+		m.advance(i)
 	}
 }
 
+// deliverToFront delivers a message from guard i to the front.
 func (m *model) deliverToFront(i int, message string) {
 	a := &m.attempts[i]
 	switch message {
@@ -242,14 +247,14 @@
 		m.send(i, a.HandleGrant())
 	case refuseMsg:
 		a.HandleFailure(verdict.NotRun)
-	case answerMsg:
+	case responseMsg:
 		a.HandleResponseStart()
 		a.HandleResponseEnd(true)
 	}
-	m.settle(i)
+	m.advance(i)
 }
 
-// violation describes the invariant that is violated, "" if all hold.
+// violation describes a violated invariant, "" if all hold.
 func (m *model) violation() string {
 	ran := m.guards[0].ran + m.guards[1].ran
 	switch {
@@ -263,7 +268,7 @@
 	return ""
 }
 
-// key identifies the state, to recognise states that were visited.
+// key encodes the state, to recognise visited states.
 func (m *model) key() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%+v %d %v %v %d %d %d", m.attempts, m.started, m.done, m.final, m.losses, m.duplicates, m.kills)
@@ -275,18 +280,18 @@
 	return b.String()
 }
 
-// explore visits every interleaving. It returns the number of states and, if an
-// invariant is violated, the events that lead to the violation.
-func explore(p mutation) (states int, trace []string) {
+// explore visits every interleaving. It returns the number of states and, if an invariant
+// is violated, the steps that lead to the violation.
+func explore(injected mutation) (states int, trace []string) {
 	seen := map[string]bool{}
 	var walk func(path []int) bool
 	walk = func(path []int) bool {
-		m := newModel(p)
+		m := newModel(injected)
 		for _, choice := range path {
 			m.steps()[choice].do(m)
 		}
 		if v := m.violation(); v != "" {
-			trace = append(describe(p, path), v)
+			trace = append(describe(injected, path), v)
 			return false
 		}
 		if k := m.key(); seen[k] {
@@ -305,9 +310,9 @@
 	return len(seen), trace
 }
 
-// describe returns the names of the events on a path.
-func describe(p mutation, path []int) []string {
-	m := newModel(p)
+// describe returns the names of the steps on a path.
+func describe(injected mutation, path []int) []string {
+	m := newModel(injected)
 	var names []string
 	for _, choice := range path {
 		s := m.steps()[choice]
--- a/internal/core/once/owner.go
+++ b/internal/core/once/owner.go
@@ -10,18 +10,19 @@
 	"github.com/radishhoist/radishhoist/record"
 )
 
-// Owner manages the shards that the shard maps assign to this host. It does no
-// I/O: the caller sends the lease requests that Tick returns and passes the
-// replies to HandleLeaseReply.
+// Owner manages the shards that the shard maps assign to this host. It does no I/O: the
+// caller of Tick sends the lease requests that Tick returns, and passes the replies to
+// HandleLeaseReply.
 type Owner struct {
 	host string
 	// incarnation is the start time of this process in Unix milliseconds, by
 	// which shard maps distinguish the incarnations of a host.
 	incarnation   uint64
 	leaseDuration time.Duration
-	config        func(service string) TableConfig
+	tableConfig   func(service string) TableConfig
 	shards        map[ShardID]*ownedShard
-	// incoming holds tables handed over for epochs that are not owned yet.
+	// incoming holds the tables that earlier owners have handed over for epochs that
+	// have not started here.
 	incoming map[handoverKey]*incomingTable
 }
 
@@ -29,10 +30,10 @@
 	authority   *Authority
 	table       *Table
 	nextRenewal time.Time
-	// frozen means that the table was exported for handover: claims are refused
-	// until the map gives the shard a new epoch.
+	// frozen is set once the table was exported for handover. Claims are refused until the
+	// map gives the shard a new epoch.
 	frozen bool
-	// held is the result of Held at the last tick, to detect changes.
+	// held is the result of authority.Held at the last tick, to detect changes.
 	held bool
 }
 
@@ -47,7 +48,7 @@
 	opaqueMS  int64
 	updatedAt time.Time
 	complete  bool
-	// nextPart is the number of the next part to receive; parts arrive in order.
+	// nextPart is the number of the next part. Parts are only accepted in order.
 	nextPart uint32
 }
 
@@ -59,35 +60,34 @@
 }
 
 // NewOwner creates an Owner without shards for a process that started at
-// incarnation, in Unix milliseconds. config returns the limits of a service's
+// incarnation, in Unix milliseconds. tableConfig returns the limits of a service's
 // tables.
-func NewOwner(host string, incarnation uint64, leaseDuration time.Duration, config func(service string) TableConfig) *Owner {
+func NewOwner(host string, incarnation uint64, leaseDuration time.Duration, tableConfig func(service string) TableConfig) *Owner {
 	return &Owner{
-		host: host, incarnation: incarnation, leaseDuration: leaseDuration, config: config,
+		host: host, incarnation: incarnation, leaseDuration: leaseDuration, tableConfig: tableConfig,
 		shards: make(map[ShardID]*ownedShard), incoming: make(map[handoverKey]*incomingTable),
 	}
 }
 
-// SetMap applies a service's shard map. A shard at a new epoch starts with the
-// table that was handed over for that epoch, or else with an empty one that
-// treats older keys as unknown. If this host owned the shard at the preceding
-// epoch, it keeps its table.
+// SetMap applies a service's shard map. If this host owned a shard at the preceding epoch,
+// it keeps its table at a new epoch. Otherwise, the shard starts with the table that was
+// handed over for the epoch, or with an empty one, for which older keys are unknown.
 func (o *Owner) SetMap(now time.Time, service string, m *record.ShardMap) {
 	for i, s := range m.Shards {
 		id := ShardID{service, uint32(i)}
-		have, owned := o.shards[id]
+		current, owned := o.shards[id]
 		if s.Owner != o.host || s.Incarnation != o.incarnation {
 			delete(o.shards, id)
 			continue
 		}
-		if owned && have.authority.Epoch() > s.Epoch {
+		if owned && current.authority.Epoch() > s.Epoch {
 			continue
 		}
-		if !owned || have.authority.Epoch() < s.Epoch {
-			o.shards[id] = o.takeOver(now, id, s.Epoch, m, have)
+		if !owned || current.authority.Epoch() < s.Epoch {
+			o.shards[id] = o.startEpoch(now, id, s.Epoch, m, current)
 			continue
 		}
-		o.updateAuthority(have, m)
+		o.updateAuthority(current, m)
 	}
 	for id := range o.shards {
 		if id.Service == service && int(id.Shard) >= len(m.Shards) {
@@ -96,32 +96,32 @@
 	}
 }
 
-// updateAuthority applies a map of the same epoch, normally one that drops the previous
-// guards. Authority is evaluated against the guards in the map, keeping the leases
-// already held; the table is kept.
+// updateAuthority applies the guards of a map in which the shard has the same epoch.
+// Normally, this map drops the previous guards. The shard keeps its leases and its table.
 func (o *Owner) updateAuthority(s *ownedShard, m *record.ShardMap) {
-	if slices.Equal(s.authority.guards, m.Guards) && slices.Equal(s.authority.prev, m.PrevGuards) {
+	if slices.Equal(s.authority.guards, m.Guards) && slices.Equal(s.authority.prevGuards, m.PrevGuards) {
 		return
 	}
-	fresh := NewAuthority(s.authority.Epoch(), m.Guards, m.PrevGuards)
-	fresh.until = s.authority.until
-	s.authority = fresh
+	updated := NewAuthority(s.authority.Epoch(), m.Guards, m.PrevGuards)
+	updated.expiresAt = s.authority.expiresAt
+	s.authority = updated
 	s.nextRenewal = time.Time{}
 }
 
-// takeOver starts a shard at a new epoch. An owner that already owned the
-// preceding epoch keeps its table: no other host can have had authority in
-// between, since epochs are consecutive and each has one owner.
-func (o *Owner) takeOver(now time.Time, id ShardID, epoch uint64, m *record.ShardMap, have *ownedShard) *ownedShard {
+// startEpoch starts a shard at a new epoch. previous is the shard at an earlier epoch, nil
+// if this host did not own it. An owner of the preceding epoch keeps its table: no other
+// host can have had authority in between, since epochs are consecutive and each has one
+// owner.
+func (o *Owner) startEpoch(now time.Time, id ShardID, epoch uint64, m *record.ShardMap, previous *ownedShard) *ownedShard {
 	s := &ownedShard{authority: NewAuthority(epoch, m.Guards, m.PrevGuards)}
 	in, ok := o.incoming[handoverKey{id, epoch}]
 	switch {
-	case have != nil && have.authority.Epoch()+1 == epoch:
-		s.table = have.table
+	case previous != nil && previous.authority.Epoch()+1 == epoch:
+		s.table = previous.table
 	case ok && in.complete:
-		s.table = ImportTable(o.config(id.Service), now, in.entries, in.since, in.opaqueMS)
+		s.table = ImportTable(o.tableConfig(id.Service), now, in.entries, in.since, in.opaqueMS)
 	default:
-		s.table = NewTable(o.config(id.Service))
+		s.table = NewTable(o.tableConfig(id.Service))
 	}
 	for key := range o.incoming {
 		if key.ShardID == id && key.epoch <= epoch {
@@ -131,7 +131,7 @@
 	return s
 }
 
-// renewalsPerLease is the number of renewals within the duration of a lease.
+// renewalsPerLease is how often a lease is requested anew within its duration.
 const renewalsPerLease = 3
 
 // Tick returns the lease requests that are due, expires table entries, and
@@ -169,22 +169,22 @@
 	return requests, acquired, lost
 }
 
-// incomingTTL is how long a handed-over table is kept while its epoch has not
-// started.
+// incomingTTL is how long a handed-over table is kept, from its last part on, if its epoch
+// does not start.
 const incomingTTL = 10 * time.Minute
 
-// HandleLeaseReply handles a guard's reply to req, which was sent at requested.
-func (o *Owner) HandleLeaseReply(req LeaseRequest, requested time.Time, r LeaseReply) {
+// HandleLeaseReply handles a guard's reply to req, which was sent at requestedAt.
+func (o *Owner) HandleLeaseReply(req LeaseRequest, requestedAt time.Time, r LeaseReply) {
 	s, ok := o.shards[req.Shard]
 	if !ok || s.authority.Epoch() != req.Epoch || !r.Granted {
 		return
 	}
-	s.authority.AddLease(req.Guard, requested, r.TTL)
+	s.authority.AddLease(req.Guard, requestedAt, r.TTL)
 }
 
 // Claim decides whether a keyed request may run. It refuses the claim if this host does
-// not own the shard, has frozen it or has no authority at present. now must have been
-// read after the last blocking operation, since authority may have expired meanwhile.
+// not own the shard, has frozen it or does not have authority. now must have been read
+// after the last blocking operation, since the leases may have expired meanwhile.
 func (o *Owner) Claim(now time.Time, wallMS int64, c *msg.KeyClaim) *msg.ClaimReply {
 	s, ok := o.shards[ShardID{c.Service, c.Shard}]
 	if !ok || s.frozen || !s.authority.Held(now) {
@@ -201,21 +201,23 @@
 }
 
 // RecordResult records the result of a claimed request. It returns false if this host
-// does not own the shard or has handed it over; the front then retries with the
-// current owner. No authority is needed: a result only adds knowledge, and the next
-// claim of the key needs authority.
-func (o *Owner) RecordResult(now time.Time, d *msg.KeyResult) bool {
-	s, ok := o.shards[ShardID{d.Service, d.Shard}]
+// does not own the shard or has frozen it; the front then retries with the current owner.
+// No authority is needed: a result permits no request to run, and authority is checked at
+// the next claim of the key.
+func (o *Owner) RecordResult(now time.Time, r *msg.KeyResult) bool {
+	s, ok := o.shards[ShardID{r.Service, r.Shard}]
 	if !ok || s.frozen {
 		return false
 	}
-	s.table.RecordResult(now, d)
+	s.table.RecordResult(now, r)
 	return true
 }
 
-// Freeze stops claims on a shard and exports its table for the next owner, who
-// uses it from the next epoch on. A shard stays frozen for the rest of its
-// epoch, since the next owner may already rely on the exported table.
+// Freeze makes an owned shard refuse claims and exports its table for the next owner,
+// which uses it from the next epoch on. The shard stays frozen for the rest of its epoch,
+// since the next owner may already have the exported table. Freeze returns ok as false
+// without freezing the shard if this host does not have authority over it. For since and
+// opaqueMS, see Table.Export.
 func (o *Owner) Freeze(now time.Time, id ShardID) (entries []msg.KeyEntry, since, opaqueMS int64, epoch uint64, ok bool) {
 	s, ok := o.shards[id]
 	if !ok || !s.authority.Held(now) {
@@ -226,9 +228,10 @@
 	return entries, since, opaqueMS, s.authority.Epoch(), true
 }
 
-// Accept stores one part of a table handed over for an epoch. It returns false
-// for a part that is out of order or for an epoch that has already started.
-func (o *Owner) Accept(now time.Time, h *msg.Handover) bool {
+// AcceptHandover stores one part of a table that is handed over for an epoch. It returns
+// false if the part is out of order or the epoch has already started. Part 0 discards
+// the parts received before.
+func (o *Owner) AcceptHandover(now time.Time, h *msg.Handover) bool {
 	key := handoverKey{ShardID{h.Service, h.Shard}, h.Epoch}
 	if s, ok := o.shards[key.ShardID]; ok && s.authority.Epoch() >= h.Epoch {
 		return false
@@ -248,8 +251,7 @@
 	return true
 }
 
-// Shards returns the shards this host owns, sorted by service and number, for
-// draining and the state dump.
+// Shards returns the shards that this host owns, sorted by service and number.
 func (o *Owner) Shards(now time.Time) []OwnedState {
 	out := []OwnedState{}
 	for id, s := range o.shards {
@@ -267,7 +269,7 @@
 	return out
 }
 
-// OwnedState describes an owned shard in the state dump.
+// OwnedState is the state of an owned shard, in the form of the state dump.
 type OwnedState struct {
 	Service string `json:"service"`
 	Shard   uint32 `json:"shard"`
--- a/internal/core/once/placement.go
+++ b/internal/core/once/placement.go
@@ -10,13 +10,14 @@
 	"github.com/radishhoist/radishhoist/record"
 )
 
-// maxGuards is the number of guards that a service is to have if there are enough hosts.
-// A lost guard is replaced by adding first, so there may be maxGuards+1 for a time. Seven
-// guards tolerate three simultaneous failures and keep the lease traffic low.
+// maxGuards is the number of guards of a service with enough hosts. While a lost guard is
+// replaced there may be one more, since the new guard is added before the lost one is
+// removed. Seven guards tolerate three simultaneous failures and keep the lease traffic
+// low.
 const maxGuards = 7
 
-// Candidate is a host that can be chosen as guard or owner of a service's
-// shards.
+// Candidate is a host that may be chosen as a guard of a service or as the owner of a
+// shard.
 type Candidate struct {
 	Host string
 	DC   string
@@ -32,7 +33,7 @@
 // InitialMap returns a service's initial shard map, or nil if no host is usable.
 // Epochs start at the wall time in seconds, so that they are greater than those
 // of an earlier map that an operator has deleted.
-func InitialMap(service string, shards uint32, hosts []Candidate, wall time.Time) *record.ShardMap {
+func InitialMap(service string, shards uint32, hosts []Candidate, now time.Time) *record.ShardMap {
 	guards := pickGuards(service, hosts, maxGuards)
 	if len(guards) == 0 {
 		return nil
@@ -40,15 +41,14 @@
 	m := &record.ShardMap{Guards: guards}
 	for i := range shards {
 		owner := preferredOwner(service, i, guards, nil)
-		m.Shards = append(m.Shards, record.Shard{Owner: owner, Incarnation: incarnationOf(hosts, owner), Epoch: uint64(wall.Unix())})
+		m.Shards = append(m.Shards, record.Shard{Owner: owner, Incarnation: incarnationOf(hosts, owner), Epoch: uint64(now.Unix())})
 	}
 	return m
 }
 
-// NextMap returns the next version of a map, or nil if nothing has to change.
-// One version changes either any number of owners or a single guard. self
-// reassigns only shards that it will own itself, so that the new owner writes
-// the change.
+// NextMap returns the next version of a map as host self is to write it, or nil if self has
+// nothing to change. A version changes either any number of owners or a single guard. A
+// host assigns shards only to itself, so that each change is written by the new owner.
 func NextMap(service, self string, m *record.ShardMap, hosts []Candidate) *record.ShardMap {
 	next := cloneMap(m)
 	if reassignOwners(service, self, next, hosts) {
@@ -60,8 +60,8 @@
 	return nil
 }
 
-// reassignOwners assigns to self the shards whose owner is unusable or has
-// restarted, if self is the preferred successor.
+// reassignOwners assigns to self the shards whose owner is unusable or has restarted, if
+// self is the preferred owner. It reports whether it changed the map.
 func reassignOwners(service, self string, m *record.ShardMap, hosts []Candidate) bool {
 	changed := false
 	for i := range m.Shards {
@@ -78,27 +78,27 @@
 	return changed
 }
 
-// changeGuards changes the guard set by one host. It adds one if there are fewer than
-// maxGuards, not counting one lost guard, or else removes a lost one. A lost guard is
-// thus replaced by adding first, and there may be maxGuards+1 for a time. Every shard
-// gets a new epoch, and a majority of the previous guards is also required until all
-// owners hold authority again. Only the first usable guard by name makes the change,
-// which limits conflicting writes.
+// changeGuards changes the guard set by one host and reports whether it did. It adds a
+// guard if there are fewer than maxGuards, not counting one lost guard, and otherwise
+// removes a lost one. A lost guard is thus replaced by first adding another, and there may
+// be maxGuards+1 for a time. Every shard gets a new epoch, and a majority of the previous
+// guards is also required until all owners have had authority at their new epochs. Only
+// the first usable guard by name changes the guards, to avoid conflicting writes.
 func changeGuards(service, self string, m *record.ShardMap, hosts []Candidate) bool {
 	if self != firstUsable(m.Guards, hosts) || !allHeld(m) {
 		return false
 	}
 	previous := m.Guards
 	lost := lostGuard(m.Guards, hosts)
-	add := nextGuard(service, m.Guards, hosts)
-	kept := len(m.Guards)
+	added := nextGuard(service, m.Guards, hosts)
+	remaining := len(m.Guards)
 	if lost != "" {
-		kept--
+		remaining--
 	}
 	switch {
-	case add != "" && kept < maxGuards:
-		m.Guards = append(slices.Clone(m.Guards), add)
-	case lost != "" && kept > 0:
+	case added != "" && remaining < maxGuards:
+		m.Guards = append(slices.Clone(m.Guards), added)
+	case lost != "" && remaining > 0:
 		m.Guards = slices.DeleteFunc(slices.Clone(m.Guards), func(g string) bool { return g == lost })
 	default:
 		return false
@@ -110,9 +110,9 @@
 	return true
 }
 
-// allHeld reports whether every owner has held authority under both the current
-// and the previous guards, so that no lease majority of an older guard set can
-// still be valid.
+// allHeld reports whether every owner is known to have had authority at its current epoch,
+// under both the current and the previous guards. No majority of leases from an older
+// guard set can then still be valid.
 func allHeld(m *record.ShardMap) bool {
 	for _, s := range m.Shards {
 		if s.HeldEpoch != s.Epoch {
@@ -122,9 +122,10 @@
 	return true
 }
 
-// ConfirmHeld returns a map that records the shards for which this host holds
-// authority, or nil if the map records them already. Only a guard change
-// depends on this record.
+// ConfirmHeld returns a map that records over which shards host self has had authority, or
+// nil if the map records this already. held maps the shards over which self has authority
+// to their epochs. Once every shard is recorded, the previous guards are dropped. The
+// record is only needed for guard changes.
 func ConfirmHeld(self string, m *record.ShardMap, held map[uint32]uint64) *record.ShardMap {
 	next := editOwned(self, m, func(i uint32, s *record.Shard) bool {
 		if s.HeldEpoch == s.Epoch || held[i] != s.Epoch {
@@ -139,9 +140,9 @@
 	return next
 }
 
-// ReclaimFrozen returns a map with new epochs for the shards that this host
-// still owns although it has handed over their tables, or nil if there are none.
-// The new epochs invalidate the tables that were handed over.
+// ReclaimFrozen returns a map with new epochs for the shards that host self still owns
+// although it has exported their tables for handover, or nil if there are none. frozen
+// maps these shards to their epochs. The new epochs invalidate the exported tables.
 func ReclaimFrozen(self string, m *record.ShardMap, frozen map[uint32]uint64) *record.ShardMap {
 	return editOwned(self, m, func(i uint32, s *record.Shard) bool {
 		if frozen[i] != s.Epoch {
@@ -168,7 +169,8 @@
 	return next
 }
 
-// Successor returns the host that should own a shard after its owner leaves.
+// Successor returns the host that should own a shard after its owner leaves, "" if no
+// guard is usable. The owner must not be usable in hosts.
 func Successor(service string, shard uint32, m *record.ShardMap, hosts []Candidate) string {
 	return preferredOwner(service, shard, m.Guards, hosts)
 }
@@ -189,8 +191,8 @@
 	return best
 }
 
-// pickGuards selects up to n usable hosts, taking data centres in turn, so that
-// no data centre holds a majority if there are three or more.
+// pickGuards selects up to n usable hosts, taking data centres in turn. If three or more
+// data centres have enough hosts, none of them has a majority of the guards.
 func pickGuards(service string, hosts []Candidate, n int) []string {
 	var out []string
 	for len(out) < n {
@@ -203,18 +205,18 @@
 	return out
 }
 
-// nextGuard selects the usable host to add: from the data centre with the fewest
-// guards, then by rendezvous hashing.
-func nextGuard(service string, have []string, hosts []Candidate) string {
+// nextGuard selects the usable host to add to the guards, "" if there is none. It takes a
+// host of the data centre with the fewest guards, and among these by rendezvous hashing.
+func nextGuard(service string, guards []string, hosts []Candidate) string {
 	perDC := make(map[string]int)
 	for _, c := range hosts {
-		if slices.Contains(have, c.Host) {
+		if slices.Contains(guards, c.Host) {
 			perDC[c.DC]++
 		}
 	}
 	best, bestCount, bestScore := "", 0, uint64(0)
 	for _, c := range hosts {
-		if !c.Usable || slices.Contains(have, c.Host) {
+		if !c.Usable || slices.Contains(guards, c.Host) {
 			continue
 		}
 		count, score := perDC[c.DC], xxhash.Sum64String(service+"/"+c.Host)
@@ -225,8 +227,8 @@
 	return best
 }
 
-// lostGuard returns a guard to remove. A guard that is not among hosts counts
-// as lost.
+// lostGuard returns the first lost guard, "" if there is none. A guard that is not among
+// hosts counts as lost.
 func lostGuard(guards []string, hosts []Candidate) string {
 	for _, g := range guards {
 		c, ok := findCandidate(hosts, g)
@@ -237,6 +239,7 @@
 	return ""
 }
 
+// firstUsable returns the first usable guard by name, "" if there is none.
 func firstUsable(guards []string, hosts []Candidate) string {
 	first := ""
 	for _, g := range guards {
--- a/internal/core/once/sim_test.go
+++ b/internal/core/once/sim_test.go
@@ -15,11 +15,11 @@
 	"github.com/radishhoist/radishhoist/verdict"
 )
 
-// This file simulates hosts that run the production Owner, LeaseGranter and
-// placement code in virtual time over an in-memory message network. The platform
-// supports conditional updates and may be unavailable or lose replies. Callers
-// repeat keyed requests through any host. Hosts are killed, paused and
-// partitioned in one direction.
+// This file simulates hosts that run the production Owner, LeaseGranter and placement code
+// in virtual time over a simulated network. The platform supports conditional updates; it
+// may be unavailable, and its replies may be lost. Callers repeat keyed requests through
+// any host. Hosts are killed, paused and drained. In a partition, messages between one host
+// and each of the others are lost in one direction.
 
 const (
 	leaseDuration = time.Second
@@ -31,7 +31,7 @@
 
 var simStart = time.Unix(100000, 0)
 
-// simFault is a kind of fault injected into a run.
+// simFault is a kind of fault.
 type simFault uint8
 
 const (
@@ -44,20 +44,20 @@
 	numFaults
 )
 
-// simMutation is a bug injected to verify that the history check detects it.
+// simMutation selects a bug to inject, to verify that the history check detects it.
 type simMutation struct {
-	// staleLease makes owners rely on a lease that may have expired.
+	// staleLease makes owners rely on leases that may have expired.
 	staleLease bool
-	// claimUnknownKeys makes successors run keys that they cannot know.
+	// claimUnknownKeys makes owners accept claims of unknown keys.
 	claimUnknownKeys bool
-	// conflictingLeases makes guards grant the leases of two epochs at once.
+	// conflictingLeases makes guards grant the leases of several epochs at the same time.
 	conflictingLeases bool
 }
 
 type event struct {
 	at          time.Time
 	seq         int
-	host        int // -1: not bound to an incarnation of a host
+	host        int // -1 if the event does not depend on a host
 	incarnation int
 	do          func()
 }
@@ -106,14 +106,14 @@
 	unavailableUntil time.Time
 	repliesToLose    int
 	stored           *record.ShardMap
-	rev              int64
+	version          int64
 
-	executed map[string]int
+	runs     map[string]int
 	ops      []porcupine.Operation
-	counts   map[once.ClaimOutcome]int
+	outcomes map[once.ClaimOutcome]int
 }
 
-func (s *sim) at(d time.Duration, host int, do func()) {
+func (s *sim) schedule(d time.Duration, host int, do func()) {
 	incarnation := 0
 	if host >= 0 {
 		incarnation = s.hosts[host].incarnation
@@ -144,15 +144,16 @@
 
 func (s *sim) delay() time.Duration { return time.Duration(1+s.rng.IntN(20)) * time.Millisecond }
 
-// message delivers to a host after a delay, unless the two hosts are partitioned
-// or the message is lost.
-func (s *sim) message(from, to int, do func()) {
+// send delivers a message to a host after a delay, unless the two hosts are partitioned
+// or the send is lost.
+func (s *sim) send(from, to int, do func()) {
 	if s.now.Before(s.partitionedUntil[[2]int{from, to}]) || s.rng.IntN(50) == 0 {
 		return
 	}
-	s.at(s.delay(), to, do)
+	s.schedule(s.delay(), to, do)
 }
 
+// start starts a host's process, without state of an earlier incarnation.
 func (s *sim) start(h *simHost) {
 	h.incarnation++
 	h.up, h.leaving = true, false
@@ -163,29 +164,30 @@
 		return cfg
 	})
 	h.view, h.version = nil, 0
-	s.at(s.delay(), h.id, func() { s.sync(h) })
-	s.at(s.delay(), h.id, func() { s.tick(h) })
-	s.at(s.delay(), h.id, func() { s.place(h) })
+	s.schedule(s.delay(), h.id, func() { s.sync(h) })
+	s.schedule(s.delay(), h.id, func() { s.tick(h) })
+	s.schedule(s.delay(), h.id, func() { s.updateMap(h) })
 }
 
 // sync reads the map from the platform, as a host does at startup.
 func (s *sim) sync(h *simHost) {
 	if s.now.Before(s.unavailableUntil) {
-		s.at(200*time.Millisecond, h.id, func() { s.sync(h) })
+		s.schedule(200*time.Millisecond, h.id, func() { s.sync(h) })
 		return
 	}
-	stored, rev := s.stored, s.rev
-	s.at(s.delay(), h.id, func() {
-		s.receiveMap(h, stored, rev)
+	stored, version := s.stored, s.version
+	s.schedule(s.delay(), h.id, func() {
+		s.receiveMap(h, stored, version)
 		h.granter.MarkSynced()
 	})
 }
 
-func (s *sim) receiveMap(h *simHost, m *record.ShardMap, rev int64) {
-	if m == nil || rev <= h.version {
+// receiveMap applies a map at a host unless it has this version or a newer one.
+func (s *sim) receiveMap(h *simHost, m *record.ShardMap, version int64) {
+	if m == nil || version <= h.version {
 		return
 	}
-	h.view, h.version = m, rev
+	h.view, h.version = m, version
 	for i, sh := range m.Shards {
 		if !s.mutation.conflictingLeases {
 			h.granter.ObserveEpoch(once.ShardID{Service: simService, Shard: uint32(i)}, sh.Epoch)
@@ -194,6 +196,7 @@
 	h.owner.SetMap(s.now, simService, m)
 }
 
+// tick sends the lease requests of a host that are due, and schedules the next tick.
 func (s *sim) tick(h *simHost) {
 	for _, o := range h.owner.Shards(s.now) {
 		if o.Held {
@@ -203,24 +206,24 @@
 	requests, _, _ := h.owner.Tick(s.now, s.now.UnixMilli())
 	for _, req := range requests {
 		requested, to := s.now, s.index(req.Guard)
-		s.message(h.id, to, func() {
+		s.send(h.id, to, func() {
 			g := s.hosts[to]
 			r := g.granter.Acquire(s.now, req.Shard, req.Epoch, h.name)
 			if s.mutation.conflictingLeases && !r.Granted {
 				r = once.LeaseReply{Granted: true, Epoch: req.Epoch, TTL: leaseDuration}
 			}
-			s.message(to, h.id, func() { h.owner.HandleLeaseReply(req, requested, r) })
+			s.send(to, h.id, func() { h.owner.HandleLeaseReply(req, requested, r) })
 		})
 	}
-	s.at(50*time.Millisecond, h.id, func() { s.tick(h) })
+	s.schedule(50*time.Millisecond, h.id, func() { s.tick(h) })
 }
 
 func (s *sim) index(name string) int {
 	return slices.IndexFunc(s.hosts, func(h *simHost) bool { return h.name == name })
 }
 
-// candidates returns the hosts as seen by the viewer's membership. A host that
-// is down, paused or partitioned appears unusable and at random times lost.
+// candidates returns the hosts as the viewer sees them. A host that is down, paused or
+// partitioned from the viewer is unusable, and at random also lost.
 func (s *sim) candidates(viewer int) []once.Candidate {
 	var out []once.Candidate
 	for _, h := range s.hosts {
@@ -233,8 +236,10 @@
 	return out
 }
 
-func (s *sim) place(h *simHost) {
-	defer s.at(time.Duration(100+s.rng.IntN(200))*time.Millisecond, h.id, func() { s.place(h) })
+// updateMap writes the change of the map that is due at a host, if any, and schedules the
+// next check.
+func (s *sim) updateMap(h *simHost) {
+	defer s.schedule(time.Duration(100+s.rng.IntN(200))*time.Millisecond, h.id, func() { s.updateMap(h) })
 	var next *record.ShardMap
 	hosts := s.candidates(h.id)
 	if h.view == nil {
@@ -256,61 +261,62 @@
 		}
 	}
 	if next != nil {
-		s.put(h, next, h.version)
+		s.writeMap(h, next, h.version)
 	}
 }
 
-// put writes the map if its revision is ifVersion, and the writer then learns
-// the stored map. The reply may be lost after the write took effect.
-func (s *sim) put(h *simHost, next *record.ShardMap, ifVersion int64) {
-	s.at(s.delay(), -1, func() {
+// writeMap writes the map if the stored version is ifVersion. The reply contains the
+// stored map, and may be lost after the write took effect.
+func (s *sim) writeMap(h *simHost, next *record.ShardMap, ifVersion int64) {
+	s.schedule(s.delay(), -1, func() {
 		if s.now.Before(s.unavailableUntil) {
 			return
 		}
-		if s.rev == ifVersion {
-			s.rev++
+		if s.version == ifVersion {
+			s.version++
 			s.stored = next
 			s.distribute()
 		}
-		stored, rev := s.stored, s.rev
+		stored, version := s.stored, s.version
 		if s.repliesToLose > 0 {
 			s.repliesToLose--
 			return
 		}
-		s.at(s.delay(), h.id, func() { s.receiveMap(h, stored, rev) })
+		s.schedule(s.delay(), h.id, func() { s.receiveMap(h, stored, version) })
 	})
 }
 
-// distribute sends a map to the hosts with random delays, some of them long.
+// distribute sends the stored map to the hosts with random delays, some of them long.
 func (s *sim) distribute() {
-	stored, rev := s.stored, s.rev
+	stored, version := s.stored, s.version
 	for _, h := range s.hosts {
 		delay := time.Duration(s.rng.IntN(300)) * time.Millisecond
 		if s.rng.IntN(8) == 0 {
 			delay += 3 * time.Second
 		}
 		delay = max(delay, h.mapsDelayedUntil.Sub(s.now))
-		s.at(delay, h.id, func() { s.receiveMap(h, stored, rev) })
+		s.schedule(delay, h.id, func() { s.receiveMap(h, stored, version) })
 	}
 }
 
-// keyInput and keyOutput are a caller's operation in the history.
+// keyInput and keyOutput are the input and the output of an operation in the history: one
+// request of a caller.
 type keyInput struct{ key string }
 
 type keyOutput struct {
-	outcome once.ClaimOutcome
-	answer  string
-	// ran is set if the caller's own request ran and was answered, lost if it
-	// may have run without a response.
+	outcome  once.ClaimOutcome
+	response string
+	// ran is set if this request ran and the caller got its response, lost if it may have
+	// run without the caller getting a response.
 	ran, lost bool
 }
 
-// request sends a caller's keyed request through a host.
+// request sends a caller's keyed request through the front of a host.
 func (s *sim) request(client int, key string, created int64, front int) {
 	call := s.now
 	id := fmt.Sprintf("%s/%d/%d", key, client, s.seq)
 	finish := func(o keyOutput) {
-		s.counts[o.outcome]++
+		s.outcomes[o.outcome]++
 		s.ops = append(s.ops, porcupine.Operation{
 			ClientId: client, Input: keyInput{key}, Output: o,
 			Call: call.UnixNano(), Return: s.now.UnixNano(),
@@ -330,7 +336,7 @@
 	}
 	owner := s.index(f.view.Shards[shard].Owner)
 	claim := &msg.KeyClaim{Service: simService, Shard: shard, Key: key, RequestID: id, CreatedMS: created}
-	s.message(front, owner, func() {
+	s.send(front, owner, func() {
 		o := s.hosts[owner]
 		now := s.now
 		if s.mutation.staleLease && !o.heldAt.IsZero() {
@@ -340,80 +346,82 @@
 		if s.mutation.claimUnknownKeys && once.ClaimOutcome(r.Outcome) == once.ClaimUnknown {
 			r.Outcome = uint8(once.ClaimRun)
 		}
-		s.message(owner, front, func() { s.claimed(f, claim, r, settle) })
+		s.send(owner, front, func() { s.claimed(f, claim, r, settle) })
 	})
 	// The caller times out. The request may still run later, so the outcome is
 	// unknown.
-	s.at(8*time.Second, -1, func() { settle(keyOutput{outcome: once.ClaimMayHaveRun, lost: true}) })
+	s.schedule(8*time.Second, -1, func() { settle(keyOutput{outcome: once.ClaimMayHaveRun, lost: true}) })
 }
 
+// claimed handles the owner's reply to a claim at the front.
 func (s *sim) claimed(f *simHost, c *msg.KeyClaim, r *msg.ClaimReply, settle func(keyOutput)) {
 	outcome := once.ClaimOutcome(r.Outcome)
 	if outcome != once.ClaimRun {
-		settle(keyOutput{outcome: outcome, answer: string(r.Body)})
+		settle(keyOutput{outcome: outcome, response: string(r.Body)})
 		return
 	}
 	// The request runs after a random time, even while the front is paused.
-	s.at(time.Duration(s.rng.IntN(1500))*time.Millisecond, -1, func() {
+	s.schedule(time.Duration(s.rng.IntN(1500))*time.Millisecond, -1, func() {
 		if s.rng.IntN(10) == 0 {
 			settle(keyOutput{outcome: once.ClaimRefused})
 			s.recordResult(f, c, &msg.KeyResult{Verdict: verdict.NotRun})
 			return
 		}
-		s.executed[c.Key]++
-		answer := fmt.Sprintf("%s#%d", c.Key, s.executed[c.Key])
+		s.runs[c.Key]++
+		response := fmt.Sprintf("%s#%d", c.Key, s.runs[c.Key])
 		if s.rng.IntN(10) == 0 {
 			s.recordResult(f, c, &msg.KeyResult{Verdict: verdict.MayHaveRun})
 			return
 		}
-		settle(keyOutput{outcome: once.ClaimRun, answer: answer, ran: true})
-		s.recordResult(f, c, &msg.KeyResult{Verdict: verdict.Ran, Complete: true, Stored: true, Body: []byte(answer)})
+		settle(keyOutput{outcome: once.ClaimRun, response: response, ran: true})
+		s.recordResult(f, c, &msg.KeyResult{Verdict: verdict.Ran, Complete: true, Stored: true, Body: []byte(response)})
 	})
 }
 
-func (s *sim) recordResult(f *simHost, c *msg.KeyClaim, d *msg.KeyResult) {
-	d.Service, d.Shard, d.Key, d.RequestID = c.Service, c.Shard, c.Key, c.RequestID
+// recordResult sends the result of a claimed request to the owner.
+func (s *sim) recordResult(f *simHost, c *msg.KeyClaim, result *msg.KeyResult) {
+	result.Service, result.Shard, result.Key, result.RequestID = c.Service, c.Shard, c.Key, c.RequestID
 	if !f.up || f.view == nil {
 		return
 	}
 	owner := s.index(f.view.Shards[c.Shard].Owner)
-	s.message(f.id, owner, func() { s.hosts[owner].owner.RecordResult(s.now, d) })
+	s.send(f.id, owner, func() { s.hosts[owner].owner.RecordResult(s.now, result) })
 }
 
-// injectFault starts a fault on a random host.
-func (s *sim) injectFault(f simFault) {
+// injectFault starts a fault, on a random host where the fault concerns one.
+func (s *sim) injectFault(fault simFault) {
 	h := s.hosts[s.rng.IntN(simHosts)]
-	span := time.Duration(500+s.rng.IntN(5000)) * time.Millisecond
-	switch f {
+	duration := time.Duration(500+s.rng.IntN(5000)) * time.Millisecond
+	switch fault {
 	case faultKill:
 		h.up = false
-		s.at(span, -1, func() { s.start(h) })
+		s.schedule(duration, -1, func() { s.start(h) })
 	case faultPause:
-		h.pausedUntil = s.now.Add(span)
+		h.pausedUntil = s.now.Add(duration)
 	case faultPartition:
-		h.mapsDelayedUntil = s.now.Add(span)
+		h.mapsDelayedUntil = s.now.Add(duration)
 		for i := range s.hosts {
 			direction := [2]int{h.id, i}
 			if s.rng.IntN(2) == 0 {
 				direction = [2]int{i, h.id}
 			}
 			if i != h.id {
-				s.partitionedUntil[direction] = s.now.Add(span)
+				s.partitionedUntil[direction] = s.now.Add(duration)
 			}
 		}
 	case faultOutage:
-		s.unavailableUntil = s.now.Add(span)
+		s.unavailableUntil = s.now.Add(duration)
 	case faultLostReply:
 		s.repliesToLose += 2
 	case faultDrain:
 		if h.up && h.view != nil {
-			s.drain(h, span)
+			s.drain(h, duration)
 		}
 	}
 }
 
-// drain hands over every shard, stops the host and restarts it.
-func (s *sim) drain(h *simHost, span time.Duration) {
+// drain hands over every shard of a host, marks the host as leaving, and restarts it.
+func (s *sim) drain(h *simHost, downtime time.Duration) {
 	hosts := s.candidates(h.id)
 	hosts[h.id].Usable = false
 	for _, o := range h.owner.Shards(s.now) {
@@ -421,25 +429,25 @@
 		entries, since, opaque, epoch, ok := h.owner.Freeze(s.now, id)
 		if to := s.index(once.Successor(simService, o.Shard, h.view, hosts)); ok && to >= 0 {
 			part := &msg.Handover{Service: o.Service, Shard: o.Shard, Epoch: epoch + 1, Since: since, OpaqueMS: opaque, Entries: entries, Last: true}
-			s.message(h.id, to, func() {
-				if s.hosts[to].owner.Accept(s.now, part) {
+			s.send(h.id, to, func() {
+				if s.hosts[to].owner.AcceptHandover(s.now, part) {
 					for _, g := range s.hosts {
-						s.message(h.id, g.id, func() { g.granter.Release(s.now, id, epoch, h.name) })
+						s.send(h.id, g.id, func() { g.granter.Release(s.now, id, epoch, h.name) })
 					}
 				}
 			})
 		}
 	}
-	s.at(30*time.Millisecond, h.id, func() { h.leaving = true })
-	s.at(500*time.Millisecond+span, h.id, func() { s.start(h) })
+	s.schedule(30*time.Millisecond, h.id, func() { h.leaving = true })
+	s.schedule(500*time.Millisecond+downtime, h.id, func() { s.start(h) })
 }
 
-// simulate runs one seed with two kinds of fault. It returns a description of
-// the violation, "" if there is none.
-func simulate(seed uint64, a, b simFault, p simMutation) (*sim, string) {
+// simulate runs the simulation of a seed with faults of two kinds. It returns a description
+// of the violation, "" if there is none.
+func simulate(seed uint64, a, b simFault, injected simMutation) (*sim, string) {
 	s := &sim{
-		rng: rand.New(rand.NewPCG(seed, 7)), mutation: p, now: simStart,
-		partitionedUntil: make(map[[2]int]time.Time), executed: make(map[string]int), counts: make(map[once.ClaimOutcome]int),
+		rng: rand.New(rand.NewPCG(seed, 7)), mutation: injected, now: simStart,
+		partitionedUntil: make(map[[2]int]time.Time), runs: make(map[string]int), outcomes: make(map[once.ClaimOutcome]int),
 	}
 	for i := range simHosts {
 		s.hosts = append(s.hosts, &simHost{id: i, name: fmt.Sprintf("h%d", i)})
@@ -452,7 +460,7 @@
 		if s.rng.IntN(2) == 0 {
 			f = b
 		}
-		s.at(at, -1, func() { s.injectFault(f) })
+		s.schedule(at, -1, func() { s.injectFault(f) })
 	}
 	for n := range 300 {
 		// Each key is sent several times within a few seconds, through random
@@ -465,12 +473,12 @@
 		}
 		for repeat := range 4 {
 			wait := time.Duration(s.rng.IntN(1+repeat*2500)) * time.Millisecond
-			s.at(first+wait, -1, func() { s.request(n*4+repeat, key, created, s.rng.IntN(simHosts)) })
+			s.schedule(first+wait, -1, func() { s.request(n*4+repeat, key, created, s.rng.IntN(simHosts)) })
 		}
 	}
-	s.at(simEnd, -1, func() { s.queue = nil })
+	s.schedule(simEnd, -1, func() { s.queue = nil })
 	s.run()
-	for key, n := range s.executed {
+	for key, n := range s.runs {
 		if n > 1 {
 			return s, fmt.Sprintf("seed %d: key %s ran %d times", seed, key, n)
 		}
--- a/internal/core/once/table.go
+++ b/internal/core/once/table.go
@@ -11,14 +11,14 @@
 type ClaimOutcome uint8
 
 const (
-	// ClaimRefused means that the host does not own the shard, has frozen it or has
-	// no authority at present, or that its table is full. The request was not run.
+	// ClaimRefused means that the host does not own the shard, has frozen it or does not
+	// have authority, or that the table is full. The request was not run.
 	ClaimRefused ClaimOutcome = iota
-	// ClaimRun permits this request to run, and no other with the key.
+	// ClaimRun permits this request, and no other with the key, to run.
 	ClaimRun
 	// ClaimBusy means that a request with the key is in progress.
 	ClaimBusy
-	// ClaimReplay returns the stored response.
+	// ClaimReplay means that the request ran before. The stored response is returned.
 	ClaimReplay
 	// ClaimKeyReused means that the key was used for a request with another body.
 	ClaimKeyReused
@@ -27,19 +27,24 @@
 	// ClaimResponseNotStored means that the request ran, but its response was not
 	// stored.
 	ClaimResponseNotStored
-	// ClaimUnknown means that an earlier owner may have known the key while
-	// this one does not.
+	// ClaimUnknown means that the key is not in the table, but an earlier owner may have
+	// accepted a claim for it.
 	ClaimUnknown
-	// ClaimTooOld means that the key was created before the window in which
-	// the owner remembers keys.
+	// ClaimTooOld means that the key was created so long ago that the owner may have
+	// removed it from the table, see TableConfig.Window.
 	ClaimTooOld
 )
 
+// keyState is the state of a key in a table. Its values are sent in msg.KeyEntry.
 type keyState uint8
 
 const (
+	// keyClaimed means that a request with the key may be running.
 	keyClaimed keyState = iota
+	// keyFinished means that the request ran and its response was complete.
 	keyFinished
+	// keyMayHaveRun means that it is unknown whether the request ran, or that it ran and
+	// its response was not complete.
 	keyMayHaveRun
 )
 
@@ -47,8 +52,8 @@
 	bodyHash  uint64
 	requestID string
 	state     keyState
-	// enteredAt is when the state was entered; expiresAt is when a claim without
-	// a result becomes keyMayHaveRun.
+	// enteredAt is when the state was entered, and expiresAt when a claim without a
+	// result becomes keyMayHaveRun.
 	enteredAt, expiresAt time.Time
 	status               uint16
 	header               []msg.Field
@@ -56,72 +61,74 @@
 	stored               bool
 }
 
-// TableConfig holds the limits of a Table. As a Table holds one shard, they apply to each
-// shard.
+// TableConfig holds the limits of a Table, which apply to each shard.
 type TableConfig struct {
-	// Window is how long a finished key is remembered.
+	// Window is how long a key stays in the table after its request has ended.
 	Window time.Duration
-	// MaxKeys limits the number of keys. When it is reached, new keys are
-	// refused: evicting a key early could run its request twice.
+	// MaxKeys limits the number of keys. When it is reached, new keys are refused, since
+	// a request could run twice if its key were evicted early.
 	MaxKeys int
 	// MaxBytes limits the total size of stored response bodies. A response that
 	// does not fit is not stored, and a repeated request gets ClaimResponseNotStored.
 	MaxBytes int
-	// MaxSkew is the maximum tolerated difference between the clocks of callers
-	// and owner.
+	// MaxSkew is the maximum tolerated clock skew between the callers and the owner.
 	MaxSkew time.Duration
-	// ClaimTimeout is how long a claim may remain without a result.
+	// ClaimTimeout is how long a claim may remain without a result, until its request
+	// counts as may-have-run.
 	ClaimTimeout time.Duration
 }
 
-// DefaultTableConfig returns the limits of one shard, for a host with 128 MB for the
+// DefaultTableConfig returns the default limits. They suit a host with 128 MB for the
 // control plane, the part of the proxy that exchanges state with the other hosts.
 func DefaultTableConfig() TableConfig {
 	return TableConfig{Window: 10 * time.Minute, MaxKeys: 20000, MaxBytes: 8 << 20, MaxSkew: time.Second, ClaimTimeout: 11 * time.Minute}
 }
 
 // Table holds the idempotency keys of one shard at its owner. Wall times are in
-// Unix milliseconds and are only compared with the timestamps in keys.
+// Unix milliseconds and are only compared with the timestamps in keys. An opaque key is
+// one without a timestamp.
 type Table struct {
 	cfg     TableConfig
 	entries map[string]*keyEntry
-	bytes   int
-	// completeSince is the wall time up to which keys may be missing from this table.
-	// opaqueFrom is the time from which opaque keys, those without a timestamp, are
-	// accepted.
-	completeSince int64
-	opaqueFrom    time.Time
-	active        bool
+	// bodyBytes is the total size of the stored response bodies.
+	bodyBytes int
+	// completeSinceMS is a wall time: keys created up to then may be missing from the
+	// table.
+	completeSinceMS int64
+	// opaqueAcceptedFrom is when the table starts to accept new opaque keys. Until then
+	// they are unknown, since an earlier owner may have accepted a claim for them.
+	opaqueAcceptedFrom time.Time
+	activated          bool
 }
 
-// NewTable creates the table of an owner that has not received the previous
-// owner's table. Keys created before Activate are treated as unknown, even for the
-// first map of a service: an operator may have deleted an earlier map.
+// NewTable creates the table of an owner that has not received the previous owner's
+// table. Keys created before Activate are unknown, also under the initial map of a
+// service, since an operator may have deleted an earlier map.
 func NewTable(cfg TableConfig) *Table {
 	return &Table{cfg: cfg, entries: make(map[string]*keyEntry)}
 }
 
-// Activate records when the owner first has authority. The previous owner may have
-// accepted claims up to that time but not later, so keys created later cannot
-// have been claimed elsewhere. Only the first call has an effect.
+// Activate records that the owner has authority from now on. Keys created later cannot
+// have been claimed at the previous owner, which accepted no claims after that time. Only
+// the first call has an effect.
 func (t *Table) Activate(now time.Time, wallMS int64) {
-	if t.active {
+	if t.activated {
 		return
 	}
-	t.active = true
-	t.completeSince = wallMS + t.cfg.MaxSkew.Milliseconds()
-	t.opaqueFrom = now.Add(max(t.cfg.Window, t.cfg.ClaimTimeout))
+	t.activated = true
+	t.completeSinceMS = wallMS + t.cfg.MaxSkew.Milliseconds()
+	t.opaqueAcceptedFrom = now.Add(max(t.cfg.Window, t.cfg.ClaimTimeout))
 }
 
 // Len returns the number of keys.
 func (t *Table) Len() int { return len(t.entries) }
 
-// Claim decides whether a keyed request may run. Repeating the claim of a
-// request that holds the key returns ClaimRun again.
+// Claim decides whether a keyed request may run. A repeated claim by the request that
+// has claimed the key returns ClaimRun again. The reply is only returned with ClaimReplay.
 func (t *Table) Claim(now time.Time, wallMS int64, c *msg.KeyClaim) (ClaimOutcome, *msg.ClaimReply) {
 	e, known := t.entries[c.Key]
 	if !known {
-		outcome := t.admitNew(now, wallMS, c)
+		outcome := t.decideNew(now, wallMS, c)
 		if outcome == ClaimRun {
 			t.entries[c.Key] = &keyEntry{
 				bodyHash: c.BodyHash, requestID: c.RequestID, state: keyClaimed, enteredAt: now, expiresAt: now.Add(t.cfg.ClaimTimeout),
@@ -145,16 +152,16 @@
 	}
 }
 
-// admitNew decides about a key that is not in the table.
-func (t *Table) admitNew(now time.Time, wallMS int64, c *msg.KeyClaim) ClaimOutcome {
+// decideNew decides about a claim of a key that is not in the table.
+func (t *Table) decideNew(now time.Time, wallMS int64, c *msg.KeyClaim) ClaimOutcome {
 	created := c.CreatedMS
 	if created > wallMS+t.cfg.MaxSkew.Milliseconds() {
-		created = 0 // the caller's clock is too far ahead: treated as an opaque key
+		created = 0 // the caller's clock is too far ahead, so the timestamp is not used
 	}
 	switch {
-	case created == 0 && now.Before(t.opaqueFrom):
+	case created == 0 && now.Before(t.opaqueAcceptedFrom):
 		return ClaimUnknown
-	case created != 0 && created <= t.completeSince:
+	case created != 0 && created <= t.completeSinceMS:
 		return ClaimUnknown
 	case created != 0 && wallMS-created > (t.cfg.Window-t.cfg.MaxSkew).Milliseconds():
 		return ClaimTooOld
@@ -166,46 +173,46 @@
 }
 
 // RecordResult records the result of a claimed request. The key of a request that did
-// not run is released.
-func (t *Table) RecordResult(now time.Time, d *msg.KeyResult) {
-	e, ok := t.entries[d.Key]
-	if !ok || e.requestID != d.RequestID || e.state == keyFinished {
+// not run is removed, so that it can be claimed again.
+func (t *Table) RecordResult(now time.Time, r *msg.KeyResult) {
+	e, ok := t.entries[r.Key]
+	if !ok || e.requestID != r.RequestID || e.state == keyFinished {
 		return
 	}
 	switch {
-	case d.Verdict == verdict.NotRun && e.state == keyClaimed:
-		delete(t.entries, d.Key)
+	case r.Verdict == verdict.NotRun && e.state == keyClaimed:
+		delete(t.entries, r.Key)
 		return
-	case d.Verdict != verdict.Ran || !d.Complete:
+	case r.Verdict != verdict.Ran || !r.Complete:
 		e.state = keyMayHaveRun
 	default:
 		e.state = keyFinished
-		e.status, e.header = d.Status, d.Header
-		if e.stored = d.Stored && t.bytes+len(d.Body) <= t.cfg.MaxBytes; e.stored {
-			e.body = d.Body
-			t.bytes += len(d.Body)
+		e.status, e.header = r.Status, r.Header
+		if e.stored = r.Stored && t.bodyBytes+len(r.Body) <= t.cfg.MaxBytes; e.stored {
+			e.body = r.Body
+			t.bodyBytes += len(r.Body)
 		}
 	}
 	e.enteredAt = now
 }
 
-// Tick removes keys whose window has passed and marks claims without a result
-// as keyMayHaveRun once they expire.
+// Tick removes keys whose window has passed, and changes the state of expired claims to
+// keyMayHaveRun.
 func (t *Table) Tick(now time.Time) {
 	for key, e := range t.entries {
 		switch {
 		case e.state == keyClaimed && !now.Before(e.expiresAt):
 			e.state, e.enteredAt = keyMayHaveRun, now
 		case e.state != keyClaimed && now.Sub(e.enteredAt) >= t.cfg.Window:
-			t.bytes -= len(e.body)
+			t.bodyBytes -= len(e.body)
 			delete(t.entries, key)
 		}
 	}
 }
 
-// Export returns the entries for the next owner, together with the limits of
-// what the table knows: since in Unix milliseconds, and opaqueMS, the time in
-// milliseconds until opaque keys are accepted.
+// Export returns the entries for the next owner, together with what they may lack: keys
+// created up to since, in Unix milliseconds, may be missing, and new opaque keys are only
+// accepted after opaqueMS milliseconds.
 func (t *Table) Export(now time.Time) (entries []msg.KeyEntry, since, opaqueMS int64) {
 	for key, e := range t.entries {
 		entries = append(entries, msg.KeyEntry{
@@ -213,14 +220,14 @@
 			AgeMS: now.Sub(e.enteredAt).Milliseconds(), Stored: e.stored, Status: e.status, Header: e.header, Body: e.body,
 		})
 	}
-	return entries, t.completeSince, max(t.opaqueFrom.Sub(now).Milliseconds(), 0)
+	return entries, t.completeSinceMS, max(t.opaqueAcceptedFrom.Sub(now).Milliseconds(), 0)
 }
 
 // ImportTable restores a table from the result of Export.
 func ImportTable(cfg TableConfig, now time.Time, entries []msg.KeyEntry, since, opaqueMS int64) *Table {
-	t := &Table{cfg: cfg, entries: make(map[string]*keyEntry, len(entries)), completeSince: since, active: true}
+	t := &Table{cfg: cfg, entries: make(map[string]*keyEntry, len(entries)), completeSinceMS: since, activated: true}
 	if opaqueMS > 0 {
-		t.opaqueFrom = now.Add(time.Duration(opaqueMS) * time.Millisecond)
+		t.opaqueAcceptedFrom = now.Add(time.Duration(opaqueMS) * time.Millisecond)
 	}
 	for _, m := range entries {
 		at := now.Add(-time.Duration(m.AgeMS) * time.Millisecond)
@@ -228,7 +235,7 @@
 			bodyHash: m.BodyHash, requestID: m.RequestID, state: keyState(m.State), enteredAt: at, expiresAt: at.Add(cfg.ClaimTimeout),
 			stored: m.Stored, status: m.Status, header: m.Header, body: m.Body,
 		}
-		t.bytes += len(m.Body)
+		t.bodyBytes += len(m.Body)
 	}
 	return t
 }
--- a/internal/keys/keys.go
+++ b/internal/keys/keys.go
@@ -258,7 +258,7 @@
 	case *msg.KeyResult:
 		return &msg.HandoverReply{Accepted: m.owner.RecordResult(now, r)}
 	case *msg.Handover:
-		return &msg.HandoverReply{Accepted: m.owner.Accept(now, r)}
+		return &msg.HandoverReply{Accepted: m.owner.AcceptHandover(now, r)}
 	default:
 		return nil
 	}
