--- a/internal/keys/claim.go
+++ b/internal/keys/claim.go
@@ -14,42 +14,42 @@
 )
 
 const (
-	// claimRetryTimeout is how long a refused claim is retried: long enough for a
-	// planned handover of the shard, not for a takeover after a host failure.
+	// claimRetryTimeout is how long a refused claim is retried: long enough for the
+	// shard to be handed over, but not for a new owner to start after a host failure.
 	claimRetryTimeout = time.Second
-	// retryInterval is the delay between two tries of a claim or a result.
+	// retryInterval is the delay before a claim or a result is sent again.
 	retryInterval = 100 * time.Millisecond
-	// doneRetryTimeout is how long sending a request's result is retried.
-	doneRetryTimeout = 15 * time.Second
-	// doneCallTimeout limits one try.
-	doneCallTimeout = 2 * time.Second
+	// resultRetryTimeout is how long sending a request's result is retried.
+	resultRetryTimeout = 15 * time.Second
+	// resultCallTimeout limits one attempt to send a result.
+	resultCallTimeout = 2 * time.Second
 )
 
-// shardOf returns the shard of a key and its current owner. If the service has
-// no shard map yet, it requests that one be written and returns false.
+// shardOf returns the shard of a key and its current owner. If the service has no shard
+// map yet, shardOf returns false and has placementLoop write one.
 func (m *Manager) shardOf(service, key string) (shard uint32, owner string, ok bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	sm, ok := currentMap(m.view, service)
+	sm, ok := currentMap(m.dir, service)
 	if !ok {
-		m.needsMap[service] = true
+		m.needsShardMap[service] = true
 		return 0, "", false
 	}
 	shard = uint32(xxhash.Sum64String(key) % uint64(len(sm.Shards)))
 	return shard, sm.Shards[shard].Owner, true
 }
 
-// Claim implements front.Keys. It sends the claim to the owner of the key's
-// shard and retries for a short time while the claim is refused, in particular
-// while no owner has authority.
+// Claim implements front.Keys. It sends the claim to the owner of the key's shard. It
+// retries a refused claim for up to claimRetryTimeout, since no owner has authority while
+// the shard is changing owner.
 func (m *Manager) Claim(ctx context.Context, service *directory.Service, k front.KeyRequest) front.ClaimResult {
 	until := claimUntil(ctx, time.Now())
 	ctx, cancel := context.WithDeadline(ctx, until)
 	defer cancel()
 	for {
-		a := m.claimOnce(ctx, service.Name, k)
-		if a.Outcome != once.ClaimRefused || ctx.Err() != nil {
-			return a
+		result := m.claimOnce(ctx, service.Name, k)
+		if result.Outcome != once.ClaimRefused || ctx.Err() != nil {
+			return result
 		}
 		select {
 		case <-time.After(retryInterval):
@@ -58,8 +58,8 @@
 	}
 }
 
-// claimUntil returns when to stop retrying a claim: after claimRetryTimeout, and
-// early enough before the caller's deadline to report the reason.
+// claimUntil returns when to stop retrying a claim: after claimRetryTimeout, or earlier so
+// that the reason can be reported before the caller's deadline.
 func claimUntil(ctx context.Context, now time.Time) time.Time {
 	timeout := claimRetryTimeout
 	if deadline, ok := ctx.Deadline(); ok {
@@ -68,6 +68,7 @@
 	return now.Add(timeout)
 }
 
+// claimOnce sends a claim to the current owner of the key's shard.
 func (m *Manager) claimOnce(ctx context.Context, service string, k front.KeyRequest) front.ClaimResult {
 	refused := front.ClaimResult{Outcome: once.ClaimRefused, RetryAfterMS: m.cfg.LeaseDuration.Milliseconds()}
 	shard, owner, ok := m.shardOf(service, k.Key)
@@ -77,8 +78,8 @@
 	reply, err := m.call(ctx, owner, &msg.KeyClaim{
 		Service: service, Shard: shard, Key: k.Key, BodyHash: k.BodyHash, RequestID: k.RequestID, CreatedMS: keyTimestamp(k.Key),
 	})
-	c, isClaimed := reply.(*msg.ClaimReply)
-	if err != nil || !isClaimed {
+	c, isClaimReply := reply.(*msg.ClaimReply)
+	if err != nil || !isClaimReply {
 		return refused
 	}
 	return front.ClaimResult{
@@ -87,8 +88,8 @@
 	}
 }
 
-// keyTimestamp returns the timestamp in a key in Unix milliseconds, 0 if it has
-// none. Only version 7 UUIDs (RFC 9562) are considered to have one.
+// keyTimestamp returns the timestamp of a key in Unix milliseconds, 0 if the key is opaque.
+// Only UUIDs of version 7 (RFC 9562) have a timestamp; all other keys are opaque.
 func keyTimestamp(key string) int64 {
 	id, err := uuid.Parse(key)
 	if err != nil || id.Version() != 7 {
@@ -101,24 +102,24 @@
 	return ms
 }
 
-// Done implements front.Keys. It reports the result of a request to the key's
-// owner and retries for a while in case the shard is changing owner. If no owner
-// accepts the result, the claim times out at the owner and counts as
+// Done implements front.Keys. It sends the result of a request to the owner of the key's
+// shard. It retries for up to resultRetryTimeout, since the shard may be changing owner.
+// If no owner accepts the result, the claim expires at the owner and the request counts as
 // may-have-run.
 func (m *Manager) Done(service *directory.Service, k front.KeyRequest, result front.RequestResult) {
-	until := time.Now().Add(doneRetryTimeout)
+	until := time.Now().Add(resultRetryTimeout)
 	for time.Now().Before(until) {
 		shard, owner, ok := m.shardOf(service.Name, k.Key)
 		if !ok {
 			return
 		}
-		ctx, cancel := context.WithTimeout(context.Background(), doneCallTimeout)
+		ctx, cancel := context.WithTimeout(context.Background(), resultCallTimeout)
 		reply, err := m.call(ctx, owner, &msg.KeyResult{
 			Service: service.Name, Shard: shard, Key: k.Key, RequestID: k.RequestID, Verdict: result.Verdict,
 			Complete: result.Complete, Stored: result.Stored, Status: result.Status, Header: result.Header, Body: result.Body,
 		})
 		cancel()
-		if d, ok := reply.(*msg.HandoverReply); err == nil && ok && d.Accepted {
+		if r, ok := reply.(*msg.HandoverReply); err == nil && ok && r.Accepted {
 			return
 		}
 		time.Sleep(retryInterval)
--- a/internal/keys/claim_test.go
+++ b/internal/keys/claim_test.go
@@ -16,7 +16,7 @@
 	assert.Equal(t, claimUntil(ctx, now), now.Add(300*time.Millisecond))
 }
 
-func TestOnlyVersion7KeysHaveTimestamps(t *testing.T) {
+func TestOnlyVersion7UUIDsHaveTimestamps(t *testing.T) {
 	assert.Equal(t, keyTimestamp("01890a5d-ac96-774b-bcce-b302099a8057"), int64(0x01890a5dac96))
 	assert.Equal(t, keyTimestamp("550e8400-e29b-41d4-a716-446655440000"), int64(0))
 	assert.Equal(t, keyTimestamp("order-17"), int64(0))
--- a/internal/keys/keys.go
+++ b/internal/keys/keys.go
@@ -1,15 +1,15 @@
 // Package keys ensures that repeated requests with the same Idempotency-Key run
-// at most once. It owns shards of keys, grants leases as a guard, hands over key
-// tables, and claims keys for the front. The decisions are made by package once;
-// this package sends the messages, runs the timers and writes the shard maps.
+// at most once. On each host, it owns shards of keys, grants leases of shards to other
+// owners, hands over key tables, and claims keys for the front, the proxy at the caller.
+// The decisions are made by package internal/core/once; this package sends the messages,
+// runs the timers and writes the shard maps.
 //
 // A shard is one part of a service's keys. Its owner is the host that keeps the table of
 // these keys, and its epoch numbers the assignment to that owner. The owner has authority
-// over the shard while it holds leases of the epoch from a majority of the guards. Guards
-// are here the hosts that the service's shard map names to grant these leases. A shard is
-// frozen once its owner has exported the table to hand it over: the owner refuses claims
-// until the shard has a new epoch. An opaque key is one without a timestamp. See package
-// once, below internal/core.
+// over the shard while it holds leases of the epoch from a majority of the guards, which
+// in this package are the hosts that the service's shard map names to grant these leases.
+// A shard is frozen once its owner has exported the table to hand it over: the owner
+// refuses claims until the shard has a new epoch.
 package keys
 
 import (
@@ -32,20 +32,20 @@
 type Config struct {
 	Host string
 	// Incarnation is the start time of the process in Unix milliseconds.
-	Incarnation uint64
-	// LeaseDuration is the duration of a lease.
+	Incarnation   uint64
 	LeaseDuration time.Duration
 }
 
-// Hooks holds the functions that a Manager needs from other components.
+// Hooks holds the functions of other components that a Manager calls.
 type Hooks struct {
 	// DistributeMap distributes a shard map at once: one that this host has written, or
 	// the one that was stored when its own write conflicted.
 	DistributeMap func(obj objects.Object)
 }
 
-// Manager implements the key ownership of one host, as an owner of shards, as a
-// guard and for the front. It is safe for concurrent use.
+// Manager implements all of one host's parts in key ownership: it is an owner of shards, a
+// guard that grants leases and a client of the owners on behalf of the front. It is safe
+// for concurrent use.
 type Manager struct {
 	cfg   Config
 	hooks Hooks
@@ -56,38 +56,41 @@
 	mu            sync.Mutex
 	owner         *once.Owner
 	granter       *once.LeaseGranter
-	view          *directory.Directory
-	windows       map[string]time.Duration
+	dir           *directory.Directory
+	keyWindows    map[string]time.Duration
 	unusableSince map[string]time.Time
-	unchanged     map[string]stableHosts
-	// needsMap holds the services that received a key at this host before they had
-	// a shard map. Services that never use keys get none.
-	needsMap        map[string]bool
-	leaving         bool
-	pendingRequests sync.WaitGroup
+	// lastCandidates holds the candidate hosts of services without a shard map, as last
+	// observed.
+	lastCandidates map[string]candidateSet
+	// needsShardMap holds the services that received a key at this host before they had
+	// a shard map. Services that never use keys get no shard map.
+	needsShardMap        map[string]bool
+	leaving              bool
+	pendingLeaseRequests sync.WaitGroup
 }
 
 const (
-	// tickInterval is how often leases are checked for renewal and expiry.
+	// tickInterval is the interval at which leases are checked for renewal and expiry.
 	tickInterval = 50 * time.Millisecond
-	// mapCheckInterval is the mean interval at which shard maps are checked.
+	// mapCheckInterval is the mean interval at which shard maps are checked for changes
+	// that this host has to write.
 	mapCheckInterval = 250 * time.Millisecond
-	// callTimeout limits one message to another host and its reply.
+	// callTimeout limits the exchange of one message and its reply with another host.
 	callTimeout = 700 * time.Millisecond
-	// guardLostAfter is how long a candidate host may be unusable before it counts as
-	// lost. A lost guard is removed from the shard map.
+	// guardLostAfter is how long a host may be unusable before it counts as lost. A lost
+	// guard is removed from the shard map.
 	guardLostAfter = time.Minute
 )
 
-// New creates a Manager, which Run starts.
+// New creates a Manager. Its Run method must be called to start it.
 func New(cfg Config, hooks Hooks, store objects.Store, log *slog.Logger) *Manager {
 	m := &Manager{
-		cfg: cfg, hooks: hooks, log: log, store: store, view: &directory.Directory{},
-		granter:       once.NewLeaseGranter(time.Now(), cfg.LeaseDuration),
-		windows:       make(map[string]time.Duration),
-		unusableSince: make(map[string]time.Time),
-		unchanged:     make(map[string]stableHosts),
-		needsMap:      make(map[string]bool),
+		cfg: cfg, hooks: hooks, log: log, store: store, dir: &directory.Directory{},
+		granter:        once.NewLeaseGranter(time.Now(), cfg.LeaseDuration),
+		keyWindows:     make(map[string]time.Duration),
+		unusableSince:  make(map[string]time.Time),
+		lastCandidates: make(map[string]candidateSet),
+		needsShardMap:  make(map[string]bool),
 	}
 	m.owner = once.NewOwner(cfg.Host, cfg.Incarnation, cfg.LeaseDuration, m.tableConfig)
 	return m
@@ -97,7 +100,7 @@
 func (m *Manager) SetPool(p *peer.Pool) { m.pool = p }
 
 // MarkSynced records that the shard maps were read from the platform since the
-// process started.
+// process started. Until then, this host grants no leases.
 func (m *Manager) MarkSynced() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -108,7 +111,7 @@
 // m.mu.
 func (m *Manager) tableConfig(service string) once.TableConfig {
 	cfg := once.DefaultTableConfig()
-	if w, ok := m.windows[service]; ok {
+	if w, ok := m.keyWindows[service]; ok {
 		cfg.Window = w
 	}
 	return cfg
@@ -119,9 +122,9 @@
 	now := time.Now()
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.view = d
+	m.dir = d
 	for name, s := range d.Services {
-		m.windows[name] = s.Record.KeyWindow()
+		m.keyWindows[name] = s.Record.KeyWindow()
 	}
 	for service, sm := range d.Maps {
 		for i, s := range sm.Shards {
@@ -131,7 +134,8 @@
 	}
 }
 
-// MayRun implements guard.Fence.
+// MayRun implements guard.Fence. It reports whether a request that was claimed at an epoch
+// may still start.
 func (m *Manager) MayRun(service string, shard uint32, epoch uint64) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -155,7 +159,7 @@
 		case <-ctx.Done():
 		}
 	}
-	m.pendingRequests.Wait()
+	m.pendingLeaseRequests.Wait()
 	wg.Wait()
 }
 
@@ -171,18 +175,18 @@
 			slog.String("cause", "no lease from a majority of the guards"))
 	}
 	for _, req := range requests {
-		m.pendingRequests.Add(1)
+		m.pendingLeaseRequests.Add(1)
 		go func() {
-			defer m.pendingRequests.Done()
+			defer m.pendingLeaseRequests.Done()
 			m.requestLease(ctx, req)
 		}()
 	}
 }
 
-// requestLease requests a lease from one guard. The time is read before the
-// message is sent, since the lease counts from then at the owner.
+// requestLease requests a lease from one guard. The time is read before the message is
+// sent, since the owner counts the duration of the lease from then.
 func (m *Manager) requestLease(ctx context.Context, req once.LeaseRequest) {
-	requested := time.Now()
+	requestedAt := time.Now()
 	p := &msg.LeaseRequest{Service: req.Shard.Service, Shard: req.Shard.Shard, Epoch: req.Epoch, Owner: m.cfg.Host}
 	reply, err := m.call(ctx, req.Guard, p)
 	if err != nil {
@@ -194,7 +198,7 @@
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.owner.HandleLeaseReply(req, requested, once.LeaseReply{
+	m.owner.HandleLeaseReply(req, requestedAt, once.LeaseReply{
 		Granted: r.Granted, Epoch: r.Epoch, TTL: time.Duration(r.TTLMS) * time.Millisecond,
 	})
 }
@@ -208,7 +212,7 @@
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	m.mu.Lock()
-	h, ok := m.view.Hosts[host]
+	h, ok := m.dir.Hosts[host]
 	m.mu.Unlock()
 	if !ok {
 		return nil, errUnknownHost
@@ -228,7 +232,7 @@
 	}
 	reply, err := s.Recv(ctx)
 	if ctx.Err() != nil && conn.LastRead().Before(sent) {
-		// Have the next call use a new connection, since this one may be broken.
+		// The connection may be broken, so the next call opens a new one.
 		conn.MarkSuspect()
 	}
 	return reply, err
@@ -244,8 +248,9 @@
 	}
 }
 
-// handle processes a request from a front, an owner or a leaving owner. The clock
-// is read after the lock was acquired, since waiting for it may take long.
+// handle processes a message from a front or an owner and returns the reply, nil if the
+// type of the message is unexpected. The clock is read once the lock is acquired, since
+// waiting for the lock may take long.
 func (m *Manager) handle(request msg.Message) msg.Message {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -264,6 +269,7 @@
 	}
 }
 
+// handleLease handles a request to grant or release a lease. The caller must hold m.mu.
 func (m *Manager) handleLease(now time.Time, r *msg.LeaseRequest) msg.Message {
 	id := once.ShardID{Service: r.Service, Shard: r.Shard}
 	if r.Release {
@@ -277,14 +283,14 @@
 	}
 }
 
-// State returns the owned shards for the state dump.
+// State returns the state of the owned shards.
 func (m *Manager) State() []once.OwnedState {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.owner.Shards(time.Now())
 }
 
-// currentMap returns a service's current shard map, false if there is none.
+// currentMap returns a service's current shard map, false if it has none.
 func currentMap(d *directory.Directory, service string) (*record.ShardMap, bool) {
 	sm, ok := d.Maps[service]
 	if !ok || len(sm.Shards) == 0 {
--- a/internal/keys/place.go
+++ b/internal/keys/place.go
@@ -20,22 +20,22 @@
 var errUnknownHost = errors.New("host is not in the directory")
 
 const (
-	// minWriteBackoff and maxWriteBackoff limit the backoff, before jitter, after a
-	// failed write of a shard map.
+	// minWriteBackoff and maxWriteBackoff limit the backoff, before jitter, after a shard
+	// map could not be written.
 	minWriteBackoff = 500 * time.Millisecond
 	maxWriteBackoff = 10 * time.Second
 )
 
-// placementLoop periodically writes the shard map changes that are up to this host.
+// placementLoop periodically writes the changes of shard maps that this host has to make.
 func (m *Manager) placementLoop(ctx context.Context) {
-	pause := mapCheckInterval
+	interval := mapCheckInterval
 	for ctx.Err() == nil {
 		if m.updateMaps(ctx) {
-			pause = mapCheckInterval
+			interval = mapCheckInterval
 		} else {
-			pause = min(max(2*pause, minWriteBackoff), maxWriteBackoff)
+			interval = min(max(2*interval, minWriteBackoff), maxWriteBackoff)
 		}
-		sleep.For(ctx, pause/2+time.Duration(rand.Int64N(int64(pause))))
+		sleep.For(ctx, interval/2+time.Duration(rand.Int64N(int64(interval))))
 	}
 }
 
@@ -46,8 +46,8 @@
 	next      *record.ShardMap
 }
 
-// updateMaps checks the shard maps that concern this host and writes the changes
-// that are up to it. It returns false if a write failed other than by a conflict.
+// updateMaps checks the shard maps that this host maintains and writes the changes that it
+// has to make. It returns false if a write failed for another reason than a conflict.
 func (m *Manager) updateMaps(ctx context.Context) bool {
 	for _, p := range m.proposals(time.Now()) {
 		if err := m.write(ctx, p); err != nil {
@@ -60,15 +60,17 @@
 	return true
 }
 
+// proposals returns the shard maps that this host has to write. There are none while it is
+// leaving or its directory is incomplete.
 func (m *Manager) proposals(now time.Time) []proposal {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.leaving || !m.view.Complete {
+	if m.leaving || !m.dir.Complete {
 		return nil
 	}
 	var out []proposal
-	for _, svc := range m.view.Services {
-		if !m.isInvolved(svc) {
+	for _, svc := range m.dir.Services {
+		if !m.maintainsMap(svc) {
 			continue
 		}
 		if p, ok := m.propose(now, svc); ok {
@@ -78,13 +80,14 @@
 	return out
 }
 
-// isInvolved reports whether this host has targets of the service, is one of its
-// guards, or has received a key for it. The caller must hold m.mu.
-func (m *Manager) isInvolved(svc *directory.Service) bool {
-	if m.needsMap[svc.Name] {
+// maintainsMap reports whether this host maintains the shard map of a service: it has
+// targets of the service, is one of its guards, or has received a key for it before there
+// was a map. The caller must hold m.mu.
+func (m *Manager) maintainsMap(svc *directory.Service) bool {
+	if m.needsShardMap[svc.Name] {
 		return true
 	}
-	if sm, ok := currentMap(m.view, svc.Name); ok && slices.Contains(sm.Guards, m.cfg.Host) {
+	if sm, ok := currentMap(m.dir, svc.Name); ok && slices.Contains(sm.Guards, m.cfg.Host) {
 		return true
 	}
 	for _, t := range svc.Targets {
@@ -95,15 +98,17 @@
 	return false
 }
 
+// propose returns the shard map of a service that this host has to write, false if there
+// is nothing to change. The caller must hold m.mu.
 func (m *Manager) propose(now time.Time, svc *directory.Service) (proposal, bool) {
 	hosts := m.candidates(now, svc)
-	current, ok := m.view.Maps[svc.Name]
+	current, ok := m.dir.Maps[svc.Name]
 	if !ok {
-		if !m.needsMap[svc.Name] || !m.hostsStable(now, svc.Name, hosts) {
+		if !m.needsShardMap[svc.Name] || !m.candidatesStable(now, svc.Name, hosts) {
 			return proposal{}, false
 		}
-		first := once.InitialMap(svc.Name, svc.Record.KeyShardCount(), hosts, now)
-		return proposal{service: svc.Name, next: first}, first != nil
+		initial := once.InitialMap(svc.Name, svc.Record.KeyShardCount(), hosts, now)
+		return proposal{service: svc.Name, next: initial}, initial != nil
 	}
 	held, frozen := m.ownedEpochs(now, svc.Name)
 	next := once.ReclaimFrozen(m.cfg.Host, current.ShardMap, frozen)
@@ -116,44 +121,44 @@
 	return proposal{service: svc.Name, ifVersion: current.Version, next: next}, next != nil
 }
 
-// hostsStable reports whether a service's hosts have not changed for
-// stablePeriod. An initial map written too early would have too few guards. The
-// caller must hold m.mu.
-func (m *Manager) hostsStable(now time.Time, service string, hosts []once.Candidate) bool {
-	previous, ok := m.unchanged[service]
+// candidatesStable reports whether a service's candidate hosts have not changed for
+// stabilityPeriod. An initial map written too early would have too few guards. The caller
+// must hold m.mu.
+func (m *Manager) candidatesStable(now time.Time, service string, hosts []once.Candidate) bool {
+	previous, ok := m.lastCandidates[service]
 	if !ok || !slices.Equal(previous.hosts, hosts) {
-		m.unchanged[service] = stableHosts{hosts: hosts, since: now}
+		m.lastCandidates[service] = candidateSet{hosts: hosts, since: now}
 		return false
 	}
-	return now.Sub(previous.since) >= stablePeriod
+	return now.Sub(previous.since) >= stabilityPeriod
 }
 
-// stableHosts holds the hosts of a service without a shard map, and since when
-// they have been unchanged.
-type stableHosts struct {
+// candidateSet holds the candidate hosts of a service, and since when they have been
+// unchanged.
+type candidateSet struct {
 	hosts []once.Candidate
 	since time.Time
 }
 
-// stablePeriod is how long a service's hosts must remain unchanged before its
-// initial shard map is written.
-const stablePeriod = 2 * time.Second
+// stabilityPeriod is how long the candidate hosts of a service must remain unchanged before
+// its initial shard map is written.
+const stabilityPeriod = 2 * time.Second
 
-// candidates returns the hosts that have targets of the service, and its guards,
-// sorted by name.
+// candidates returns the hosts that have targets of a service and the service's guards,
+// sorted by name. The caller must hold m.mu.
 func (m *Manager) candidates(now time.Time, svc *directory.Service) []once.Candidate {
 	names := make(map[string]bool)
 	for _, t := range svc.Targets {
 		names[t.Host.Name] = true
 	}
-	if sm, ok := m.view.Maps[svc.Name]; ok {
+	if sm, ok := m.dir.Maps[svc.Name]; ok {
 		for _, g := range sm.Guards {
 			names[g] = true
 		}
 	}
 	var out []once.Candidate
 	for name := range names {
-		h, ok := m.view.Hosts[name]
+		h, ok := m.dir.Hosts[name]
 		if !ok {
 			continue
 		}
@@ -171,22 +176,22 @@
 }
 
 // unusableFor returns how long a host has been unusable, and records when that was first
-// observed.
+// observed. The caller must hold m.mu.
 func (m *Manager) unusableFor(now time.Time, c once.Candidate) time.Duration {
 	if c.Usable {
 		delete(m.unusableSince, c.Host)
 		return 0
 	}
-	at, ok := m.unusableSince[c.Host]
+	since, ok := m.unusableSince[c.Host]
 	if !ok {
 		m.unusableSince[c.Host] = now
 		return 0
 	}
-	return now.Sub(at)
+	return now.Sub(since)
 }
 
-// ownedEpochs returns the epochs of a service's shards over which this host has
-// authority, and of those that it has handed over. The caller must hold m.mu.
+// ownedEpochs returns the epochs of a service's shards over which this host has authority,
+// and of those that it has frozen. The caller must hold m.mu.
 func (m *Manager) ownedEpochs(now time.Time, service string) (held, frozen map[uint32]uint64) {
 	held, frozen = make(map[uint32]uint64), make(map[uint32]uint64)
 	for _, s := range m.owner.Shards(now) {
@@ -201,9 +206,9 @@
 	return held, frozen
 }
 
-// write stores a map if the stored version is still ifVersion, and distributes it
-// at once. If the reply was lost, the nonce tells whether the stored map is the
-// one from this write.
+// write stores a map if the stored version is still ifVersion, and distributes it at
+// once. If the platform's reply is lost, the nonce shows whether the stored map is from
+// this write.
 func (m *Manager) write(ctx context.Context, p proposal) error {
 	p.next.Nonce = uuid.NewString()
 	key := record.Key{Kind: record.KindShardMap, Name: p.service}
@@ -225,15 +230,15 @@
 	case err == nil:
 		m.hooks.DistributeMap(obj)
 	case errors.As(err, &conflict) && conflict.Current.Version > 0:
-		// Another host has written the map: apply its version here.
+		// Another host has written the map: use the stored one.
 		m.hooks.DistributeMap(conflict.Current)
 	}
 	return err
 }
 
-// HandOver freezes every owned shard and sends its table to the successor. It is
-// called before this host announces that it is leaving. A table that cannot be
-// handed over is lost with the process, and the successor refuses its keys.
+// HandOver freezes every owned shard and sends its table to the shard's next owner. It is
+// called before this host announces that it is leaving. A table that cannot be handed over
+// is lost with the process, and the next owner refuses its keys as unknown.
 func (m *Manager) HandOver(ctx context.Context) {
 	m.mu.Lock()
 	m.leaving = true
@@ -245,23 +250,25 @@
 }
 
 // Resume is called after a planned stop was cancelled. It only clears the flag set by
-// HandOver, so that propose may reclaim the frozen shards that were not taken over:
-// they get a new epoch with this host as owner.
+// HandOver. propose then reclaims the frozen shards that this host still owns, by giving
+// them a new epoch.
 func (m *Manager) Resume() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.leaving = false
 }
 
-// Limits of one part of a handed-over table.
+// The limits of a msg.Handover, which carries one part of a table.
 const (
 	// maxPartEntries limits the number of entries.
 	maxPartEntries = 500
-	// maxPartBytes limits the total size of the response bodies, unless a single
-	// entry exceeds it.
+	// maxPartBytes limits the total size of the response bodies. A part with a single
+	// entry may exceed it.
 	maxPartBytes = 1 << 20
 )
 
+// handOverShard freezes a shard, sends its table to the next owner in parts, and releases
+// the leases once all parts were accepted.
 func (m *Manager) handOverShard(ctx context.Context, id once.ShardID) {
 	m.mu.Lock()
 	to, guards := m.successor(id)
@@ -276,7 +283,7 @@
 		h.Part, h.Entries, h.Last = part, rest[:n], n == len(rest)
 		rest = rest[n:]
 		reply, err := m.call(ctx, to, h)
-		if done, ok := reply.(*msg.HandoverReply); err != nil || !ok || !done.Accepted {
+		if r, ok := reply.(*msg.HandoverReply); err != nil || !ok || !r.Accepted {
 			return
 		}
 		if h.Last {
@@ -289,6 +296,7 @@
 	}
 }
 
+// partSize returns how many of the entries fit into one part of a handover.
 func partSize(entries []msg.KeyEntry) int {
 	bytes := 0
 	for i, e := range entries {
@@ -300,11 +308,11 @@
 	return len(entries)
 }
 
-// successor returns the host that should own a shard after this host leaves, and
-// the guards of the service. The caller must hold m.mu.
+// successor returns the host that should own a shard after this host leaves, "" if there
+// is none, and the guards of the service. The caller must hold m.mu.
 func (m *Manager) successor(id once.ShardID) (string, []string) {
-	svc, ok := m.view.Services[id.Service]
-	sm, known := currentMap(m.view, id.Service)
+	svc, ok := m.dir.Services[id.Service]
+	sm, known := currentMap(m.dir, id.Service)
 	if !ok || !known {
 		return "", nil
 	}
