--- a/internal/core/crash/assessment.go
+++ b/internal/core/crash/assessment.go
@@ -30,7 +30,8 @@
 
 const (
 	// otherSoftwareBlockDuration is how long after its latest crash a request is blocked
-	// from software that it has not crashed.
+	// from software that it has not crashed. It is the shortest block, since another
+	// version may handle the request.
 	otherSoftwareBlockDuration = time.Minute
 	// initialBlockDuration is how long after its latest crash a request is blocked from
 	// software that it has crashed. Each incident beyond BlockAfterIncidents doubles the
