--- a/internal/core/once/owner.go
+++ b/internal/core/once/owner.go
@@ -131,7 +131,7 @@
 	return s
 }
 
-// renewalsPerLease is how often a lease is requested anew within its duration.
+// renewalsPerLease is the number of requests to renew a lease within its duration.
 const renewalsPerLease = 3
 
 // Tick returns the lease requests that are due, expires table entries, and
