--- a/internal/cli/suspects.go
+++ b/internal/cli/suspects.go
@@ -91,8 +91,8 @@
 func mergeSuspects(fromDaemon []guard.SuspectState, stored []objects.Object) []*suspect {
 	byFingerprint := make(map[string]*suspect)
 	for _, k := range fromDaemon {
-		s := &suspect{Fingerprint: k.Fingerprint, BlockedUntil: k.Until, CrashCount: k.Crashes}
-		s.setCrashes(k.Instances)
+		s := &suspect{Fingerprint: k.Fingerprint, BlockedUntil: k.Until, CrashCount: k.CrashCount}
+		s.setCrashes(k.Crashes)
 		byFingerprint[k.Fingerprint] = s
 	}
 	for _, obj := range stored {
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -371,7 +371,7 @@
 	if !ok || o.To == c.cfg.Host {
 		return
 	}
-	c.enqueue(h.Peer, o.Msg)
+	c.enqueue(h.PeerAddr, o.Msg)
 }
 
 // enqueue queues a message to an address. If the queue is full, the message is dropped;
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -137,7 +137,7 @@
 
 	c.hosts["c"] = &directory.Host{Name: "c"}
 	c.addUnknownSender(&msg.Packet{Kind: msg.PacketPing, From: "c", FromAddr: "127.0.0.1:3", ProbedHost: "a"})
-	assert.Equal(t, c.contacts.Candidates(), 1)
+	assert.Equal(t, c.contacts.CandidateCount(), 1)
 }
 
 // When many hosts start at the same time, only those that rank first among the Host
--- a/internal/control/crashes_test.go
+++ b/internal/control/crashes_test.go
@@ -41,7 +41,7 @@
 		}
 		c.hooks.Cleared = func(crashID string, p crash.Fingerprint) {
 			assert.Equal(t, crashID+fingerprintSeparator, name[:len(crashID)+1])
-			tracker.Clear(now, crashID, p)
+			tracker.AddClearance(now, crashID, p)
 		}
 		c.applyCrashEntry(now, msg.Entry{Kind: kind, Name: name, Version: now.UnixMilli(), Value: value})
 		for _, v := range tracker.Assess(now) {
--- a/internal/control/hosts.go
+++ b/internal/control/hosts.go
@@ -61,7 +61,7 @@
 		event.Log(c.log, event.HostLeft, slog.String("peer", e.Name))
 	}
 	h := &directory.Host{
-		Name: e.Name, DC: state.DC, Peer: state.Peer, Admin: state.Admin,
+		Name: e.Name, DC: state.DC, PeerAddr: state.Peer, AdminAddr: state.Admin,
 		Incarnation: state.Incarnation, Leaving: state.Leaving,
 	}
 	for _, inst := range state.Instances {
--- a/internal/control/loadreport.go
+++ b/internal/control/loadreport.go
@@ -11,7 +11,7 @@
 // loadreport.ToAll, one host of every other data centre also receives a copy, which it
 // forwards within its data centre. If the rate limit does not allow all
 // recipients, only some receive it.
-func (c *Control) SendLoadReport(report *msg.LoadReport, to loadreport.Reach) {
+func (c *Control) SendLoadReport(report *msg.LoadReport, to loadreport.Scope) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
@@ -27,7 +27,7 @@
 func (c *Control) enqueueLoadReport(hosts []string, report *msg.LoadReport) {
 	for _, host := range hosts {
 		if h, ok := c.hosts[host]; ok {
-			c.enqueue(h.Peer, report)
+			c.enqueue(h.PeerAddr, report)
 		}
 	}
 }
--- a/internal/control/status.go
+++ b/internal/control/status.go
@@ -53,7 +53,7 @@
 		return
 	}
 	if h, ok := c.hosts[to]; ok {
-		c.enqueue(h.Peer, r)
+		c.enqueue(h.PeerAddr, r)
 	}
 }
 
--- a/internal/control/teams.go
+++ b/internal/control/teams.go
@@ -47,7 +47,7 @@
 	if !ok || c.udp == nil {
 		return
 	}
-	addr, err := net.ResolveUDPAddr("udp", h.Peer)
+	addr, err := net.ResolveUDPAddr("udp", h.PeerAddr)
 	if err != nil {
 		return
 	}
--- a/internal/core/admit/admit.go
+++ b/internal/core/admit/admit.go
@@ -75,8 +75,8 @@
 	Slots int
 	// QueuePerSlot is the maximum number of waiting requests per slot.
 	QueuePerSlot int
-	// GrantLife is how long a grant remains valid if it is not used by a Run.
-	GrantLife time.Duration
+	// GrantTTL is how long a grant remains valid if it is not used by a Run.
+	GrantTTL time.Duration
 }
 
 // state is the lifecycle state of a queued or admitted request.
@@ -352,7 +352,7 @@
 	q.busy++
 	if t.Reserve {
 		t.state = granted
-		t.expires = now.Add(q.cfg.GrantLife)
+		t.expires = now.Add(q.cfg.GrantTTL)
 		return Decision{ID: t.ID, Action: Grant}
 	}
 	t.state = running
--- a/internal/core/admit/admit_test.go
+++ b/internal/core/admit/admit_test.go
@@ -13,7 +13,7 @@
 var base = time.Unix(1000, 0)
 
 func newTestQueue(slots int) *Queue {
-	return NewQueue(Config{Slots: slots, QueuePerSlot: 2, GrantLife: time.Second})
+	return NewQueue(Config{Slots: slots, QueuePerSlot: 2, GrantTTL: time.Second})
 }
 
 func request(id ID, class uint32) Request {
@@ -139,7 +139,7 @@
 // Revoke cancels unused grants and does not affect running and waiting requests.
 func TestRevokedGrantsCannotRun(t *testing.T) {
 	now := time.Unix(1000, 0)
-	q := NewQueue(Config{Slots: 2, QueuePerSlot: 2, GrantLife: time.Minute})
+	q := NewQueue(Config{Slots: 2, QueuePerSlot: 2, GrantTTL: time.Minute})
 	deadline := now.Add(time.Hour)
 	assert.Equal(t, q.Offer(now, Request{ID: 1, Deadline: deadline})[0].Action, Start)
 	assert.Equal(t, q.Offer(now, Request{ID: 2, Deadline: deadline, Reserve: true})[0].Action, Grant)
@@ -158,7 +158,7 @@
 // ones as soon as all teams had the same priority.
 func TestTeamPriorityOutranksRoutePriority(t *testing.T) {
 	now := time.Unix(0, 0)
-	q := NewQueue(Config{Slots: 1, QueuePerSlot: 8, GrantLife: time.Second})
+	q := NewQueue(Config{Slots: 1, QueuePerSlot: 8, GrantTTL: time.Second})
 	offer := func(id ID, priority, subPriority uint8) {
 		q.Offer(now, Request{ID: id, Priority: priority, SubPriority: subPriority, Deadline: now.Add(time.Minute), ExpectedServiceTime: time.Millisecond})
 	}
--- a/internal/core/admit/load_test.go
+++ b/internal/core/admit/load_test.go
@@ -37,7 +37,7 @@
 // byObjective is true.
 func simulate(byObjective bool) outcome {
 	rng := rand.New(rand.NewPCG(7, 11))
-	q := NewQueue(Config{Slots: 4, QueuePerSlot: 8, GrantLife: time.Second})
+	q := NewQueue(Config{Slots: 4, QueuePerSlot: 8, GrantTTL: time.Second})
 	var events eventHeap
 	var out outcome
 	arrived := map[ID]time.Time{}
@@ -106,7 +106,7 @@
 }
 
 func TestLateRequestIsRefusedUnlessAllowLate(t *testing.T) {
-	q := NewQueue(Config{Slots: 1, QueuePerSlot: 4, GrantLife: time.Second})
+	q := NewQueue(Config{Slots: 1, QueuePerSlot: 4, GrantTTL: time.Second})
 	r := Request{ID: 1, Deadline: base.Add(10 * time.Second), Objective: base.Add(time.Second), ExpectedServiceTime: 900 * time.Millisecond}
 	assert.Equal(t, q.Offer(base, r)[0].Action, Start)
 	r.ID = 2
@@ -121,7 +121,7 @@
 }
 
 func TestRequestsWithinObjectiveRunBeforeLateOnesOfSamePriority(t *testing.T) {
-	q := NewQueue(Config{Slots: 1, QueuePerSlot: 4, GrantLife: time.Second})
+	q := NewQueue(Config{Slots: 1, QueuePerSlot: 4, GrantTTL: time.Second})
 	offer := func(id ID, priority uint8, objective time.Duration) {
 		q.Offer(base, Request{
 			ID: id, Priority: priority, AllowLate: true, ExpectedServiceTime: 100 * time.Millisecond,
@@ -152,7 +152,7 @@
 // it must be queued and not refused. Calls made by an instance while it runs a request
 // are of this kind, and a refused call makes that request fail.
 func TestShortRequestWithNearObjectiveIsQueuedAheadOfLongOnes(t *testing.T) {
-	q := NewQueue(Config{Slots: 4, QueuePerSlot: 8, GrantLife: time.Second})
+	q := NewQueue(Config{Slots: 4, QueuePerSlot: 8, GrantTTL: time.Second})
 	q.serviceTime = 400 * time.Millisecond
 	for id := range ID(12) {
 		q.Offer(base, Request{
@@ -183,7 +183,7 @@
 // after up to 4.02 s.
 func TestLateRequestIsRefusedAtItsObjective(t *testing.T) {
 	const objective, service, tick = 2 * time.Second, 500 * time.Millisecond, 20 * time.Millisecond
-	q := NewQueue(Config{Slots: 2, QueuePerSlot: 8, GrantLife: time.Second})
+	q := NewQueue(Config{Slots: 2, QueuePerSlot: 8, GrantTTL: time.Second})
 	arrived := map[ID]time.Time{}
 	running := map[ID]time.Time{}
 	longest := time.Duration(0)
--- a/internal/core/balance/balance.go
+++ b/internal/core/balance/balance.go
@@ -36,8 +36,8 @@
 	Service time.Duration
 	// RoundTrip is the round-trip time to the instance's host, 0 if unknown.
 	RoundTrip time.Duration
-	// Warmth is the progress of the instance's warm-up, from 0 at its start to 1.
-	Warmth float64
+	// WarmUpProgress is the progress of the instance's warm-up, from 0 at its start to 1.
+	WarmUpProgress float64
 	// Local reports whether the instance is in the front's data centre.
 	Local bool
 	// FailureProbability is the probability that the request fails at the instance.
@@ -55,8 +55,8 @@
 
 // CostWeights describes the cost of a late or failed response to one request.
 type CostWeights struct {
-	// Objective is the latency objective, and Left the part of it that remains.
-	Objective, Left time.Duration
+	// Objective is the latency objective, and TimeLeft the part of it that remains.
+	Objective, TimeLeft time.Duration
 	// FailureWeight is the share of the request's value that a failure costs: 1 for requests
 	// that cannot be retried, less for those that can.
 	FailureWeight float64
@@ -73,8 +73,8 @@
 	// loadHalfLife is the age at which a load report has lost half of its weight
 	// against the typical load.
 	loadHalfLife = 2 * time.Second
-	// minWarmth bounds the cost of a cold instance, so that it still gets requests.
-	minWarmth = 0.05
+	// minWarmUpProgress bounds the cost of a cold instance, so that it still gets requests.
+	minWarmUpProgress = 0.05
 	// fullLoadSlowdown is the relative increase of the service time of an instance with
 	// all slots busy, compared with an idle one.
 	fullLoadSlowdown = 0.5
@@ -109,7 +109,7 @@
 	queued := freshness*c.QueuedWork.Seconds()/slots + (1-freshness)*c.Typical.QueuedWork.Seconds()
 	busy := min(running/slots, 1)
 	wait := queued + service.Seconds()*max(running+1-slots, 0)/slots
-	run := (service.Seconds()*(1+fullLoadSlowdown*busy*busy) + wait) / max(c.Warmth, minWarmth)
+	run := (service.Seconds()*(1+fullLoadSlowdown*busy*busy) + wait) / max(c.WarmUpProgress, minWarmUpProgress)
 	total := roundTrip.Seconds() + run
 	value := (1 - c.FailureProbability*w.FailureWeight) * w.valueShareAfter(total)
 	if !c.Local {
@@ -123,7 +123,7 @@
 // well after it. Service times vary by half of their mean and more, so the share
 // decreases gradually in between.
 func (w CostWeights) valueShareAfter(seconds float64) float64 {
-	left := w.Left.Seconds()
+	left := w.TimeLeft.Seconds()
 	if w.Objective <= 0 {
 		return 1
 	}
--- a/internal/core/balance/balance_test.go
+++ b/internal/core/balance/balance_test.go
@@ -10,11 +10,11 @@
 
 // idle returns an idle, warm and local instance with a low failure probability.
 func idle() Candidate {
-	return Candidate{Slots: 4, Service: 400 * time.Millisecond, RoundTrip: time.Millisecond, Warmth: 1, Local: true, FailureProbability: 0.03}
+	return Candidate{Slots: 4, Service: 400 * time.Millisecond, RoundTrip: time.Millisecond, WarmUpProgress: 1, Local: true, FailureProbability: 0.03}
 }
 
 func nonRetryable() CostWeights {
-	return CostWeights{Objective: 1500 * time.Millisecond, Left: 1500 * time.Millisecond, FailureWeight: 1, RemoteWeight: 0.03}
+	return CostWeights{Objective: 1500 * time.Millisecond, TimeLeft: 1500 * time.Millisecond, FailureWeight: 1, RemoteWeight: 0.03}
 }
 
 func TestCostOrder(t *testing.T) {
@@ -30,7 +30,7 @@
 		{"a queue that misses the objective against a moderate failure probability", nonRetryable(), func(c *Candidate) { c.FailureProbability = 0.3 }, func(c *Candidate) { c.Running, c.QueuedWork = 4, 12*time.Second }},
 		{"another data centre", nonRetryable(), func(*Candidate) {}, func(c *Candidate) { c.Local, c.RoundTrip = false, 2*time.Millisecond }},
 		{"a failure costs more than a remote instance", nonRetryable(), func(c *Candidate) { c.Local = false }, func(c *Candidate) { c.FailureProbability = 0.2 }},
-		{"a cold start", nonRetryable(), func(*Candidate) {}, func(c *Candidate) { c.Warmth = 0.3 }},
+		{"a cold start", nonRetryable(), func(*Candidate) {}, func(c *Candidate) { c.WarmUpProgress = 0.3 }},
 		{"a busy instance", retryable, func(*Candidate) {}, func(c *Candidate) { c.Running = 4 }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/core/chance/chance.go
+++ b/internal/core/chance/chance.go
@@ -19,25 +19,25 @@
 // an error by a factor of two in any of them, because a single failure remains strong
 // evidence.
 type Model struct {
-	// MeanWell and MeanSick are the mean durations of the two states.
-	MeanWell, MeanSick time.Duration
-	// WellFailureRate and SickFailureRate are the failure probabilities in the two states.
-	WellFailureRate, SickFailureRate float64
+	// MeanHealthy and MeanSick are the mean durations of the two states.
+	MeanHealthy, MeanSick time.Duration
+	// HealthyFailureRate and SickFailureRate are the failure probabilities in the two states.
+	HealthyFailureRate, SickFailureRate float64
 }
 
 // Default returns a Model for instances that are sick for several seconds at a time.
 func Default() Model {
-	return Model{MeanWell: 30 * time.Second, MeanSick: 12 * time.Second, WellFailureRate: 0.03, SickFailureRate: 0.8}
+	return Model{MeanHealthy: 30 * time.Second, MeanSick: 12 * time.Second, HealthyFailureRate: 0.03, SickFailureRate: 0.8}
 }
 
 // steadyStateSick returns the long-run share of time in which an instance is sick.
 func (m Model) steadyStateSick() float64 {
-	return m.MeanSick.Seconds() / (m.MeanSick.Seconds() + m.MeanWell.Seconds())
+	return m.MeanSick.Seconds() / (m.MeanSick.Seconds() + m.MeanHealthy.Seconds())
 }
 
 // decayRate returns the rate, per second, at which an estimate decays towards the
 // steady state.
-func (m Model) decayRate() float64 { return 1/m.MeanWell.Seconds() + 1/m.MeanSick.Seconds() }
+func (m Model) decayRate() float64 { return 1/m.MeanHealthy.Seconds() + 1/m.MeanSick.Seconds() }
 
 // Estimate is the probability that one instance is sick, as of its last outcome. The
 // zero value has no outcomes.
@@ -78,15 +78,15 @@
 // SickForSelection.
 func (e *Estimate) FailureProbability(now time.Time, m Model) float64 {
 	sick := e.SickForSelection(now, m)
-	return sick*m.SickFailureRate + (1-sick)*m.WellFailureRate
+	return sick*m.SickFailureRate + (1-sick)*m.HealthyFailureRate
 }
 
 // Observe updates the estimate with the outcome of one request.
 func (e *Estimate) Observe(now time.Time, failed bool, m Model) {
 	sick := e.Sick(now, m)
-	ifSick, ifWell := 1-m.SickFailureRate, 1-m.WellFailureRate
+	ifSick, ifWell := 1-m.SickFailureRate, 1-m.HealthyFailureRate
 	if failed {
-		ifSick, ifWell = m.SickFailureRate, m.WellFailureRate
+		ifSick, ifWell = m.SickFailureRate, m.HealthyFailureRate
 	}
 	e.sick = sick * ifSick / (sick*ifSick + (1-sick)*ifWell)
 	e.at = now
--- a/internal/core/chance/chance_test.go
+++ b/internal/core/chance/chance_test.go
@@ -84,7 +84,7 @@
 	for range perSecond * seconds {
 		now = now.Add(time.Second / perSecond)
 		for i := range sick {
-			meanDuration := m.MeanWell
+			meanDuration := m.MeanHealthy
 			if sick[i] {
 				meanDuration = m.MeanSick
 			}
@@ -93,7 +93,7 @@
 			}
 		}
 		fails := func(i int) bool {
-			failureRate := m.WellFailureRate
+			failureRate := m.HealthyFailureRate
 			if sick[i] {
 				failureRate = m.SickFailureRate
 			}
--- a/internal/core/chance/share.go
+++ b/internal/core/chance/share.go
@@ -14,26 +14,26 @@
 	shareHalfLife = 3 * time.Second
 )
 
-// Share is an exponentially weighted moving average of the share of outcomes that are of
+// DecayingShare is an exponentially weighted moving average of the share of outcomes that are of
 // one kind. It also decays towards 0 over time. The zero value has no outcomes.
-type Share struct {
+type DecayingShare struct {
 	value float64
 	at    time.Time
 }
 
-// ShareAt returns a Share with a value reported by another process, limited to the range
+// DecayingShareAt returns a Share with a value reported by another process, limited to the range
 // from 0 to 1.
-func ShareAt(now time.Time, value float64) Share {
-	return Share{value: min(max(value, 0), 1), at: now}
+func DecayingShareAt(now time.Time, value float64) DecayingShare {
+	return DecayingShare{value: min(max(value, 0), 1), at: now}
 }
 
 // At returns the share at the given time.
-func (s *Share) At(now time.Time) float64 {
+func (s *DecayingShare) At(now time.Time) float64 {
 	return s.value * math.Exp2(-max(now.Sub(s.at), 0).Seconds()/shareHalfLife.Seconds())
 }
 
 // Observe adds one outcome; counted states whether it is of the kind that is counted.
-func (s *Share) Observe(now time.Time, counted bool) {
+func (s *DecayingShare) Observe(now time.Time, counted bool) {
 	outcome := 0.0
 	if counted {
 		outcome = 1
--- a/internal/core/chance/share_test.go
+++ b/internal/core/chance/share_test.go
@@ -9,7 +9,7 @@
 
 func TestShareFollowsOutcomesAndDecays(t *testing.T) {
 	now := time.Unix(1000, 0)
-	var s Share
+	var s DecayingShare
 	assert.Equal(t, s.At(now), 0.0)
 	for range 30 {
 		s.Observe(now, true)
@@ -19,7 +19,7 @@
 		s.Observe(now, false)
 	}
 	assert.Assert(t, s.At(now) < 0.4)
-	reported := ShareAt(now, 0.8)
+	reported := DecayingShareAt(now, 0.8)
 	assert.Assert(t, reported.At(now.Add(3*time.Second)) < 0.41)
 	assert.Assert(t, reported.At(now.Add(-time.Second)) <= 0.8, "a time before the report must not raise the value")
 }
--- a/internal/core/config/relay_test.go
+++ b/internal/core/config/relay_test.go
@@ -32,7 +32,7 @@
 // Guards against a flood of messages when a whole fleet starts: 354 hosts each forwarded
 // some 700 updates with three messages each. Many updates must be batched into a few
 // messages, complete and in their newest version; a single update is forwarded at once.
-func TestAFloodOfNewsIsPassedOnTogether(t *testing.T) {
+func TestManyHostUpdatesAreBatched(t *testing.T) {
 	const hosts = 200
 	n := newTestNode(1)
 	n.Tick(start, localPeers)
--- a/internal/core/contact/contact.go
+++ b/internal/core/contact/contact.go
@@ -120,8 +120,8 @@
 	}
 }
 
-// Candidates returns the number of candidates.
-func (cs *Contacts) Candidates() int { return len(cs.candidates) }
+// CandidateCount returns the number of candidates.
+func (cs *Contacts) CandidateCount() int { return len(cs.candidates) }
 
 // add inserts a candidate at a random position, so that hosts that start at once and read
 // the same list do not all call the same hosts.
--- a/internal/core/contact/contact_test.go
+++ b/internal/core/contact/contact_test.go
@@ -67,7 +67,7 @@
 			n := called[fmt.Sprint("h", i)]
 			assert.Assert(t, n >= 1 && n <= maxCallsPerHost, "h%d was called %d times", i, n)
 		}
-		assert.Equal(t, contacts.Candidates(), 0)
+		assert.Equal(t, contacts.CandidateCount(), 0)
 	})
 }
 
--- a/internal/core/crash/crash.go
+++ b/internal/core/crash/crash.go
@@ -109,9 +109,9 @@
 	})
 }
 
-// Clear records that a request did not cause a crash, because it has completed on the
+// AddClearance records that a request did not cause a crash, because it has completed on the
 // same software. It reports whether the clearance is new.
-func (t *Tracker) Clear(now time.Time, crashID string, fp Fingerprint) bool {
+func (t *Tracker) AddClearance(now time.Time, crashID string, fp Fingerprint) bool {
 	c := clearance{crashID, fp}
 	if _, known := t.cleared[c]; known {
 		return false
--- a/internal/core/crash/crash_test.go
+++ b/internal/core/crash/crash_test.go
@@ -123,8 +123,8 @@
 	a := assessAt(tracker, 3, 7)
 	assert.Assert(t, a.Blocked(now, v1))
 	for _, c := range tracker.CrashesOf(7) {
-		assert.Assert(t, tracker.Clear(now, c.ID, 7))
-		assert.Assert(t, !tracker.Clear(now, c.ID, 7), "a repeated clearance must not be reported as new")
+		assert.Assert(t, tracker.AddClearance(now, c.ID, 7))
+		assert.Assert(t, !tracker.AddClearance(now, c.ID, 7), "a repeated clearance must not be reported as new")
 	}
 	assert.Equal(t, assessAt(tracker, 3, 7).Crashes, 0)
 	assert.Equal(t, len(tracker.CrashesOf(7)), 0)
@@ -183,10 +183,10 @@
 		order := rng.Perm(len(crashes))
 		for i := range crashes {
 			first.Add(start, crashes[i])
-			first.Clear(start, crashes[i].ID, cleared)
+			first.AddClearance(start, crashes[i].ID, cleared)
 		}
 		for _, i := range order {
-			second.Clear(start, crashes[i].ID, cleared)
+			second.AddClearance(start, crashes[i].ID, cleared)
 			part := crashes[i]
 			part.Fingerprints = part.Fingerprints[:len(part.Fingerprints)/2]
 			second.Add(start, part)
--- a/internal/core/detect/detect_test.go
+++ b/internal/core/detect/detect_test.go
@@ -38,7 +38,7 @@
 	for f.now.Sub(start) < limit {
 		f.now = f.now.Add(50 * time.Millisecond)
 		f.ref.Add(f.now, f.draw(peerSlowdown), false)
-		if f.det.AddAnswer(f.now, f.ref.At(f.now), f.draw(ownSlowdown), f.rng.Float64() < failureRate) {
+		if f.det.AddResponse(f.now, f.ref.At(f.now), f.draw(ownSlowdown), f.rng.Float64() < failureRate) {
 			return f.now.Sub(start), true
 		}
 	}
@@ -124,6 +124,6 @@
 	}
 	for range 1000 {
 		now = now.Add(10 * time.Millisecond)
-		assert.Assert(t, !d.AddAnswer(now, ref.At(now), time.Minute, true))
+		assert.Assert(t, !d.AddResponse(now, ref.At(now), time.Minute, true))
 	}
 }
--- a/internal/core/detect/detector.go
+++ b/internal/core/detect/detector.go
@@ -92,10 +92,10 @@
 // SuspectSince returns when the current suspicion began.
 func (d *Detector) SuspectSince() time.Time { return d.suspectSince }
 
-// AddAnswer processes one response of the instance and reports whether its health has
+// AddResponse processes one response of the instance and reports whether its health has
 // changed. failed states whether the response counts as a failure; the guard passes only
 // complete responses that did not fail.
-func (d *Detector) AddAnswer(now time.Time, ref Summary, service time.Duration, failed bool) bool {
+func (d *Detector) AddResponse(now time.Time, ref Summary, service time.Duration, failed bool) bool {
 	if ref.Count < minSamples {
 		return false
 	}
--- a/internal/core/directory/directory.go
+++ b/internal/core/directory/directory.go
@@ -49,8 +49,8 @@
 type Host struct {
 	Name        string
 	DC          string
-	Peer        string
-	Admin       string
+	PeerAddr    string
+	AdminAddr   string
 	Incarnation uint64
 	// Alive is false once membership considers the host dead or the host has left.
 	Alive bool
@@ -89,13 +89,13 @@
 	Routes   *route.Table
 	Services map[string]*Service
 	Teams    map[string]*record.Team
-	// Keys maps API keys to teams. RequireKeys reports whether callers must present one.
-	Keys        *team.Index
-	RequireKeys bool
-	Hosts       map[string]*Host
-	Stops       []*record.Stop
-	// Maps holds the shard maps by service.
-	Maps map[string]*ShardMap
+	// TeamKeys maps API keys to teams. RequireKeys reports whether callers must present one.
+	TeamKeys     *team.Index
+	RequireKeys  bool
+	Hosts        map[string]*Host
+	PlannedStops []*record.Stop
+	// ShardMaps holds the shard maps by service.
+	ShardMaps map[string]*ShardMap
 	// Limits holds the limits on callers' requests and connections, if a Configuration
 	// sets any.
 	Limits record.Limits
@@ -118,7 +118,7 @@
 // Build returns the Directory for compiled records and the announced hosts.
 func Build(records *Records, hosts []*Host) *Directory {
 	d := &Directory{
-		Routes: records.routes, Teams: records.teams, Keys: records.keys, RequireKeys: records.requireKeys, Stops: records.stops, Maps: records.maps,
+		Routes: records.routes, Teams: records.teams, TeamKeys: records.keys, RequireKeys: records.requireKeys, PlannedStops: records.stops, ShardMaps: records.maps,
 		Services: make(map[string]*Service, len(records.services)),
 		Hosts:    make(map[string]*Host, len(hosts)),
 		Complete: records.complete,
@@ -158,7 +158,7 @@
 // PlannedStop returns a planned stop that covers an instance of a host, or nil if there is
 // none. For an empty instance it returns only a stop of the whole host.
 func (d *Directory) PlannedStop(host, instance string) *record.Stop {
-	for _, s := range d.Stops {
+	for _, s := range d.PlannedStops {
 		if s.Host == host && (s.Instance == "" || s.Instance == instance) {
 			return s
 		}
--- a/internal/core/eject/eject.go
+++ b/internal/core/eject/eject.go
@@ -30,44 +30,44 @@
 type Result struct {
 	// Ejected reports, by index, which members are ejected.
 	Ejected []bool
-	// Healthy is the capacity that remains after the ejections, in slots.
-	Healthy int
-	// Required is the capacity floor, in slots.
-	Required int
-	// Known is the total capacity of all members, in slots.
-	Known int
+	// HealthySlots is the capacity that remains after the ejections, in slots.
+	HealthySlots int
+	// RequiredSlots is the capacity floor, in slots.
+	RequiredSlots int
+	// KnownSlots is the total capacity of all members, in slots.
+	KnownSlots int
 	// KeptSuspects is the number of suspects that are not ejected because of the floor.
 	KeptSuspects int
 }
 
-// Apply decides which members to eject. The required capacity is the floor's percentage
+// Select decides which members to eject. The required capacity is the floor's percentage
 // of all known slots, rounded up. In addition, the floor's number of instances, at least
 // one, must remain usable.
-func Apply(members []Member, floor record.Floor) Result {
+func Select(members []Member, floor record.Floor) Result {
 	res := Result{Ejected: make([]bool, len(members))}
 	usable := 0
 	var suspects []int
 	for i, m := range members {
-		res.Known += m.Slots
+		res.KnownSlots += m.Slots
 		if !m.Usable {
 			continue
 		}
 		usable++
-		res.Healthy += m.Slots
+		res.HealthySlots += m.Slots
 		if m.Suspect {
 			suspects = append(suspects, i)
 		}
 	}
-	res.Required = (res.Known*floor.Percent + 99) / 100
+	res.RequiredSlots = (res.KnownSlots*floor.Percent + 99) / 100
 	sort.Slice(suspects, func(a, b int) bool { return ejectedBefore(members[suspects[a]], members[suspects[b]]) })
 	for _, i := range suspects {
-		remaining := res.Healthy - members[i].Slots
-		if remaining < res.Required || usable-1 < max(floor.Instances, 1) {
+		remaining := res.HealthySlots - members[i].Slots
+		if remaining < res.RequiredSlots || usable-1 < max(floor.Instances, 1) {
 			res.KeptSuspects++
 			continue
 		}
 		res.Ejected[i] = true
-		res.Healthy = remaining
+		res.HealthySlots = remaining
 		usable--
 	}
 	return res
--- a/internal/core/eject/eject_test.go
+++ b/internal/core/eject/eject_test.go
@@ -26,7 +26,7 @@
 			}
 		}
 		floor := record.Floor{Percent: rapid.IntRange(1, 100).Draw(t, "percent"), Instances: rapid.IntRange(0, 10).Draw(t, "instances")}
-		r := Apply(members, floor)
+		r := Select(members, floor)
 		remaining, ejected := 0, false
 		for i, m := range members {
 			ejected = ejected || r.Ejected[i]
@@ -35,15 +35,15 @@
 				remaining += m.Slots
 			}
 		}
-		assert.Equal(t, remaining, r.Healthy)
-		assert.Assert(t, !ejected || remaining >= r.Required, "ejected to %d below the floor of %d", remaining, r.Required)
+		assert.Equal(t, remaining, r.HealthySlots)
+		assert.Assert(t, !ejected || remaining >= r.RequiredSlots, "ejected to %d below the floor of %d", remaining, r.RequiredSlots)
 		assert.Assert(t, usable == 0 || remaining > 0)
 		// The result must not depend on the order of the members.
 		reversed := make([]Member, n)
 		for i := range members {
 			reversed[n-1-i] = members[i]
 		}
-		reversedResult := Apply(reversed, floor)
+		reversedResult := Select(reversed, floor)
 		for i := range members {
 			assert.Equal(t, reversedResult.Ejected[n-1-i], r.Ejected[i])
 		}
@@ -55,7 +55,7 @@
 		{Name: "a", Slots: 5, Usable: false}, {Name: "b", Slots: 5, Usable: true, Suspect: true, Evidence: 9},
 		{Name: "c", Slots: 5, Usable: true}, {Name: "d", Slots: 5, Usable: true},
 	}
-	r := Apply(members, record.Floor{Percent: 75})
+	r := Select(members, record.Floor{Percent: 75})
 	assert.Equal(t, r.Ejected[1], false, "a suspect was ejected although a dead instance already brings the service to its floor")
 	assert.Equal(t, r.KeptSuspects, 1)
 }
--- a/internal/core/loadreport/loadreport.go
+++ b/internal/core/loadreport/loadreport.go
@@ -36,12 +36,12 @@
 	FewHostsMaxRate = 16
 )
 
-// Reach is the set of hosts a load report is sent to.
-type Reach int
+// Scope is the set of hosts a load report is sent to.
+type Scope int
 
 const (
 	// ToFew is a few hosts of the local data centre.
-	ToFew Reach = iota
+	ToFew Scope = iota
 	// ToLocal is the hosts of the local data centre.
 	ToLocal
 	// ToAll is the hosts of all data centres. It may use the whole rate limit, including
@@ -76,7 +76,7 @@
 
 // SelectLocal selects recipients among the hosts of the local data centre, starting at a
 // random one, as many as the rate limit allows.
-func (l *Limiter) SelectLocal(now time.Time, hosts []string, to Reach) []string {
+func (l *Limiter) SelectLocal(now time.Time, hosts []string, to Scope) []string {
 	if len(hosts) == 0 {
 		return nil
 	}
@@ -93,7 +93,7 @@
 
 // takeTokens takes up to count tokens, one per load report, from the rate limiter and
 // returns the number taken.
-func (l *Limiter) takeTokens(now time.Time, count int, to Reach) int {
+func (l *Limiter) takeTokens(now time.Time, count int, to Scope) int {
 	limit := l.limit
 	if to == ToFew {
 		limit = l.fewLimit
--- a/internal/core/member/live_test.go
+++ b/internal/core/member/live_test.go
@@ -80,7 +80,7 @@
 // about a new host, which took 22 % of the processor time and delayed callers. The
 // allocations of one change must not grow with the fleet, so a large list must not be
 // copied.
-func TestOneMoreHostCostsTheSameInALargeFleet(t *testing.T) {
+func TestAllocationsPerChangeDoNotGrowWithFleet(t *testing.T) {
 	small, large := allocsPerChange(t, 24), allocsPerChange(t, 1600)
 	assert.Assert(t, large <= small, "%.1f allocations at 1,600 hosts, %.1f at 24", large, small)
 }
@@ -108,7 +108,7 @@
 // Measures a host that dies and comes back, with the live peers read after each change.
 // Reference at 24, 354 and 1,600 hosts: 206, 226 and 469 ns (5,527, 95,377 and 540,185 ns
 // if the lists are rebuilt after each change).
-func BenchmarkOneHostComesAndGoes(b *testing.B) {
+func BenchmarkHostDiesAndReturns(b *testing.B) {
 	for _, hosts := range []int{24, 354, 1600} {
 		b.Run(fmt.Sprint(hosts), func(b *testing.B) {
 			n, now := newTestNode(), time.Unix(1000, 0)
--- a/internal/core/once/model_test.go
+++ b/internal/core/once/model_test.go
@@ -67,7 +67,7 @@
 
 func newGuard() *guardModel {
 	return &guardModel{
-		queue: admit.NewQueue(admit.Config{Slots: 1, QueuePerSlot: 1, GrantLife: grantLife}),
+		queue: admit.NewQueue(admit.Config{Slots: 1, QueuePerSlot: 1, GrantTTL: grantLife}),
 		now:   time.Unix(1000, 0),
 	}
 }
--- a/internal/core/once/owner.go
+++ b/internal/core/once/owner.go
@@ -252,10 +252,10 @@
 }
 
 // Shards returns the shards that this host owns, sorted by service and number.
-func (o *Owner) Shards(now time.Time) []OwnedState {
-	out := []OwnedState{}
+func (o *Owner) Shards(now time.Time) []OwnedShardState {
+	out := []OwnedShardState{}
 	for id, s := range o.shards {
-		out = append(out, OwnedState{
+		out = append(out, OwnedShardState{
 			Service: id.Service, Shard: id.Shard, Epoch: s.authority.Epoch(),
 			Held: s.authority.Held(now), Frozen: s.frozen, Keys: s.table.Len(),
 		})
@@ -269,8 +269,8 @@
 	return out
 }
 
-// OwnedState is the state of an owned shard, in the form of the state dump.
-type OwnedState struct {
+// OwnedShardState is the state of an owned shard, in the form of the state dump.
+type OwnedShardState struct {
 	Service string `json:"service"`
 	Shard   uint32 `json:"shard"`
 	Epoch   uint64 `json:"epoch"`
--- a/internal/core/once/sim_test.go
+++ b/internal/core/once/sim_test.go
@@ -374,7 +374,7 @@
 			return
 		}
 		settle(keyOutput{outcome: once.ClaimRun, response: response, ran: true})
-		s.recordResult(f, c, &msg.KeyResult{Verdict: verdict.Ran, Complete: true, Stored: true, Body: []byte(response)})
+		s.recordResult(f, c, &msg.KeyResult{Verdict: verdict.Ran, Complete: true, StoreResponse: true, Body: []byte(response)})
 	})
 }
 
--- a/internal/core/once/table.go
+++ b/internal/core/once/table.go
@@ -188,7 +188,7 @@
 	default:
 		e.state = keyFinished
 		e.status, e.header = r.Status, r.Header
-		if e.stored = r.Stored && t.bodyBytes+len(r.Body) <= t.cfg.MaxBytes; e.stored {
+		if e.stored = r.StoreResponse && t.bodyBytes+len(r.Body) <= t.cfg.MaxBytes; e.stored {
 			e.body = r.Body
 			t.bodyBytes += len(r.Body)
 		}
--- a/internal/core/quota/quota_test.go
+++ b/internal/core/quota/quota_test.go
@@ -82,7 +82,7 @@
 // admitted nearly all of a team's excess, and did so again after each restart. Over all
 // hosts, a team may exceed its limit in any five seconds by at most a tenth plus twenty
 // requests.
-func TestATeamIsHeldToItsRateOverAllHosts(t *testing.T) {
+func TestRateIsEnforcedAcrossHosts(t *testing.T) {
 	for _, hosts := range []int{6, 24, 91} {
 		for name, limit := range map[string]Limit{"large": large, "medium": medium} {
 			for _, sc := range scenarios {
@@ -108,7 +108,7 @@
 
 // Teams at their usual load, below their rate, are not refused while all hosts keep
 // running.
-func TestNobodyBelowItsRateIsRefused(t *testing.T) {
+func TestTeamsBelowTheirRateAreNotRefused(t *testing.T) {
 	for _, hosts := range []int{6, 91, 354} {
 		limits := make(map[string]Limit)
 		for i := range 40 {
--- a/internal/core/retry/origin.go
+++ b/internal/core/retry/origin.go
@@ -26,10 +26,10 @@
 	maxOrigins = 4096
 )
 
-// Origins distinguishes routes used by callers from routes used only for calls. A call is
-// a request made by an instance while it runs another request. Origins is not safe for
+// RouteClassifier distinguishes routes used by callers from routes used only for calls. A call is
+// a request made by an instance while it runs another request. RouteClassifier is not safe for
 // concurrent use.
-type Origins struct {
+type RouteClassifier struct {
 	countsByRoute map[uint32]*routeCounts
 }
 
@@ -40,12 +40,14 @@
 	at              time.Time
 }
 
-// NewOrigins returns an empty Origins.
-func NewOrigins() *Origins { return &Origins{countsByRoute: make(map[uint32]*routeCounts)} }
+// NewRouteClassifier returns an empty Origins.
+func NewRouteClassifier() *RouteClassifier {
+	return &RouteClassifier{countsByRoute: make(map[uint32]*routeCounts)}
+}
 
 // Observe records one request of a route. idle states whether no request was running
 // on the host where it began.
-func (o *Origins) Observe(now time.Time, route uint32, idle bool) {
+func (o *RouteClassifier) Observe(now time.Time, route uint32, idle bool) {
 	c, ok := o.countsByRoute[route]
 	if !ok {
 		if len(o.countsByRoute) >= maxOrigins {
@@ -62,14 +64,14 @@
 }
 
 // IsCallerRoute reports whether the route is known to be used by callers.
-func (o *Origins) IsCallerRoute(route uint32) bool {
+func (o *RouteClassifier) IsCallerRoute(route uint32) bool {
 	c, ok := o.countsByRoute[route]
 	return ok && c.fromIdle >= minCallerRequests && c.fromIdle >= minCallerShare*c.total
 }
 
 // IsCallRoute reports whether the route is known to be used only for calls. Both
 // IsCallerRoute and IsCallRoute may be false, for example if hosts are rarely idle.
-func (o *Origins) IsCallRoute(route uint32) bool {
+func (o *RouteClassifier) IsCallRoute(route uint32) bool {
 	c, ok := o.countsByRoute[route]
 	return ok && c.total >= minCallRequests && c.fromIdle <= maxCallIdleShare*c.total
 }
--- a/internal/core/retry/origin_test.go
+++ b/internal/core/retry/origin_test.go
@@ -13,7 +13,7 @@
 // the run that made them has just been aborted.
 func TestCallerRoutesAreDistinguishedFromCalls(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
-	o := NewOrigins()
+	o := NewRouteClassifier()
 	now := time.Unix(1000, 0)
 	const callers, calls, unknown = 1, 2, 3
 	for range 400 {
@@ -28,7 +28,7 @@
 
 // A route that callers have stopped using must no longer be reported as used by them.
 func TestOriginsDecay(t *testing.T) {
-	o := NewOrigins()
+	o := NewRouteClassifier()
 	now := time.Unix(1000, 0)
 	for range 10 {
 		o.Observe(now, 1, true)
@@ -42,7 +42,7 @@
 }
 
 func TestOriginsAreBounded(t *testing.T) {
-	o := NewOrigins()
+	o := NewRouteClassifier()
 	for route := range uint32(3 * maxOrigins) {
 		o.Observe(time.Unix(1000, 0), route, true)
 	}
--- a/internal/core/team/index.go
+++ b/internal/core/team/index.go
@@ -38,9 +38,9 @@
 
 func shardOf(h record.TeamKeyHash) int { return (int(h[0])<<8 | int(h[1])) % shardCount }
 
-// Of returns the team that holds a key, or false if there is none. Its timing may depend
+// TeamOf returns the team that holds a key, or false if there is none. Its timing may depend
 // on the key's hash, but not on the key itself.
-func (x *Index) Of(key string) (string, bool) {
+func (x *Index) TeamOf(key string) (string, bool) {
 	if x == nil || key == "" || len(key) > record.MaxTeamKeyBytes {
 		return "", false
 	}
--- a/internal/core/team/index_test.go
+++ b/internal/core/team/index_test.go
@@ -21,7 +21,7 @@
 
 func TestKeyMovesBetweenTeams(t *testing.T) {
 	var none *Index
-	_, ok := none.Of("k1")
+	_, ok := none.TeamOf("k1")
 	assert.Assert(t, !ok)
 	first := none.WithTeams(map[string]*record.Team{"a": {KeyHashes: hashes("k1", "k2")}, "b": {KeyHashes: hashes("k3")}})
 	second := first.WithTeams(map[string]*record.Team{"a": {KeyHashes: hashes("k2")}, "b": {KeyHashes: hashes("k3", "k1")}})
@@ -34,7 +34,7 @@
 		{first, "k1", "a"}, {first, "k3", "b"}, {second, "k1", "b"}, {second, "k2", "a"},
 		{third, "k1", "b"}, {third, "k2", ""}, {third, "k3", ""}, {third, "", ""}, {third, record.HashTeamKey("k1").String(), ""},
 	} {
-		got, ok := c.index.Of(c.key)
+		got, ok := c.index.TeamOf(c.key)
 		assert.Equal(t, got, c.want, "key %s", c.key)
 		assert.Equal(t, ok, c.want != "")
 	}
@@ -69,7 +69,7 @@
 	out := make(map[string]string)
 	for i := range 8 {
 		key := fmt.Sprintf("k%d", i)
-		if team, ok := x.Of(key); ok {
+		if team, ok := x.TeamOf(key); ok {
 			out[key] = team
 		}
 	}
@@ -89,7 +89,7 @@
 	index := (*Index)(nil).WithTeams(manyTeams())
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
-		if _, ok := index.Of("second key of 4711"); !ok {
+		if _, ok := index.TeamOf("second key of 4711"); !ok {
 			b.Fatal("not found")
 		}
 	}
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -106,8 +106,8 @@
 		Host: cfg.Host, Incarnation: uint64(d.started.UnixMilli()), LeaseDuration: cfg.LeaseDuration,
 	}, keys.Hooks{DistributeMap: func(obj objects.Object) { d.control.ApplyObject(obj) }}, store, log)
 	d.guard = guard.New(guard.Config{
-		Host: cfg.Host, QueuePerSlot: cfg.QueuePerSlot, GrantLife: cfg.GrantLife,
-		TargetIdle: cfg.TargetIdle, Dialect: adapter.Dialect,
+		Host: cfg.Host, QueuePerSlot: cfg.QueuePerSlot, GrantTTL: cfg.GrantTTL,
+		TargetIdleTimeout: cfg.TargetIdle, Dialect: adapter.Dialect,
 	}, guardLimits(cfg), log, d.keys, guard.Hooks{
 		Changed:    func() { d.control.InstancesChanged() },
 		LoadReport: d.distributeLoadReport,
@@ -135,7 +135,7 @@
 		HeaderTimeout: cfg.HeaderTimeout, IdleTimeout: cfg.IdleTimeout,
 		Service: cfg.Service, Dialect: adapter.Dialect,
 	}, frontLimits(cfg), log, nil, d.guard, d.keys)
-	d.front.SetRates(d.teams)
+	d.front.SetRateLimiter(d.teams)
 	d.gauges = d.newGauges()
 	if err := d.listen(); err != nil {
 		d.close(failedStartTimeout)
@@ -213,7 +213,7 @@
 		}
 	}
 	d.callers = d.front.Server()
-	return d.serve(cfg.Callers, "callers", d.callers, d.front.Limit)
+	return d.serve(cfg.Callers, "callers", d.callers, d.front.LimitListener)
 }
 
 func newHTTPServer(h http.Handler) *http.Server {
@@ -237,7 +237,7 @@
 
 // distributeLoadReport passes a load report of the guard to the local front and to
 // hosts that use its instances.
-func (d *Daemon) distributeLoadReport(report *msg.LoadReport, to loadreport.Reach) {
+func (d *Daemon) distributeLoadReport(report *msg.LoadReport, to loadreport.Scope) {
 	d.front.HandleLoadReport(report)
 	d.control.SendLoadReport(report, to)
 }
--- a/internal/daemon/reload_test.go
+++ b/internal/daemon/reload_test.go
@@ -36,7 +36,7 @@
 	log := slog.New(slog.NewJSONHandler(out, nil))
 	d := &Daemon{log: log}
 	d.cfg.Store(cfg)
-	d.guard = guard.New(guard.Config{Host: "h1"}, guardLimits(cfg), log, nil, guard.Hooks{Changed: func() {}, LoadReport: func(*msg.LoadReport, loadreport.Reach) {}})
+	d.guard = guard.New(guard.Config{Host: "h1"}, guardLimits(cfg), log, nil, guard.Hooks{Changed: func() {}, LoadReport: func(*msg.LoadReport, loadreport.Scope) {}})
 	d.front = front.New(front.Config{Host: "h1"}, frontLimits(cfg), log, nil, d.guard, nil)
 
 	ctx, cancel := context.WithCancel(context.Background())
@@ -50,7 +50,7 @@
 	write(baseSettings + "[log]\nlevel = warn\n[guard]\ngrant_life = 2s\n")
 	signals <- syscall.SIGHUP
 	assert.Equal(t, (<-applied).LogLevel, "warn")
-	assert.Equal(t, d.cfg.Load().GrantLife, cfg.GrantLife)
+	assert.Equal(t, d.cfg.Load().GrantTTL, cfg.GrantTTL)
 	waitForLog(t, out, `"atNextStart":["[guard] grant_life"]`)
 
 	write(baseSettings + "[log]\nlevel = loud\n")
--- a/internal/experiment/noise.go
+++ b/internal/experiment/noise.go
@@ -76,7 +76,7 @@
 		}
 		took := time.Duration(s * float64(time.Second))
 		at := epoch.Add(now)
-		if detectors[i].AddAnswer(at, references[i].At(at), took, false) && detectors[i].Health() == detect.Suspect {
+		if detectors[i].AddResponse(at, references[i].At(at), took, false) && detectors[i].Health() == detect.Suspect {
 			alarms++
 		}
 		// The sample reaches one other instance, as it would on the front's next request.
--- a/internal/experiment/radishhoist.go
+++ b/internal/experiment/radishhoist.go
@@ -98,7 +98,7 @@
 	for i := range sim.site.Instances {
 		o.guards = append(o.guards, &guardSim{
 			index:    i,
-			queue:    admit.NewQueue(admit.Config{Slots: sim.site.Slots, QueuePerSlot: 4, GrantLife: 250 * time.Millisecond}),
+			queue:    admit.NewQueue(admit.Config{Slots: sim.site.Slots, QueuePerSlot: 4, GrantTTL: 250 * time.Millisecond}),
 			detector: detect.NewDetector(sim.site.Params),
 			calls:    make(map[admit.ID]*call),
 		})
@@ -177,8 +177,8 @@
 			Suspect: t.suspect, Evidence: t.evidence,
 		}
 	}
-	r := eject.Apply(members, o.site.Floor)
-	if slices.Contains(r.Ejected, true) && r.Healthy < r.Required {
+	r := eject.Select(members, o.site.Floor)
+	if slices.Contains(r.Ejected, true) && r.HealthySlots < r.RequiredSlots {
 		o.m.floorViolations++
 	}
 	f.ejected = r.Ejected
@@ -269,7 +269,7 @@
 		return balance.Cost(balance.Candidate{
 			Typical: balance.TypicalLoad{Running: 0.3},
 			Slots:   t.slots, Running: t.running, QueuedWork: time.Duration(t.queued) * t.service, LoadAge: o.now - t.loadAt, Pending: t.pending,
-			Service: t.service, RoundTrip: t.path, Warmth: 1, Local: f.index%o.site.DCs == i%o.site.DCs,
+			Service: t.service, RoundTrip: t.path, WarmUpProgress: 1, Local: f.index%o.site.DCs == i%o.site.DCs,
 		}, balance.CostWeights{})
 	})
 	if k < 0 {
@@ -417,7 +417,7 @@
 	if cut {
 		changed = g.detector.AddPending(o.virtualTime(), ref, took)
 	} else {
-		changed = g.detector.AddAnswer(o.virtualTime(), ref, took, failed)
+		changed = g.detector.AddResponse(o.virtualTime(), ref, took, failed)
 	}
 	o.applyDecisions(g, g.queue.Done(o.virtualTime(), id, service))
 	if changed {
--- a/internal/fleetsim/budget_test.go
+++ b/internal/fleetsim/budget_test.go
@@ -19,7 +19,7 @@
 			{Name: "deposit", Service: "desk", RatePerSecond: 47, ServiceTime: ms(340), Objective: ms(1500), Deadline: ms(4000), Idempotent: true, Priority: 2, MaxAttempts: 2},
 			{Name: "check", Service: "desk", ServiceTime: ms(80), Objective: ms(400), Deadline: ms(1500), Idempotent: true, Priority: 3, MaxAttempts: 2},
 		},
-		Health:       Health{MeanWell: 26 * time.Second, MeanSick: 13 * time.Second, SickFailureRate: 0.9, WellFailureRate: 0.02},
+		Health:       Health{MeanHealthy: 26 * time.Second, MeanSick: 13 * time.Second, SickFailureRate: 0.9, HealthyFailureRate: 0.02},
 		RetryPercent: 20, RetryReserve: 58, RetryWindow: 10 * time.Second,
 		WarmUp: 8 * time.Second, Duration: 40 * time.Second,
 	}
--- a/internal/fleetsim/crash.go
+++ b/internal/fleetsim/crash.go
@@ -118,7 +118,7 @@
 	i.mu.Unlock()
 	warm := int64(0)
 	err := i.host.guard.Announce(time.Now(), name, guard.Announcement{
-		Service: i.service.Name, Address: "10.0.0.1:80", Slots: i.service.Slots, Version: i.version, WarmupLeftMS: &warm,
+		Service: i.service.Name, Address: "10.0.0.1:80", Slots: i.service.Slots, Version: i.version, WarmUpLeftMS: &warm,
 	})
 	if err != nil {
 		panic("fleetsim: " + err.Error())
--- a/internal/fleetsim/crash_test.go
+++ b/internal/fleetsim/crash_test.go
@@ -20,7 +20,7 @@
 			{Name: "admit", Service: "claims", RatePerSecond: 31.9, ServiceTime: ms(340), Objective: ms(1500), Deadline: ms(8000), Priority: 2, MaxAttempts: 2},
 			{Name: "lodge", Service: "ledger", RatePerSecond: 7.83, ServiceTime: ms(240), Objective: ms(800), Deadline: ms(4000), Priority: 3, MaxAttempts: 2},
 		},
-		Health:       Health{MeanWell: 26 * time.Second, MeanSick: 6 * time.Second, SickFailureRate: 0.9, WellFailureRate: 0.01},
+		Health:       Health{MeanHealthy: 26 * time.Second, MeanSick: 6 * time.Second, SickFailureRate: 0.9, HealthyFailureRate: 0.01},
 		RetryPercent: 20, RetryReserve: 58, RetryWindow: 10 * time.Second,
 		WarmUp: 8 * time.Second, Duration: 40 * time.Second,
 		RestartDelay: 3 * time.Second,
--- a/internal/fleetsim/fleet.go
+++ b/internal/fleetsim/fleet.go
@@ -117,7 +117,7 @@
 func (f *fleet) updateDirectories() {
 	all := make([]*directory.Host, 0, len(f.hosts))
 	for _, h := range f.hosts {
-		all = append(all, &directory.Host{Name: h.name, DC: h.dc, Peer: h.name, Incarnation: 1, Alive: true, Instances: h.guard.Instances()})
+		all = append(all, &directory.Host{Name: h.name, DC: h.dc, PeerAddr: h.name, Incarnation: 1, Alive: true, Instances: h.guard.Instances()})
 	}
 	for _, h := range f.hosts {
 		d := directory.Build(f.compiledRecords, all)
@@ -155,7 +155,7 @@
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	dialect := header.Default()
 	h.guard = guard.New(guard.Config{
-		Host: h.name, QueuePerSlot: queuePerSlot, GrantLife: grantTTL, TargetIdle: targetIdle, Dialect: dialect,
+		Host: h.name, QueuePerSlot: queuePerSlot, GrantTTL: grantTTL, TargetIdleTimeout: targetIdle, Dialect: dialect,
 		Dial: func(context.Context, string) (net.Conn, error) { return h.instance.connect() },
 	}, guard.Limits{AnnounceExpiry: time.Hour, RetryReserve: f.scenario.RetryReserve, RetryWindow: f.scenario.RetryWindow},
 		log, allowAllFence{}, guard.Hooks{
@@ -211,7 +211,7 @@
 // sendLoadReport distributes a load report of the guard as internal/control does: to local
 // hosts as far as the rate limit allows, and to one host of each other data centre, which
 // forwards it there.
-func (h *host) sendLoadReport(p *msg.LoadReport, to loadreport.Reach) {
+func (h *host) sendLoadReport(p *msg.LoadReport, to loadreport.Scope) {
 	p = h.withTrueHealth(p)
 	h.front.HandleLoadReport(p)
 	now := time.Now()
--- a/internal/fleetsim/fleet_test.go
+++ b/internal/fleetsim/fleet_test.go
@@ -29,7 +29,7 @@
 			{Name: "check", Service: "desk", ServiceTime: ms(120), Objective: ms(400), Deadline: ms(1500), Idempotent: true, Priority: 3, MaxAttempts: 2},
 			{Name: "catalogue", Service: "shelf", ServiceTime: ms(120), Objective: ms(400), Deadline: ms(1500), Idempotent: true, Priority: 3, MaxAttempts: 2},
 		},
-		Health:       Health{MeanWell: 26 * time.Second, MeanSick: 13 * time.Second, SickFailureRate: 0.9, WellFailureRate: 0.02},
+		Health:       Health{MeanHealthy: 26 * time.Second, MeanSick: 13 * time.Second, SickFailureRate: 0.9, HealthyFailureRate: 0.02},
 		RetryPercent: 20, RetryReserve: 60, RetryWindow: 10 * time.Second,
 		WarmUp: 8 * time.Second, Duration: 40 * time.Second,
 	}
@@ -137,7 +137,7 @@
 			{Name: "seat", Service: "coach", ServiceTime: ms(190), Objective: ms(800), Deadline: ms(2000), Idempotent: true, Priority: 3, MaxAttempts: 2},
 			{Name: "fee", Service: "permits", ServiceTime: ms(190), Objective: ms(800), Deadline: ms(2000), Idempotent: true, Priority: 3, MaxAttempts: 2},
 		},
-		Health:       Health{MeanWell: 21 * time.Second, MeanSick: 9 * time.Second, SickFailureRate: 0.75, WellFailureRate: 0.02},
+		Health:       Health{MeanHealthy: 21 * time.Second, MeanSick: 9 * time.Second, SickFailureRate: 0.75, HealthyFailureRate: 0.02},
 		RetryPercent: 20, RetryReserve: 630, RetryWindow: 10 * time.Second,
 		WarmUp: 2 * time.Second, Duration: 6 * time.Second,
 	}
@@ -151,7 +151,7 @@
 func TestALargeFleetServes(t *testing.T) {
 	const maxUnderserved = 0.1
 	health := bureau(0).Health
-	sickShare := health.MeanSick.Seconds() / (health.MeanSick + health.MeanWell).Seconds()
+	sickShare := health.MeanSick.Seconds() / (health.MeanSick + health.MeanHealthy).Seconds()
 	randomFailures := sickShare * health.SickFailureRate
 	scenario := bureau(1)
 	for _, r := range simulate(t, 1, bureau) {
--- a/internal/fleetsim/instance.go
+++ b/internal/fleetsim/instance.go
@@ -60,12 +60,12 @@
 	if health.MeanSick <= 0 {
 		return
 	}
-	sickShare := health.MeanSick.Seconds() / (health.MeanSick + health.MeanWell).Seconds()
+	sickShare := health.MeanSick.Seconds() / (health.MeanSick + health.MeanHealthy).Seconds()
 	sick := i.healthRNG.Float64() < sickShare
 	for i.host.fleet.ctx.Err() == nil {
 		i.setSick(sick)
 		i.publishTrueHealth()
-		mean := health.MeanWell
+		mean := health.MeanHealthy
 		if sick {
 			mean = health.MeanSick
 		}
@@ -166,7 +166,7 @@
 	i.running++
 	health := f.scenario.Health
 	fails := i.sick && i.requestRNG.Float64() < health.SickFailureRate
-	failsLate := i.requestRNG.Float64() < health.WellFailureRate
+	failsLate := i.requestRNG.Float64() < health.HealthyFailureRate
 	calls := kind.CalledKind != "" && i.requestRNG.Float64() < kind.CallProbability
 	utilization := float64(i.running) / float64(i.service.Slots)
 	serviceTime := kind.ServiceTime.Seconds() * math.Exp(serviceTimeSigma*i.requestRNG.NormFloat64()-serviceTimeSigma*serviceTimeSigma/2) * (1 + fullLoadSlowdown*utilization*utilization)
--- a/internal/fleetsim/scenario.go
+++ b/internal/fleetsim/scenario.go
@@ -38,12 +38,12 @@
 // Health is a model of instances that alternate between well and sick, independently of each
 // other.
 type Health struct {
-	// MeanWell and MeanSick are the mean durations of the two states. Instances are never sick
+	// MeanHealthy and MeanSick are the mean durations of the two states. Instances are never sick
 	// if MeanSick is 0.
-	MeanWell, MeanSick time.Duration
+	MeanHealthy, MeanSick time.Duration
 	// SickFailureRate is the share of requests that a sick instance fails at once.
-	// WellFailureRate is the share that any instance fails at the end of the run.
-	SickFailureRate, WellFailureRate float64
+	// HealthyFailureRate is the share that any instance fails at the end of the run.
+	SickFailureRate, HealthyFailureRate float64
 }
 
 // CrashingRequest is a request that crashes every instance that runs it. Callers send it
--- a/internal/front/attempt_test.go
+++ b/internal/front/attempt_test.go
@@ -25,7 +25,7 @@
 // not may-have-run.
 func TestGuardRefusalBeforeBodySentIsReported(t *testing.T) {
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
-	g := guard.New(guard.Config{Host: "h"}, guard.Limits{}, log, nil, guard.Hooks{Changed: func() {}, LoadReport: func(*msg.LoadReport, loadreport.Reach) {}})
+	g := guard.New(guard.Config{Host: "h"}, guard.Limits{}, log, nil, guard.Hooks{Changed: func() {}, LoadReport: func(*msg.LoadReport, loadreport.Scope) {}})
 	f := New(Config{Host: "h"}, Limits{}, log, nil, g, nil)
 	req := &request{
 		id: "r", arrived: time.Now(), deadline: time.Now().Add(time.Minute), idempotent: true,
--- a/internal/front/conns.go
+++ b/internal/front/conns.go
@@ -18,9 +18,9 @@
 	sem   chan struct{}
 }
 
-// Limit wraps a listener. It bounds the number of connections and applies the header and
+// LimitListener wraps a listener. It bounds the number of connections and applies the header and
 // idle timeouts of the current configuration.
-func (f *Front) Limit(l net.Listener) net.Listener {
+func (f *Front) LimitListener(l net.Listener) net.Listener {
 	return &limitListener{Listener: l, front: f, sem: make(chan struct{}, f.cfg.MaxConns)}
 }
 
--- a/internal/front/conns_test.go
+++ b/internal/front/conns_test.go
@@ -24,7 +24,7 @@
 func serveFront(t *testing.T, limits record.Limits) (*Front, string) {
 	t.Helper()
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
-	g := guard.New(guard.Config{Host: "h"}, guard.Limits{}, log, nil, guard.Hooks{Changed: func() {}, LoadReport: func(*msg.LoadReport, loadreport.Reach) {}})
+	g := guard.New(guard.Config{Host: "h"}, guard.Limits{}, log, nil, guard.Hooks{Changed: func() {}, LoadReport: func(*msg.LoadReport, loadreport.Scope) {}})
 	f := New(Config{Host: "h", MaxConns: 8, HeaderTimeout: time.Minute, IdleTimeout: time.Minute, MaxHeaderBytes: 64 << 10, BufferBodyBytes: 1 << 10, Dialect: header.Default()},
 		Limits{MaxBodyBytes: 1 << 20}, log, nil, g, nil)
 	records := directory.Compile([]*record.Record{{
@@ -39,7 +39,7 @@
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	server := f.Server()
-	go func() { _ = server.Serve(f.Limit(l)) }()
+	go func() { _ = server.Serve(f.LimitListener(l)) }()
 	t.Cleanup(func() { _ = server.Close() })
 	return f, l.Addr().String()
 }
--- a/internal/front/cost.go
+++ b/internal/front/cost.go
@@ -19,7 +19,7 @@
 	return balance.Candidate{
 		Slots: t.Slots, Running: int(t.observed.load.Running), QueuedWork: req.queuedAhead(now, t.observed.load),
 		LoadAge: now.Sub(t.observed.loadAt), Typical: typical, Pending: t.observed.pending, Service: t.serviceTime(expected),
-		RoundTrip: p.roundTrip(t.Host.Name), Warmth: warm, Local: t.Host.DC == cfg.DC,
+		RoundTrip: p.roundTrip(t.Host.Name), WarmUpProgress: warm, Local: t.Host.DC == cfg.DC,
 		FailureProbability: t.observed.failureChance(now),
 	}
 }
@@ -104,7 +104,7 @@
 	weight := 1 - retryChance*(1-retryableFailureWeight)
 	objective := req.route.Objective()
 	return balance.CostWeights{
-		Objective: objective, Left: objective - now.Sub(req.arrived),
+		Objective: objective, TimeLeft: objective - now.Sub(req.arrived),
 		FailureWeight: weight, RemoteWeight: crossDCWeight,
 	}
 }
--- a/internal/front/cost_test.go
+++ b/internal/front/cost_test.go
@@ -33,7 +33,7 @@
 	cost := func(l msg.Load, fails float64) float64 {
 		return balance.Cost(balance.Candidate{
 			Slots: 4, Running: int(l.Running), QueuedWork: urgent.queuedAhead(now, l), Service: 240 * time.Millisecond,
-			RoundTrip: time.Millisecond, Warmth: 1, Local: true, FailureProbability: fails,
+			RoundTrip: time.Millisecond, WarmUpProgress: 1, Local: true, FailureProbability: fails,
 		}, urgent.costWeights(now, 0))
 	}
 	assert.Assert(t, cost(load, 0.03) < cost(msg.Load{Slots: 4}, 0.7))
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -57,7 +57,7 @@
 	log   *slog.Logger
 	peers Peers
 	guard *guard.Guard
-	keys  Keys
+	keys  IdempotencyKeys
 
 	limits   atomic.Pointer[Limits]
 	dir      atomic.Pointer[directory.Directory]
@@ -76,7 +76,7 @@
 
 // New creates a Front. g is the guard of this host, which is called directly and not over
 // the network. If keys is nil, idempotency keys are ignored.
-func New(cfg Config, limits Limits, log *slog.Logger, peers Peers, g *guard.Guard, keys Keys) *Front {
+func New(cfg Config, limits Limits, log *slog.Logger, peers Peers, g *guard.Guard, keys IdempotencyKeys) *Front {
 	f := &Front{cfg: cfg, log: log, peers: peers, guard: g, keys: keys, paths: newPaths(log)}
 	f.lifetime, f.cancelLifetime = context.WithCancel(context.Background())
 	f.seed.Store(rand.Uint64())
@@ -166,7 +166,7 @@
 		go f.serveLocal(server)
 		return client, nil, nil
 	}
-	return f.peers.Open(ctx, h.Peer)
+	return f.peers.Open(ctx, h.PeerAddr)
 }
 
 func (f *Front) serveLocal(s wire.Stream) {
--- a/internal/front/hedge_test.go
+++ b/internal/front/hedge_test.go
@@ -36,7 +36,7 @@
 func newDelayedExecution(t *testing.T) (*execution, pick, delayedStream) {
 	t.Helper()
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
-	g := guard.New(guard.Config{Host: "h"}, guard.Limits{}, log, nil, guard.Hooks{Changed: func() {}, LoadReport: func(*msg.LoadReport, loadreport.Reach) {}})
+	g := guard.New(guard.Config{Host: "h"}, guard.Limits{}, log, nil, guard.Hooks{Changed: func() {}, LoadReport: func(*msg.LoadReport, loadreport.Scope) {}})
 	stream := delayedStream{message: make(chan msg.Message)}
 	f := New(Config{Host: "h"}, Limits{}, log, stream, g, nil)
 	req := &request{
--- a/internal/front/identity.go
+++ b/internal/front/identity.go
@@ -26,9 +26,9 @@
 	Release(team string)
 }
 
-// SetRates sets the rate limiter. It must be called before the first request; without it
+// SetRateLimiter sets the rate limiter. It must be called before the first request; without it
 // teams have no rate limit.
-func (f *Front) SetRates(r RateLimiter) { f.rates = r }
+func (f *Front) SetRateLimiter(r RateLimiter) { f.rates = r }
 
 const authorization = "Authorization"
 
@@ -48,12 +48,12 @@
 	req.apiKeyRequired = dir.RequireKeys
 	if !req.apiKeyRequired {
 		req.team = req.http.Header.Get(header.Team)
-	} else if team, ok := dir.Keys.Of(bearerToken(req.http.Header)); ok {
+	} else if team, ok := dir.TeamKeys.TeamOf(bearerToken(req.http.Header)); ok {
 		req.team = team
 	} else if !req.route.Open {
 		return verdict.New(verdict.NotRun, verdict.ReasonNoTeam, "no team has the API key that was sent; send the header Authorization: Bearer KEY")
 	}
-	req.fairnessClass = uint32(guard.InstanceHash(req.team) % admit.Classes)
+	req.fairnessClass = uint32(guard.NameHash(req.team) % admit.Classes)
 	if t, ok := dir.Teams[req.team]; ok {
 		req.teamPriority = t.Priority
 	}
--- a/internal/front/keys.go
+++ b/internal/front/keys.go
@@ -12,15 +12,15 @@
 	"github.com/radishhoist/radishhoist/verdict"
 )
 
-// Keys decides whether a request with an idempotency key may run. The keys of a service are
+// IdempotencyKeys decides whether a request with an idempotency key may run. The keys of a service are
 // divided into shards, each of which is owned by at most one host, see package once.
-type Keys interface {
+type IdempotencyKeys interface {
 	// Claim asks the owner of the key's shard. It has no error result: a claim that could
 	// not be made is refused.
 	Claim(ctx context.Context, service *directory.Service, k KeyRequest) ClaimResult
-	// Done reports the result of a claimed request to the owner. It may block for a long
+	// ReportResult reports the result of a claimed request to the owner. It may block for a long
 	// time.
-	Done(service *directory.Service, k KeyRequest, result RequestResult)
+	ReportResult(service *directory.Service, k KeyRequest, result RequestResult)
 }
 
 // KeyRequest identifies one request with an idempotency key.
@@ -83,7 +83,7 @@
 	}
 	if task.claimResult.Outcome == once.ClaimRun {
 		result := newRequestResult(resp, fail)
-		go f.keys.Done(req.service, k, result)
+		go f.keys.ReportResult(req.service, k, result)
 	}
 	return resp, fail
 }
--- a/internal/front/send.go
+++ b/internal/front/send.go
@@ -38,7 +38,7 @@
 func (a *attempt) hints() msg.AdmissionHints {
 	return msg.AdmissionHints{
 		ObjectiveMS:     uint32(a.req.route.Objective().Milliseconds()),
-		UsedMS:          uint32(max(time.Since(a.req.arrived).Milliseconds(), 0)),
+		ElapsedMS:       uint32(max(time.Since(a.req.arrived).Milliseconds(), 0)),
 		ExpectedMS:      uint32(a.req.state.expectedServiceTimeAt(a.req, a.target).Milliseconds()),
 		AllowLate:       a.options.allowLate,
 		UsesRetryBudget: a.options.usesRetryBudget, Hedge: a.options.hedge,
--- a/internal/front/service.go
+++ b/internal/front/service.go
@@ -56,7 +56,7 @@
 	failureEstimate chance.Estimate
 	// shedShare is the share of requests that the instance refuses although it has free
 	// slots.
-	shedShare chance.Share
+	shedShare chance.DecayingShare
 	// latencyRatio is the instance's service time relative to that of other instances on
 	// the same routes; 0 before its first response.
 	latencyRatio float64
@@ -120,7 +120,7 @@
 	}
 	st.targets = make([]*target, 0, len(svc.Targets))
 	for _, t := range svc.Targets {
-		current := &target{Target: t, hash: guard.InstanceHash(t.Name), observed: &observations{}}
+		current := &target{Target: t, hash: guard.NameHash(t.Name), observed: &observations{}}
 		if previous, ok := old[t.Name+"@"+t.Host.Name]; ok && previous.StartedMS == t.StartedMS {
 			current.observed = previous.observed
 		}
@@ -145,7 +145,7 @@
 			Evidence: t.Evidence,
 		}
 	}
-	sets := candidateSets{result: eject.Apply(members, svc.Record.Floor), computedAt: now}
+	sets := candidateSets{result: eject.Select(members, svc.Record.Floor), computedAt: now}
 	for i, t := range st.targets {
 		switch {
 		case sets.result.Ejected[i]:
@@ -247,7 +247,7 @@
 	}
 	o.load, o.loadAt = load, now
 	o.failureEstimate = chance.EstimateAt(now, load.FailureProbability())
-	o.shedShare = chance.ShareAt(now, float64(load.ShedShare)/msg.Thousandths)
+	o.shedShare = chance.DecayingShareAt(now, float64(load.ShedShare)/msg.Thousandths)
 }
 
 // expectedServiceTimeAt is the expected service time of the request at a target.
--- a/internal/front/status.go
+++ b/internal/front/status.go
@@ -70,7 +70,7 @@
 	r := st.candidates.result
 	out := ServiceStatus{
 		Name: svc.Name, Version: svc.Version, Preset: svc.Record.Preset,
-		KnownSlots: r.Known, HealthySlots: r.Healthy, RequiredSlots: r.Required, SuspectsKept: r.KeptSuspects, Targets: []TargetStatus{},
+		KnownSlots: r.KnownSlots, HealthySlots: r.HealthySlots, RequiredSlots: r.RequiredSlots, SuspectsKept: r.KeptSuspects, Targets: []TargetStatus{},
 	}
 	for i, t := range st.targets {
 		use, why := f.explainUse(now, t, r.Ejected[i])
--- a/internal/front/suspect_test.go
+++ b/internal/front/suspect_test.go
@@ -23,7 +23,7 @@
 		i := &directory.Instance{Name: fmt.Sprint("i", n), Service: "s", Version: fmt.Sprint(n % 2)}
 		observed := &observations{}
 		observed.updateLoad(time.Unix(1000, 0), msg.Load{Slots: 4, Running: uint32(rng.IntN(5)), RetryBudgetLeft: uint16(rng.IntN(2))})
-		st.targets = append(st.targets, &target{Target: &directory.Target{Instance: i, Host: &directory.Host{}}, hash: guard.InstanceHash(i.Name), observed: observed})
+		st.targets = append(st.targets, &target{Target: &directory.Target{Instance: i, Host: &directory.Host{}}, hash: guard.NameHash(i.Name), observed: observed})
 		st.candidates.usable = append(st.candidates.usable, index)
 	}
 	return st
--- a/internal/guard/announce.go
+++ b/internal/guard/announce.go
@@ -54,9 +54,9 @@
 	// StartedMS is the start time of the instance in Unix milliseconds of its own clock,
 	// by which a restart under the same name is recognised; 0 if not given.
 	StartedMS int64 `json:"born,omitempty"`
-	// WarmupLeftMS is the remaining warm-up time in milliseconds, during which the
+	// WarmUpLeftMS is the remaining warm-up time in milliseconds, during which the
 	// instance is slower than usual; nil if not given.
-	WarmupLeftMS *int64 `json:"warmupLeftMS,omitempty"`
+	WarmUpLeftMS *int64 `json:"warmupLeftMS,omitempty"`
 }
 
 // Values of Announcement.State.
@@ -151,8 +151,8 @@
 		return errors.Errorf("state: unknown value %q; must be %q or %q", a.State, stateReady, stateDraining)
 	case a.StartedMS < 0:
 		return errors.Errorf("born: %d is out of range; must be the start time in Unix milliseconds, or omitted", a.StartedMS)
-	case a.WarmupLeftMS != nil && *a.WarmupLeftMS < 0:
-		return errors.Errorf("warmupLeftMS: %d is out of range; must be 0 or more", *a.WarmupLeftMS)
+	case a.WarmUpLeftMS != nil && *a.WarmUpLeftMS < 0:
+		return errors.Errorf("warmupLeftMS: %d is out of range; must be 0 or more", *a.WarmUpLeftMS)
 	}
 	host, _, err := net.SplitHostPort(a.Address)
 	if err != nil || net.ParseIP(host) == nil {
--- a/internal/guard/call_test.go
+++ b/internal/guard/call_test.go
@@ -27,8 +27,8 @@
 // newTestGuard returns a guard with the instance i of service s at the address.
 func newTestGuard(t *testing.T, address string) *Guard {
 	t.Helper()
-	g := New(Config{Host: "h", QueuePerSlot: 2, GrantLife: time.Minute, TargetIdle: time.Minute}, Limits{AnnounceExpiry: time.Hour},
-		slog.New(slog.NewTextHandler(io.Discard, nil)), allowAllFence{}, Hooks{Changed: func() {}, LoadReport: func(*msg.LoadReport, loadreport.Reach) {}})
+	g := New(Config{Host: "h", QueuePerSlot: 2, GrantTTL: time.Minute, TargetIdleTimeout: time.Minute}, Limits{AnnounceExpiry: time.Hour},
+		slog.New(slog.NewTextHandler(io.Discard, nil)), allowAllFence{}, Hooks{Changed: func() {}, LoadReport: func(*msg.LoadReport, loadreport.Scope) {}})
 	a := Announcement{Service: "s", Address: address, Slots: 2, Connections: 4}
 	assert.NilError(t, g.Announce(time.Now(), "i", a))
 	return g
--- a/internal/guard/estimate.go
+++ b/internal/guard/estimate.go
@@ -86,7 +86,7 @@
 	i.sendLoadReport(load, reach)
 }
 
-func (i *instance) sendLoadReport(load msg.Load, reach loadreport.Reach) {
+func (i *instance) sendLoadReport(load msg.Load, reach loadreport.Scope) {
 	i.guard.sendLoadReport(&msg.LoadReport{Loads: []msg.InstanceLoad{{Service: i.service, Instance: i.name, Load: load}}}, reach)
 }
 
--- a/internal/guard/estimate_test.go
+++ b/internal/guard/estimate_test.go
@@ -47,11 +47,11 @@
 
 // recordWorkRequests returns the test guard's instance and the list to which the reach of
 // each of its requests for work is appended.
-func recordWorkRequests(t *testing.T) (*instance, *[]loadreport.Reach) {
+func recordWorkRequests(t *testing.T) (*instance, *[]loadreport.Scope) {
 	t.Helper()
 	g := newTestGuard(t, "127.0.0.1:1")
-	requests := &[]loadreport.Reach{}
-	g.sendLoadReport = func(p *msg.LoadReport, to loadreport.Reach) {
+	requests := &[]loadreport.Scope{}
+	g.sendLoadReport = func(p *msg.LoadReport, to loadreport.Scope) {
 		if p.Loads[0].Load.WantsTrial {
 			*requests = append(*requests, to)
 		}
@@ -73,9 +73,9 @@
 	assert.Equal(t, len(*requests), 0, "it has just ended a request")
 	i.requestWork(now.Add(idleDelay))
 	i.requestWork(now.Add(idleDelay + workRequestInterval - 1))
-	assert.DeepEqual(t, *requests, []loadreport.Reach{loadreport.ToFew})
+	assert.DeepEqual(t, *requests, []loadreport.Scope{loadreport.ToFew})
 	i.requestWork(now.Add(idleDelay + workRequestInterval))
-	assert.DeepEqual(t, *requests, []loadreport.Reach{loadreport.ToFew, loadreport.ToFew})
+	assert.DeepEqual(t, *requests, []loadreport.Scope{loadreport.ToFew, loadreport.ToFew})
 
 	fillSlots(i, now, 1)
 	i.requestWork(now.Add(idleDelay + 2*workRequestInterval))
@@ -97,5 +97,5 @@
 	i.publishLoad(now.Add(trialDelay))
 	assert.Equal(t, len(*requests), 0)
 	i.requestWork(now.Add(trialDelay))
-	assert.DeepEqual(t, *requests, []loadreport.Reach{loadreport.ToFew})
+	assert.DeepEqual(t, *requests, []loadreport.Scope{loadreport.ToFew})
 }
--- a/internal/guard/guard.go
+++ b/internal/guard/guard.go
@@ -30,10 +30,10 @@
 	Host string
 	// QueuePerSlot limits the requests queued at an instance, per slot.
 	QueuePerSlot int
-	// GrantLife is how long a reserved slot is held.
-	GrantLife time.Duration
-	// TargetIdle is how long an idle connection to an instance is kept open.
-	TargetIdle time.Duration
+	// GrantTTL is how long a reserved slot is held.
+	GrantTTL time.Duration
+	// TargetIdleTimeout is how long an idle connection to an instance is kept open.
+	TargetIdleTimeout time.Duration
 	// Dial replaces the network dialer for connections to instances; nil uses the
 	// network.
 	Dial func(ctx context.Context, address string) (net.Conn, error)
@@ -64,7 +64,7 @@
 	// Changed is called when the instance data announced by this host has changed.
 	Changed func()
 	// LoadReport is called with load updates that fronts need without delay.
-	LoadReport func(p *msg.LoadReport, to loadreport.Reach)
+	LoadReport func(p *msg.LoadReport, to loadreport.Scope)
 	// Crashed is called when an instance on this host has crashed, and Cleared when a
 	// request suspected of causing a crash has completed. Both must be sent to all hosts.
 	// Nil disables the callback.
@@ -98,7 +98,7 @@
 	counts             counters
 	// sendLoadReport is called, without locks held, with updates that fronts need without
 	// delay.
-	sendLoadReport func(p *msg.LoadReport, to loadreport.Reach)
+	sendLoadReport func(p *msg.LoadReport, to loadreport.Scope)
 	onChanged      func()
 	onCrashed      func(crash.Crash)
 	onCleared      func(string, crash.Fingerprint)
@@ -374,5 +374,5 @@
 
 // queueConfig returns the admission limits of an instance with the given slots.
 func (g *Guard) queueConfig(slots int) admit.Config {
-	return admit.Config{Slots: slots, QueuePerSlot: g.cfg.QueuePerSlot, GrantLife: g.cfg.GrantLife}
+	return admit.Config{Slots: slots, QueuePerSlot: g.cfg.QueuePerSlot, GrantTTL: g.cfg.GrantTTL}
 }
--- a/internal/guard/instance.go
+++ b/internal/guard/instance.go
@@ -49,7 +49,7 @@
 	lastEnded  time.Time
 	// shedShare is the share of recent requests that were refused while a slot was
 	// free.
-	shedShare chance.Share
+	shedShare chance.DecayingShare
 	// lastAborted is when a request was last aborted.
 	lastAborted time.Time
 	// lastWorkRequest is when the instance last asked for work.
@@ -106,8 +106,8 @@
 	Cancelled uint64 `json:"cancelled"`
 }
 
-// InstanceHash returns the hash that identifies an instance in samples.
-func InstanceHash(name string) uint64 { return xxhash.Sum64String(name) }
+// NameHash returns the hash that identifies an instance in samples.
+func NameHash(name string) uint64 { return xxhash.Sum64String(name) }
 
 func newInstance(g *Guard, name string, a Announcement, now time.Time) *instance {
 	params := detect.Careful()
@@ -116,10 +116,10 @@
 	}
 	runCtx, cancelRun := context.WithCancel(context.Background())
 	return &instance{
-		guard: g, name: name, hash: InstanceHash(name), runCtx: runCtx, cancelRun: cancelRun,
+		guard: g, name: name, hash: NameHash(name), runCtx: runCtx, cancelRun: cancelRun,
 		service: a.Service, address: a.Address, started: now,
 		client: targetconn.New(targetconn.Config{
-			Address: a.Address, MaxConns: a.connections(), IdleTimeout: g.cfg.TargetIdle,
+			Address: a.Address, MaxConns: a.connections(), IdleTimeout: g.cfg.TargetIdleTimeout,
 			DialTimeout: dialTimeout, Dial: g.cfg.Dial, EchoesRequestID: g.cfg.Dialect.EchoesRequestID,
 		}),
 		queue:    admit.NewQueue(g.queueConfig(a.Slots)),
@@ -158,11 +158,11 @@
 // setWarmUp applies the announced warm-up time and reports whether it changed enough
 // to be published. The caller must hold i.mu.
 func (i *instance) setWarmUp(now time.Time, a Announcement) bool {
-	if a.WarmupLeftMS == nil {
+	if a.WarmUpLeftMS == nil {
 		return false
 	}
 	previous := max(i.warmUpEnd.Sub(now), 0)
-	left := time.Duration(*a.WarmupLeftMS) * time.Millisecond
+	left := time.Duration(*a.WarmUpLeftMS) * time.Millisecond
 	i.warmUpEnd = now.Add(left)
 	return (previous - left).Abs() > warmUpChangeThreshold
 }
--- a/internal/guard/pace.go
+++ b/internal/guard/pace.go
@@ -46,7 +46,7 @@
 	switch ref := i.reference.At(now); {
 	case ratio == 0:
 	case complete:
-		changed = i.detector.AddAnswer(now, ref, ratio, false)
+		changed = i.detector.AddResponse(now, ref, ratio, false)
 	case r.aborted && !r.failed:
 		changed = i.detector.AddPending(now, ref, ratio)
 	}
--- a/internal/guard/repeats.go
+++ b/internal/guard/repeats.go
@@ -49,7 +49,7 @@
 	budget *retry.Budget
 	// origins tracks which routes to the service are used for calls between
 	// services.
-	origins *retry.Origins
+	origins *retry.RouteClassifier
 	// share is the number of retries allowed per request.
 	share float64
 	// guards is the number of guards among which the reserve is divided.
@@ -76,7 +76,7 @@
 	for name, s := range d.Services {
 		b, ok := r.byService[name]
 		if !ok {
-			b = &serviceBudget{budget: retry.NewBudget(now, retry.Limits{}), origins: retry.NewOrigins()}
+			b = &serviceBudget{budget: retry.NewBudget(now, retry.Limits{}), origins: retry.NewRouteClassifier()}
 			r.byService[name] = b
 		}
 		b.share = s.Record.RetryShare()
@@ -119,7 +119,7 @@
 // the budget permits it.
 func (r *retryBudgets) reserve(now time.Time, service string, hints msg.AdmissionHints) bool {
 	keep := 0.0
-	if hints.Hedge || hints.ObjectiveMS > 0 && hints.UsedMS >= hints.ObjectiveMS {
+	if hints.Hedge || hints.ObjectiveMS > 0 && hints.ElapsedMS >= hints.ObjectiveMS {
 		keep = timelyRetryPart
 	}
 	r.mu.Lock()
--- a/internal/guard/repeats_test.go
+++ b/internal/guard/repeats_test.go
@@ -165,8 +165,8 @@
 	}
 	half := int(timelyRetryPart * guardBudgetPart * testReserve)
 	assert.Assert(t, hedges == half || hedges == half-1, "%d", hedges)
-	assert.Assert(t, !r.reserve(now, "s", msg.AdmissionHints{ObjectiveMS: 500, UsedMS: 600}))
-	assert.Assert(t, r.reserve(now, "s", msg.AdmissionHints{ObjectiveMS: 500, UsedMS: 100}))
+	assert.Assert(t, !r.reserve(now, "s", msg.AdmissionHints{ObjectiveMS: 500, ElapsedMS: 600}))
+	assert.Assert(t, r.reserve(now, "s", msg.AdmissionHints{ObjectiveMS: 500, ElapsedMS: 100}))
 }
 
 // Requests that originate on a host running retries may be calls made by these, and then
--- a/internal/guard/serve.go
+++ b/internal/guard/serve.go
@@ -90,7 +90,7 @@
 	r.Deadline = x.deadline
 	objective := time.Duration(hints.ObjectiveMS) * time.Millisecond
 	if objective > 0 {
-		r.Objective = x.arrived.Add(objective - time.Duration(hints.UsedMS)*time.Millisecond)
+		r.Objective = x.arrived.Add(objective - time.Duration(hints.ElapsedMS)*time.Millisecond)
 	}
 	if !x.guard.finishesBeforeShutdown(x.arrived, time.Duration(hints.ExpectedMS)*time.Millisecond) {
 		x.refuse(refusal(verdict.ReasonDraining, "this host is stopping and the request is expected to take too long"))
@@ -176,7 +176,7 @@
 		x.abandon()
 		return
 	}
-	grant := &msg.Grant{TTLMS: uint32(x.guard.cfg.GrantLife.Milliseconds()), Load: x.inst.load()}
+	grant := &msg.Grant{TTLMS: uint32(x.guard.cfg.GrantTTL.Milliseconds()), Load: x.inst.load()}
 	if err := x.stream.Send(x.ctx, grant); err != nil {
 		x.abandon()
 		return
--- a/internal/guard/state.go
+++ b/internal/guard/state.go
@@ -58,21 +58,21 @@
 // SuspectState describes one suspected request in the state dump.
 type SuspectState struct {
 	Fingerprint string `json:"print"`
-	// Crashes is the number of crashes that no other request explains, or the number of
+	// CrashCount is the number of crashes that no other request explains, or the number of
 	// all its crashes if the request is blocked.
-	Crashes int `json:"ends"`
+	CrashCount int `json:"ends"`
 	// Until is when the request may reach the software that it crashed again, empty
 	// if it is not blocked.
 	Until string `json:"until,omitempty"`
-	// Instances lists the crashes.
-	Instances []record.InstanceCrash `json:"instances"`
+	// Crashes lists the crashes.
+	Crashes []record.InstanceCrash `json:"instances"`
 }
 
 // Suspects returns the suspected requests for the state dump.
 func (g *Guard) Suspects() []SuspectState {
 	out := []SuspectState{}
 	for fp, assessment := range *g.suspects.assessments.Load() {
-		s := SuspectState{Fingerprint: fp.String(), Crashes: assessment.Crashes, Instances: crashRecords(g.suspects.crashesOf(fp))}
+		s := SuspectState{Fingerprint: fp.String(), CrashCount: assessment.Crashes, Crashes: crashRecords(g.suspects.crashesOf(fp))}
 		if !assessment.BlockedUntil.IsZero() {
 			s.Until = assessment.BlockedUntil.UTC().Format(time.RFC3339)
 		}
--- a/internal/guard/suspects.go
+++ b/internal/guard/suspects.go
@@ -108,7 +108,7 @@
 // completionHash hashes a request together with the software that completed it: a
 // request that completes at one version may crash another.
 func completionHash(fp crash.Fingerprint, software crash.Software) uint64 {
-	return uint64(fp) ^ InstanceHash(software.Service) ^ bits.RotateLeft64(InstanceHash(software.Version), 1)
+	return uint64(fp) ^ NameHash(software.Service) ^ bits.RotateLeft64(NameHash(software.Version), 1)
 }
 
 // recordCompletion records that a request has completed.
@@ -144,7 +144,7 @@
 			return changed // reportCleared clears them, unless another host has done so by then
 		}
 		for _, fp := range cleared {
-			if t.Clear(now, c.ID, fp) {
+			if t.AddClearance(now, c.ID, fp) {
 				changed = true
 			}
 		}
@@ -185,7 +185,7 @@
 func (g *Guard) clear(id string, fp crash.Fingerprint) (changed bool) {
 	now := time.Now()
 	g.handleBlocked(g.suspects.update(now, func(t *crash.Tracker) bool {
-		changed = t.Clear(now, id, fp)
+		changed = t.AddClearance(now, id, fp)
 		return changed
 	}))
 	return changed
--- a/internal/guard/suspects_test.go
+++ b/internal/guard/suspects_test.go
@@ -91,9 +91,9 @@
 func newSuspectGuard(t *testing.T, address, service string) (*Guard, fleetReports) {
 	t.Helper()
 	reports := fleetReports{crashes: make(chan crash.Crash, 4), cleared: make(chan string, 4), blocked: make(chan BlockedRequest, 4)}
-	g := New(Config{Host: "h", QueuePerSlot: 2, GrantLife: time.Minute, TargetIdle: time.Minute}, Limits{AnnounceExpiry: time.Hour},
+	g := New(Config{Host: "h", QueuePerSlot: 2, GrantTTL: time.Minute, TargetIdleTimeout: time.Minute}, Limits{AnnounceExpiry: time.Hour},
 		slog.New(slog.NewTextHandler(io.Discard, nil)), allowAllFence{}, Hooks{
-			Changed: func() {}, LoadReport: func(*msg.LoadReport, loadreport.Reach) {},
+			Changed: func() {}, LoadReport: func(*msg.LoadReport, loadreport.Scope) {},
 			Crashed: func(c crash.Crash) { reports.crashes <- c }, Cleared: func(id string, _ crash.Fingerprint) { reports.cleared <- id },
 			Blocked: func(b BlockedRequest) { reports.blocked <- b },
 		})
--- a/internal/keys/claim.go
+++ b/internal/keys/claim.go
@@ -102,11 +102,11 @@
 	return ms
 }
 
-// Done implements front.Keys. It sends the result of a request to the owner of the key's
+// ReportResult implements front.Keys. It sends the result of a request to the owner of the key's
 // shard. It retries for up to resultRetryTimeout, since the shard may be changing owner.
 // If no owner accepts the result, the claim expires at the owner and the request counts as
 // may-have-run.
-func (m *Manager) Done(service *directory.Service, k front.KeyRequest, result front.RequestResult) {
+func (m *Manager) ReportResult(service *directory.Service, k front.KeyRequest, result front.RequestResult) {
 	until := time.Now().Add(resultRetryTimeout)
 	for time.Now().Before(until) {
 		shard, owner, ok := m.shardOf(service.Name, k.Key)
@@ -116,7 +116,7 @@
 		ctx, cancel := context.WithTimeout(context.Background(), resultCallTimeout)
 		reply, err := m.call(ctx, owner, &msg.KeyResult{
 			Service: service.Name, Shard: shard, Key: k.Key, RequestID: k.RequestID, Verdict: result.Verdict,
-			Complete: result.Complete, Stored: result.Stored, Status: result.Status, Header: result.Header, Body: result.Body,
+			Complete: result.Complete, StoreResponse: result.Stored, Status: result.Status, Header: result.Header, Body: result.Body,
 		})
 		cancel()
 		if r, ok := reply.(*msg.HandoverReply); err == nil && ok && r.Accepted {
--- a/internal/keys/keys.go
+++ b/internal/keys/keys.go
@@ -126,7 +126,7 @@
 	for name, s := range d.Services {
 		m.keyWindows[name] = s.Record.KeyWindow()
 	}
-	for service, sm := range d.Maps {
+	for service, sm := range d.ShardMaps {
 		for i, s := range sm.Shards {
 			m.granter.ObserveEpoch(once.ShardID{Service: service, Shard: uint32(i)}, s.Epoch)
 		}
@@ -217,7 +217,7 @@
 	if !ok {
 		return nil, errUnknownHost
 	}
-	conn, err := m.pool.Conn(ctx, h.Peer)
+	conn, err := m.pool.Conn(ctx, h.PeerAddr)
 	if err != nil {
 		return nil, err
 	}
@@ -284,7 +284,7 @@
 }
 
 // State returns the state of the owned shards.
-func (m *Manager) State() []once.OwnedState {
+func (m *Manager) State() []once.OwnedShardState {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.owner.Shards(time.Now())
@@ -292,7 +292,7 @@
 
 // currentMap returns a service's current shard map, false if it has none.
 func currentMap(d *directory.Directory, service string) (*record.ShardMap, bool) {
-	sm, ok := d.Maps[service]
+	sm, ok := d.ShardMaps[service]
 	if !ok || len(sm.Shards) == 0 {
 		return nil, false
 	}
--- a/internal/keys/place.go
+++ b/internal/keys/place.go
@@ -102,7 +102,7 @@
 // is nothing to change. The caller must hold m.mu.
 func (m *Manager) propose(now time.Time, svc *directory.Service) (proposal, bool) {
 	hosts := m.candidates(now, svc)
-	current, ok := m.dir.Maps[svc.Name]
+	current, ok := m.dir.ShardMaps[svc.Name]
 	if !ok {
 		if !m.needsShardMap[svc.Name] || !m.candidatesStable(now, svc.Name, hosts) {
 			return proposal{}, false
@@ -151,7 +151,7 @@
 	for _, t := range svc.Targets {
 		names[t.Host.Name] = true
 	}
-	if sm, ok := m.dir.Maps[svc.Name]; ok {
+	if sm, ok := m.dir.ShardMaps[svc.Name]; ok {
 		for _, g := range sm.Guards {
 			names[g] = true
 		}
--- a/internal/lab/capacity.go
+++ b/internal/lab/capacity.go
@@ -148,7 +148,7 @@
 func GenerateHosts() []*directory.Host {
 	var out []*directory.Host
 	for i := range designHosts {
-		h := &directory.Host{Name: fmt.Sprintf("host-%04d", i), DC: fmt.Sprintf("dc-%02d", i%11), Peer: "10.0.0.1:7300", Alive: true}
+		h := &directory.Host{Name: fmt.Sprintf("host-%04d", i), DC: fmt.Sprintf("dc-%02d", i%11), PeerAddr: "10.0.0.1:7300", Alive: true}
 		for k := range instancesPerHost {
 			h.Instances = append(h.Instances, directory.Instance{
 				Name: fmt.Sprintf("host-%04d-%d", i, k), Service: fmt.Sprintf("service-%03d", (i*instancesPerHost+k)%designServices), Slots: 6, Conns: 350,
--- a/internal/msg/keys.go
+++ b/internal/msg/keys.go
@@ -44,11 +44,11 @@
 	RequestID string
 	Verdict   verdict.Verdict
 	Complete  bool
-	// Stored reports whether the response below is to be stored for replay.
-	Stored bool
-	Status uint16
-	Header []Field `msg:"header,limit=256"`
-	Body   []byte
+	// StoreResponse reports whether the response below is to be stored for replay.
+	StoreResponse bool
+	Status        uint16
+	Header        []Field `msg:"header,limit=256"`
+	Body          []byte
 }
 
 // LeaseRequest asks a guard of a service to lease a shard to an owner for an epoch.
--- a/internal/msg/keys_gen.go
+++ b/internal/msg/keys_gen.go
@@ -471,7 +471,7 @@
 	o = msgp.AppendString(o, z.RequestID)
 	o = msgp.AppendUint8(o, uint8(z.Verdict))
 	o = msgp.AppendBool(o, z.Complete)
-	o = msgp.AppendBool(o, z.Stored)
+	o = msgp.AppendBool(o, z.StoreResponse)
 	o = msgp.AppendUint16(o, z.Status)
 	o = msgp.AppendArrayHeader(o, uint32(len(z.Header)))
 	for za0001 := range z.Header {
@@ -536,9 +536,9 @@
 		err = msgp.WrapError(err, "Complete")
 		return
 	}
-	z.Stored, bts, err = msgp.ReadBoolBytes(bts)
+	z.StoreResponse, bts, err = msgp.ReadBoolBytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Stored")
+		err = msgp.WrapError(err, "StoreResponse")
 		return
 	}
 	z.Status, bts, err = msgp.ReadUint16Bytes(bts)
--- a/internal/msg/requests.go
+++ b/internal/msg/requests.go
@@ -91,7 +91,7 @@
 	// ObjectiveMS is the latency objective, counted from the caller's send, and UsedMS
 	// the part of it that has passed.
 	ObjectiveMS uint32
-	UsedMS      uint32
+	ElapsedMS   uint32
 	// ExpectedMS is the expected service time, or 0 if unknown.
 	ExpectedMS uint32
 	// AllowLate asks to queue the request even if it would miss the objective.
--- a/internal/msg/requests_gen.go
+++ b/internal/msg/requests_gen.go
@@ -19,7 +19,7 @@
 	// array header, size 10
 	o = append(o, 0x9a)
 	o = msgp.AppendUint32(o, z.ObjectiveMS)
-	o = msgp.AppendUint32(o, z.UsedMS)
+	o = msgp.AppendUint32(o, z.ElapsedMS)
 	o = msgp.AppendUint32(o, z.ExpectedMS)
 	o = msgp.AppendBool(o, z.AllowLate)
 	o = msgp.AppendBool(o, z.UsesRetryBudget)
@@ -48,9 +48,9 @@
 		err = msgp.WrapError(err, "ObjectiveMS")
 		return
 	}
-	z.UsedMS, bts, err = msgp.ReadUint32Bytes(bts)
+	z.ElapsedMS, bts, err = msgp.ReadUint32Bytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "UsedMS")
+		err = msgp.WrapError(err, "ElapsedMS")
 		return
 	}
 	z.ExpectedMS, bts, err = msgp.ReadUint32Bytes(bts)
--- a/internal/settings/reload_test.go
+++ b/internal/settings/reload_test.go
@@ -14,7 +14,7 @@
 	assert.DeepEqual(t, Compare(running, updated), []Change{{Key: "[log] level", Live: true}, {Key: "[guard] grant_life"}})
 	adopted := Adopt(running, updated)
 	assert.Equal(t, adopted.LogLevel, "warn")
-	assert.Equal(t, adopted.GrantLife, running.GrantLife)
+	assert.Equal(t, adopted.GrantTTL, running.GrantTTL)
 	assert.DeepEqual(t, Compare(running, running), []Change(nil))
 }
 
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -69,8 +69,8 @@
 
 	// QueuePerSlot is the maximum number of requests queued at an instance, per slot.
 	QueuePerSlot int
-	// GrantLife is how long a reserved slot is held for the request to run in it.
-	GrantLife time.Duration
+	// GrantTTL is how long a reserved slot is held for the request to run in it.
+	GrantTTL time.Duration
 	// AnnounceExpiry is how long after its last announcement a target counts as gone.
 	AnnounceExpiry time.Duration
 	// DrainTimeout is the time from the stop signal until the process is killed.
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -24,7 +24,7 @@
 	assert.NilError(t, err)
 	assert.Equal(t, c.Host, "h1")
 	assert.DeepEqual(t, c.Seeds, []string{"10.0.0.1:7300", "10.0.0.2:7300"})
-	assert.Equal(t, c.GrantLife, Default().GrantLife)
+	assert.Equal(t, c.GrantTTL, Default().GrantTTL)
 }
 
 func TestErrorsNameFileSectionKeyAndRemedy(t *testing.T) {
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -32,11 +32,11 @@
 	Suspects []guard.SuspectState  `json:"suspects"`
 	Services []front.ServiceStatus `json:"services"`
 	// Teams are the teams with a rate limit that this host knows.
-	Teams   []teams.State     `json:"teams"`
-	Paths   []front.PathState `json:"paths"`
-	Control control.State     `json:"control"`
-	Peers   peer.Stats        `json:"peers"`
-	Shards  []once.OwnedState `json:"shards"`
+	Teams   []teams.State          `json:"teams"`
+	Paths   []front.PathState      `json:"paths"`
+	Control control.State          `json:"control"`
+	Peers   peer.Stats             `json:"peers"`
+	Shards  []once.OwnedShardState `json:"shards"`
 }
 
 // Status summarizes what is in force and why (services, records and load) as seen by one
