--- a/internal/core/balance/balance.go
+++ b/internal/core/balance/balance.go
@@ -118,23 +118,23 @@
 	return total + valueWeight*w.Objective.Seconds()*(1-value)
 }
 
-// valueShareAfter returns the expected share of its value that a request keeps if its response
-// is expected after the given time: all of it well before the objective, and lateValue
-// well after it. Service times vary by half of their mean and more, so the share
+// valueShareAfter returns the expected share of its value that a request keeps if its
+// response is expected after the given time: all of it well before the objective, and
+// lateValue well after it. Service times vary by half of their mean and more, so the share
 // decreases gradually in between.
 func (w CostWeights) valueShareAfter(seconds float64) float64 {
-	left := w.TimeLeft.Seconds()
+	timeLeft := w.TimeLeft.Seconds()
 	if w.Objective <= 0 {
 		return 1
 	}
 	const early, late = 0.5, 1.5
 	switch {
-	case seconds <= early*left:
+	case seconds <= early*timeLeft:
 		return 1
-	case left <= 0 || seconds >= late*left:
+	case timeLeft <= 0 || seconds >= late*timeLeft:
 		return lateValue
 	default:
-		return 1 - (1-lateValue)*(seconds-early*left)/((late-early)*left)
+		return 1 - (1-lateValue)*(seconds-early*timeLeft)/((late-early)*timeLeft)
 	}
 }
 
--- a/internal/core/chance/chance.go
+++ b/internal/core/chance/chance.go
@@ -4,7 +4,7 @@
 // Gray failures are intermittent: for some seconds most requests to an instance fail,
 // then it works normally again. At a few requests per second and instance, a failure
 // count reacts too slowly. The package therefore uses a hidden Markov model with two
-// states, well and sick, whose durations are exponentially distributed. The estimate
+// states, healthy and sick, whose durations are exponentially distributed. The estimate
 // is the probability of the sick state given all outcomes so far, computed by forward
 // filtering. Each outcome updates it, and without outcomes it decays towards the
 // steady state. The package does no I/O.
@@ -84,10 +84,10 @@
 // Observe updates the estimate with the outcome of one request.
 func (e *Estimate) Observe(now time.Time, failed bool, m Model) {
 	sick := e.Sick(now, m)
-	ifSick, ifWell := 1-m.SickFailureRate, 1-m.HealthyFailureRate
+	ifSick, ifHealthy := 1-m.SickFailureRate, 1-m.HealthyFailureRate
 	if failed {
-		ifSick, ifWell = m.SickFailureRate, m.HealthyFailureRate
+		ifSick, ifHealthy = m.SickFailureRate, m.HealthyFailureRate
 	}
-	e.sick = sick * ifSick / (sick*ifSick + (1-sick)*ifWell)
+	e.sick = sick * ifSick / (sick*ifSick + (1-sick)*ifHealthy)
 	e.at = now
 }
--- a/internal/core/chance/chance_test.go
+++ b/internal/core/chance/chance_test.go
@@ -69,7 +69,7 @@
 	})
 }
 
-// Eight instances change between the well and the sick state as in the default model.
+// Eight instances change between the healthy and the sick state as in the default model.
 // Of 50 requests per second, 60% cannot be retried and go to the instance with the lowest
 // estimate; the others go to a random one. The former must fail far less often than they
 // would at random instances, where about a quarter of all requests fail.
--- a/internal/core/chance/share_test.go
+++ b/internal/core/chance/decayingshare_test.go
@@ -7,7 +7,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestShareFollowsOutcomesAndDecays(t *testing.T) {
+func TestDecayingShareFollowsOutcomesAndDecays(t *testing.T) {
 	now := time.Unix(1000, 0)
 	var s DecayingShare
 	assert.Equal(t, s.At(now), 0.0)
--- a/internal/core/config/node.go
+++ b/internal/core/config/node.go
@@ -274,7 +274,7 @@
 	n.out = append(n.out, Outbound{To: to, Msg: m})
 }
 
-// Tick starts repairs and sends the entries that are due to be forwarded or pushed again.
+// Tick starts repairs and sends the entries that are due to be relayed or pushed again.
 // Until the record set is complete, it requests the set from peers.
 func (n *Node) Tick(now time.Time, peers Peers) {
 	n.now = now
--- a/internal/core/config/relay.go
+++ b/internal/core/config/relay.go
@@ -6,16 +6,16 @@
 	"github.com/radishhoist/radishhoist/internal/msg"
 )
 
-// relayInterval is the minimum time between two messages that forward host entries of
+// relayInterval is the minimum time between two messages that relay host entries of
 // other hosts; entries that arrive in between are batched, and a single update is
-// forwarded at once. When a whole fleet starts at the same time, there are several times
+// relayed at once. When a whole fleet starts at the same time, there are several times
 // as many such updates as hosts within two seconds, and each reaches a host a few times.
 // Under load, an update reaches the last of 1,600 hosts after about six intervals.
 const relayInterval = 100 * time.Millisecond
 
-// relayQueue holds the host entries of other hosts that wait to be forwarded.
+// relayQueue holds the host entries of other hosts that wait to be relayed.
 type relayQueue struct {
-	// nextFlush is when entries may be forwarded again.
+	// nextFlush is when entries may be relayed again.
 	nextFlush time.Time
 	// keys holds the keys of the entries in order of arrival, and source the host that
 	// sent each of them.
@@ -36,7 +36,7 @@
 	}
 }
 
-// flushRelays forwards the newest versions of the queued entries once nextFlush is
+// flushRelays relays the newest versions of the queued entries once nextFlush is
 // reached.
 func (n *Node) flushRelays(peers Peers) {
 	if len(n.relayQueue.keys) == 0 || n.now.Before(n.relayQueue.nextFlush) {
--- a/internal/core/config/relay_test.go
+++ b/internal/core/config/relay_test.go
@@ -29,9 +29,9 @@
 	return messages, entries
 }
 
-// Guards against a flood of messages when a whole fleet starts: 354 hosts each forwarded
+// Guards against a flood of messages when a whole fleet starts: 354 hosts each relayed
 // some 700 updates with three messages each. Many updates must be batched into a few
-// messages, complete and in their newest version; a single update is forwarded at once.
+// messages, complete and in their newest version; a single update is relayed at once.
 func TestManyHostUpdatesAreBatched(t *testing.T) {
 	const hosts = 200
 	n := newTestNode(1)
@@ -39,7 +39,7 @@
 	n.Take()
 	n.Step(localPeers, "z", &msg.Rumor{Set: msg.SetHosts, Entries: []msg.Entry{hostEntry("first", 1)}})
 	messages, _ := rumors(n)
-	assert.Equal(t, messages, n.cfg.FanOut, "a single update is forwarded at once")
+	assert.Equal(t, messages, n.cfg.FanOut, "a single update is relayed at once")
 	for version := range int64(2) {
 		for i := range hosts {
 			e := hostEntry(fmt.Sprint("h", i), version+1)
@@ -54,9 +54,9 @@
 	assert.Equal(t, entries, n.cfg.FanOut*hosts)
 }
 
-// Entries that a host requested itself are not forwarded. Updates of records and of the
+// Entries that a host requested itself are not relayed. Updates of records and of the
 // host's own entry are not delayed by queued host entries.
-func TestOnlyForwardedHostUpdatesAreDelayed(t *testing.T) {
+func TestOnlyRelayedHostUpdatesAreDelayed(t *testing.T) {
 	n := newTestNode(1)
 	n.Tick(start, localPeers)
 	n.Take()
--- a/internal/core/config/step.go
+++ b/internal/core/config/step.go
@@ -177,8 +177,8 @@
 	}
 }
 
-// applySnapshot applies requested entries without forwarding them, since other hosts have
-// them already. If 354 hosts start at once, forwarding would send each of the sets that
+// applySnapshot applies requested entries without relaying them, since other hosts have
+// them already. If 354 hosts start at once, relaying would send each of the sets that
 // they request to three more hosts.
 func (n *Node) applySnapshot(from string, m *msg.Snapshot) {
 	for _, e := range m.Entries {
--- a/internal/core/crash/crash.go
+++ b/internal/core/crash/crash.go
@@ -55,9 +55,9 @@
 // Tracker records the crashes in the fleet. It is not safe for concurrent use.
 type Tracker struct {
 	crashes map[string]*entry
-	// cleared maps each clearance to the time at which this host recorded it. The crash
+	// clearances maps each clearance to the time at which this host recorded it. The crash
 	// itself may not be known yet.
-	cleared map[clearance]time.Time
+	clearances map[clearance]time.Time
 }
 
 // entry is a crash with the time at which this host learned of it.
@@ -74,7 +74,7 @@
 
 // NewTracker creates an empty Tracker.
 func NewTracker() *Tracker {
-	return &Tracker{crashes: make(map[string]*entry), cleared: make(map[clearance]time.Time)}
+	return &Tracker{crashes: make(map[string]*entry), clearances: make(map[clearance]time.Time)}
 }
 
 // Add records a crash, or adds requests to a crash that is already known. It reports
@@ -109,14 +109,14 @@
 	})
 }
 
-// AddClearance records that a request did not cause a crash, because it has completed on the
-// same software. It reports whether the clearance is new.
+// AddClearance records that a request did not cause a crash, because it has completed on
+// the same software. It reports whether the clearance is new.
 func (t *Tracker) AddClearance(now time.Time, crashID string, fp Fingerprint) bool {
 	c := clearance{crashID, fp}
-	if _, known := t.cleared[c]; known {
+	if _, known := t.clearances[c]; known {
 		return false
 	}
-	t.cleared[c] = now
+	t.clearances[c] = now
 	t.prune(now)
 	return true
 }
@@ -139,7 +139,7 @@
 	if !slices.Contains(e.Fingerprints, fp) {
 		return false
 	}
-	_, cleared := t.cleared[clearance{e.ID, fp}]
+	_, cleared := t.clearances[clearance{e.ID, fp}]
 	return !cleared
 }
 
@@ -151,16 +151,16 @@
 			delete(t.crashes, id)
 		}
 	}
-	for c, at := range t.cleared {
+	for c, at := range t.clearances {
 		if now.Sub(at) > RetentionPeriod {
-			delete(t.cleared, c)
+			delete(t.clearances, c)
 		}
 	}
 	for len(t.crashes) > maxCrashes {
 		delete(t.crashes, t.oldest())
 	}
-	for len(t.cleared) > maxCrashes*MaxFingerprints {
-		clear(t.cleared)
+	for len(t.clearances) > maxCrashes*MaxFingerprints {
+		clear(t.clearances)
 	}
 }
 
--- a/internal/core/crash/fingerprint.go
+++ b/internal/core/crash/fingerprint.go
@@ -9,7 +9,7 @@
 )
 
 // Fingerprint is a hash of a request as the target receives it; 0 means none. Requests
-// with equal fingerprints are treated as repeats of the same request.
+// with equal fingerprints are treated as the same request, sent again.
 type Fingerprint uint64
 
 // String returns the fingerprint in the form shown to operators.
@@ -22,7 +22,7 @@
 }
 
 // Request holds the parts of a request that its fingerprint is computed from: what the
-// caller sent, except for anything that differs between repeats or between hosts.
+// caller sent, except for anything that differs between retries or between hosts.
 type Request struct {
 	// Host is the host name of the route, empty if the route matches any.
 	Method, Host, URI string
--- a/internal/core/directory/directory.go
+++ b/internal/core/directory/directory.go
@@ -89,7 +89,8 @@
 	Routes   *route.Table
 	Services map[string]*Service
 	Teams    map[string]*record.Team
-	// TeamKeys maps API keys to teams. RequireKeys reports whether callers must present one.
+	// TeamKeys maps API keys to teams. RequireKeys reports whether callers must present
+	// one.
 	TeamKeys     *team.Index
 	RequireKeys  bool
 	Hosts        map[string]*Host
@@ -99,7 +100,7 @@
 	// Limits holds the limits on callers' requests and connections, if a Configuration
 	// sets any.
 	Limits record.Limits
-	// Configurations holds the versions of the Configuration records in force, by name.
+	// Configurations holds the versions of the Configuration records, by name.
 	Configurations map[string]int64
 	// Complete reports whether the record set is complete, so that traffic may be served.
 	Complete bool
@@ -118,7 +119,7 @@
 // Build returns the Directory for compiled records and the announced hosts.
 func Build(records *Records, hosts []*Host) *Directory {
 	d := &Directory{
-		Routes: records.routes, Teams: records.teams, TeamKeys: records.keys, RequireKeys: records.requireKeys, PlannedStops: records.stops, ShardMaps: records.maps,
+		Routes: records.routes, Teams: records.teams, TeamKeys: records.teamKeys, RequireKeys: records.requireKeys, PlannedStops: records.plannedStops, ShardMaps: records.shardMaps,
 		Services: make(map[string]*Service, len(records.services)),
 		Hosts:    make(map[string]*Host, len(hosts)),
 		Complete: records.complete,
--- a/internal/core/directory/records.go
+++ b/internal/core/directory/records.go
@@ -12,12 +12,12 @@
 	routes   *route.Table
 	services []*Service
 	teams    map[string]*record.Team
-	keys     *team.Index
+	teamKeys *team.Index
 	// requireKeys reports whether callers must present a team's key.
-	requireKeys bool
-	stops       []*record.Stop
-	maps        map[string]*ShardMap
-	limits      record.Limits
+	requireKeys  bool
+	plannedStops []*record.Stop
+	shardMaps    map[string]*ShardMap
+	limits       record.Limits
 	// configurations holds the versions of the Configuration records by name.
 	configurations map[string]int64
 	complete       bool
@@ -32,9 +32,9 @@
 // Recompile is like Compile, but reuses the parts of r that are still valid.
 func (r *Records) Recompile(parsed []*record.Record, complete bool) *Records {
 	out := &Records{
-		teams:    make(map[string]*record.Team),
-		maps:     make(map[string]*ShardMap),
-		complete: complete,
+		teams:     make(map[string]*record.Team),
+		shardMaps: make(map[string]*ShardMap),
+		complete:  complete,
 
 		configurations: make(map[string]int64),
 	}
@@ -50,14 +50,14 @@
 		case *record.Team:
 			out.teams[rec.Name] = spec
 		case *record.Stop:
-			out.stops = append(out.stops, spec)
+			out.plannedStops = append(out.plannedStops, spec)
 		case *record.ShardMap:
-			out.maps[rec.Name] = &ShardMap{Version: rec.Version, ShardMap: spec}
+			out.shardMaps[rec.Name] = &ShardMap{Version: rec.Version, ShardMap: spec}
 		}
 	}
 	out.routes = route.NewTable(routes)
-	out.keys = r.keys.WithTeams(out.teams)
-	out.requireKeys = out.requireKeys || out.keys.Len() > 0
+	out.teamKeys = r.teamKeys.WithTeams(out.teams)
+	out.requireKeys = out.requireKeys || out.teamKeys.Len() > 0
 	return out
 }
 
--- a/internal/core/eject/eject.go
+++ b/internal/core/eject/eject.go
@@ -26,7 +26,7 @@
 	Evidence uint32
 }
 
-// Result is the outcome of Apply.
+// Result is the outcome of Select.
 type Result struct {
 	// Ejected reports, by index, which members are ejected.
 	Ejected []bool
--- a/internal/core/header/header.go
+++ b/internal/core/header/header.go
@@ -31,7 +31,7 @@
 	// Team is the header that tells a target the caller's team, if teams authenticate
 	// with keys. A value sent by the caller itself is removed.
 	Team string
-	// EchoesRequestID states that targets repeat the request ID in every successful
+	// EchoesRequestID states that targets echo the request ID in every successful
 	// response, so that one without it cannot be attributed to a request.
 	EchoesRequestID bool
 }
@@ -48,7 +48,7 @@
 }
 
 const (
-	// RequestID identifies a request. If the target repeats it in the response, the guard
+	// RequestID identifies a request. If the target echoes it in the response, the guard
 	// can detect a response that belongs to another request.
 	RequestID = "X-Request-Id"
 	// Team is the name of the caller's team. If teams have no keys, the caller sets it.
--- a/internal/core/member/live_test.go
+++ b/internal/core/member/live_test.go
@@ -85,7 +85,7 @@
 	assert.Assert(t, large <= small, "%.1f allocations at 1,600 hosts, %.1f at 24", large, small)
 }
 
-// allocsPerChange returns the allocations for a host that dies and comes back, with the
+// allocsPerChange returns the allocations for a host that dies and returns, with the
 // live peers read after each change.
 func allocsPerChange(t *testing.T, hosts int) float64 {
 	t.Helper()
@@ -105,7 +105,7 @@
 	})
 }
 
-// Measures a host that dies and comes back, with the live peers read after each change.
+// Measures a host that dies and returns, with the live peers read after each change.
 // Reference at 24, 354 and 1,600 hosts: 206, 226 and 469 ns (5,527, 95,377 and 540,185 ns
 // if the lists are rebuilt after each change).
 func BenchmarkHostDiesAndReturns(b *testing.B) {
--- a/internal/core/once/model_test.go
+++ b/internal/core/once/model_test.go
@@ -63,11 +63,11 @@
 	losses, duplicates, kills int
 }
 
-const grantLife = time.Second
+const grantTTL = time.Second
 
 func newGuard() *guardModel {
 	return &guardModel{
-		queue: admit.NewQueue(admit.Config{Slots: 1, QueuePerSlot: 1, GrantTTL: grantLife}),
+		queue: admit.NewQueue(admit.Config{Slots: 1, QueuePerSlot: 1, GrantTTL: grantTTL}),
 		now:   time.Unix(1000, 0),
 	}
 }
@@ -219,7 +219,7 @@
 // does not notice, as after a pause.
 func (m *model) expireGrant(i int, tick bool) {
 	g := m.guards[i]
-	g.now, g.paused = g.now.Add(2*grantLife), true
+	g.now, g.paused = g.now.Add(2*grantTTL), true
 	if tick && len(g.queue.Tick(g.now)) > 0 {
 		m.toFront[i] = append(m.toFront[i], refuseMsg)
 	}
--- a/internal/core/once/sim_test.go
+++ b/internal/core/once/sim_test.go
@@ -17,7 +17,7 @@
 
 // This file simulates hosts that run the production Owner, LeaseGranter and placement code
 // in virtual time over a simulated network. The platform supports conditional updates; it
-// may be unavailable, and its replies may be lost. Callers repeat keyed requests through
+// may be unavailable, and its replies may be lost. Callers retry keyed requests through
 // any host. Hosts are killed, paused and drained. In a partition, messages between one host
 // and each of the others are lost in one direction.
 
@@ -471,9 +471,9 @@
 		if n%4 == 0 {
 			created = 0
 		}
-		for repeat := range 4 {
-			wait := time.Duration(s.rng.IntN(1+repeat*2500)) * time.Millisecond
-			s.schedule(first+wait, -1, func() { s.request(n*4+repeat, key, created, s.rng.IntN(simHosts)) })
+		for attempt := range 4 {
+			wait := time.Duration(s.rng.IntN(1+attempt*2500)) * time.Millisecond
+			s.schedule(first+wait, -1, func() { s.request(n*4+attempt, key, created, s.rng.IntN(simHosts)) })
 		}
 	}
 	s.schedule(simEnd, -1, func() { s.queue = nil })
--- a/internal/core/once/table.go
+++ b/internal/core/once/table.go
@@ -69,7 +69,7 @@
 	// a request could run twice if its key were evicted early.
 	MaxKeys int
 	// MaxBytes limits the total size of stored response bodies. A response that
-	// does not fit is not stored, and a repeated request gets ClaimResponseNotStored.
+	// does not fit is not stored, and a retried request gets ClaimResponseNotStored.
 	MaxBytes int
 	// MaxSkew is the maximum tolerated clock skew between the callers and the owner.
 	MaxSkew time.Duration
@@ -123,7 +123,7 @@
 // Len returns the number of keys.
 func (t *Table) Len() int { return len(t.entries) }
 
-// Claim decides whether a keyed request may run. A repeated claim by the request that
+// Claim decides whether a keyed request may run. A retried claim by the request that
 // has claimed the key returns ClaimRun again. The reply is only returned with ClaimReplay.
 func (t *Table) Claim(now time.Time, wallMS int64, c *msg.KeyClaim) (ClaimOutcome, *msg.ClaimReply) {
 	e, known := t.entries[c.Key]
--- a/internal/core/quota/account.go
+++ b/internal/core/quota/account.go
@@ -57,8 +57,8 @@
 	lastNotice time.Time
 }
 
-// maxRememberedGrants is the number of grants remembered per host, so that a repeated
-// query is answered without being counted twice.
+// maxRememberedGrants is the number of grants remembered per account and querying host,
+// so that a retried query is answered without being counted twice.
 const maxRememberedGrants = 8
 
 // reporter is the usage that one host has reported.
--- a/internal/core/quota/admit.go
+++ b/internal/core/quota/admit.go
@@ -161,7 +161,7 @@
 	n.sendUsage(now, a, to, 0)
 }
 
-// retryQueries repeats queries that timed out, first to the home and then to its
+// retryQueries retries queries that timed out, first to the home and then to its
 // successor. If neither responds, this host decides by its own share.
 func (n *Node) retryQueries(now time.Time) {
 	for _, id := range slices.Sorted(maps.Keys(n.queries)) {
--- a/internal/core/quota/home.go
+++ b/internal/core/quota/home.go
@@ -74,7 +74,7 @@
 	return added
 }
 
-// grant decides on a query. A repeated query that was granted before is granted again
+// grant decides on a query. A retried query that was granted before is granted again
 // without being counted. Only a successor whose own reports the home does not answer
 // limits itself to admitAsSuccessor; any other queried host grants from the whole rate.
 func (n *Node) grant(now time.Time, a *account, r *reporter, u *msg.TeamUsage, l *msg.TeamLevel) {
--- a/internal/core/quota/quota.go
+++ b/internal/core/quota/quota.go
@@ -7,7 +7,7 @@
 // raise its level, which drains at the team's rate. While a team is far below its limit,
 // a host admits its requests at once and reports them to the home at the next Tick,
 // about every 50 ms, or once its previous report is confirmed or has timed out. Reports
-// carry a cumulative count, so lost, delayed and repeated datagrams do no harm. When a
+// carry a cumulative count, so lost, delayed and duplicated datagrams do no harm. When a
 // team comes near its limit, the home notifies all hosts, which then query it for each
 // request until the team is far from the limit again. Every message carries the level,
 // so that a new home learns it from the first host that contacts it.
@@ -56,7 +56,7 @@
 	// startupPeriod is how long a host queries for each request after its start, since
 	// it may have missed a notice that a team is near its limit.
 	startupPeriod = 5 * time.Second
-	// queryTimeout is how long to wait for a home before a query is repeated;
+	// queryTimeout is how long to wait for a home before a query is retried;
 	// maxQueryAttempts is the number of attempts, including those at the successor.
 	queryTimeout     = 60 * time.Millisecond
 	maxQueryAttempts = 3
--- a/internal/core/quota/quota_test.go
+++ b/internal/core/quota/quota_test.go
@@ -45,7 +45,7 @@
 			}
 		})
 	}},
-	{"datagrams are lost and repeated", func(s *sim) { s.lossRate, s.duplicateRate = 0.05, 0.05 }},
+	{"datagrams are lost and duplicated", func(s *sim) { s.lossRate, s.duplicateRate = 0.05, 0.05 }},
 }
 
 // homeOf returns the home of a team's account, as seen by the first host.
--- a/internal/core/retry/origin.go
+++ b/internal/core/retry/routeclassifier.go
@@ -6,8 +6,8 @@
 )
 
 const (
-	// originHalfLife is the half-life of the request counts of a route.
-	originHalfLife = 30 * time.Second
+	// routeCountsHalfLife is the half-life of the request counts of a route.
+	routeCountsHalfLife = 30 * time.Second
 	// minCallerShare is the minimum share of requests from idle hosts for a route to be
 	// classified as used by callers. In deployments, a fifth of the callers' requests
 	// begin on idle hosts even under the highest load, but hardly any calls do, because a
@@ -22,13 +22,13 @@
 	// aborted may begin on an idle host.
 	maxCallIdleShare = 0.01
 	minCallRequests  = 40
-	// maxOrigins is the maximum number of routes tracked.
-	maxOrigins = 4096
+	// maxRoutes is the maximum number of routes tracked.
+	maxRoutes = 4096
 )
 
-// RouteClassifier distinguishes routes used by callers from routes used only for calls. A call is
-// a request made by an instance while it runs another request. RouteClassifier is not safe for
-// concurrent use.
+// RouteClassifier distinguishes routes used by callers from routes used only for calls. A
+// call is a request made by an instance while it runs another request. RouteClassifier is
+// not safe for concurrent use.
 type RouteClassifier struct {
 	countsByRoute map[uint32]*routeCounts
 }
@@ -40,23 +40,23 @@
 	at              time.Time
 }
 
-// NewRouteClassifier returns an empty Origins.
+// NewRouteClassifier returns a RouteClassifier without counts.
 func NewRouteClassifier() *RouteClassifier {
 	return &RouteClassifier{countsByRoute: make(map[uint32]*routeCounts)}
 }
 
 // Observe records one request of a route. idle states whether no request was running
 // on the host where it began.
-func (o *RouteClassifier) Observe(now time.Time, route uint32, idle bool) {
-	c, ok := o.countsByRoute[route]
+func (rc *RouteClassifier) Observe(now time.Time, route uint32, idle bool) {
+	c, ok := rc.countsByRoute[route]
 	if !ok {
-		if len(o.countsByRoute) >= maxOrigins {
-			o.countsByRoute = make(map[uint32]*routeCounts)
+		if len(rc.countsByRoute) >= maxRoutes {
+			rc.countsByRoute = make(map[uint32]*routeCounts)
 		}
 		c = &routeCounts{at: now}
-		o.countsByRoute[route] = c
+		rc.countsByRoute[route] = c
 	}
-	decay := math.Exp2(-max(now.Sub(c.at), 0).Seconds() / originHalfLife.Seconds())
+	decay := math.Exp2(-max(now.Sub(c.at), 0).Seconds() / routeCountsHalfLife.Seconds())
 	c.fromIdle, c.total, c.at = c.fromIdle*decay, c.total*decay+1, now
 	if idle {
 		c.fromIdle++
@@ -64,14 +64,14 @@
 }
 
 // IsCallerRoute reports whether the route is known to be used by callers.
-func (o *RouteClassifier) IsCallerRoute(route uint32) bool {
-	c, ok := o.countsByRoute[route]
+func (rc *RouteClassifier) IsCallerRoute(route uint32) bool {
+	c, ok := rc.countsByRoute[route]
 	return ok && c.fromIdle >= minCallerRequests && c.fromIdle >= minCallerShare*c.total
 }
 
 // IsCallRoute reports whether the route is known to be used only for calls. Both
 // IsCallerRoute and IsCallRoute may be false, for example if hosts are rarely idle.
-func (o *RouteClassifier) IsCallRoute(route uint32) bool {
-	c, ok := o.countsByRoute[route]
+func (rc *RouteClassifier) IsCallRoute(route uint32) bool {
+	c, ok := rc.countsByRoute[route]
 	return ok && c.total >= minCallRequests && c.fromIdle <= maxCallIdleShare*c.total
 }
--- a/internal/core/team/index.go
+++ b/internal/core/team/index.go
@@ -38,8 +38,8 @@
 
 func shardOf(h record.TeamKeyHash) int { return (int(h[0])<<8 | int(h[1])) % shardCount }
 
-// TeamOf returns the team that holds a key, or false if there is none. Its timing may depend
-// on the key's hash, but not on the key itself.
+// TeamOf returns the team that holds a key, or false if there is none. Its timing may
+// depend on the key's hash, but not on the key itself.
 func (x *Index) TeamOf(key string) (string, bool) {
 	if x == nil || key == "" || len(key) > record.MaxTeamKeyBytes {
 		return "", false
