--- a/internal/guard/call.go
+++ b/internal/guard/call.go
@@ -206,8 +206,8 @@
 		Header: header.FromFields(m.Header), Length: m.BodyLength,
 	}
 	req.Header.Set(header.RequestID, m.RequestID)
-	left := time.Until(x.deadline).Milliseconds()
-	set(req.Header, d.Timeout, strconv.FormatInt(max(left, 1), 10))
+	timeLeft := time.Until(x.deadline).Milliseconds()
+	set(req.Header, d.Timeout, strconv.FormatInt(max(timeLeft, 1), 10))
 	set(req.Header, d.ExpectedInstance, x.inst.name)
 	if m.BodyLength != 0 {
 		req.Body = &bodyReader{x: x, hash: xxhash.New()}
--- a/internal/guard/estimate.go
+++ b/internal/guard/estimate.go
@@ -79,15 +79,15 @@
 	if !publish {
 		return
 	}
-	reach := loadreport.ToLocal
+	scope := loadreport.ToLocal
 	if healthChanged {
-		reach = loadreport.ToAll
+		scope = loadreport.ToAll
 	}
-	i.sendLoadReport(load, reach)
+	i.sendLoadReport(load, scope)
 }
 
-func (i *instance) sendLoadReport(load msg.Load, reach loadreport.Scope) {
-	i.guard.sendLoadReport(&msg.LoadReport{Loads: []msg.InstanceLoad{{Service: i.service, Instance: i.name, Load: load}}}, reach)
+func (i *instance) sendLoadReport(load msg.Load, scope loadreport.Scope) {
+	i.guard.sendLoadReport(&msg.LoadReport{Loads: []msg.InstanceLoad{{Service: i.service, Instance: i.name, Load: load}}}, scope)
 }
 
 // requestWork asks a few fronts, different ones each time, for a request if the instance
--- a/internal/guard/estimate_test.go
+++ b/internal/guard/estimate_test.go
@@ -45,7 +45,7 @@
 	}
 }
 
-// recordWorkRequests returns the test guard's instance and the list to which the reach of
+// recordWorkRequests returns the test guard's instance and the list to which the scope of
 // each of its requests for work is appended.
 func recordWorkRequests(t *testing.T) (*instance, *[]loadreport.Scope) {
 	t.Helper()
--- a/internal/guard/guard.go
+++ b/internal/guard/guard.go
@@ -68,8 +68,8 @@
 	// Crashed is called when an instance on this host has crashed, and Cleared when a
 	// request suspected of causing a crash has completed. Both must be sent to all hosts.
 	// Nil disables the callback.
-	Crashed func(e crash.Crash)
-	Cleared func(crashID string, p crash.Fingerprint)
+	Crashed func(c crash.Crash)
+	Cleared func(crashID string, fp crash.Fingerprint)
 	// Blocked is called on one host of the fleet with a request that is blocked. The
 	// callback stores it, so that the block survives a restart of all processes, and must
 	// return without waiting. Nil disables the callback.
--- a/internal/guard/instance.go
+++ b/internal/guard/instance.go
@@ -106,7 +106,8 @@
 	Cancelled uint64 `json:"cancelled"`
 }
 
-// NameHash returns the hash that identifies an instance in samples.
+// NameHash hashes a name, such as that of an instance, a service or a team. Samples identify
+// instances by it.
 func NameHash(name string) uint64 { return xxhash.Sum64String(name) }
 
 func newInstance(g *Guard, name string, a Announcement, now time.Time) *instance {
@@ -162,9 +163,9 @@
 		return false
 	}
 	previous := max(i.warmUpEnd.Sub(now), 0)
-	left := time.Duration(*a.WarmUpLeftMS) * time.Millisecond
-	i.warmUpEnd = now.Add(left)
-	return (previous - left).Abs() > warmUpChangeThreshold
+	warmUpLeft := time.Duration(*a.WarmUpLeftMS) * time.Millisecond
+	i.warmUpEnd = now.Add(warmUpLeft)
+	return (previous - warmUpLeft).Abs() > warmUpChangeThreshold
 }
 
 // warmUpChangeThreshold is the change in remaining warm-up time above which it is
--- a/internal/guard/repeats.go
+++ b/internal/guard/retrybudget.go
@@ -47,9 +47,9 @@
 // serviceBudget is the retry budget of one service.
 type serviceBudget struct {
 	budget *retry.Budget
-	// origins tracks which routes to the service are used for calls between
+	// routeClassifier tells routes used by callers from routes used for calls between
 	// services.
-	origins *retry.RouteClassifier
+	routeClassifier *retry.RouteClassifier
 	// share is the number of retries allowed per request.
 	share float64
 	// guards is the number of guards among which the reserve is divided.
@@ -76,7 +76,7 @@
 	for name, s := range d.Services {
 		b, ok := r.byService[name]
 		if !ok {
-			b = &serviceBudget{budget: retry.NewBudget(now, retry.Limits{}), origins: retry.NewRouteClassifier()}
+			b = &serviceBudget{budget: retry.NewBudget(now, retry.Limits{}), routeClassifier: retry.NewRouteClassifier()}
 			r.byService[name] = b
 		}
 		b.share = s.Record.RetryShare()
@@ -178,13 +178,13 @@
 // recordFirstAttempt records a first attempt and returns the fraction that counts as a
 // retry, in thousandths.
 func (b *serviceBudget) recordFirstAttempt(now time.Time, hints msg.AdmissionHints) uint16 {
-	b.origins.Observe(now, hints.Route, hints.OriginIdle)
-	if b.origins.IsCallerRoute(hints.Route) {
+	b.routeClassifier.Observe(now, hints.Route, hints.OriginIdle)
+	if b.routeClassifier.IsCallerRoute(hints.Route) {
 		b.budget.AddRequest(now, 0)
 		return 0
 	}
 	fraction := min(hints.NestedRetryChance, msg.Thousandths)
-	if b.origins.IsCallRoute(hints.Route) {
+	if b.routeClassifier.IsCallRoute(hints.Route) {
 		b.budget.AddCall(now, float64(fraction)/msg.Thousandths)
 	} else {
 		b.budget.AddRequest(now, float64(fraction)/msg.Thousandths)
--- a/internal/guard/state.go
+++ b/internal/guard/state.go
@@ -64,17 +64,17 @@
 	// Until is when the request may reach the software that it crashed again, empty
 	// if it is not blocked.
 	Until string `json:"until,omitempty"`
-	// Crashes lists the crashes.
+	// Crashes lists the crashes that the request is suspected of.
 	Crashes []record.InstanceCrash `json:"instances"`
 }
 
 // Suspects returns the suspected requests for the state dump.
 func (g *Guard) Suspects() []SuspectState {
 	out := []SuspectState{}
-	for fp, assessment := range *g.suspects.assessments.Load() {
-		s := SuspectState{Fingerprint: fp.String(), CrashCount: assessment.Crashes, Crashes: crashRecords(g.suspects.crashesOf(fp))}
-		if !assessment.BlockedUntil.IsZero() {
-			s.Until = assessment.BlockedUntil.UTC().Format(time.RFC3339)
+	for fp, a := range *g.suspects.assessments.Load() {
+		s := SuspectState{Fingerprint: fp.String(), CrashCount: a.Crashes, Crashes: crashRecords(g.suspects.crashesOf(fp))}
+		if !a.BlockedUntil.IsZero() {
+			s.Until = a.BlockedUntil.UTC().Format(time.RFC3339)
 		}
 		out = append(out, s)
 	}
@@ -85,8 +85,8 @@
 // BlockedCount returns the number of blocked requests.
 func (g *Guard) BlockedCount() int {
 	n := 0
-	for _, v := range *g.suspects.assessments.Load() {
-		if !v.BlockedUntil.IsZero() {
+	for _, a := range *g.suspects.assessments.Load() {
+		if !a.BlockedUntil.IsZero() {
 			n++
 		}
 	}
--- a/internal/guard/suspects.go
+++ b/internal/guard/suspects.go
@@ -141,7 +141,7 @@
 	g.handleBlocked(g.suspects.update(now, func(t *crash.Tracker) bool {
 		changed := t.Add(now, c)
 		if shouldReport {
-			return changed // reportCleared clears them, unless another host has done so by then
+			return changed // reportClearances clears them, unless another host has done so by then
 		}
 		for _, fp := range cleared {
 			if t.AddClearance(now, c.ID, fp) {
@@ -151,23 +151,23 @@
 		return changed
 	}))
 	if shouldReport {
-		time.AfterFunc(g.clearDelay(c.ID), func() { g.reportCleared(c.ID, cleared) })
+		time.AfterFunc(g.clearanceDelay(c.ID), func() { g.reportClearances(c.ID, cleared) })
 	}
 }
 
-// clearDelay returns how long this host waits before it reports cleared requests. Guards
-// with the same information get different delays, spread over part of the time for which
-// the request waits, so that the first guards report and the others receive that in time
-// to send nothing.
-func (g *Guard) clearDelay(id string) time.Duration {
+// clearanceDelay returns how long this host waits before it reports clearances. Guards with
+// the same information get different delays, spread over part of the time for which the
+// request waits, so that the first guards report and the others receive that in time to
+// send nothing.
+func (g *Guard) clearanceDelay(id string) time.Duration {
 	return time.Duration(xxhash.Sum64String(g.cfg.Host+" "+id) % uint64(crash.ClearanceWait/3))
 }
 
-// reportCleared reports to the fleet the requests that did not cause a crash, except
+// reportClearances reports to the fleet the requests that did not cause a crash, except
 // those that another host has already reported.
-func (g *Guard) reportCleared(id string, fingerprints []crash.Fingerprint) {
+func (g *Guard) reportClearances(id string, fingerprints []crash.Fingerprint) {
 	for _, fp := range fingerprints {
-		if g.clear(id, fp) {
+		if g.addClearance(id, fp) {
 			g.onCleared(id, fp)
 		}
 	}
@@ -178,11 +178,12 @@
 	return slices.ContainsFunc(g.all(), func(i *instance) bool { return i.software() == software })
 }
 
-// ApplyCleared applies the report that a request did not cause a crash.
-func (g *Guard) ApplyCleared(id string, fp crash.Fingerprint) { g.clear(id, fp) }
+// ApplyCleared applies a reported clearance: the request did not cause the crash.
+func (g *Guard) ApplyCleared(id string, fp crash.Fingerprint) { g.addClearance(id, fp) }
 
-// clear records that a request did not cause a crash and reports whether that was new.
-func (g *Guard) clear(id string, fp crash.Fingerprint) (changed bool) {
+// addClearance records that a request did not cause a crash and reports whether that was
+// new.
+func (g *Guard) addClearance(id string, fp crash.Fingerprint) (changed bool) {
 	now := time.Now()
 	g.handleBlocked(g.suspects.update(now, func(t *crash.Tracker) bool {
 		changed = t.AddClearance(now, id, fp)
@@ -310,7 +311,7 @@
 	}
 	for _, c := range s.crashesOf(x.fingerprint) {
 		if c.Software == software {
-			x.guard.reportCleared(c.ID, []crash.Fingerprint{x.fingerprint})
+			x.guard.reportClearances(c.ID, []crash.Fingerprint{x.fingerprint})
 		}
 	}
 }
--- a/internal/guard/suspects_test.go
+++ b/internal/guard/suspects_test.go
@@ -103,7 +103,7 @@
 }
 
 // send runs one request to completion and returns the guard's last message.
-func send(t *testing.T, g *Guard, path string, fingerprint crash.Fingerprint) msg.Message {
+func send(t *testing.T, g *Guard, path string, fp crash.Fingerprint) msg.Message {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
 	defer cancel()
@@ -111,7 +111,7 @@
 	defer near.Close()
 	go g.Serve(far, &msg.Run{
 		RequestID: path, Service: "s", Instance: "i", TimeoutMS: 20000, Idempotent: true, Method: "GET", URI: path, Host: "s.example",
-		Hints: msg.AdmissionHints{Fingerprint: uint64(fingerprint)},
+		Hints: msg.AdmissionHints{Fingerprint: uint64(fp)},
 	})
 	for {
 		m, err := near.Recv(ctx)
@@ -224,8 +224,8 @@
 				time.Sleep(c.ago)
 				reportThreeCrashes(g)
 				time.Sleep(crash.ClearanceWait)
-				assessment := g.CrashAssessment(5)
-				assert.Equal(t, assessment.BlockedEverywhere(time.Now()), c.blocked)
+				a := g.CrashAssessment(5)
+				assert.Equal(t, a.BlockedEverywhere(time.Now()), c.blocked)
 				assert.Equal(t, len(reports.cleared), c.reported)
 			})
 		})
@@ -234,7 +234,7 @@
 
 // A guard that has seen a request complete does not report it as cleared of a crash if
 // another host has reported that first.
-func TestClearingIsReportedOnce(t *testing.T) {
+func TestClearanceIsReportedOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g, reports := newSuspectGuard(t, "10.0.0.1:80", "s")
 		g.RecordCompletion(5, crash.Software{Service: "s", Version: "1"})
@@ -309,7 +309,7 @@
 	g := New(Config{}, Limits{}, slog.New(slog.NewTextHandler(io.Discard, nil)), allowAllFence{}, Hooks{})
 	b.ReportAllocs()
 	for b.Loop() {
-		if v := g.CrashAssessment(7); v.BlockedEverywhere(time.Time{}) {
+		if a := g.CrashAssessment(7); a.BlockedEverywhere(time.Time{}) {
 			b.Fatal("blocked")
 		}
 	}
