--- a/internal/front/choose.go
+++ b/internal/front/choose.go
@@ -48,8 +48,8 @@
 	}
 	var t *target
 	var why string
-	if v := f.guard.CrashAssessment(req.fingerprint); v.Crashes > 0 {
-		t, why = st.pickForCrashSuspect(now, req.fingerprint, &v, tried, usesRetryBudget), whyCrashSuspect
+	if a := f.guard.CrashAssessment(req.fingerprint); a.Crashes > 0 {
+		t, why = st.pickForCrashSuspect(now, req.fingerprint, &a, tried, usesRetryBudget), whyCrashSuspect
 	} else if t, why = st.pickTrial(now, req, tried, rng, f.paths); t == nil {
 		t, why = st.pickUsable(now, req, tried, usesRetryBudget, rng, f.paths, f.cfg), whyCost
 	}
--- a/internal/front/conns.go
+++ b/internal/front/conns.go
@@ -18,8 +18,8 @@
 	sem   chan struct{}
 }
 
-// LimitListener wraps a listener. It bounds the number of connections and applies the header and
-// idle timeouts of the current configuration.
+// LimitListener wraps a listener. It bounds the number of connections and applies the header
+// and idle timeouts of the current configuration.
 func (f *Front) LimitListener(l net.Listener) net.Listener {
 	return &limitListener{Listener: l, front: f, sem: make(chan struct{}, f.cfg.MaxConns)}
 }
--- a/internal/front/cost.go
+++ b/internal/front/cost.go
@@ -12,14 +12,14 @@
 // candidate describes the target for the cost function. expected is the mean service time
 // of the route. The caller must hold the service's lock.
 func (t *target) candidate(now time.Time, req *request, expected time.Duration, typical balance.TypicalLoad, p *paths, cfg Config) balance.Candidate {
-	warm := 1.0
-	if left := t.WarmUpEnd.Sub(now); left > 0 {
-		warm = max(1-left.Seconds()/directory.DefaultWarmUp.Seconds(), 0)
+	warmUpProgress := 1.0
+	if warmUpLeft := t.WarmUpEnd.Sub(now); warmUpLeft > 0 {
+		warmUpProgress = max(1-warmUpLeft.Seconds()/directory.DefaultWarmUp.Seconds(), 0)
 	}
 	return balance.Candidate{
 		Slots: t.Slots, Running: int(t.observed.load.Running), QueuedWork: req.queuedAhead(now, t.observed.load),
 		LoadAge: now.Sub(t.observed.loadAt), Typical: typical, Pending: t.observed.pending, Service: t.serviceTime(expected),
-		RoundTrip: p.roundTrip(t.Host.Name), WarmUpProgress: warm, Local: t.Host.DC == cfg.DC,
+		RoundTrip: p.roundTrip(t.Host.Name), WarmUpProgress: warmUpProgress, Local: t.Host.DC == cfg.DC,
 		FailureProbability: t.observed.failureChance(now),
 	}
 }
@@ -77,8 +77,8 @@
 		higher += l.WaitingMS[p]
 	}
 	own := time.Duration(l.WaitingMS[min(req.priority(), len(l.WaitingMS)-1)]) * time.Millisecond
-	left := max(req.route.Objective()-now.Sub(req.arrived), 0)
-	due := left / 2 * time.Duration(l.Slots)
+	timeLeft := max(req.route.Objective()-now.Sub(req.arrived), 0)
+	due := timeLeft / 2 * time.Duration(l.Slots)
 	return time.Duration(higher)*time.Millisecond + min(own, due)
 }
 
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -53,19 +53,19 @@
 
 // Front serves callers' requests. It is safe for concurrent use.
 type Front struct {
-	cfg   Config
-	log   *slog.Logger
-	peers Peers
-	guard *guard.Guard
-	keys  IdempotencyKeys
-
-	limits   atomic.Pointer[Limits]
-	dir      atomic.Pointer[directory.Directory]
-	rates    RateLimiter
-	paths    *paths
-	services services
-	draining atomic.Bool
-	refusing atomic.Bool
+	cfg             Config
+	log             *slog.Logger
+	peers           Peers
+	guard           *guard.Guard
+	idempotencyKeys IdempotencyKeys
+
+	limits      atomic.Pointer[Limits]
+	dir         atomic.Pointer[directory.Directory]
+	rateLimiter RateLimiter
+	paths       *paths
+	services    services
+	draining    atomic.Bool
+	refusing    atomic.Bool
 	// lifetime is cancelled to end all requests in progress.
 	lifetime       context.Context
 	cancelLifetime context.CancelFunc
@@ -75,9 +75,9 @@
 }
 
 // New creates a Front. g is the guard of this host, which is called directly and not over
-// the network. If keys is nil, idempotency keys are ignored.
-func New(cfg Config, limits Limits, log *slog.Logger, peers Peers, g *guard.Guard, keys IdempotencyKeys) *Front {
-	f := &Front{cfg: cfg, log: log, peers: peers, guard: g, keys: keys, paths: newPaths(log)}
+// the network. If idempotencyKeys is nil, idempotency keys are ignored.
+func New(cfg Config, limits Limits, log *slog.Logger, peers Peers, g *guard.Guard, idempotencyKeys IdempotencyKeys) *Front {
+	f := &Front{cfg: cfg, log: log, peers: peers, guard: g, idempotencyKeys: idempotencyKeys, paths: newPaths(log)}
 	f.lifetime, f.cancelLifetime = context.WithCancel(context.Background())
 	f.seed.Store(rand.Uint64())
 	f.limits.Store(&limits)
--- a/internal/front/identity.go
+++ b/internal/front/identity.go
@@ -26,9 +26,9 @@
 	Release(team string)
 }
 
-// SetRateLimiter sets the rate limiter. It must be called before the first request; without it
-// teams have no rate limit.
-func (f *Front) SetRateLimiter(r RateLimiter) { f.rates = r }
+// SetRateLimiter sets the rate limiter. It must be called before the first request; without
+// it teams have no rate limit.
+func (f *Front) SetRateLimiter(r RateLimiter) { f.rateLimiter = r }
 
 const authorization = "Authorization"
 
@@ -71,12 +71,12 @@
 // admitTeam counts the request against the rate of the caller's team and refuses it over
 // that rate.
 func (f *Front) admitTeam(dir *directory.Directory, req *request) *verdict.Error {
-	if f.rates == nil || req.team == "" {
+	if f.rateLimiter == nil || req.team == "" {
 		return nil
 	}
 	ctx, cancel := context.WithDeadline(req.http.Context(), req.deadline)
 	defer cancel()
-	ok, limited, wait := f.rates.Admit(ctx, req.team)
+	ok, limited, wait := f.rateLimiter.Admit(ctx, req.team)
 	req.countedInRate = ok && limited
 	if ok {
 		return nil
@@ -89,7 +89,7 @@
 func (f *Front) releaseRate(req *request, fail *verdict.Error) {
 	if req != nil && req.countedInRate && fail.Verdict == verdict.NotRun {
 		req.countedInRate = false
-		f.rates.Release(req.team)
+		f.rateLimiter.Release(req.team)
 	}
 }
 
--- a/internal/front/keys.go
+++ b/internal/front/keys.go
@@ -12,14 +12,15 @@
 	"github.com/radishhoist/radishhoist/verdict"
 )
 
-// IdempotencyKeys decides whether a request with an idempotency key may run. The keys of a service are
-// divided into shards, each of which is owned by at most one host, see package once.
+// IdempotencyKeys decides whether a request with an idempotency key may run. The keys of a
+// service are divided into shards, each of which is owned by at most one host, see package
+// once.
 type IdempotencyKeys interface {
 	// Claim asks the owner of the key's shard. It has no error result: a claim that could
 	// not be made is refused.
 	Claim(ctx context.Context, service *directory.Service, k KeyRequest) ClaimResult
-	// ReportResult reports the result of a claimed request to the owner. It may block for a long
-	// time.
+	// ReportResult reports the result of a claimed request to the owner. It may block for a
+	// long time.
 	ReportResult(service *directory.Service, k KeyRequest, result RequestResult)
 }
 
@@ -47,12 +48,12 @@
 // RequestResult is the result of a claimed request.
 type RequestResult struct {
 	Verdict verdict.Verdict
-	// Complete reports that a complete response was received, and Stored that it is in the
-	// fields below, to be stored for replay.
-	Complete, Stored bool
-	Status           uint16
-	Header           []msg.Field
-	Body             []byte
+	// Complete reports that a complete response was received, and StoreResponse that it is
+	// in the fields below, to be stored for replay.
+	Complete, StoreResponse bool
+	Status                  uint16
+	Header                  []msg.Field
+	Body                    []byte
 }
 
 // maxIdempotencyKeyBytes is the maximum length of an Idempotency-Key.
@@ -65,7 +66,7 @@
 	switch {
 	case req.idempotent:
 		return f.runIdempotent(ctx, req)
-	case req.idempotencyKey == "" || f.keys == nil:
+	case req.idempotencyKey == "" || f.idempotencyKeys == nil:
 		return f.runNonIdempotent(ctx, req, nil)
 	case len(req.idempotencyKey) > maxIdempotencyKeyBytes:
 		return nil, verdict.New(verdict.NotRun, verdict.ReasonBadRequest, "the Idempotency-Key is longer than 256 bytes")
@@ -73,7 +74,7 @@
 	k := KeyRequest{Key: req.idempotencyKey, BodyHash: req.contentHash(), RequestID: req.id}
 	task := &claimTask{done: make(chan struct{})}
 	go func() {
-		task.claimResult = f.keys.Claim(ctx, req.service, k)
+		task.claimResult = f.idempotencyKeys.Claim(ctx, req.service, k)
 		close(task.done)
 	}()
 	resp, fail := f.runNonIdempotent(ctx, req, task)
@@ -83,7 +84,7 @@
 	}
 	if task.claimResult.Outcome == once.ClaimRun {
 		result := newRequestResult(resp, fail)
-		go f.keys.ReportResult(req.service, k, result)
+		go f.idempotencyKeys.ReportResult(req.service, k, result)
 	}
 	return resp, fail
 }
@@ -104,7 +105,7 @@
 	}
 	result := RequestResult{Verdict: verdict.Ran, Complete: true, Status: resp.head.Status}
 	if !resp.streaming {
-		result.Stored, result.Header, result.Body = true, resp.head.Header, resp.buffered
+		result.StoreResponse, result.Header, result.Body = true, resp.head.Header, resp.buffered
 	}
 	return result
 }
--- a/internal/front/run.go
+++ b/internal/front/run.go
@@ -72,8 +72,8 @@
 	if e.refusedAsCrashing() {
 		return pick{}, false
 	}
-	if v := e.front.guard.CrashAssessment(e.req.fingerprint); v.BlockedEverywhere(time.Now()) {
-		e.addFailure(guard.BlockedRefusal(time.Now(), e.req.fingerprint, &v))
+	if a := e.front.guard.CrashAssessment(e.req.fingerprint); a.BlockedEverywhere(time.Now()) {
+		e.addFailure(guard.BlockedRefusal(time.Now(), e.req.fingerprint, &a))
 		return pick{}, false
 	}
 	options := attemptOptions{usesRetryBudget: e.reachedInstance || hedge, hedge: hedge, allowLate: len(e.failures) >= onTimeAttempts}
--- a/internal/front/service.go
+++ b/internal/front/service.go
@@ -62,13 +62,13 @@
 	latencyRatio float64
 }
 
-// candidateSets divides the targets of a service as decided by eject.Apply, which leaves out
+// candidateSets divides the targets of a service as decided by eject.Select, which ejects
 // suspect targets without taking the service below its capacity floor.
 type candidateSets struct {
 	result eject.Result
 	// usable and local are the indexes of the targets to choose from, in all data centres
 	// and in this one: those that accept requests, whose path is not excluded and that
-	// eject.Apply has not left out. ejected are those that it left out.
+	// eject.Select has not ejected. ejected are those that it has.
 	usable, local, ejected []int
 	// unreachable are targets whose path is excluded.
 	unreachable []int
--- a/internal/front/suspect.go
+++ b/internal/front/suspect.go
@@ -52,8 +52,8 @@
 // of their crashes.
 func (e *execution) awaitClearance(ctx context.Context) {
 	for {
-		v := e.front.guard.CrashAssessment(e.req.fingerprint)
-		wait := v.ClearanceTimeLeft(time.Now())
+		a := e.front.guard.CrashAssessment(e.req.fingerprint)
+		wait := a.ClearanceTimeLeft(time.Now())
 		if wait <= 0 || !sleep.For(ctx, wait) {
 			return
 		}
@@ -63,15 +63,15 @@
 // pickForCrashSuspect chooses the target of a suspected request among the instances that it
 // may reach. The choice depends only on the request's fingerprint and the instances' names,
 // so that all hosts agree. The caller must hold st.mu.
-func (st *serviceState) pickForCrashSuspect(now time.Time, fingerprint crash.Fingerprint, v *crash.Assessment, tried []*target, usesRetryBudget bool) *target {
+func (st *serviceState) pickForCrashSuspect(now time.Time, fp crash.Fingerprint, a *crash.Assessment, tried []*target, usesRetryBudget bool) *target {
 	var best *target
 	lowest := uint64(0)
 	for _, i := range st.untried(st.candidates.usable, tried) {
 		t := st.targets[i]
-		if v.Blocked(now, t.softwareVersion()) || usesRetryBudget && !t.observed.retryBudgetLeft(now) {
+		if a.Blocked(now, t.softwareVersion()) || usesRetryBudget && !t.observed.retryBudgetLeft(now) {
 			continue
 		}
-		if rank := rendezvousRank(fingerprint, t); best == nil || rank < lowest {
+		if rank := rendezvousRank(fp, t); best == nil || rank < lowest {
 			best, lowest = t, rank
 		}
 	}
@@ -79,9 +79,9 @@
 }
 
 // rendezvousRank ranks the instances of a service for one request by rendezvous hashing.
-func rendezvousRank(fingerprint crash.Fingerprint, t *target) uint64 {
+func rendezvousRank(fp crash.Fingerprint, t *target) uint64 {
 	var key [16]byte
-	binary.LittleEndian.PutUint64(key[:8], uint64(fingerprint))
+	binary.LittleEndian.PutUint64(key[:8], uint64(fp))
 	binary.LittleEndian.PutUint64(key[8:], t.hash)
 	return xxhash.Sum64(key[:])
 }
--- a/internal/front/suspect_test.go
+++ b/internal/front/suspect_test.go
@@ -37,21 +37,21 @@
 		now := time.Unix(1000, 0)
 		instances := rapid.IntRange(1, 12).Draw(t, "instances")
 		rng := rand.New(rand.NewPCG(1, rapid.Uint64().Draw(t, "seed")))
-		fingerprint := crash.Fingerprint(rapid.Uint64().Draw(t, "fingerprint"))
-		v := &crash.Assessment{Crashes: 3, BlockedUntil: now.Add(time.Minute), CrashedSoftware: []crash.Software{{Service: "s", Version: "0"}}}
+		fp := crash.Fingerprint(rapid.Uint64().Draw(t, "fingerprint"))
+		a := &crash.Assessment{Crashes: 3, BlockedUntil: now.Add(time.Minute), CrashedSoftware: []crash.Software{{Service: "s", Version: "0"}}}
 		one, other := newServiceView(instances, rng), newServiceView(instances, rng)
 
 		var tried []*target
 		for left := instances / 2; ; left-- {
-			a, b := one.pickForCrashSuspect(now, fingerprint, v, tried, false), other.pickForCrashSuspect(now, fingerprint, v, sameTargets(other, tried), false)
-			if a == nil {
+			first, second := one.pickForCrashSuspect(now, fp, a, tried, false), other.pickForCrashSuspect(now, fp, a, sameTargets(other, tried), false)
+			if first == nil {
 				assert.Equal(t, left, 0, "no target chosen although an untried one of the other version is left")
-				assert.Assert(t, b == nil)
+				assert.Assert(t, second == nil)
 				return
 			}
-			assert.Equal(t, a.Name, b.Name)
-			assert.Equal(t, a.Version, "1")
-			tried = append(tried, a)
+			assert.Equal(t, first.Name, second.Name)
+			assert.Equal(t, first.Version, "1")
+			tried = append(tried, first)
 		}
 	})
 }
@@ -72,10 +72,10 @@
 // A request suspected of crashing its targets is retried only where retry budget is left.
 func TestSuspectIsRetriedOnlyWithinRetryBudget(t *testing.T) {
 	now := time.Unix(1000, 0)
-	v := &crash.Assessment{Crashes: 1}
+	a := &crash.Assessment{Crashes: 1}
 	for seed := range uint64(50) {
 		st := newServiceView(8, rand.New(rand.NewPCG(1, seed)))
-		if picked := st.pickForCrashSuspect(now, 7, v, nil, true); picked != nil {
+		if picked := st.pickForCrashSuspect(now, 7, a, nil, true); picked != nil {
 			assert.Assert(t, picked.observed.retryBudgetLeft(now))
 		}
 	}
--- a/internal/keys/claim.go
+++ b/internal/keys/claim.go
@@ -39,9 +39,9 @@
 	return shard, sm.Shards[shard].Owner, true
 }
 
-// Claim implements front.Keys. It sends the claim to the owner of the key's shard. It
-// retries a refused claim for up to claimRetryTimeout, since no owner has authority while
-// the shard is changing owner.
+// Claim implements front.IdempotencyKeys. It sends the claim to the owner of the key's
+// shard. It retries a refused claim for up to claimRetryTimeout, since no owner has
+// authority while the shard is changing owner.
 func (m *Manager) Claim(ctx context.Context, service *directory.Service, k front.KeyRequest) front.ClaimResult {
 	until := claimUntil(ctx, time.Now())
 	ctx, cancel := context.WithDeadline(ctx, until)
@@ -102,10 +102,10 @@
 	return ms
 }
 
-// ReportResult implements front.Keys. It sends the result of a request to the owner of the key's
-// shard. It retries for up to resultRetryTimeout, since the shard may be changing owner.
-// If no owner accepts the result, the claim expires at the owner and the request counts as
-// may-have-run.
+// ReportResult implements front.IdempotencyKeys. It sends the result of a request to the
+// owner of the key's shard. It retries for up to resultRetryTimeout, since the shard may be
+// changing owner. If no owner accepts the result, the claim expires at the owner and the
+// request counts as may-have-run.
 func (m *Manager) ReportResult(service *directory.Service, k front.KeyRequest, result front.RequestResult) {
 	until := time.Now().Add(resultRetryTimeout)
 	for time.Now().Before(until) {
@@ -116,7 +116,7 @@
 		ctx, cancel := context.WithTimeout(context.Background(), resultCallTimeout)
 		reply, err := m.call(ctx, owner, &msg.KeyResult{
 			Service: service.Name, Shard: shard, Key: k.Key, RequestID: k.RequestID, Verdict: result.Verdict,
-			Complete: result.Complete, StoreResponse: result.Stored, Status: result.Status, Header: result.Header, Body: result.Body,
+			Complete: result.Complete, StoreResponse: result.StoreResponse, Status: result.Status, Header: result.Header, Body: result.Body,
 		})
 		cancel()
 		if r, ok := reply.(*msg.HandoverReply); err == nil && ok && r.Accepted {
--- a/internal/keys/keys.go
+++ b/internal/keys/keys.go
@@ -1,8 +1,8 @@
-// Package keys ensures that repeated requests with the same Idempotency-Key run
-// at most once. On each host, it owns shards of keys, grants leases of shards to other
-// owners, hands over key tables, and claims keys for the front, the proxy at the caller.
-// The decisions are made by package internal/core/once; this package sends the messages,
-// runs the timers and writes the shard maps.
+// Package keys ensures that requests with the same Idempotency-Key run at most once. On
+// each host, it owns shards of keys, grants leases of shards to other owners, hands over key
+// tables, and claims keys for the front, the proxy at the caller. The decisions are made by
+// package internal/core/once; this package sends the messages, runs the timers and writes
+// the shard maps.
 //
 // A shard is one part of a service's keys. Its owner is the host that keeps the table of
 // these keys, and its epoch numbers the assignment to that owner. The owner has authority
