--- a/internal/teams/teams.go
+++ b/internal/teams/teams.go
@@ -68,7 +68,7 @@
 	return r
 }
 
-// SetTeams sets the teams in force. The map must not be modified afterwards.
+// SetTeams replaces the teams. The map must not be modified afterwards.
 func (r *RateLimiter) SetTeams(teams map[string]*record.Team) { r.teams.Store(&teams) }
 
 // limit returns a team's limit, or false if it has none.
