--- a/internal/core/admit/admit.go
+++ b/internal/core/admit/admit.go
@@ -1,7 +1,7 @@
-// Package admit implements the admission control of one instance. It assigns slots,
-// queues requests that can still meet their deadline, refuses the others early,
-// and handles cancellation. A slot is the capacity to run one request. A front is a proxy
-// on the caller's side, which selects an instance and sends it the request.
+// Package admit implements the admission control of one instance of a service. It
+// assigns slots, queues requests that can still meet their deadline, refuses the others
+// early, and handles cancellation. A slot is the capacity to run one request. A front is a
+// proxy on the caller's side, which selects an instance and sends it the request.
 //
 // A Queue does not read the clock and does no I/O. The caller passes in the time,
 // serializes the calls, and carries out the returned decisions. Because the same
@@ -88,7 +88,7 @@
 	running
 )
 
-// ticket is the Queue's record of one request.
+// ticket is the Queue's record of one request; Ticket is the exported description of it.
 type ticket struct {
 	Request
 	state state
@@ -188,7 +188,8 @@
 	return out
 }
 
-// Revoke cancels all unused grants. A later Run with any of them is refused.
+// Revoke cancels all unused grants, after a restart of the instance. A later Run with any of
+// them is refused.
 func (q *Queue) Revoke() []Decision {
 	var out []Decision
 	for _, t := range q.tickets {
@@ -200,14 +201,15 @@
 	return out
 }
 
-// Resume accepts requests again after Drain, when a planned stop was withdrawn.
+// Resume accepts requests again after Drain, when a planned stop of the instance was
+// withdrawn or the instance is no longer leaving.
 func (q *Queue) Resume() { q.draining = false }
 
 // Idle reports whether the Queue holds no running, waiting or granted requests.
 func (q *Queue) Idle() bool { return len(q.tickets) == 0 }
 
-// Offer submits a request. The first decision is for the request itself, any
-// others are for requests evicted to make room for it.
+// Offer submits a request. The first decision is for the request itself; a second one is
+// for a request evicted to make room for it.
 func (q *Queue) Offer(now time.Time, r Request) []Decision {
 	if q.draining {
 		return []Decision{{ID: r.ID, Action: Refuse, Reason: verdict.ReasonDraining}}
@@ -365,7 +367,8 @@
 	q.busy--
 }
 
-// refuse removes a request and returns the decision to refuse it.
+// refuse drops a request's ticket and returns the decision to refuse it. The caller removes
+// the request from its rank queue, or releases its slot if it has one.
 func (q *Queue) refuse(t *ticket, reason verdict.Reason, retryAfter time.Duration) Decision {
 	delete(q.tickets, t.ID)
 	return Decision{ID: t.ID, Action: Refuse, Reason: reason, RetryAfter: retryAfter}
--- a/internal/core/admit/wait.go
+++ b/internal/core/admit/wait.go
@@ -31,8 +31,8 @@
 // if it is expected to miss its objective.
 //
 // Only work that runs before the incoming request counts. If all work of its priority
-// counted, short requests with a near objective, such as calls made by targets, would be
-// refused although they would run next.
+// counted, short requests with a near objective, such as calls that an instance makes while
+// it runs a request, would be refused although they would run next.
 func (q *Queue) expectedWait(now time.Time, t *ticket) time.Duration {
 	wait := q.queueingDelay(now, t)
 	t.late = now.Add(wait + t.ExpectedServiceTime).After(t.Objective)
