--- a/internal/core/quota/account.go
+++ b/internal/core/quota/account.go
@@ -32,17 +32,18 @@
 	homes        [2]string
 	hostsVersion uint64
 
-	// count is the number of requests this host admitted without a query since the account
-	// was created, plus those that other hosts reported to it, or that it granted them on
-	// a query, instead of the home, less those that did not run and second grants of a
-	// query. confirmed is the part of it that the home confirmedBy has acknowledged.
+	// count is the number of requests since the account was created that this host reports
+	// to the home: those it admitted without a query, and those that, in place of the home,
+	// it received reports of or granted on a query. Requests that did not run and second
+	// grants of a query are subtracted. confirmed is the part of count that the home, or
+	// another host in its place, has confirmed; confirmedBy is that host.
 	count, confirmed int64
 	confirmedBy      string
-	// seq numbers the usage reports sent; confirmedSeq is the last one acknowledged.
+	// seq numbers the usage reports sent; confirmedSeq is the last one confirmed.
 	seq, confirmedSeq uint32
-	// unconfirmedSince is when the first report since the last acknowledgement or
-	// timeout was sent, zero for none. timeouts counts the consecutive reports before it
-	// that timed out.
+	// unconfirmedSince is when the first report since the last confirmation or timeout
+	// was sent, zero for none. timeouts is the number of timeouts since the last
+	// confirmation.
 	unconfirmedSince time.Time
 	timeouts         int
 
@@ -88,7 +89,8 @@
 	return a
 }
 
-// setLimit applies a new limit. Usage beyond the new capacity is dropped.
+// setLimit applies a new limit. The level, known or assumed, is kept as the known level;
+// usage beyond the new capacity is dropped.
 func (a *account) setLimit(now time.Time, limit Limit) {
 	before := a.level(now)
 	a.limit = limit
@@ -128,8 +130,8 @@
 func (a *account) isKnown(now time.Time) bool { return a.assumed.levelAt(now, a.rate()) == 0 }
 
 // add counts n admitted requests, or subtracts requests that did not run if n is negative.
-// The level is bounded, so requests that were admitted beyond the limit because hosts did
-// not know of each other's are compensated only in part.
+// The level is bounded, so requests beyond the limit that hosts admitted without knowing
+// of those admitted elsewhere are compensated only in part.
 func (a *account) add(now time.Time, n float64) {
 	a.used.set(now, min(a.used.levelAt(now, a.rate())+n, a.capacity()+a.node.cfg.ExtraBurst))
 	if !a.isKnown(now) {
@@ -137,7 +139,8 @@
 	}
 }
 
-// mergeLevel raises the level to one reported by another host.
+// mergeLevel raises the level to one reported by another host. If that host knows the real
+// level, the assumption made at the start no longer applies.
 func (a *account) mergeLevel(now time.Time, level float64, known bool) {
 	a.used.raise(now, a.rate(), min(level, a.capacity()+a.node.cfg.ExtraBurst))
 	if known {
@@ -160,7 +163,8 @@
 	return false, drainTime(levelAfterRetry-a.capacity(), a.rate())
 }
 
-// admitStandalone admits a request within this host's own share of the rate.
+// admitStandalone admits a request within this host's own share of the limit. It does not
+// count the request; recordAdmitted does.
 func (a *account) admitStandalone(now time.Time) (bool, time.Duration) {
 	rate, capacity := a.limitsForShare(a.node.ownShare())
 	level := a.standalone.levelAt(now, rate)
@@ -184,7 +188,7 @@
 	share := successorFraction * min(float64(requesting)/float64(a.node.knownHosts), 1)
 	rate, capacity := a.limitsForShare(share)
 	if now.Sub(a.lastAsSuccessor) > requestingPeriod {
-		// The share starts at the same relative usage as the whole.
+		// The bucket of the share starts filled to the same fraction as the team's.
 		a.successorUsed.raise(now, rate, a.level(now)/a.capacity()*capacity)
 	}
 	a.lastAsSuccessor = now
@@ -199,8 +203,8 @@
 	return ok, retryAfter
 }
 
-// enterStandalone makes this host enforce its own share for standalonePeriod. The share
-// starts at the same relative usage as the whole.
+// enterStandalone makes this host enforce its own share for standalonePeriod. The bucket of
+// the share starts filled to the same fraction as the team's.
 func (a *account) enterStandalone(now time.Time) {
 	if !now.Before(a.standaloneUntil) {
 		rate, capacity := a.limitsForShare(a.node.ownShare())
@@ -209,7 +213,8 @@
 	a.standaloneUntil = now.Add(standalonePeriod)
 }
 
-// recordAdmitted counts a request admitted by this host.
+// recordAdmitted counts a request of this host's own callers that was admitted, also
+// against the host's own share.
 func (a *account) recordAdmitted(now time.Time) {
 	a.admitted++
 	rate, _ := a.limitsForShare(a.node.ownShare())
--- a/internal/core/quota/admit.go
+++ b/internal/core/quota/admit.go
@@ -76,8 +76,8 @@
 // limit, or too many requests that this host admitted are not yet confirmed by the home.
 func (n *Node) mustQuery(now time.Time, a *account) bool {
 	unconfirmed := float64(a.count - a.confirmed)
-	// All hosts together may have at most the usage up to nearLimitEnter unconfirmed, but
-	// each of them at least one request.
+	// All hosts together may have unconfirmed requests up to the fraction nearLimitEnter of
+	// the capacity, but each of them may have at least one.
 	maxUnconfirmed := max(1, nearLimitEnter*a.capacity()/float64(max(len(n.hosts), 1)))
 	if a.level(now) < nearLimitExit*a.capacity() {
 		maxUnconfirmed = max(maxUnconfirmed, minUnconfirmedAllowance)
@@ -132,8 +132,9 @@
 // although it is not the account's home.
 func (n *Node) receivesReports(a *account) bool { return len(a.reporters) > 0 && !n.isHome(a) }
 
-// reportUsage reports usage that no home has confirmed. If the home does not respond, it
-// alternates between the successor and the home.
+// reportUsage reports usage that no home has confirmed. After a timeout it tries the
+// successor, then again the home, and so on. From the second timeout on, each one puts the
+// account into standalone mode.
 func (n *Node) reportUsage(now time.Time, a *account) {
 	if n.isHome(a) {
 		// This host has become the home, and its level already includes the usage.
@@ -161,8 +162,8 @@
 	n.sendUsage(now, a, to, 0)
 }
 
-// retryQueries retries queries that timed out, first to the home and then to its
-// successor. If neither responds, this host decides by its own share.
+// retryQueries retries queries that timed out, once at the home and then once at its
+// successor. If neither answers, this host decides on its own.
 func (n *Node) retryQueries(now time.Time) {
 	for _, id := range slices.Sorted(maps.Keys(n.queries)) {
 		q := n.queries[id]
@@ -172,7 +173,7 @@
 		a := q.account
 		to := n.homes(a)[min(q.attempts/2, 1)]
 		if q.attempts >= maxQueryAttempts || to == "" || to == n.cfg.Host {
-			n.decideStandalone(now, id, a)
+			n.decideLocally(now, id, a)
 			continue
 		}
 		q.attempts++
@@ -181,9 +182,10 @@
 	}
 }
 
-// decideStandalone decides on a query without another host: none answered, there is no
-// successor, or this host has become home or successor.
-func (n *Node) decideStandalone(now time.Time, id uint32, a *account) {
+// decideLocally decides on a query without another host, by the account if this host has
+// become the home, and otherwise by its own share: no other host answered, there is no
+// successor, or this host is the successor.
+func (n *Node) decideLocally(now time.Time, id uint32, a *account) {
 	delete(n.queries, id)
 	n.resolved[id] = resolvedQuery{at: now}
 	var ok bool
@@ -199,6 +201,7 @@
 	n.resolve(now, id, a, ok, retryAfter)
 }
 
+// resolve counts the decision on a query and returns it to the caller as an Answer.
 func (n *Node) resolve(now time.Time, id uint32, a *account, ok bool, retryAfter time.Duration) {
 	if ok {
 		a.recordAdmitted(now)
@@ -208,7 +211,8 @@
 	n.answers = append(n.answers, Answer{QueryID: id, Granted: ok, RetryAfter: retryAfter})
 }
 
-// handleLevel processes the answer of a home, or of a host that acts for it.
+// handleLevel processes the answer to a usage report, by the home or by another host in
+// its place.
 func (n *Node) handleLevel(now time.Time, from string, l *msg.TeamLevel) {
 	a, ok := n.accounts[l.Team]
 	if !ok {
--- a/internal/core/quota/home.go
+++ b/internal/core/quota/home.go
@@ -6,11 +6,15 @@
 	"github.com/radishhoist/radishhoist/internal/msg"
 )
 
-// handleUsage processes a usage report and decides on the query that it may carry.
+// handleUsage processes a usage report and decides on the query that it may carry. If this
+// host is not the home, it adds the requests to its own count, which it reports to the
+// home, unless the sender itself receives reports in place of the home (Forwarded): usage
+// is passed on by one host at most.
 func (n *Node) handleUsage(now time.Time, p *msg.TeamPacket, u *msg.TeamUsage) {
 	limit, limited := n.cfg.Limit(u.Team)
 	if !limited {
-		n.answer(p.From, msg.TeamLevel{Team: u.Team, Seq: u.Seq, Count: u.Count, Known: true, QueryID: u.QueryID, Granted: true})
+		// The usage of a team without a limit is not counted.
+		n.sendLevel(p.From, msg.TeamLevel{Team: u.Team, Seq: u.Seq, Count: u.Count, Known: true, QueryID: u.QueryID, Granted: true})
 		return
 	}
 	a := n.account(now, u.Team, limit)
@@ -25,6 +29,7 @@
 	l := msg.TeamLevel{Team: u.Team, Seq: u.Seq, Count: u.Count, QueryID: u.QueryID}
 	if u.QueryID != 0 {
 		if n.relearning(now) {
+			// The sender times out and queries the home again or its successor.
 			return
 		}
 		n.grant(now, a, r, u, &l)
@@ -34,10 +39,11 @@
 		l.NearLimitMS = uint32(nearLimitPeriod.Milliseconds())
 	}
 	l.Level, l.Known = float32(a.level(now)), a.isKnown(now)
-	n.answer(p.From, l)
+	n.sendLevel(p.From, l)
 }
 
-func (n *Node) answer(to string, l msg.TeamLevel) {
+// sendLevel answers a usage report.
+func (n *Node) sendLevel(to string, l msg.TeamLevel) {
 	p := n.packet(to)
 	p.Levels = append(p.Levels, l)
 }
@@ -65,8 +71,8 @@
 	}
 	added := u.Count - r.count
 	if r.seq == 0 || !u.ConfirmedByReceiver && u.Confirmed != r.confirmed {
-		// The host has reported to another home in the meantime and carries that home's
-		// level.
+		// This is the host's first report, or it has reported to another home in the
+		// meantime. Its level includes the requests that were confirmed elsewhere.
 		a.mergeLevel(now, float64(u.Level), u.Known)
 		added = u.Count - u.Confirmed
 	}
@@ -104,7 +110,7 @@
 		return
 	}
 	n.nearLimit[a.team] = a
-	n.notify(now, a)
+	n.notifyNearLimit(now, a)
 }
 
 // Up to maxDirectHosts hosts, a home notifies each host itself. In larger fleets,
@@ -123,7 +129,8 @@
 	}
 }
 
-func (n *Node) notify(now time.Time, a *account) {
+// notifyNearLimit sends the level of a team that is near its limit to all hosts.
+func (n *Node) notifyNearLimit(now time.Time, a *account) {
 	a.lastNotice = now
 	notice := msg.TeamNotice{Team: a.team, Level: float32(a.level(now)), NearLimitMS: uint32(nearLimitPeriod.Milliseconds())}
 	if len(n.hosts) <= maxDirectHosts {
@@ -144,6 +151,7 @@
 	}
 }
 
+// sendNotice sends a notice to the live hosts that include selects.
 func (n *Node) sendNotice(notice msg.TeamNotice, include func(Host) bool) {
 	for _, h := range n.hosts {
 		if h.Name != n.cfg.Host && include(h) {
@@ -153,6 +161,8 @@
 	}
 }
 
+// handleNotice processes a notice that a team is near its limit, and forwards it within
+// this host's data centre if the sender asks for it.
 func (n *Node) handleNotice(now time.Time, m *msg.TeamNotice) {
 	limit, limited := n.cfg.Limit(m.Team)
 	if !limited {
--- a/internal/core/quota/quota.go
+++ b/internal/core/quota/quota.go
@@ -5,18 +5,19 @@
 // among the live hosts. The host second in rendezvous order is the successor, which is
 // asked if the home does not answer. The account is a leaky bucket: admitted requests
 // raise its level, which drains at the team's rate. While a team is far below its limit,
-// a host admits its requests at once and reports them to the home at the next Tick,
-// about every 50 ms, or once its previous report is confirmed or has timed out. Reports
-// carry a cumulative count, so lost, delayed and duplicated datagrams do no harm. When a
+// a host admits its requests at once and reports them to the home at the next Tick, about
+// every 50 ms. Until that report is confirmed or times out, it sends further ones only with
+// queries. Reports carry a cumulative count, so lost, delayed and duplicated datagrams do
+// no harm. A request is unconfirmed until the home has confirmed a report of it. When a
 // team comes near its limit, the home notifies all hosts, which then query it for each
 // request until the team is far from the limit again. Every message carries the level,
 // so that a new home learns it from the first host that contacts it.
 //
 // A host that reaches no home admits requests of a team within its own share of the rate
-// (standalone mode). A host that has just started assumes that every account is used up
-// as of its start, except for the fraction startupExtraFraction of Config.ExtraBurst, until
-// another host reports the real level. Restarting the whole fleet therefore grants no new
-// burst beyond that fraction.
+// (standalone mode). A host that has just started assumes that the bucket of every team was
+// full at its start, except for the fraction startupExtraFraction of Config.ExtraBurst,
+// until another host reports the real level. Restarting the whole fleet therefore grants no
+// new burst beyond that fraction.
 package quota
 
 import (
@@ -44,9 +45,9 @@
 	Incarnation uint64
 	// ExtraBurst is the number of requests a team may use beyond its burst. ExtraRate
 	// (requests per second) and ExtraRateFraction (a fraction of the rate) are added to
-	// its rate. The caller allows a team a total excess over its limit. Hosts use up part
-	// of it because they learn late of what the others admitted; the rest is given as
-	// these extras.
+	// its rate. They are the part of the tolerated excess over the limit that is granted
+	// on purpose; the rest of it covers requests that hosts admit before they learn of
+	// those that other hosts admitted.
 	ExtraBurst, ExtraRate, ExtraRateFraction float64
 	// Limit returns a team's limit, or false if it has none.
 	Limit func(team string) (Limit, bool)
@@ -54,17 +55,20 @@
 
 const (
 	// startupPeriod is how long a host queries for each request after its start, since
-	// it may have missed a notice that a team is near its limit.
+	// it may have missed a notice that a team is near its limit. It is also how long a
+	// home limits its own callers to its own share after its start, how long peakShare is
+	// kept, and how long after its last near-limit period a team still counts as near its
+	// limit when hosts are lost.
 	startupPeriod = 5 * time.Second
 	// queryTimeout is how long to wait for a home before a query is retried;
-	// maxQueryAttempts is the number of attempts, including those at the successor.
+	// maxQueryAttempts is the number of attempts, of which the last goes to the successor.
 	queryTimeout     = 60 * time.Millisecond
 	maxQueryAttempts = 3
 	// usageTimeout is how long a home has to confirm a usage report before the successor
 	// is tried.
 	usageTimeout = 150 * time.Millisecond
 	// standalonePeriod is how long a host enforces its own share after no home
-	// responded.
+	// answered.
 	standalonePeriod = 400 * time.Millisecond
 	// nearLimitPeriod is how long a near-limit notice is valid; noticeInterval is how
 	// often it is repeated.
@@ -77,16 +81,18 @@
 	// when it knows no levels.
 	startupExtraFraction = 0.5
 	// successorFraction is the fraction of the requesting hosts' share that a successor
-	// grants while the home does not answer its reports. A successor that has not noticed
-	// this, or a queried host that is neither home nor successor, grants from the whole
-	// rate.
+	// grants while the home does not answer its reports. The requesting hosts are the
+	// successor itself and those that reported to it within requestingPeriod. A successor
+	// whose own reports have not timed out, or a queried host that is neither home nor
+	// successor, grants from the whole rate.
 	successorFraction = 0.5
-	// singleLossFraction is the fraction of peakShare that must remain for a loss to be
-	// treated as that of single hosts, which raises levels only by the lost part of the
-	// capacity.
+	// singleLossFraction is the fraction of peakShare, the recent maximum of the live
+	// share, that must remain for a loss of hosts to be treated as that of single hosts,
+	// which raises levels only by the lost part of the capacity. A larger loss raises them
+	// to the capacity.
 	singleLossFraction = 0.9
-	// minUnconfirmedAllowance is the minimum of the limit on a host's unconfirmed requests
-	// while the team is far from its limit.
+	// minUnconfirmedAllowance is the number of unconfirmed requests that every host may
+	// have while the team is far from its limit, however many hosts there are.
 	minUnconfirmedAllowance = 2
 	// pauseThreshold is the time without a call of Step or Tick after which a host assumes
 	// that others acted in its place. relearnPeriod is how long it then does not answer
@@ -96,8 +102,8 @@
 	// requestingPeriod is how long a successor counts a host among the requesting hosts
 	// after its last report, with or without a query.
 	requestingPeriod = 2 * time.Second
-	// maxRefusalCache bounds how long a host refuses requests by the home's last refusal
-	// without a new query.
+	// maxRefusalCache bounds how long a host refuses further requests after a refusal by
+	// the home, without a new query.
 	maxRefusalCache = 50 * time.Millisecond
 	// maxRetryAfter bounds the retry delay given to refused callers.
 	maxRetryAfter = 5 * time.Second
@@ -151,11 +157,13 @@
 	started time.Time
 	rng     *rand.Rand
 
-	hosts      []Host
-	hashes     []uint64
-	dc         string
-	knownHosts int
-	// peakShare is the largest recent live share, and peakShareAt when it was seen.
+	hosts  []Host
+	hashes []uint64
+	dc     string
+	// knownHosts includes the hosts considered dead. The live share is the fraction of
+	// the known hosts that are alive; peakShare is its recent maximum, and peakShareAt
+	// when that was seen.
+	knownHosts  int
 	peakShare   float64
 	peakShareAt time.Time
 	// hostsVersion is incremented by every SetHosts.
@@ -168,8 +176,8 @@
 	unconfirmed, nearLimit map[string]*account
 	queries                map[uint32]*query
 	lastQueryID            uint32
-	// resolved holds recently decided queries: a further grant by another host is
-	// returned.
+	// resolved holds recently decided queries, so that a second grant by another host can
+	// be subtracted from the usage.
 	resolved  map[uint32]resolvedQuery
 	lastSweep time.Time
 	// lastCall is when Step or Tick was last called. resumedAt is when one of them was
@@ -218,7 +226,7 @@
 // become unreachable: the requests that those hosts admitted were not reported, and the
 // level has drained as if there had been none. remaining is the new live share divided by
 // peakShare, the largest recent one. If many hosts were lost at once, the bucket counts as
-// used up.
+// full.
 func (n *Node) compensateLostHosts(now time.Time, remaining float64) {
 	for _, a := range n.accounts {
 		if now.Before(a.nearLimitUntil.Add(startupPeriod)) || n.nearLimit[a.team] != nil {
@@ -288,7 +296,7 @@
 			continue
 		}
 		if now.Sub(a.lastNotice) >= noticeInterval {
-			n.notify(now, a)
+			n.notifyNearLimit(now, a)
 		} else {
 			n.updateSuccessor(now, a)
 		}
--- a/internal/core/quota/quota_test.go
+++ b/internal/core/quota/quota_test.go
@@ -13,7 +13,8 @@
 // simSeeds is the number of runs of each scenario.
 const simSeeds = 5
 
-// Typical limits of customers: a large team and a medium one.
+// Typical limits of a large and a medium team. The usual load of a team in the tests is its
+// rate divided by 1.6.
 var (
 	large  = Limit{Rate: 35, Burst: 35}
 	medium = Limit{Rate: 4.4, Burst: 4.4}
@@ -25,7 +26,7 @@
 	inject func(s *sim)
 }
 
-// The team sends seven times its limit from the fifth second on.
+// The team sends 7.5 times its usual load, 4.7 times its rate, from 5 s to 11.5 s.
 var scenarios = []scenario{
 	{"no fault", func(*sim) {}},
 	{"its home is frozen", func(s *sim) { s.at(6*time.Second, func() { s.freeze(s.homeOf("hot"), 3500*time.Millisecond) }) }},
@@ -54,8 +55,8 @@
 	return s.index(n.homes(n.account(s.time(), team, s.limits[team]))[0])
 }
 
-// partition separates the first size hosts from the others; connected says whether they
-// still reach each other.
+// partition separates the first size hosts from the others. If connected is false, these
+// first hosts do not reach each other either.
 func (s *sim) partition(at, length time.Duration, connected bool, size int) {
 	s.at(at, func() {
 		separated := func(i, j int) bool { return i != j && (i < size) != (j < size) || !connected && i != j && i < size }
@@ -97,7 +98,7 @@
 						sc.inject(s)
 						s.run(20 * time.Second)
 						excess := s.excess("hot")
-						t.Logf("seed %d: %.0f beyond the limit of %.0f allowed; admitted %d of %d", seed, excess, s.allowedExcess("hot"), len(s.admitted["hot"]), s.offered["hot"])
+						t.Logf("seed %d: %.0f beyond the limit, %.0f allowed; admitted %d of %d", seed, excess, s.allowedExcess("hot"), len(s.admitted["hot"]), s.offered["hot"])
 						assert.Check(t, excess <= s.allowedExcess("hot"), "seed %d: %.0f beyond the limit, %.0f allowed", seed, excess, s.allowedExcess("hot"))
 					}
 				})
@@ -106,8 +107,8 @@
 	}
 }
 
-// Teams at their usual load, below their rate, are not refused while all hosts keep
-// running.
+// For teams at their usual load, below their rate, at most one request in 500 is refused
+// while all hosts keep running.
 func TestTeamsBelowTheirRateAreNotRefused(t *testing.T) {
 	for _, hosts := range []int{6, 91, 354} {
 		limits := make(map[string]Limit)
--- a/internal/core/quota/sim_test.go
+++ b/internal/core/quota/sim_test.go
@@ -13,11 +13,15 @@
 
 // Parameters of the simulated fleet, in virtual time.
 const (
-	simTick         = 50 * time.Millisecond
+	// simTick is the time between two calls of Node.Tick.
+	simTick = 50 * time.Millisecond
+	// simDelay and simCrossDCDelay are the minimum delays of a datagram within a data
+	// centre and between two. A random delay with mean simDelay is added.
 	simDelay        = time.Millisecond
 	simCrossDCDelay = 3 * time.Millisecond
-	simWindow       = 5 * time.Second
-	simDCs          = 3
+	// simWindow is the time over which admitted requests are compared with the limit.
+	simWindow = 5 * time.Second
+	simDCs    = 3
 	// membershipDelay is how long membership takes to consider a silent host dead, or to
 	// learn that it is back.
 	membershipDelay = 2 * time.Second
@@ -73,9 +77,10 @@
 	lossRate, duplicateRate float64
 	// blocked reports whether datagrams from one host to the other are dropped.
 	blocked func(from, to int) bool
-	// alwaysQuery and neverQuery make hosts query the home for each request, or for
-	// none.
-	alwaysQuery, neverQuery bool
+	// alwaysQuery makes hosts query the home for each request. ignoreNearLimit makes them
+	// ignore near-limit notices, so that they query it only as far as the level and the
+	// unconfirmed requests known to them require.
+	alwaysQuery, ignoreNearLimit bool
 
 	admitted         map[string][]time.Duration
 	refused, queried map[string]int
@@ -133,8 +138,8 @@
 			return
 		}
 		if !h.frozen {
-			if s.alwaysQuery || s.neverQuery {
-				s.applyMode(h.node)
+			if s.alwaysQuery || s.ignoreNearLimit {
+				s.applyStrategy(h.node)
 			}
 			h.node.Tick(s.time())
 			s.flush(i)
@@ -144,8 +149,8 @@
 	s.after(time.Duration(s.rng.Int64N(int64(simTick))), tick)
 }
 
-// applyMode switches a node to one of the compared strategies, alwaysQuery or neverQuery.
-func (s *sim) applyMode(n *Node) {
+// applyStrategy applies alwaysQuery or ignoreNearLimit to the accounts of a node.
+func (s *sim) applyStrategy(n *Node) {
 	for _, a := range n.accounts {
 		if s.alwaysQuery {
 			a.nearLimitUntil = s.time().Add(time.Hour)
@@ -277,8 +282,8 @@
 		return
 	}
 	s.offered[team]++
-	if s.neverQuery {
-		s.applyMode(h.node)
+	if s.ignoreNearLimit {
+		s.applyStrategy(h.node)
 	}
 	began := s.now
 	done := func(ok bool) {
--- a/internal/core/quota/state.go
+++ b/internal/core/quota/state.go
@@ -10,7 +10,7 @@
 type State struct {
 	Team string `json:"team"`
 	// Rate and Burst are the limit. Level is the used part of Capacity; both are in
-	// requests.
+	// requests. Capacity is the live hosts' share of the burst and Config.ExtraBurst.
 	Rate     float64 `json:"ratePerSecond"`
 	Burst    float64 `json:"burst"`
 	Level    float64 `json:"level"`
@@ -18,7 +18,7 @@
 	// Home is the host that holds the account.
 	Home string `json:"home"`
 	// NearLimit reports whether hosts query the home for each request, Standalone
-	// whether this host enforces its own share because no home responds.
+	// whether this host enforces its own share because no home answers.
 	NearLimit  bool `json:"close"`
 	Standalone bool `json:"alone"`
 	// Admitted and Refused count this host's requests since the account was created.
--- a/internal/core/quota/strategies_test.go
+++ b/internal/core/quota/strategies_test.go
@@ -21,12 +21,13 @@
 		}
 	}},
 	{"the home is queried for each request", func(s *sim) { s.alwaysQuery = true }},
-	{"usage reported, queries by the host's own count only", func(s *sim) { s.neverQuery = true }},
+	{"usage reported, queries by the host's own count only", func(s *sim) { s.ignoreNearLimit = true }},
 	{"usage reported, queries near the limit", func(*sim) {}},
 }
 
-// Compares the enforcement strategies of the design note: a large team sends seven times
-// its limit for 6.5 s among forty medium ones at their usual load.
+// Compares the enforcement strategies of docs/design/0010-teams.md: a large team sends 7.5
+// times its usual load, 4.7 times its rate, for 6.5 s, among forty medium ones at their usual
+// load. Only the last strategy, the one in use, must keep within the limits.
 func TestEnforcementStrategies(t *testing.T) {
 	for _, hosts := range []int{6, 91, 354, 1600} {
 		for _, st := range strategies {
@@ -52,7 +53,7 @@
 				offered += s.offered[fmt.Sprintf("team%02d", i)]
 			}
 			perHost := 1 / (float64(hosts) * (end - begin).Seconds())
-			t.Logf("%4d hosts, %-48s beyond the limit %4.0f of %.0f; refused below it %4.1f %%; p99 %6s; %.2f datagrams and %3.0f bytes per second and host",
+			t.Logf("%4d hosts, %-48s beyond the limit %4.0f, %.0f allowed; refused below it %4.1f %%; p99 %6s; %.2f datagrams and %3.0f bytes per second and host",
 				hosts, st.name, s.excess("hot"), s.allowedExcess("hot"), 100*float64(refused)/float64(offered), s.p99().Round(100*time.Microsecond),
 				float64(s.packets)*perHost, float64(s.bytes)*perHost)
 			if st.name == strategies[len(strategies)-1].name {
