--- a/internal/event/event.go
+++ b/internal/event/event.go
@@ -1,5 +1,6 @@
-// Package event defines the numbered log events. docs/EVENTS.md documents their
-// meaning and the operator's action; a test keeps both in sync.
+// Package event defines the numbered log events, limits and samples log lines, and writes
+// them asynchronously. docs/EVENTS.md documents the meaning of each event and what the
+// operator should do; a test checks its numbers and names against this list.
 package event
 
 import (
@@ -14,8 +15,8 @@
 	Level  slog.Level
 }
 
-// Events by number; numbers are never reused: 1xx process, 2xx front, 3xx guard,
-// 4xx records and platform, 5xx membership, 6xx keys.
+// Events by number: 1xx process, 2xx front, 3xx guard, 4xx records and platform,
+// 5xx membership, 6xx keys. The number of a removed event is not reused.
 var (
 	Started                 = Event{100, "started", slog.LevelInfo}
 	Ready                   = Event{101, "ready", slog.LevelInfo}
@@ -63,7 +64,7 @@
 	ShardLost               = Event{601, "shard lost", slog.LevelWarn}
 )
 
-// All returns every event, for the test that compares them with the documentation.
+// All returns every event. A test compares them with docs/EVENTS.md.
 func All() []Event {
 	return []Event{
 		Started, Ready, Draining, Drained, DrainTimeout, StartFailed, Reloaded, ReloadRefused, SettingsStrained,
--- a/internal/event/sample.go
+++ b/internal/event/sample.go
@@ -7,17 +7,17 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// sampleInterval means that one in sampleInterval ordinary requests is logged. All hosts
-// select the same requests, so that the log lines of a request are complete.
+// One in sampleInterval ordinary requests is logged. The selection depends only on the
+// request ID, so that every host that handles a request logs it, or none does.
 const sampleInterval = 32
 
 // Sampled reports whether the ordinary request with this ID is logged.
 func Sampled(requestID string) bool { return xxhash.Sum64String(requestID)%sampleInterval == 0 }
 
 const (
-	// maxLinesPerSecond bounds the lines that one Limiter allows. It lets every failed
-	// request be logged at a host's peak of 81 requests per second, and costs about 1 %
-	// of a core when the limit is reached.
+	// maxLinesPerSecond limits the lines that one Limiter allows. At a host's peak of 81
+	// requests per second, every failed request can be logged. At the limit, logging costs
+	// about 1 % of a core.
 	maxLinesPerSecond = 200
 )
 
@@ -32,8 +32,8 @@
 	unreported uint64
 }
 
-// Allow reports whether a line may be logged and how many lines were suppressed since
-// the last one allowed, which the caller logs with the line.
+// Allow reports whether a line may be logged. If so, suppressed is the number of lines
+// suppressed since the last allowed one, which the caller includes in the line.
 func (l *Limiter) Allow(now time.Time) (suppressed uint64, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/event/sink.go
+++ b/internal/event/sink.go
@@ -6,8 +6,8 @@
 	"sync/atomic"
 )
 
-// sinkQueueSize is the capacity of a Sink's queue, in lines: about two seconds of output
-// of the busiest host, 2 MB at most.
+// sinkQueueSize is the capacity of a Sink's queue, in lines. It holds about two seconds
+// of output of the busiest host, at most 2 MB.
 const sinkQueueSize = 4096
 
 // Sink is an asynchronous line writer with a bounded queue. Write never blocks: if the
@@ -57,7 +57,8 @@
 // Dropped returns the number of lines dropped since the start.
 func (s *Sink) Dropped() uint64 { return s.dropped.Load() }
 
-// Close writes the queued lines and stops the goroutine. Later lines are dropped.
+// Close writes the queued lines and stops the writing goroutine. Lines written to the Sink
+// later are dropped.
 func (s *Sink) Close() {
 	s.mu.Lock()
 	if !s.closed {
--- a/internal/event/sink_test.go
+++ b/internal/event/sink_test.go
@@ -29,7 +29,7 @@
 }
 
 // A blocked output does not block callers, and dropped lines are counted.
-func TestASlowReaderHoldsUpNobody(t *testing.T) {
+func TestBlockedOutputDoesNotBlockCallers(t *testing.T) {
 	out := &blockingWriter{release: make(chan struct{})}
 	s := NewSink(out)
 	const lines = 3 * sinkQueueSize
