--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -1,5 +1,5 @@
-// Package state defines the paths and response types of a daemon's admin endpoints,
-// shared by the daemon and the command line.
+// Package state defines the paths and response types of a daemon's admin endpoints, for
+// the daemon and the command-line tools.
 package state
 
 import (
@@ -20,27 +20,32 @@
 	MetricsPath = "/metrics"
 )
 
-// Dump is the full state of one process, served at StatePath.
+// Dump is the full state of one process. It is served at StatePath.
 type Dump struct {
-	Host      string                `json:"host"`
-	DC        string                `json:"dc"`
-	Started   string                `json:"started"`
-	Phase     string                `json:"phase"`
+	Host string `json:"host"`
+	DC   string `json:"dc"`
+	// Started is the start time of the process, in RFC 3339 format.
+	Started string `json:"started"`
+	// Phase is the life-cycle phase: starting, serving, planned stop or shutting down.
+	Phase string `json:"phase"`
+	// Waiting lists why the process does not accept traffic; empty if it does.
 	Waiting   []string              `json:"waitingFor"`
 	Instances []guard.InstanceState `json:"instances"`
 	// Suspects are the requests suspected of crashing the instances that run them.
 	Suspects []guard.SuspectState  `json:"suspects"`
 	Services []front.ServiceStatus `json:"services"`
-	// Teams are the teams with a rate limit that this host knows.
-	Teams   []teams.State          `json:"teams"`
-	Paths   []front.PathState      `json:"paths"`
-	Control control.State          `json:"control"`
-	Peers   peer.Stats             `json:"peers"`
-	Shards  []once.OwnedShardState `json:"shards"`
+	// Teams are the teams with a rate limit, with their usage as seen by this host.
+	Teams []teams.State `json:"teams"`
+	// Paths are the network paths to the hosts of targets.
+	Paths   []front.PathState `json:"paths"`
+	Control control.State     `json:"control"`
+	Peers   peer.Stats        `json:"peers"`
+	// Shards are the key shards that this host owns.
+	Shards []once.OwnedShardState `json:"shards"`
 }
 
-// Status summarizes what is in force and why (services, records and load) as seen by one
-// host, served at StatusPath.
+// Status summarizes the services, the active records and the load as seen by one host. It
+// is served at StatusPath.
 type Status struct {
 	Host     string                `json:"host"`
 	DC       string                `json:"dc"`
@@ -50,11 +55,12 @@
 	Control  control.State         `json:"control"`
 	// Running counts the requests that this host's instances are executing.
 	Running int `json:"running"`
-	Queued  int `json:"queued"`
+	// Queued counts the requests in the queues of this host's instances.
+	Queued int `json:"queued"`
 }
 
-// Ready reports whether the process accepts traffic and, if not, what it waits for. It
-// is served at ReadyPath.
+// Ready reports whether the process accepts traffic and, if not, why. It is served at
+// ReadyPath.
 type Ready struct {
 	Ready   bool     `json:"ready"`
 	Waiting []string `json:"waitingFor,omitempty"`
