--- a/internal/peer/pool.go
+++ b/internal/peer/pool.go
@@ -1,5 +1,5 @@
-// Package peer manages the connections to other hosts: one outbound connection per
-// host, opened on demand, and the inbound connections.
+// Package peer manages the connections between hosts. A host opens one outbound
+// connection to each other host on demand and accepts inbound connections.
 package peer
 
 import (
@@ -18,7 +18,7 @@
 )
 
 const (
-	// dialTimeout bounds one connection attempt.
+	// dialTimeout limits one connection attempt, including sending the Hello.
 	dialTimeout = 500 * time.Millisecond
 	// backoffMin and backoffMax bound the pause after a failed connection attempt.
 	backoffMin = 100 * time.Millisecond
@@ -27,11 +27,11 @@
 	idleTimeout = 5 * time.Minute
 	// maxInbound is the maximum number of inbound connections.
 	maxInbound = 8192
-	// helloTimeout bounds the wait for the Hello of an inbound connection.
+	// helloTimeout limits the wait for the Hello of an inbound connection.
 	helloTimeout = 5 * time.Second
 )
 
-// keepAlive detects connections whose peer is gone or unreachable.
+// keepAlive detects connections whose peer is down or unreachable.
 var keepAlive = net.KeepAliveConfig{Enable: true, Idle: 3 * time.Second, Interval: time.Second, Count: 3}
 
 // Handlers are the callbacks for inbound connections.
@@ -63,20 +63,23 @@
 // dialFunc opens a connection to a peer address.
 type dialFunc func(ctx context.Context, network, address string) (net.Conn, error)
 
-// link is the outbound connection to one address.
+// link manages the outbound connection to one address.
 type link struct {
-	mu       sync.Mutex
-	conn     *wire.Conn
+	mu sync.Mutex
+	// conn is the current connection, nil before the first is established. It may have
+	// failed.
+	conn *wire.Conn
+	// After a failed attempt, lastErr is returned until retryAt, the end of the back-off.
 	retryAt  time.Time
 	backoff  time.Duration
 	lastErr  error
 	lastUsed time.Time
-	// dialDone is closed when the current connection attempt ends; nil if there is none.
+	// dialDone is closed when the attempt in progress ends; nil if there is none.
 	dialDone chan struct{}
 	// retired are replaced connections that still have open streams.
 	retired []*wire.Conn
-	// replaceAt is the earliest time at which a suspect connection may be replaced
-	// again, and replaceBackoff the latest pause between two replacements.
+	// replaceAt is the earliest time at which a suspect connection may be replaced again.
+	// replaceBackoff is the current back-off between replacements.
 	replaceAt      time.Time
 	replaceBackoff time.Duration
 }
@@ -148,7 +151,9 @@
 	}
 }
 
-// serve handles one inbound connection, whose first message must be Hello.
+// serve handles one inbound connection until it ends. The first message must be a Hello
+// with the same protocol version. Streams wait for it; other messages before it are
+// dropped.
 func (p *Pool) serve(nc net.Conn) {
 	defer p.wg.Done()
 	if tcp, ok := nc.(*net.TCPConn); ok {
@@ -217,8 +222,8 @@
 	}
 }
 
-// Open opens a stream to the host at addr and returns it with its connection, which is
-// established if necessary.
+// Open opens a stream to the host at addr and returns it with its connection. It
+// establishes the connection if there is none.
 func (p *Pool) Open(ctx context.Context, addr string) (wire.Stream, *wire.Conn, error) {
 	conn, err := p.Conn(ctx, addr)
 	if err != nil {
@@ -228,9 +233,9 @@
 	return s, conn, err
 }
 
-// Conn returns the connection to a peer address and establishes it if there is none.
-// During the back-off after a failed attempt it returns the error of that attempt
-// immediately.
+// Conn returns the connection to a peer address. It establishes one if there is none, and
+// replaces a suspect one if due. During the back-off after a failed attempt, it immediately
+// returns the error of that attempt.
 func (p *Pool) Conn(ctx context.Context, addr string) (*wire.Conn, error) {
 	l, err := p.link(addr)
 	if err != nil {
@@ -249,8 +254,9 @@
 	}
 }
 
-// get returns the connection or the last error. While a connection attempt is in
-// progress, which get starts if necessary, it returns a channel to wait on instead.
+// get returns the connection or the last error. If an attempt is in progress, or get
+// starts one by calling dial, it instead returns a channel that is closed when the attempt
+// ends.
 func (l *link) get(dial func()) (*wire.Conn, <-chan struct{}, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -269,7 +275,7 @@
 	return nil, l.dialDone, nil
 }
 
-// dialLink makes one connection attempt and records its outcome.
+// dialLink makes one connection attempt for a link and records its outcome.
 func (p *Pool) dialLink(l *link, addr string) {
 	conn, err := p.dial(addr)
 	l.mu.Lock()
@@ -278,7 +284,7 @@
 	l.dialDone = nil
 	switch {
 	case err != nil && l.usable():
-		// Keep the suspect connection: the host may be frozen and recover.
+		// Keep the suspect connection, because a frozen host may recover.
 	case err != nil:
 		l.backoff = min(max(2*l.backoff, backoffMin), backoffMax)
 		l.retryAt = time.Now().Add(l.backoff)
@@ -318,7 +324,8 @@
 	return conn, nil
 }
 
-// Sweep closes idle connections and removes their links.
+// Sweep closes idle connections and replaced ones without streams, and removes idle links
+// that have no open connection. It must be called periodically.
 func (p *Pool) Sweep() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -336,15 +343,16 @@
 	}
 }
 
-// Stats has connection counts for the state dump.
+// Stats has the connection counts in the state dump.
 type Stats struct {
-	Outbound    int    `json:"outbound"`
-	Inbound     int    `json:"inbound"`
-	Streams     int    `json:"streams"`
+	Outbound int `json:"outbound"`
+	Inbound  int `json:"inbound"`
+	Streams  int `json:"streams"`
+	// StrayFrames counts the frames dropped because their stream was not open, on the
+	// current connections.
 	StrayFrames uint64 `json:"strayFrames"`
 }
 
-// Stats returns the current counts.
 func (p *Pool) Stats() Stats {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/peer/send.go
+++ b/internal/peer/send.go
@@ -9,16 +9,16 @@
 )
 
 const (
-	// aliveWindow is how long a connection counts as alive after the last frame received.
-	// A message sent within this time on a dead connection is lost; the periodic repair
-	// of records recovers it.
+	// aliveWindow is the time after the last received frame during which a connection is
+	// assumed to be alive. A message sent on a dead connection within this time is lost;
+	// periodic repair restores the data.
 	aliveWindow = 2 * time.Second
-	// pingTimeout bounds the wait for the answer to a ping. It equals the time that a
-	// request waits for a frame before its path counts as cut.
+	// pingTimeout limits the wait for the response to a ping. It equals the time for which
+	// a request waits for a frame before it treats its path as failed.
 	pingTimeout = 300 * time.Millisecond
-	// replaceBackoffMin and replaceBackoffMax bound the time between two replacements of
-	// a suspect connection, because a frozen host answers no ping on new connections
-	// either.
+	// replaceBackoffMin and replaceBackoffMax bound the time between two replacements of a
+	// suspect connection. A frozen host does not respond on new connections either, so
+	// replacing without back-off would flood it with connections.
 	replaceBackoffMin = time.Second
 	replaceBackoffMax = 30 * time.Second
 	// quietCheckInterval is the minimum time between two checks of all quiet connections.
@@ -35,10 +35,10 @@
 	return conn.SendControl(ctx, m)
 }
 
-// SendControl sends a control message to a peer, or returns an error if the peer cannot
-// be reached now. If nothing was received on the connection for aliveWindow, it pings
-// the peer, and without an answer it sends the message again on a new connection. The
-// peer may receive the message twice.
+// SendControl sends a control message to a peer, or returns an error if the peer is
+// currently unreachable. If nothing has been received on the connection for aliveWindow, it
+// pings the peer. Without a response, it sends the message again on a new connection. The
+// peer may therefore receive the message twice.
 func (p *Pool) SendControl(ctx context.Context, addr string, m msg.Message) error {
 	conn, err := p.Conn(ctx, addr)
 	if err != nil {
@@ -58,8 +58,8 @@
 	return newConn.SendControl(ctx, m)
 }
 
-// pingQuietConns pings all quiet connections and marks those without an answer as
-// suspect. It runs when one connection becomes suspect: a network fault often affects
+// pingQuietConns pings all quiet connections and marks those without a response as
+// suspect. It runs when a connection becomes suspect, because a network fault often affects
 // many connections at once, and each dead one would delay the next request on it by 0.3 s.
 func (p *Pool) pingQuietConns() {
 	for _, conn := range p.quietConns() {
@@ -71,8 +71,8 @@
 	}
 }
 
-// quietConns returns the connections to ping, or none if the last check was less than
-// quietCheckInterval ago.
+// quietConns returns the quiet connections (see link.quietConn), or none if the last check
+// was less than quietCheckInterval ago.
 func (p *Pool) quietConns() []*wire.Conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -90,8 +90,8 @@
 	return out
 }
 
-// quietConn returns the connection if it is not suspect and nothing was received on it
-// for pingTimeout, else nil.
+// quietConn returns the connection if it is open, not suspect and nothing has been received
+// on it for pingTimeout, else nil.
 func (l *link) quietConn(now time.Time) *wire.Conn {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -104,8 +104,8 @@
 // usable reports whether the link has an open connection. The caller holds l.mu.
 func (l *link) usable() bool { return l.conn != nil && l.conn.Err() == nil }
 
-// beginReplacement reports whether the connection is suspect and should be replaced now,
-// and if so advances the replacement back-off. The caller holds l.mu.
+// beginReplacement reports whether the connection is suspect and due to be replaced. If so,
+// it advances the back-off. The caller holds l.mu.
 func (l *link) beginReplacement(now time.Time) bool {
 	if l.conn.HasReceived() && !l.conn.Suspect() {
 		l.replaceBackoff = 0
@@ -118,7 +118,7 @@
 	return true
 }
 
-// replace installs a new connection. The old one stays open for the streams on it. The
+// replace sets a new connection. The old one stays open until its streams have ended. The
 // caller holds l.mu.
 func (l *link) replace(conn *wire.Conn) {
 	if l.usable() {
@@ -128,7 +128,7 @@
 	l.closeRetired()
 }
 
-// closeRetired closes the replaced connections without open streams. The caller holds
+// closeRetired closes the replaced connections that have no open streams. The caller holds
 // l.mu.
 func (l *link) closeRetired() {
 	var kept []*wire.Conn
--- a/internal/peer/suspect_test.go
+++ b/internal/peer/suspect_test.go
@@ -70,8 +70,8 @@
 	}
 }
 
-// newPoolPair starts a sending pool and one that receives. received returns the number of
-// Digest messages that have arrived.
+// newPoolPair starts a pool that sends and one that receives. received returns the number
+// of Digest messages that have arrived.
 func newPoolPair(t *testing.T) (from *Pool, n *testNetwork, received func() int64, stop func()) {
 	t.Helper()
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
@@ -90,12 +90,11 @@
 	}
 }
 
-// Guards against control messages that are lost on dead connections: existing connections
-// between hosts stop delivering data without a reset, while new ones work. Control messages
-// have no response, so the sender does not notice, and the operating system detects the
-// fault only after minutes. Without the check in SendControl, a message sent on such a
-// connection did not arrive within a minute.
-func TestMessagesArriveThoughTheOldConnectionIsSilent(t *testing.T) {
+// Guards against the loss of control messages when existing connections stop delivering
+// data without a reset, while new ones work. Control messages have no response, so the
+// sender does not notice, and the operating system detects the fault only after minutes.
+// Without the check in SendControl, a message did not arrive within a minute.
+func TestControlMessagesArriveDespiteDeadConnection(t *testing.T) {
 	for _, pause := range []time.Duration{100 * time.Millisecond, time.Second, 5 * time.Second} {
 		synctest.Test(t, func(t *testing.T) {
 			from, n, received, stop := newPoolPair(t)
@@ -119,9 +118,9 @@
 	}
 }
 
-// A frozen host answers no ping, on new connections either. The sender must not flood it
-// with connections, and messages must arrive again once it recovers.
-func TestAFrozenPeerIsNotFloodedWithConnections(t *testing.T) {
+// A frozen host does not respond to pings, even on new connections. The sender must not
+// flood it with connections, and messages must arrive again once it recovers.
+func TestFrozenPeerIsNotFloodedWithConnections(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		from, n, received, stop := newPoolPair(t)
 		defer stop()
@@ -170,7 +169,7 @@
 }
 
 // A network fault often affects many connections at once. When one becomes suspect, the
-// others are pinged, so that not each of them delays a request or loses a message.
+// others are pinged. Otherwise each of them would delay a request or lose a message.
 func TestSuspectConnectionTriggersPingOfOthers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		from, n, _, stop := newPoolPair(t)
