--- a/internal/objects/api.go
+++ b/internal/objects/api.go
@@ -1,4 +1,4 @@
-// Package objects is a typed client for the platform's object API: get, list,
+// Package objects is a typed client for the platform's object API, which has get, list,
 // conditional update, conditional delete and watch.
 package objects
 
@@ -22,18 +22,18 @@
 
 func (o Object) Key() record.Key { return record.Key{Kind: o.Kind, Name: o.Name} }
 
-// Page is the result of a list or a watch: the objects and the revision at which
-// they are current. Object versions are revisions, which increase across all objects.
+// Page is the result of a list or a watch: the objects, and the revision up to which they
+// are current. The version of an object is the revision of its last change. Revisions
+// increase across all objects.
 type Page struct {
 	Revision int64    `json:"revision"`
 	Objects  []Object `json:"objects"`
-	// Undecodable has one error for each object that could not be parsed. Such objects
-	// come from other writers; the remaining objects are valid.
+	// Undecodable has one error for each object that could not be parsed, such as those
+	// of another writer. Objects has the others.
 	Undecodable []error `json:"-"`
 }
 
-// Store is the set of platform operations that the system uses. Client implements
-// it over HTTP.
+// Store is the interface to the platform. Client implements it over HTTP.
 type Store interface {
 	// Get reads one object. It returns *NotFoundError if there is none.
 	Get(ctx context.Context, key record.Key) (Object, error)
@@ -46,17 +46,16 @@
 	Put(ctx context.Context, key record.Key, value []byte, ifVersion int64) (Object, error)
 	// Delete deletes the object if the stored version equals ifVersion.
 	Delete(ctx context.Context, key record.Key, ifVersion int64) (Object, error)
-	// Feeds returns the feeds that together cover every change. Each feed is
-	// listed and watched separately.
+	// Feeds returns the feeds, which together cover all changes. Each feed is listed and
+	// watched separately.
 	Feeds() []Feed
 	// FeedOf returns the feed that covers records of a kind.
 	FeedOf(kind record.Kind) Feed
 	// ListFeed reads all objects of a feed.
 	ListFeed(ctx context.Context, feed Feed) (Page, error)
 	// Watch waits for changes in a feed after a revision. It asks the platform to
-	// hold the call for waitFactor times the usual wait. An empty page means that
-	// the wait ended without a change; *CompactedError means that the caller must
-	// list again.
+	// hold the call for waitFactor times the configured wait. An empty page means that
+	// the wait ended without a change. After *CompactedError, the caller must list again.
 	Watch(ctx context.Context, feed Feed, after int64, waitFactor int) (Page, error)
 	// Observe sets the callback for calls that are late or fail. It must be called
 	// before the first call, and the callback must not block.
@@ -65,7 +64,7 @@
 	Close()
 }
 
-// Feed identifies a stream of changes.
+// Feed identifies a stream of changes to objects of certain kinds.
 type Feed string
 
 // NotFoundError is returned if the object does not exist.
@@ -96,8 +95,8 @@
 	return fmt.Sprintf("watch after revision %d: events have been compacted; list again", e.After)
 }
 
-// UnavailableError is returned if the platform did not answer or could not serve
-// the call. A write may have taken effect unless Refused is set.
+// UnavailableError is returned if the platform did not respond or could not serve the
+// call. A write may have taken effect unless Refused is set.
 type UnavailableError struct {
 	Cause error
 	// Refused means that the platform rejected the call without executing it.
--- a/internal/objects/budget.go
+++ b/internal/objects/budget.go
@@ -10,18 +10,18 @@
 	"github.com/radishhoist/radishhoist/record"
 )
 
-// RateLimitedStore is a Store that limits the rate of calls that all components of a process
-// together make to the platform, whose rate limits grow more slowly than the fleet.
-// Calls over the limit wait; they are never dropped.
+// RateLimitedStore is a Store that limits the total rate of calls of a process to the
+// platform, because the platform's rate limits grow more slowly than the fleet. Calls over
+// the limit wait; none are dropped.
 type RateLimitedStore struct {
-	store   Store
-	limiter *rate.Limiter
-	set     *metrics.Set
+	store    Store
+	limiter  *rate.Limiter
+	counters *metrics.Set
 }
 
-// Default rate limit of a process. The pause after each watch limits a watcher to about
-// five calls per second and feed. A host that is not a watcher makes a few calls at startup
-// and almost none later.
+// Default rate limit of a process, in calls. Because of the pause after each watch, a
+// watcher makes at most about five calls per second and feed. A host that is not a watcher
+// makes a few calls at startup and almost none later.
 const (
 	CallsPerSecond = 8
 	CallBurst      = 24
@@ -29,18 +29,18 @@
 
 // NewRateLimitedStore limits store to perSecond calls per second, with bursts of burst calls.
 func NewRateLimitedStore(store Store, perSecond float64, burst int) *RateLimitedStore {
-	return &RateLimitedStore{store: store, limiter: rate.NewLimiter(rate.Limit(perSecond), burst), set: metrics.NewSet()}
+	return &RateLimitedStore{store: store, limiter: rate.NewLimiter(rate.Limit(perSecond), burst), counters: metrics.NewSet()}
 }
 
 // Metrics returns the call counters for the admin endpoint.
-func (b *RateLimitedStore) Metrics() *metrics.Set { return b.set }
-
-// countCall counts a call by its outcome. Refused means that the platform rejected the
-// call without executing it, with status 429 or 503. Unanswered means that no complete
-// response was received, also because the caller cancelled the call, or that the platform
-// answered with another server error. Every other outcome counts as answered, including
-// a conflict, an object that does not exist and a response that cannot be decoded.
-func (b *RateLimitedStore) countCall(call string, err error) {
+func (s *RateLimitedStore) Metrics() *metrics.Set { return s.counters }
+
+// countCall counts a call by its outcome. "refused" means that the platform rejected the
+// call without executing it, with status 429 or 503. "unanswered" means that no complete
+// response was received, for example because the caller cancelled the call, or that the
+// response was another server error. Every other outcome is "answered", including a
+// conflict, an object that does not exist and a response that cannot be decoded.
+func (s *RateLimitedStore) countCall(call string, err error) {
 	outcome := "answered"
 	var unavailable *UnavailableError
 	switch {
@@ -49,88 +49,88 @@
 	case err != nil && errors.As(err, &unavailable):
 		outcome = "unanswered"
 	}
-	b.set.GetOrCreateCounter(`radishhoist_store_calls_total{call="` + call + `",outcome="` + outcome + `"}`).Inc()
+	s.counters.GetOrCreateCounter(`radishhoist_store_calls_total{call="` + call + `",outcome="` + outcome + `"}`).Inc()
 }
 
 // wait blocks until the limiter admits one call.
-func (b *RateLimitedStore) wait(ctx context.Context) error {
-	if err := b.limiter.Wait(ctx); err != nil {
+func (s *RateLimitedStore) wait(ctx context.Context) error {
+	if err := s.limiter.Wait(ctx); err != nil {
 		return &UnavailableError{Cause: err}
 	}
 	return nil
 }
 
 // Get implements Store.
-func (b *RateLimitedStore) Get(ctx context.Context, key record.Key) (Object, error) {
-	if err := b.wait(ctx); err != nil {
+func (s *RateLimitedStore) Get(ctx context.Context, key record.Key) (Object, error) {
+	if err := s.wait(ctx); err != nil {
 		return Object{}, err
 	}
-	out, err := b.store.Get(ctx, key)
-	b.countCall("get", err)
+	out, err := s.store.Get(ctx, key)
+	s.countCall("get", err)
 	return out, err
 }
 
 // List implements Store.
-func (b *RateLimitedStore) List(ctx context.Context, kinds ...record.Kind) (Page, error) {
-	if err := b.wait(ctx); err != nil {
+func (s *RateLimitedStore) List(ctx context.Context, kinds ...record.Kind) (Page, error) {
+	if err := s.wait(ctx); err != nil {
 		return Page{}, err
 	}
-	out, err := b.store.List(ctx, kinds...)
-	b.countCall("list", err)
+	out, err := s.store.List(ctx, kinds...)
+	s.countCall("list", err)
 	return out, err
 }
 
 // Put implements Store.
-func (b *RateLimitedStore) Put(ctx context.Context, key record.Key, value []byte, ifVersion int64) (Object, error) {
-	if err := b.wait(ctx); err != nil {
+func (s *RateLimitedStore) Put(ctx context.Context, key record.Key, value []byte, ifVersion int64) (Object, error) {
+	if err := s.wait(ctx); err != nil {
 		return Object{}, err
 	}
-	out, err := b.store.Put(ctx, key, value, ifVersion)
-	b.countCall("put", err)
+	out, err := s.store.Put(ctx, key, value, ifVersion)
+	s.countCall("put", err)
 	return out, err
 }
 
 // Delete implements Store.
-func (b *RateLimitedStore) Delete(ctx context.Context, key record.Key, ifVersion int64) (Object, error) {
-	if err := b.wait(ctx); err != nil {
+func (s *RateLimitedStore) Delete(ctx context.Context, key record.Key, ifVersion int64) (Object, error) {
+	if err := s.wait(ctx); err != nil {
 		return Object{}, err
 	}
-	out, err := b.store.Delete(ctx, key, ifVersion)
-	b.countCall("delete", err)
+	out, err := s.store.Delete(ctx, key, ifVersion)
+	s.countCall("delete", err)
 	return out, err
 }
 
 // Feeds implements Store.
-func (b *RateLimitedStore) Feeds() []Feed { return b.store.Feeds() }
+func (s *RateLimitedStore) Feeds() []Feed { return s.store.Feeds() }
 
 // FeedOf implements Store.
-func (b *RateLimitedStore) FeedOf(kind record.Kind) Feed { return b.store.FeedOf(kind) }
+func (s *RateLimitedStore) FeedOf(kind record.Kind) Feed { return s.store.FeedOf(kind) }
 
 // ListFeed implements Store.
-func (b *RateLimitedStore) ListFeed(ctx context.Context, feed Feed) (Page, error) {
-	if err := b.wait(ctx); err != nil {
+func (s *RateLimitedStore) ListFeed(ctx context.Context, feed Feed) (Page, error) {
+	if err := s.wait(ctx); err != nil {
 		return Page{}, err
 	}
-	out, err := b.store.ListFeed(ctx, feed)
-	b.countCall("list", err)
+	out, err := s.store.ListFeed(ctx, feed)
+	s.countCall("list", err)
 	return out, err
 }
 
 // Watch implements Store.
-func (b *RateLimitedStore) Watch(ctx context.Context, feed Feed, after int64, waitFactor int) (Page, error) {
-	if err := b.wait(ctx); err != nil {
+func (s *RateLimitedStore) Watch(ctx context.Context, feed Feed, after int64, waitFactor int) (Page, error) {
+	if err := s.wait(ctx); err != nil {
 		return Page{}, err
 	}
-	out, err := b.store.Watch(ctx, feed, after, waitFactor)
-	b.countCall("watch", err)
+	out, err := s.store.Watch(ctx, feed, after, waitFactor)
+	s.countCall("watch", err)
 	return out, err
 }
 
-// Observe implements Store. It also counts the retries of late calls, which bypass the
-// rate limit but are bounded by RetryInterval.
-func (b *RateLimitedStore) Observe(report func(LateCall)) {
-	retries := b.set.NewCounter("radishhoist_store_repeats_total")
-	b.store.Observe(func(call LateCall) {
+// Observe implements Store. It also counts the retries of late calls. Retries are not
+// subject to the rate limit, but RetryInterval limits their rate.
+func (s *RateLimitedStore) Observe(report func(LateCall)) {
+	retries := s.counters.NewCounter("radishhoist_store_repeats_total")
+	s.store.Observe(func(call LateCall) {
 		if call.Ended {
 			retries.Add(call.Attempts - 1)
 		}
@@ -139,4 +139,4 @@
 }
 
 // Close implements Store.
-func (b *RateLimitedStore) Close() { b.store.Close() }
+func (s *RateLimitedStore) Close() { s.store.Close() }
--- a/internal/objects/client.go
+++ b/internal/objects/client.go
@@ -11,7 +11,7 @@
 	"github.com/radishhoist/radishhoist/record"
 )
 
-// Client is a Store over HTTP in the product's own API dialect. It is safe for
+// Client is a Store for platforms with Radishhoist's own HTTP API. It is safe for
 // concurrent use.
 type Client struct {
 	*Transport
@@ -27,12 +27,12 @@
 	return "/v1/objects/" + url.PathEscape(string(key.Kind)) + "/" + url.PathEscape(key.Name)
 }
 
-// listQuery restricts a list to some kinds.
+// listQuery restricts a list to the given kinds.
 type listQuery struct {
 	Kinds []string `url:"kind,omitempty"`
 }
 
-// versionQuery makes a write conditional.
+// versionQuery makes a write conditional on the stored version.
 type versionQuery struct {
 	IfVersion int64 `url:"ifVersion"`
 }
@@ -97,7 +97,7 @@
 	return obj, Decode(status, body, &obj)
 }
 
-// Feeds implements Store: a single feed covers every kind.
+// Feeds implements Store. A single feed covers all kinds.
 func (c *Client) Feeds() []Feed { return []Feed{""} }
 
 // FeedOf implements Store.
--- a/internal/objects/fetch.go
+++ b/internal/objects/fetch.go
@@ -10,45 +10,45 @@
 )
 
 const (
-	// LateThreshold is the time without data, beyond the time that the platform was
-	// asked to hold a call, after which the call counts as late. It is twice the
+	// LateThreshold is the time without data after which a call is late. It is added to
+	// the time for which the platform was asked to hold the call. It is twice the
 	// response time of a slow platform.
 	LateThreshold = 400 * time.Millisecond
-	// RetryInterval is the time between retries of a late read. A platform that
-	// recovers is called again within this time, although earlier attempts may hang on
-	// connections that it no longer knows. 0.8 s leave 1.2 s of the 2 s within which a
-	// configuration must be in force. While the platform is unresponsive, a watcher
-	// makes 1.4 calls per second and feed.
+	// RetryInterval is the time between retries of a late read. It bounds the time until
+	// a platform that has recovered is called again, because earlier attempts may hang on
+	// connections that it no longer knows. A configuration must be applied within 2 s, and
+	// 0.8 s leave 1.2 s of that. While the platform is unresponsive, a watcher makes 1.4
+	// calls per second and feed.
 	RetryInterval = 800 * time.Millisecond
-	// ReadTimeout is the time without data on any attempt after which a read fails. A
-	// response that takes up to 2.8 s is still received by the first attempt.
+	// ReadTimeout is the time without data on any attempt after which a read fails. The
+	// first attempt can still receive a response that takes 2.8 s.
 	ReadTimeout = 3 * time.Second
 	// WriteTimeout is the time without data after which a write fails. Writes are not
-	// retried: the caller reads the object back to learn the outcome.
+	// retried; the caller reads the object back to learn the outcome.
 	WriteTimeout = 2 * time.Second
-	// maxResponseSize bounds one response, in bytes. The largest is a list of all
-	// objects.
+	// maxResponseSize limits the size of a response, in bytes. The largest response is a
+	// list of all objects.
 	maxResponseSize = 256 << 20
 )
 
-// response is a completely received response.
+// response is a response whose body has been read completely.
 type response struct {
 	status int
 	body   []byte
 }
 
 // fetch is one call with its attempts. A late read is retried on a new connection while
-// the earlier attempts continue, and the first complete response is used: a platform
-// that was unresponsive never answers the requests it received in that time, while a
-// slow one answers the first attempt. Timeouts restart with every byte received, so
-// that a long list is neither retried nor abandoned while data arrives.
+// the earlier attempts continue, and the first complete response is used. A platform that
+// was unresponsive never responds to the requests received during that time, while a slow
+// one responds to the first attempt. Timeouts restart whenever data arrives, so that a long
+// list is neither retried nor abandoned in the meantime.
 type fetch struct {
 	transport *Transport
 	request   *http.Request
-	// progress is signalled when any attempt has received data.
+	// progress receives a value when data has arrived on any attempt.
 	progress chan struct{}
 	results  chan attemptResult
-	// attempts counts the attempts started, running those that have not ended.
+	// attempts counts the attempts started, and running those that have not ended.
 	attempts, running int
 }
 
@@ -62,8 +62,7 @@
 	return &fetch{transport: t, request: r, progress: make(chan struct{}, 1), results: make(chan attemptResult)}
 }
 
-// do makes the call. hold is the time for which the call asks the platform to wait for
-// changes.
+// do makes the call. hold is the time for which it asks the platform to wait for changes.
 func (f *fetch) do(ctx context.Context, hold time.Duration) (response, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -100,11 +99,11 @@
 	}
 }
 
-// startAttempt starts one attempt in a new goroutine. A retry closes the idle
-// connections first, because they may be as dead as that of the previous attempt.
+// startAttempt starts one attempt in a new goroutine. Before a retry, it closes the idle
+// connections, because they may have failed like that of the previous attempt.
 func (f *fetch) startAttempt(ctx context.Context) {
 	if f.attempts > 0 {
-		f.transport.http.CloseIdleConnections()
+		f.transport.httpClient.CloseIdleConnections()
 	}
 	f.attempts++
 	f.running++
@@ -119,10 +118,10 @@
 }
 
 func (f *fetch) attempt(ctx context.Context) (response, error) {
-	resp, err := f.transport.http.Do(f.request.Clone(ctx))
+	resp, err := f.transport.httpClient.Do(f.request.Clone(ctx))
 	if err != nil {
 		// The other idle connections may have failed together with this one.
-		f.transport.http.CloseIdleConnections()
+		f.transport.httpClient.CloseIdleConnections()
 		return response{}, err
 	}
 	defer func() { _ = resp.Body.Close() }()
@@ -131,7 +130,7 @@
 	return response{resp.StatusCode, body}, err
 }
 
-// signalProgress reports to do that data was received. It does not block.
+// signalProgress tells do that data has arrived. It does not block.
 func (f *fetch) signalProgress() {
 	select {
 	case f.progress <- struct{}{}:
@@ -139,7 +138,8 @@
 	}
 }
 
-// progressReader signals progress of a fetch with every read that returns data.
+// progressReader reads a response body and signals progress for each read that returns
+// data.
 type progressReader struct {
 	fetch *fetch
 	body  io.Reader
--- a/internal/objects/fetch_test.go
+++ b/internal/objects/fetch_test.go
@@ -16,8 +16,8 @@
 	"github.com/radishhoist/radishhoist/record"
 )
 
-// A read that started while the platform was unresponsive succeeds soon after the platform
-// answers new connections, although the original connection never answers again.
+// A read that started while the platform was unresponsive must succeed soon after the
+// platform responds to new connections, although its first connection never gets a response.
 func TestReadSucceedsSoonAfterPlatformRecovers(t *testing.T) {
 	for unresponsiveFor := 100 * time.Millisecond; unresponsiveFor < objects.ReadTimeout-objects.RetryInterval; unresponsiveFor += 100 * time.Millisecond {
 		synctest.Test(t, func(t *testing.T) {
@@ -37,8 +37,8 @@
 	}
 }
 
-// The response of a slow platform is used, at the cost of at most four calls instead of
-// one.
+// The response of a slow platform is used. The call then costs up to four attempts instead
+// of one.
 func TestSlowResponseIsUsed(t *testing.T) {
 	for _, c := range []struct {
 		slow  time.Duration
@@ -57,7 +57,7 @@
 	}
 }
 
-// Reads and watches of an unresponsive platform time out and stop being retried.
+// If the platform is unresponsive, reads and watches time out and are no longer retried.
 func TestReadTimesOutWhilePlatformIsUnresponsive(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		platform, client, _, stop := startPlatform(t)
@@ -76,7 +76,7 @@
 	})
 }
 
-// A write is sent once, even if it is not answered.
+// A write is sent only once, even without a response.
 func TestWriteIsNotRetried(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		platform, client, _, stop := startPlatform(t)
@@ -141,9 +141,9 @@
 	}
 }
 
-// A list that takes longer than every timeout is neither retried nor abandoned while
-// data arrives. A list that stops midway is retried.
-func TestALongListIsLeftToFlow(t *testing.T) {
+// A list that takes longer than all timeouts is neither retried nor abandoned while data
+// arrives. A list that stalls midway is retried.
+func TestListIsRetriedOnlyIfItStalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &trickleServer{pieces: 100, pause: objects.LateThreshold - time.Millisecond}
 		client, stop := startTrickleServer(s)
--- a/internal/objects/late.go
+++ b/internal/objects/late.go
@@ -8,8 +8,8 @@
 	"github.com/pkg/errors"
 )
 
-// LateCall reports a call to the platform that is late, that ended after it was
-// late, or that failed.
+// LateCall describes a call to the platform that is late, that ended after being late, or
+// that failed.
 type LateCall struct {
 	// Call has the method, path and query.
 	Call string
@@ -17,15 +17,15 @@
 	HoldTime time.Duration
 	// Elapsed is the time since the call started.
 	Elapsed time.Duration
-	// Attempts is the number of attempts; set once the call has ended.
+	// Attempts is the number of attempts, set once the call has ended.
 	Attempts int
 	// Ended is false while the call is still pending.
 	Ended bool
-	// Cause is the error of an ended call, nil if it was answered.
+	// Cause is the error of an ended call, nil if the call succeeded.
 	Cause error
 }
 
-// callTracker reports one call if it is late or fails.
+// callTracker reports a call if it is late or fails.
 type callTracker struct {
 	report func(LateCall)
 	call   LateCall
@@ -46,8 +46,8 @@
 	return c
 }
 
-// finish reports the outcome of a call that was late or failed. A call that its caller
-// cancelled before it was late is not reported.
+// finish reports the outcome of a call if it was late or failed. A call that was cancelled
+// by its caller before it was late is not reported.
 func (c *callTracker) finish(attempts int, err error) {
 	if c.report == nil {
 		return
--- a/internal/objects/late_test.go
+++ b/internal/objects/late_test.go
@@ -52,13 +52,13 @@
 	return platform, client, recorder, func() {
 		client.Close()
 		_ = server.Close()
-		// Wait for calls that the platform still delays.
+		// Calls that the platform delays must end within the synctest bubble.
 		time.Sleep(time.Minute)
 	}
 }
 
-// A call to an unresponsive platform is reported twice: when it becomes late and, with
-// its cause, when it fails. Calls answered in time are not reported.
+// A call to an unresponsive platform is reported twice: when it becomes late, and with its
+// cause when it fails. Calls that succeed in time are not reported.
 func TestLateCallsAreReported(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		platform, client, recorder, stop := startPlatform(t)
@@ -80,8 +80,8 @@
 	})
 }
 
-// A slow call is reported as late and as answered. A call that is refused immediately is
-// reported once.
+// A slow call is reported when it becomes late and when it succeeds. A call that is refused
+// immediately is reported once.
 func TestSlowAndRefusedCallsAreReported(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		platform, client, recorder, stop := startPlatform(t)
--- a/internal/objects/transport.go
+++ b/internal/objects/transport.go
@@ -12,33 +12,33 @@
 	"github.com/pkg/errors"
 )
 
-// dialTimeout bounds one connection attempt. A reachable platform accepts a
-// connection within milliseconds.
+// dialTimeout limits one connection attempt. A reachable platform accepts a connection
+// within milliseconds.
 const dialTimeout = 2 * time.Second
 
-// keepAlive detects a dead connection within about 3 s. A watch waits on one
-// connection for long, and changes on the platform must reach the fleet in time.
+// keepAlive detects a dead connection within about 3 s. A watch waits on its connection
+// for a long time, and a change must reach the fleet in time even if the connection fails.
 var keepAlive = net.KeepAliveConfig{Enable: true, Idle: time.Second, Interval: time.Second, Count: 2}
 
-// Transport makes HTTP calls to the platform and classifies their failures. Each
-// dialect of the object API is a Store on top of it.
+// Transport makes HTTP calls to the platform and classifies their failures. The Store for
+// each variant of the object API uses it.
 type Transport struct {
 	// WatchWait is the time for which the platform is asked to hold a watch open.
 	WatchWait time.Duration
 
-	base *sling.Sling
-	http *http.Client
-	// pool is the transport of http, which holds its connections.
-	pool *http.Transport
-	// report is called for calls that are late or fail; may be nil.
+	base       *sling.Sling
+	httpClient *http.Client
+	// httpTransport is the transport of httpClient and holds its connections.
+	httpTransport *http.Transport
+	// report is called for calls that are late or fail. It may be nil.
 	report func(LateCall)
 }
 
 // NewTransport returns a Transport for the object API at base, such as
 // "http://127.0.0.1:7000". watchWait is the time for which a watch is held open. A
-// longer wait makes fewer calls. Normally a change ends the watch at once. The wait
-// matters if the platform drops its history and does not end the watches waiting on
-// it: changes are then missed until the wait ends.
+// longer wait saves calls and normally delays nothing, because a change ends the watch at
+// once. However, if the platform discards its history without ending the watches that wait
+// on it, changes are missed until the wait ends.
 func NewTransport(base string, watchWait time.Duration) *Transport {
 	dialer := &net.Dialer{Timeout: dialTimeout, KeepAliveConfig: keepAlive}
 	transport := &http.Transport{
@@ -48,17 +48,17 @@
 		IdleConnTimeout:     time.Minute,
 		DisableCompression:  true,
 	}
-	return &Transport{WatchWait: watchWait, base: sling.New().Base(base), http: &http.Client{Transport: transport}, pool: transport}
+	return &Transport{WatchWait: watchWait, base: sling.New().Base(base), httpClient: &http.Client{Transport: transport}, httpTransport: transport}
 }
 
 // Dial opens a connection to the platform.
 type Dial func(ctx context.Context, network, address string) (net.Conn, error)
 
 // SetDial replaces the dial function. It must be called before the first call.
-func (t *Transport) SetDial(dial Dial) { t.pool.DialContext = dial }
+func (t *Transport) SetDial(dial Dial) { t.httpTransport.DialContext = dial }
 
 // Close closes idle connections.
-func (t *Transport) Close() { t.http.CloseIdleConnections() }
+func (t *Transport) Close() { t.httpClient.CloseIdleConnections() }
 
 // Observe sets the callback for calls that are late or fail. It must be called
 // before the first call, and the callback must not block.
@@ -68,8 +68,8 @@
 func (t *Transport) Request() *sling.Sling { return t.base.New() }
 
 // Call makes one call and returns the status and body of the response. hold is the time
-// for which the call asks the platform to wait for changes, 0 for none. Transport
-// failures, server errors and rate-limit refusals become *UnavailableError.
+// for which the call asks the platform to wait for changes, 0 for none. Transport failures,
+// server errors and status 429 are returned as *UnavailableError.
 func (t *Transport) Call(ctx context.Context, hold time.Duration, req *sling.Sling) (int, []byte, error) {
 	r, err := req.Request()
 	if err != nil {
@@ -105,7 +105,7 @@
 	return errors.Wrap(json.Unmarshal(body, into), "decode platform response")
 }
 
-// maxErrorBody bounds how much of a response body an error includes, in bytes.
+// maxErrorBody limits how much of a response body an error includes, in bytes.
 const maxErrorBody = 200
 
 func truncate(b []byte) string {
--- a/internal/objects/write_test.go
+++ b/internal/objects/write_test.go
@@ -16,8 +16,8 @@
 	"github.com/radishhoist/radishhoist/record"
 )
 
-// lossyStore holds one object with conditional updates. It loses responses at random,
-// before or after the write takes effect.
+// lossyStore holds one object with conditional updates. It fails calls at random, as if a
+// request or a response had been lost: a write may or may not have taken effect.
 type lossyStore struct {
 	Store
 	mu      sync.Mutex
@@ -25,7 +25,8 @@
 	version int64
 	value   []byte
 	loss    float64
-	// reportLostAsStored injects a fault: a write that was lost is reported as stored.
+	// reportLostAsStored injects a fault: a write whose request was lost is reported as
+	// stored.
 	reportLostAsStored bool
 }
 
@@ -51,11 +52,11 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	lost := &UnavailableError{Cause: errors.New("lost")}
-	before := s.rng.Float64() < s.loss/2
-	if before && s.reportLostAsStored {
+	lostBefore := s.rng.Float64() < s.loss/2
+	if lostBefore && s.reportLostAsStored {
 		return Object{Version: s.version + 1, Value: value}, nil
 	}
-	if before {
+	if lostBefore {
 		return Object{}, lost
 	}
 	if s.version != ifVersion {
@@ -69,7 +70,8 @@
 	return Object{Version: s.version, Value: value}, nil
 }
 
-// registerOp is a read by an operator, or a write conditional on the value read.
+// registerOp is a read by an operator, or a write conditional on the value read. A write
+// is unresolved if it may or may not have taken effect.
 type registerOp struct {
 	write      bool
 	from, to   string
@@ -77,7 +79,8 @@
 	conflict   bool
 }
 
-// registerModel is a register that a write changes only from the value its writer read.
+// registerModel is a register that a write changes only if it still has the value that the
+// writer read.
 var registerModel = porcupine.NondeterministicModel{
 	Init: func() []any { return []any{""} },
 	Step: func(state, _, output any) []any {
@@ -132,8 +135,8 @@
 				o := registerOp{write: true, from: string(obj.Value), to: value}
 				switch {
 				case errors.As(err, &conflict):
-					// Another operator's write is stored; this one may have
-					// been stored before it.
+					// Another write is stored; this one may have taken effect
+					// before it.
 					o.unresolved = true
 				case err != nil:
 					o.unresolved = true
@@ -174,7 +177,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := &lossyStore{rng: rand.New(rand.NewPCG(3, 3)), version: 4, loss: 0}
 		isOwn := func(b []byte) bool { return string(b) == "mine" }
-		s.loss = 1 // the first response is lost, before or after the write takes effect
+		s.loss = 1 // calls fail at first, before or after the write takes effect
 		go func() {
 			time.Sleep(readBackPause / 2)
 			s.mu.Lock()
@@ -188,13 +191,13 @@
 	})
 }
 
-func TestBudgetLimitsCallRate(t *testing.T) {
+func TestRateLimitedStoreLimitsCallRate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &lossyStore{rng: rand.New(rand.NewPCG(1, 1)), version: 1}
-		b := NewRateLimitedStore(s, 10, 5)
+		limited := NewRateLimitedStore(s, 10, 5)
 		start := time.Now()
 		for range 55 {
-			_, err := b.Get(context.Background(), record.Key{})
+			_, err := limited.Get(context.Background(), record.Key{})
 			assert.NilError(t, err)
 		}
 		// In virtual time: a burst of 5, then 50 calls at 10 per second.
