--- a/internal/control/janitor.go
+++ b/internal/control/cleanup.go
@@ -10,11 +10,11 @@
 )
 
 const (
-	// cleanupInterval is how often the first-ranked host of a data centre looks for stale
-	// records: the host whose rank is 0, in the order of the hashes of the host names.
+	// cleanupInterval is how often the first-ranked host of a data centre (see
+	// Control.rank) looks for stale records.
 	cleanupInterval = 10 * time.Minute
-	// unknownHostRetention is how long a host must be unknown before its record is
-	// removed. A host that returns writes its record again.
+	// unknownHostRetention is how long a host must be unknown before its record is removed.
+	// If the host returns, it writes the record again.
 	unknownHostRetention = time.Hour
 )
 
@@ -25,9 +25,9 @@
 	unknownSince time.Time
 }
 
-// storeHostRecords adds the listed Host records of this data centre. The caller holds the
-// lock.
-func (c *Control) storeHostRecords(all []hostListing) {
+// addHostRecords adds those of the given Host records that are of this data centre. The
+// caller holds the lock.
+func (c *Control) addHostRecords(all []hostListing) {
 	for _, l := range all {
 		if l.DC == c.cfg.DC {
 			c.hostRecords[l.name] = hostRecord{version: l.version}
@@ -35,9 +35,9 @@
 	}
 }
 
-// removeHostRecords drops the Host records that were deleted from the platform. The
-// caller holds the lock.
-func (c *Control) removeHostRecords(all []objects.Object) {
+// forgetDeletedHostRecords forgets the Host records that have been deleted from the platform.
+// The caller holds the lock.
+func (c *Control) forgetDeletedHostRecords(all []objects.Object) {
 	for _, obj := range all {
 		if obj.Kind == record.KindHost && obj.Deleted {
 			delete(c.hostRecords, obj.Name)
@@ -68,8 +68,8 @@
 	return out
 }
 
-// removeStaleRecords periodically deletes stale Host and Crasher records, each only if it
-// has not been written since.
+// removeStaleRecords periodically deletes stale Host and Crasher records from the platform.
+// A record that has been written in the meantime is kept.
 func (c *Control) removeStaleRecords(ctx context.Context) {
 	for ctx.Err() == nil {
 		sleep.For(ctx, cleanupInterval)
@@ -78,8 +78,8 @@
 		staleCrashers := c.staleCrasherRecords(time.Now())
 		c.mu.Unlock()
 		for key, version := range staleCrashers {
-			// A conflict means that the first-ranked host of another data centre has
-			// deleted it already. After any other error, the next run tries again.
+			// A conflict means that the first-ranked host of another data centre has already
+			// deleted the record. After any other error, the next run tries again.
 			_, _ = c.store.Delete(ctx, key, version)
 		}
 		for name, version := range staleHosts {
--- a/internal/control/pack.go
+++ b/internal/control/compress.go
@@ -9,17 +9,18 @@
 )
 
 const (
-	// compressMinBytes is the size from which a record is sent compressed. Whole
+	// compressMinBytes is the minimum size of a record that is sent compressed. Complete
 	// configurations compress to about a tenth of their size.
 	compressMinBytes = 2 << 10
-	// compressedPrefix is the first byte of a compressed value. An uncompressed record
-	// starts with a brace.
+	// compressedPrefix is the first byte of a compressed value. An uncompressed record is
+	// JSON and starts with a brace.
 	compressedPrefix = 0
 	// maxDecompressedBytes limits the size of a decompressed value.
 	maxDecompressedBytes = 64 << 20
 )
 
-// compress compresses a record value to be sent between hosts, if it is large enough.
+// compress compresses a record value for replication between hosts. It returns small values
+// unchanged.
 func compress(value []byte) []byte {
 	if len(value) < compressMinBytes {
 		return value
--- a/internal/control/confirm.go
+++ b/internal/control/confirm.go
@@ -10,13 +10,14 @@
 )
 
 // confirmations holds, for each feed, the time up to which the local records are known to
-// be current: all writes acknowledged before it have been applied. A host that does not
-// watch the platform learns these times from the digests of other hosts, directly or
-// indirectly from a watcher.
+// be current: all writes acknowledged before that time have been applied. A host that does
+// not watch the platform learns these times from the digests of other hosts, which have
+// them from a watcher, directly or through further hosts.
 type confirmations struct {
 	feeds []objects.Feed
 	// at is zero for a feed that has never been confirmed.
-	at   []time.Time
+	at []time.Time
+	// from is the host that reported each time, or platformSource.
 	from []string
 }
 
@@ -24,15 +25,14 @@
 	return &confirmations{feeds: feeds, at: make([]time.Time, len(feeds)), from: make([]string, len(feeds))}
 }
 
-// confirm updates the time of a feed if at is newer. from is the host that reported it,
-// or platformSource.
+// confirm updates the time of a feed if at is later.
 func (c *confirmations) confirm(feed objects.Feed, at time.Time, from string) {
 	if i := slices.Index(c.feeds, feed); i >= 0 {
 		c.confirmAt(i, at, from)
 	}
 }
 
-// confirmAll updates the time of every feed.
+// confirmAll updates the time of each feed if at is later.
 func (c *confirmations) confirmAll(at time.Time, from string) {
 	for i := range c.feeds {
 		c.confirmAt(i, at, from)
@@ -45,9 +45,9 @@
 	}
 }
 
-// ages returns the ages of the confirmations in milliseconds, to send to another host.
-// Ages are sent because the clocks of hosts differ. The result is nil until every feed
-// has been confirmed.
+// ages returns the ages of the confirmations in milliseconds. Hosts exchange ages instead
+// of times because their clocks differ. The result is nil until every feed has been
+// confirmed.
 func (c *confirmations) ages(now time.Time) []uint32 {
 	out := make([]uint32, 0, len(c.at))
 	for _, at := range c.at {
@@ -90,8 +90,8 @@
 	return out
 }
 
-// ConfirmedAge returns the age of the oldest confirmation. A feed that has never been
-// confirmed counts with the age of the process.
+// ConfirmedAge returns the age of the oldest confirmation. For a feed that has never been
+// confirmed, it is the age of the process.
 func (c *Control) ConfirmedAge() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -107,16 +107,16 @@
 	return time.Since(oldest)
 }
 
-// addConfirmations adds the confirmations of this host to a digest of its records. The
-// caller holds the lock.
+// addConfirmations adds this host's confirmations to a digest of its records. The caller
+// holds the lock.
 func (c *Control) addConfirmations(now time.Time, d *msg.Digest) {
 	if d.Set == msg.SetRecords {
 		d.AgesMS = c.confirmed.ages(now)
 	}
 }
 
-// applyConfirmations applies the confirmations of a host that has the same records, since
-// records that are current there are current here. The caller holds the lock.
+// applyConfirmations applies the confirmations in a digest if the sender has the same
+// records: if they are current there, they are current here. The caller holds the lock.
 func (c *Control) applyConfirmations(from string, d *msg.Digest) {
 	if d.Set == msg.SetRecords && d.Root == c.replica.Set(msg.SetRecords).Root() {
 		c.confirmed.applyAges(time.Now(), d.AgesMS, from)
--- a/internal/control/confirm_test.go
+++ b/internal/control/confirm_test.go
@@ -11,8 +11,8 @@
 	"github.com/radishhoist/radishhoist/internal/objects"
 )
 
-// Operators use the age to see how current the records of a host are: it must stay small
-// while the platform responds, and grow while it does not.
+// The confirmed age tells operators how current the records of a host are. It must stay
+// small while the platform responds, and grow while it does not.
 func TestConfirmedAgeIsAgeOfLastResponse(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := startWatcherTest(t, testMaxRetryInterval)
@@ -32,8 +32,8 @@
 	})
 }
 
-// A host that does not watch learns the confirmation times from a digest of a host with
-// the same records. A digest of different records confirms nothing.
+// A host that does not watch learns the confirmation times from the digests of hosts with
+// the same records. A digest of different records must confirm nothing.
 func TestConfirmationsSpreadWithDigests(t *testing.T) {
 	c, _ := newTestControl(t)
 	c.started = time.Now().Add(-time.Minute)
@@ -52,7 +52,7 @@
 	assert.Assert(t, c.ConfirmedAge() >= 3*time.Second)
 }
 
-// A host sends no ages until all of its feeds are confirmed.
+// A host sends no ages until all its feeds have been confirmed.
 func TestNoAgesAreSentBeforeEveryFeedIsConfirmed(t *testing.T) {
 	now := time.Now()
 	c := newConfirmations([]objects.Feed{"a", "b"})
@@ -73,13 +73,13 @@
 		for range 5 {
 			w.changeRecord()
 			delay := w.waitUntilApplied()
-			assert.Assert(t, delay < testFleetMargin, "%s", delay)
+			assert.Assert(t, delay < testReplicationMargin, "%s", delay)
 		}
 	})
 }
 
-// A watch that returns no changes must not rebuild the directory: a watcher would
-// otherwise build and distribute one more than once a second.
+// A watch that returns no changes must not rebuild the directory. Otherwise, a watcher would
+// build and distribute a directory more than once a second.
 func TestEmptyWatchDoesNotRebuildDirectory(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := startWatcherTest(t, testMaxRetryInterval)
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -1,6 +1,6 @@
-// Package control maintains a host's view of the fleet: membership, the replicated
-// records, the directory compiled from both, and the status summary of the data centre.
-// It connects the state machines in internal/core to sockets and timers.
+// Package control maintains a host's view of the fleet: membership, the replicated records
+// and the directory compiled from both. It also writes the status summary of the data
+// centre. It connects the state machines in internal/core to sockets and timers.
 package control
 
 import (
@@ -32,16 +32,16 @@
 	Host, DC, Peer, Admin string
 	// Incarnation is the start time of the process in Unix milliseconds.
 	Incarnation uint64
-	// Seeds are the peer addresses contacted while no other host is known.
+	// Seeds are the peer addresses to contact while no other host is known.
 	Seeds []string
 	// Member and Replica are the parameters of membership and replication.
 	Member  member.Config
 	Replica config.Config
-	// WatchersPerDC is the number of hosts of a data centre that watch the platform.
+	// WatchersPerDC is the number of hosts in each data centre that watch the platform.
 	WatchersPerDC int
-	// RequiredRecords are the records that must be present before this host serves traffic.
+	// RequiredRecords are the records that this host needs before it serves traffic.
 	RequiredRecords []record.Key
-	// MaxRetryInterval is the longest pause between calls to an unavailable platform.
+	// MaxRetryInterval is the maximum pause between calls to an unavailable platform.
 	MaxRetryInterval time.Duration
 	// StatusInterval is the minimum time between two writes of the status summary.
 	StatusInterval time.Duration
@@ -49,19 +49,20 @@
 
 // Hooks are the callbacks of a Control.
 type Hooks struct {
-	// Directory is called with each new directory, never concurrently.
+	// Directory is called with each new directory. Calls are not concurrent.
 	Directory func(*directory.Directory)
 	// Instances returns the instances of this host.
 	Instances func() []directory.Instance
 	// LoadReport is called with load reports from the guards of other hosts. It must not
 	// block.
 	LoadReport func(*msg.LoadReport)
-	// Crashed is called with the crash of an instance on any host, and Cleared with a
-	// request that did not cause a crash. They must not block.
+	// Crashed is called with each crash of an instance on any host, and Cleared with each
+	// request that was found not to have caused a crash. They must not block.
 	Crashed func(crash.Crash)
-	Cleared func(crashID string, p crash.Fingerprint)
-	// Unblocked is called with a request that an operator has unblocked. It must not block.
-	Unblocked func(p crash.Fingerprint)
+	Cleared func(crashID string, fp crash.Fingerprint)
+	// Unblocked is called with each request whose Crasher record was deleted, for example
+	// by an operator. It must not block.
+	Unblocked func(fp crash.Fingerprint)
 	// TeamLimiter enforces the rates of teams. It may be nil.
 	TeamLimiter TeamRateLimiter
 	// ShardMapsRead is called once the shard maps have been read from the platform.
@@ -92,7 +93,8 @@
 	leaving     bool
 	selfChanged bool
 	hosts       map[string]*directory.Host
-	removeAt    map[string]time.Time
+	// removeAt is the time at which a dead host is removed.
+	removeAt map[string]time.Time
 	// hostRecords are the Host records of this data centre that the platform stores.
 	hostRecords map[string]hostRecord
 	records     *recordSet
@@ -100,40 +102,40 @@
 	confirmed *confirmations
 	compiled  *directory.Records
 	dir       *directory.Directory
-	// dirty is set if hosts, records or the status of members may have changed since dir
-	// was built.
+	// dirty is set if hosts, records or the status of members may have changed since dir was
+	// built.
 	dirty bool
 	// compiledVersion is the newest record version in compiled, and activeVersion that in
 	// the directory last passed to the hook.
 	compiledVersion, activeVersion int64
 	// builtAt is the time at which dir was built.
-	builtAt    time.Time
-	reports    map[string]receivedReport
-	reportedAt time.Time
-	// contacts are the hosts that are known by address only.
+	builtAt          time.Time
+	statusReports    map[string]receivedReport
+	statusReportedAt time.Time
+	// contacts are the hosts of which only the address is known.
 	contacts *contact.Contacts
 	watching bool
 	// failedFeeds are the feeds whose last call failed.
 	failedFeeds map[objects.Feed]bool
 	traffic     Traffic
-	// reportLimiter selects the recipients of load reports within the rate limits.
-	reportLimiter *loadreport.Limiter
+	// loadReportLimiter selects the recipients of load reports within the rate limits.
+	loadReportLimiter *loadreport.Limiter
 	// pendingCrashers are the Crasher records not yet stored in the platform.
 	pendingCrashers pendingCrashers
 	// crashesPrunedAt is the time at which expired crash entries were last removed.
 	crashesPrunedAt time.Time
 	// teamHostsSetAt is the time at which hooks.TeamLimiter last received the list of hosts.
 	teamHostsSetAt time.Time
-	// decodeErrorLog limits the rate of log lines about entries that cannot be decoded or
-	// encoded.
-	decodeErrorLog event.Limiter
+	// decodeErrorLimiter limits the log lines about entries and objects that cannot be
+	// decoded or encoded.
+	decodeErrorLimiter event.Limiter
 }
 
 const (
-	// tickInterval is the resolution of the timers.
+	// tickInterval is the interval of tick, and thereby the resolution of all timers.
 	tickInterval = 50 * time.Millisecond
 	// versionShift is the position of the incarnation in the version of a host entry. The
-	// bits below it count changes.
+	// bits below it count the changes made by the process.
 	versionShift = 20
 	// maxPacketBytes is the size of the receive buffer for membership datagrams.
 	maxPacketBytes = 60 << 10
@@ -145,21 +147,21 @@
 	version := int64(cfg.Incarnation) << versionShift
 	c := &Control{
 		cfg: cfg, hooks: hooks, store: store, log: log, rng: rng, started: time.Now(),
-		members:       member.New(cfg.Member, cfg.DC, cfg.Peer, version, rng),
-		replica:       config.NewNode(cfg.Replica, rng),
-		version:       version,
-		hosts:         make(map[string]*directory.Host),
-		removeAt:      make(map[string]time.Time),
-		hostRecords:   make(map[string]hostRecord),
-		records:       newRecordSet(),
-		confirmed:     newConfirmations(store.Feeds()),
-		compiled:      directory.Compile(nil, false),
-		dir:           &directory.Directory{},
-		reports:       make(map[string]receivedReport),
-		contacts:      contact.New(cfg.DC, excludeAddr(cfg.Seeds, cfg.Peer), rng),
-		failedFeeds:   make(map[objects.Feed]bool),
-		selfChanged:   true,
-		reportLimiter: loadreport.New(rng),
+		members:           member.New(cfg.Member, cfg.DC, cfg.Peer, version, rng),
+		replica:           config.NewNode(cfg.Replica, rng),
+		version:           version,
+		hosts:             make(map[string]*directory.Host),
+		removeAt:          make(map[string]time.Time),
+		hostRecords:       make(map[string]hostRecord),
+		records:           newRecordSet(),
+		confirmed:         newConfirmations(store.Feeds()),
+		compiled:          directory.Compile(nil, false),
+		dir:               &directory.Directory{},
+		statusReports:     make(map[string]receivedReport),
+		contacts:          contact.New(cfg.DC, excludeAddr(cfg.Seeds, cfg.Peer), rng),
+		failedFeeds:       make(map[objects.Feed]bool),
+		selfChanged:       true,
+		loadReportLimiter: loadreport.New(rng),
 	}
 	c.outboxes = newOutboxes(c.sendMessage)
 	return c
@@ -175,7 +177,7 @@
 }
 
 // SetSender sets the sender of control messages. It must be called before Run.
-func (c *Control) SetSender(p MessageSender) { c.sender = p }
+func (c *Control) SetSender(s MessageSender) { c.sender = s }
 
 // Listen opens the membership socket. It must be called before Run.
 func (c *Control) Listen() error {
@@ -187,7 +189,7 @@
 	return port.Explain(err, "membership", c.cfg.Peer)
 }
 
-// Run blocks until the context ends.
+// Run runs the control plane until the context ends.
 func (c *Control) Run(ctx context.Context) {
 	var wg sync.WaitGroup
 	start := func(f func(context.Context)) {
@@ -227,7 +229,7 @@
 	c.mu.Lock()
 	c.members.Tick(now)
 	if c.members.Suspected() {
-		// Others suspect this host; a new version tells them that it is alive.
+		// Other hosts suspect this one. A new version of its entry refutes that.
 		c.selfChanged = true
 	}
 	if c.selfChanged {
@@ -235,16 +237,16 @@
 	}
 	c.replica.Tick(now, c.peers())
 	c.callContacts(now)
-	c.sendReport(now)
+	c.sendStatusReport(now)
 	c.pruneCrashes(now)
 	c.flush(now)
 	c.mu.Unlock()
 	c.tickTeams(now, c.publish(now))
 }
 
-// publish builds a new directory if anything has changed and passes it to the hook. It
-// reports whether it did. Calls are serialized so that an older directory never replaces
-// a newer one.
+// publish builds a new directory if one is due and passes it to the hook. It reports
+// whether it did. Calls are serialized so that an older directory never replaces a newer
+// one.
 func (c *Control) publish(now time.Time) bool {
 	c.publishMu.Lock()
 	defer c.publishMu.Unlock()
@@ -269,8 +271,8 @@
 	c.selfChanged = true
 }
 
-// ApplyObject applies an object that this host has just written or read, without waiting for a
-// watcher to receive it.
+// ApplyObject applies and replicates an object that this host has just written or read,
+// without waiting for a watcher to receive it.
 func (c *Control) ApplyObject(obj objects.Object) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -328,7 +330,7 @@
 	c.traffic.MessagesIn++
 	switch m := m.(type) {
 	case *msg.Report:
-		c.storeReport(from.Host, m)
+		c.storeStatusReport(from.Host, m)
 		return
 	case *msg.LoadReport:
 		c.handleLoadReport(m)
@@ -340,8 +342,8 @@
 	c.flush(time.Now())
 }
 
-// flush applies the entries and membership changes that the state machines have produced,
-// and queues or sends their messages. The caller holds the lock.
+// flush processes the output of the state machines: it applies entries and membership
+// changes, queues messages and sends datagrams. The caller holds the lock.
 func (c *Control) flush(now time.Time) {
 	for {
 		out, applied := c.replica.Take()
@@ -365,7 +367,7 @@
 	}
 }
 
-// enqueueToHost queues a message to a host.
+// enqueueToHost queues a message to another host, if its address is known.
 func (c *Control) enqueueToHost(o config.Outbound) {
 	h, ok := c.hosts[o.To]
 	if !ok || o.To == c.cfg.Host {
@@ -374,7 +376,7 @@
 	c.enqueue(h.PeerAddr, o.Msg)
 }
 
-// enqueue queues a message to an address. If the queue is full, the message is dropped;
+// enqueue queues a message to an address. If the queue is full, the message is dropped, and
 // periodic repair restores the lost data.
 func (c *Control) enqueue(addr string, m msg.Message) {
 	if !c.outboxes.put(addr, m) {
@@ -385,9 +387,10 @@
 	c.traffic.BytesOut += uint64(m.(interface{ Msgsize() int }).Msgsize())
 }
 
-// sendMessage sends a queued message. Load reports and status reports are soon superseded
-// and may be lost; other messages must not vanish in a connection that has stopped
-// responding. Send errors are ignored because periodic repair restores the lost data.
+// sendMessage sends a queued message. Load reports and status reports are soon superseded,
+// so they may be lost. Other messages must not be lost on a dead connection that has not
+// been detected yet. Send errors are ignored, because periodic repair restores the lost
+// data.
 func (c *Control) sendMessage(ctx context.Context, addr string, m msg.Message) {
 	switch m.(type) {
 	case *msg.LoadReport, *msg.Report:
@@ -446,7 +449,7 @@
 	PacketsOut uint64 `json:"packetsOut"`
 	// MessagesIn counts the messages received.
 	MessagesIn uint64 `json:"messagesIn"`
-	// MessagesOut counts the messages queued, whether or not they are sent later.
+	// MessagesOut counts the messages queued, including those that are not sent later.
 	MessagesOut uint64 `json:"messagesOut"`
 	// BytesOut is the size of the datagrams in PacketsOut and the estimated size of the
 	// messages in MessagesOut.
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -44,8 +44,8 @@
 
 func noInstances() []directory.Instance { return nil }
 
-// newTestControl creates a Control that the test drives itself, and returns the
-// directories that it builds.
+// newTestControl creates a Control that is not running, so that the test calls its methods,
+// and returns the directories that it builds.
 func newTestControl(t *testing.T) (*Control, *[]*directory.Directory) {
 	t.Helper()
 	var directories []*directory.Directory
@@ -63,8 +63,8 @@
 	return msg.Entry{Kind: string(record.KindService), Name: name, Version: version, Value: value}
 }
 
-// A host that received every record by repair, before the snapshot that shows the set to
-// be complete, must start to serve traffic although the snapshot has no new entries.
+// A host may receive all records by repair before the snapshot that shows that the set is
+// complete. It must then start to serve traffic although the snapshot has no new entries.
 func TestCompletenessWithoutNewEntriesIsNoticed(t *testing.T) {
 	c, directories := newTestControl(t)
 	peerState := msg.HostState{DC: "dc", Peer: "127.0.0.1:2", Incarnation: 1}
@@ -88,20 +88,20 @@
 	c, _ := newTestControl(t)
 	value, err := record.Marshal(record.Key{Kind: record.KindHost, Name: "old"}, &record.Host{DC: "dc", Peer: "127.0.0.1:9"})
 	assert.NilError(t, err)
-	c.storeHostRecords(hostListings([]objects.Object{{Kind: record.KindHost, Name: "old", Version: 5, Value: value}}))
+	c.addHostRecords(hostListings([]objects.Object{{Kind: record.KindHost, Name: "old", Version: 5, Value: value}}))
 	now := time.Now()
 	assert.Equal(t, len(c.staleHostRecords(now)), 0)
 	assert.Equal(t, len(c.staleHostRecords(now.Add(unknownHostRetention/2))), 0)
 	assert.DeepEqual(t, c.staleHostRecords(now.Add(unknownHostRetention)), map[string]int64{"old": 5})
-	// A host that has become known again keeps its record, and its unknown time restarts.
+	// A host that is known again keeps its record, and the retention starts anew.
 	c.hosts["old"] = &directory.Host{Name: "old"}
 	assert.Equal(t, len(c.staleHostRecords(now.Add(2*unknownHostRetention))), 0)
 	delete(c.hosts, "old")
 	assert.Equal(t, len(c.staleHostRecords(now.Add(2*unknownHostRetention))), 0)
 }
 
-// The record of a blocked request is removed once the request has been cleared of enough
-// crashes. Otherwise it would block the request again after all processes were lost.
+// The record of a blocked request must be removed once the request has been cleared of enough
+// crashes. Otherwise, it would block the request again after a loss of all processes.
 func TestRecordOfClearedRequestIsRemoved(t *testing.T) {
 	c, _ := newTestControl(t)
 	now := time.Now()
@@ -120,8 +120,8 @@
 	assert.DeepEqual(t, c.staleCrasherRecords(now), map[record.Key]int64{key: 3})
 }
 
-// A host that starts while the platform is unavailable knows no other host and only
-// receives probes from former peers. It must call the sender, and only once.
+// A host that starts while the platform is unavailable knows no other host and only receives
+// probes from hosts that knew its earlier process. It must call the sender, but only once.
 func TestHostWithoutPeersCallsItsProber(t *testing.T) {
 	c, _ := newTestControl(t)
 	probe := &msg.Packet{Kind: msg.PacketPing, From: "b", FromAddr: "127.0.0.1:2", ProbedHost: "a"}
@@ -140,14 +140,14 @@
 	assert.Equal(t, c.contacts.CandidateCount(), 1)
 }
 
-// When many hosts start at the same time, only those that rank first among the Host
-// records watch the platform until the hosts have discovered each other.
+// When many hosts start at the same time, only those that rank first among the Host records
+// may watch the platform until the hosts have discovered each other.
 func TestFewHostsWatchWhenFleetStartsTogether(t *testing.T) {
 	c, _ := newTestControl(t)
 	for _, name := range []string{"b", "c", "d", "e", "f", "g", "h", "i"} {
 		value, err := record.Marshal(record.Key{Kind: record.KindHost, Name: name}, &record.Host{DC: "dc", Peer: "127.0.0.1:9"})
 		assert.NilError(t, err)
-		c.storeHostRecords(hostListings([]objects.Object{{Kind: record.KindHost, Name: name, Version: 5, Value: value}}))
+		c.addHostRecords(hostListings([]objects.Object{{Kind: record.KindHost, Name: name, Version: 5, Value: value}}))
 	}
 	assert.Assert(t, c.unknownBefore() > 0, "the host under test ranks first; pick another name")
 	assert.Assert(t, !c.shouldWatch())
--- a/internal/control/crashers.go
+++ b/internal/control/crashers.go
@@ -19,15 +19,15 @@
 )
 
 const (
-	// storeInterval is how often pending Crasher records are written, and thereby the
+	// crasherStoreInterval is how often pending Crasher records are written. It is also the
 	// pause after a failed write.
-	storeInterval = 500 * time.Millisecond
+	crasherStoreInterval = 500 * time.Millisecond
 	// storeFailureLogInterval is the minimum time between log lines about failed writes.
 	storeFailureLogInterval = time.Minute
 )
 
-// pendingCrashers holds the records of blocked requests until they are stored in the
-// platform.
+// pendingCrashers holds the Crasher records of blocked requests that are not yet stored in
+// the platform.
 type pendingCrashers struct {
 	mu            sync.Mutex
 	byFingerprint map[crash.Fingerprint][]byte
@@ -35,12 +35,12 @@
 	loggedAt time.Time
 }
 
-// StoreCrasher stores a blocked request in the platform, so that it stays blocked when all
-// processes of the fleet are lost. It returns without waiting for the write.
-func (c *Control) StoreCrasher(p crash.Fingerprint, request string, crashes []record.InstanceCrash) {
-	value, err := record.Marshal(crasherKey(p), &record.Crasher{Request: request, Crashes: crashes})
+// StoreCrasher stores a blocked request in the platform, so that it stays blocked even if
+// all processes of the fleet end. It does not wait for the write.
+func (c *Control) StoreCrasher(fp crash.Fingerprint, request string, crashes []record.InstanceCrash) {
+	value, err := record.Marshal(crasherKey(fp), &record.Crasher{Request: request, Crashes: crashes})
 	if err != nil {
-		c.logNotWritten(p, err)
+		c.logNotWritten(fp, err)
 		return
 	}
 	c.pendingCrashers.mu.Lock()
@@ -48,52 +48,52 @@
 	if c.pendingCrashers.byFingerprint == nil {
 		c.pendingCrashers.byFingerprint = make(map[crash.Fingerprint][]byte)
 	}
-	c.pendingCrashers.byFingerprint[p] = value
+	c.pendingCrashers.byFingerprint[fp] = value
 }
 
 // crasherKey returns the key of the record of a blocked request.
-func crasherKey(p crash.Fingerprint) record.Key {
-	return record.Key{Kind: record.KindCrasher, Name: p.String()}
+func crasherKey(fp crash.Fingerprint) record.Key {
+	return record.Key{Kind: record.KindCrasher, Name: fp.String()}
 }
 
-// peek returns any pending record, or false if there is none.
-func (u *pendingCrashers) peek() (crash.Fingerprint, []byte, bool) {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	for p, value := range u.byFingerprint {
-		return p, value, true
+// peek returns an arbitrary pending record, or false if there is none.
+func (p *pendingCrashers) peek() (crash.Fingerprint, []byte, bool) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for fp, value := range p.byFingerprint {
+		return fp, value, true
 	}
 	return 0, nil, false
 }
 
-func (u *pendingCrashers) remove(p crash.Fingerprint) {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	delete(u.byFingerprint, p)
+func (p *pendingCrashers) remove(fp crash.Fingerprint) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	delete(p.byFingerprint, fp)
 }
 
 // storeCrashers periodically writes pending records to the platform.
 func (c *Control) storeCrashers(ctx context.Context) {
-	for sleep.For(ctx, storeInterval) {
+	for sleep.For(ctx, crasherStoreInterval) {
 		c.storePending(ctx, time.Now())
 	}
 }
 
-// storePending writes the pending records until a write fails.
+// storePending writes the pending records. It stops at the first write that fails.
 func (c *Control) storePending(ctx context.Context, now time.Time) {
-	for p, value, ok := c.pendingCrashers.peek(); ok; p, value, ok = c.pendingCrashers.peek() {
-		if err := c.storeCrasher(ctx, p, value); err != nil {
-			c.logStoreFailure(now, p, err)
+	for fp, value, ok := c.pendingCrashers.peek(); ok; fp, value, ok = c.pendingCrashers.peek() {
+		if err := c.storeCrasher(ctx, fp, value); err != nil {
+			c.logStoreFailure(now, fp, err)
 			return
 		}
-		c.pendingCrashers.remove(p)
+		c.pendingCrashers.remove(fp)
 	}
 }
 
-// storeCrasher writes one record. An existing record is left as it is, although it
-// may list other crashes: it was written to block the same request.
-func (c *Control) storeCrasher(ctx context.Context, p crash.Fingerprint, value []byte) error {
-	_, err := c.store.Put(ctx, crasherKey(p), value, 0)
+// storeCrasher writes one record. An existing record is left unchanged even if it lists
+// other crashes, because it blocks the same request.
+func (c *Control) storeCrasher(ctx context.Context, fp crash.Fingerprint, value []byte) error {
+	_, err := c.store.Put(ctx, crasherKey(fp), value, 0)
 	var conflict *objects.ConflictError
 	if errors.As(err, &conflict) {
 		return nil
@@ -102,37 +102,37 @@
 }
 
 // logStoreFailure logs a failed write, at most once per storeFailureLogInterval.
-func (c *Control) logStoreFailure(now time.Time, p crash.Fingerprint, cause error) {
+func (c *Control) logStoreFailure(now time.Time, fp crash.Fingerprint, cause error) {
 	if !c.pendingCrashers.loggedAt.IsZero() && now.Sub(c.pendingCrashers.loggedAt) < storeFailureLogInterval {
 		return
 	}
 	c.pendingCrashers.loggedAt = now
-	c.logNotWritten(p, cause)
+	c.logNotWritten(fp, cause)
 }
 
-func (c *Control) logNotWritten(p crash.Fingerprint, cause error) {
-	event.Log(c.log, event.RecordNotWritten, slog.String("record", crasherKey(p).String()), slog.String("cause", cause.Error()))
+func (c *Control) logNotWritten(fp crash.Fingerprint, cause error) {
+	event.Log(c.log, event.RecordNotWritten, slog.String("record", crasherKey(fp).String()), slog.String("cause", cause.Error()))
 }
 
-// applyCrasher applies a Crasher record from the platform: a blocked request, or its
-// deletion, which allows the request again. The caller holds the lock.
+// applyCrasher applies a Crasher record, which blocks a request, or the deletion of one,
+// which unblocks the request. It ignores records of other kinds. The caller holds the lock.
 func (c *Control) applyCrasher(e msg.Entry) {
 	if e.Kind != string(record.KindCrasher) {
 		return
 	}
-	p, err := crash.ParseFingerprint(e.Name)
+	fp, err := crash.ParseFingerprint(e.Name)
 	if err != nil {
 		c.logRefused(time.Now(), e, err)
 		return
 	}
 	if e.Deleted {
-		c.hooks.Unblocked(p)
-		c.clearFromCrashes(p)
+		c.hooks.Unblocked(fp)
+		c.clearFromCrashes(fp)
 		return
 	}
-	r, ok := c.records.active[crasherKey(p)]
+	r, ok := c.records.active[crasherKey(fp)]
 	if !ok {
-		return // rejected, which has been logged
+		return // The record was rejected, which has been logged.
 	}
 	for _, crashed := range r.Spec.(*record.Crasher).Crashes {
 		if time.Since(time.UnixMilli(crashed.AtMS)) > crash.RetentionPeriod {
@@ -140,32 +140,32 @@
 		}
 		c.hooks.Crashed(crash.Crash{
 			ID: crashed.ID, Software: crash.Software{Service: crashed.Service, Version: crashed.Version},
-			Host: crashed.Host, DetectedAt: time.UnixMilli(crashed.AtMS), Fingerprints: []crash.Fingerprint{p},
+			Host: crashed.Host, DetectedAt: time.UnixMilli(crashed.AtMS), Fingerprints: []crash.Fingerprint{fp},
 		})
 	}
 }
 
-// clearFromCrashes publishes clearances of a request for all known crashes, for hosts
-// that receive the crashes later. All hosts that do so publish identical entries, so they
-// spread only once. The caller holds the lock.
-func (c *Control) clearFromCrashes(p crash.Fingerprint) {
+// clearFromCrashes publishes a clearance of a request for each known crash that names it,
+// for hosts that receive the crash later. All hosts publish identical entries, so each
+// entry spreads only once. The caller holds the lock.
+func (c *Control) clearFromCrashes(fp crash.Fingerprint) {
 	var cleared []msg.Entry
 	c.replica.Set(msg.SetCrashes).Each(func(e msg.Entry) {
 		if e.Kind != crashKind {
 			return
 		}
-		if crashed, err := decodeCrash(e); err == nil && slices.Contains(crashed.Fingerprints, p) {
-			cleared = append(cleared, clearanceEntry(e.Name, p, e.Version))
+		if crashed, err := decodeCrash(e); err == nil && slices.Contains(crashed.Fingerprints, fp) {
+			cleared = append(cleared, clearanceEntry(e.Name, fp, e.Version))
 		}
 	})
 	c.replica.Publish(c.peers(), msg.SetCrashes, cleared)
 }
 
-func clearanceEntry(crashID string, p crash.Fingerprint, version int64) msg.Entry {
-	return msg.Entry{Kind: clearanceKind, Name: crashID + fingerprintSeparator + p.String(), Version: version}
+func clearanceEntry(crashID string, fp crash.Fingerprint, version int64) msg.Entry {
+	return msg.Entry{Kind: clearanceKind, Name: crashID + fingerprintSeparator + fp.String(), Version: version}
 }
 
-// crashVersion returns the version of a crash entry, or the current time if it is
+// crashVersion returns the version of a crash entry, or the current time if the crash is
 // unknown. The caller holds the lock.
 func (c *Control) crashVersion(crashID string, now time.Time) int64 {
 	if e, ok := c.replica.Set(msg.SetCrashes).Get(config.Key{Kind: crashKind, Name: crashID}); ok {
@@ -174,9 +174,9 @@
 	return now.UnixMilli()
 }
 
-// staleCrasherRecords returns the records of requests whose crashes have expired, or that
-// have been cleared of so many crashes that the rest no longer block them, with their
-// versions. It returns none unless this host ranks first in its data centre. The caller
+// staleCrasherRecords returns the Crasher records that no longer block a request, with their
+// versions: the crashes have expired, or the request has been cleared of so many that too
+// few remain. It returns none unless this host ranks first in its data centre. The caller
 // holds the lock.
 func (c *Control) staleCrasherRecords(now time.Time) map[record.Key]int64 {
 	out := make(map[record.Key]int64)
@@ -196,8 +196,8 @@
 	return out
 }
 
-// countUncleared returns the number of crashes that a request has not been cleared of.
-// The caller holds the lock.
+// countUncleared returns the number of crashes of which a request has not been cleared. The
+// caller holds the lock.
 func (c *Control) countUncleared(fingerprint string, crashes []record.InstanceCrash) int {
 	n := 0
 	for _, e := range crashes {
--- a/internal/control/crashes.go
+++ b/internal/control/crashes.go
@@ -12,9 +12,9 @@
 )
 
 const (
-	// crashKind is the kind of a crash in msg.SetCrashes, named by its ID. clearanceKind is
-	// the kind of an entry that clears a request of a crash, named by the crash ID and
-	// the fingerprint of the request.
+	// crashKind is the kind of the crash entries in msg.SetCrashes, whose name is the crash
+	// ID. clearanceKind is the kind of the entries that clear a request of a crash, whose
+	// name consists of the crash ID and the fingerprint of the request.
 	crashKind, clearanceKind = "End", "Cleared"
 	// fingerprintSeparator precedes the fingerprint in the name of a clearance.
 	fingerprintSeparator = "/"
@@ -23,26 +23,26 @@
 )
 
 // PublishCrash publishes the crash of an instance to all hosts.
-func (c *Control) PublishCrash(e crash.Crash) {
-	m := msg.InstanceCrash{Service: e.Software.Service, SoftwareVersion: e.Software.Version, Host: e.Host, DetectedAtMS: e.DetectedAt.UnixMilli()}
-	for _, p := range e.Fingerprints {
-		m.Fingerprints = append(m.Fingerprints, uint64(p))
+func (c *Control) PublishCrash(crashed crash.Crash) {
+	m := msg.InstanceCrash{Service: crashed.Software.Service, SoftwareVersion: crashed.Software.Version, Host: crashed.Host, DetectedAtMS: crashed.DetectedAt.UnixMilli()}
+	for _, fp := range crashed.Fingerprints {
+		m.Fingerprints = append(m.Fingerprints, uint64(fp))
 	}
-	entry := msg.Entry{Kind: crashKind, Name: e.ID, Version: m.DetectedAtMS}
+	entry := msg.Entry{Kind: crashKind, Name: crashed.ID, Version: m.DetectedAtMS}
 	var err error
 	if entry.Value, err = m.MarshalMsg(nil); err != nil {
-		c.logRefused(e.DetectedAt, entry, err)
+		c.logRefused(crashed.DetectedAt, entry, err)
 		return
 	}
 	c.publishCrashEntry(entry)
 }
 
-// PublishClearance publishes to all hosts that a request did not cause a crash.
-func (c *Control) PublishClearance(crashID string, p crash.Fingerprint) {
+// PublishClearance tells all hosts that a request did not cause a crash.
+func (c *Control) PublishClearance(crashID string, fp crash.Fingerprint) {
 	c.mu.Lock()
 	version := c.crashVersion(crashID, time.Now())
 	c.mu.Unlock()
-	c.publishCrashEntry(clearanceEntry(crashID, p, version))
+	c.publishCrashEntry(clearanceEntry(crashID, fp, version))
 }
 
 func (c *Control) publishCrashEntry(e msg.Entry) {
@@ -52,9 +52,9 @@
 	c.flush(time.Now())
 }
 
-// applyCrashEntry applies an entry of msg.SetCrashes. The version is the time at which the
-// crash was detected, so expired entries are recognized by it. A clearance has the version
-// of its crash, or the time of the clearance if the crash was unknown.
+// applyCrashEntry applies an entry of msg.SetCrashes. The version of a crash is the time at
+// which it was detected, from which expired entries are recognized. A clearance has the
+// version of its crash, or the time of the clearance if the crash was unknown.
 func (c *Control) applyCrashEntry(now time.Time, e msg.Entry) {
 	if e.Deleted || crashEntryExpired(now, e) {
 		return
@@ -67,10 +67,10 @@
 			c.hooks.Crashed(crashed)
 		}
 	case clearanceKind:
-		var p crash.Fingerprint
+		var fp crash.Fingerprint
 		separator := strings.LastIndex(e.Name, fingerprintSeparator)
-		if p, err = crash.ParseFingerprint(e.Name[separator+1:]); err == nil && separator >= 0 {
-			c.hooks.Cleared(e.Name[:separator], p)
+		if fp, err = crash.ParseFingerprint(e.Name[separator+1:]); err == nil && separator >= 0 {
+			c.hooks.Cleared(e.Name[:separator], fp)
 		}
 	}
 	if err != nil {
@@ -87,22 +87,22 @@
 		ID: e.Name, Software: crash.Software{Service: m.Service, Version: m.SoftwareVersion},
 		Host: m.Host, DetectedAt: time.UnixMilli(m.DetectedAtMS),
 	}
-	for _, p := range m.Fingerprints {
-		crashed.Fingerprints = append(crashed.Fingerprints, crash.Fingerprint(p))
+	for _, fp := range m.Fingerprints {
+		crashed.Fingerprints = append(crashed.Fingerprints, crash.Fingerprint(fp))
 	}
 	return crashed, nil
 }
 
-// logRefused logs, at a limited rate, an entry that cannot be decoded or encoded.
+// logRefused logs, at a limited rate, that an entry cannot be decoded or encoded.
 func (c *Control) logRefused(now time.Time, e msg.Entry, cause error) {
-	if leftOut, ok := c.decodeErrorLog.Allow(now); ok {
+	if suppressed, ok := c.decodeErrorLimiter.Allow(now); ok {
 		event.Log(c.log, event.RecordRefused, slog.String("record", e.Kind+"/"+e.Name), slog.String("cause", cause.Error()),
-			slog.Uint64("linesLeftOut", leftOut))
+			slog.Uint64("linesLeftOut", suppressed))
 	}
 }
 
 // crashEntryExpired reports whether an entry of msg.SetCrashes is past the retention period.
-// An entry dated that far in the future counts as expired too.
+// An entry that is dated further than this period in the future counts as expired too.
 func crashEntryExpired(now time.Time, e msg.Entry) bool {
 	return now.Sub(time.UnixMilli(e.Version)).Abs() > crash.RetentionPeriod
 }
--- a/internal/control/crashes_test.go
+++ b/internal/control/crashes_test.go
@@ -19,8 +19,8 @@
 	"github.com/radishhoist/radishhoist/record"
 )
 
-// Crash and clearance entries from peers are applied or rejected, whatever their content,
-// and an applied entry identifies the crash by its name.
+// Crash and clearance entries from peers with any content must be applied or rejected without
+// a failure, and an applied entry must identify the crash by its name.
 func FuzzCrashEntries(f *testing.F) {
 	m := msg.InstanceCrash{Service: "desk", SoftwareVersion: "1", DetectedAtMS: 1, Fingerprints: []uint64{7}}
 	encoded, err := m.MarshalMsg(nil)
@@ -29,7 +29,7 @@
 	f.Add(crashKind, "", encoded[:len(encoded)/2])
 	f.Add(clearanceKind, "i@1/0000000000000007", []byte(nil))
 	f.Add(clearanceKind, "/", []byte{0xc1})
-	f.Add(clearanceKind, "no print", []byte(nil))
+	f.Add(clearanceKind, "no fingerprint", []byte(nil))
 	f.Add("other", "x", []byte(nil))
 	f.Fuzz(func(t *testing.T, kind, name string, value []byte) {
 		tracker := crash.NewTracker()
@@ -39,9 +39,9 @@
 			assert.Equal(t, e.ID, name)
 			tracker.Add(now, e)
 		}
-		c.hooks.Cleared = func(crashID string, p crash.Fingerprint) {
+		c.hooks.Cleared = func(crashID string, fp crash.Fingerprint) {
 			assert.Equal(t, crashID+fingerprintSeparator, name[:len(crashID)+1])
-			tracker.AddClearance(now, crashID, p)
+			tracker.AddClearance(now, crashID, fp)
 		}
 		c.applyCrashEntry(now, msg.Entry{Kind: kind, Name: name, Version: now.UnixMilli(), Value: value})
 		for _, v := range tracker.Assess(now) {
@@ -50,7 +50,7 @@
 	})
 }
 
-// refusingStore is a platform that rejects writes until acceptWrites is set.
+// refusingStore is a platform that refuses writes until acceptWrites is set.
 type refusingStore struct {
 	unavailableStore
 	acceptWrites bool
@@ -65,16 +65,16 @@
 	return objects.Object{Kind: key.Kind, Name: key.Name, Version: 1, Value: value}, nil
 }
 
-// A platform that rejected the record of a blocked request was treated as unavailable,
-// and nothing was logged: after a loss of all processes the request would crash instances
-// again without warning.
-func TestRejectedRecordWriteIsLogged(t *testing.T) {
+// Guards against unnoticed failures to store a blocked request. A platform that refused the
+// record was treated as unavailable, and nothing was logged. After a loss of all processes,
+// the request would have crashed instances again without warning.
+func TestRefusedRecordWriteIsLogged(t *testing.T) {
 	store := &refusingStore{}
 	var lines logtest.Buffer
 	c := newControlWithStore(store, func(*directory.Directory) {})
 	c.log = slog.New(slog.NewTextHandler(&lines, nil))
-	for p := range crash.Fingerprint(3) {
-		c.StoreCrasher(p+1, "GET /status", []record.InstanceCrash{{ID: "i@1", AtMS: 1000}})
+	for fp := range crash.Fingerprint(3) {
+		c.StoreCrasher(fp+1, "GET /status", []record.InstanceCrash{{ID: "i@1", AtMS: 1000}})
 	}
 	logged := func() int { return strings.Count(lines.String(), "403 Forbidden") }
 	now := time.Now()
@@ -86,9 +86,9 @@
 	assert.Equal(t, logged(), 2)
 
 	store.acceptWrites = true
-	c.storePending(t.Context(), now.Add(storeFailureLogInterval+storeInterval))
+	c.storePending(t.Context(), now.Add(storeFailureLogInterval+crasherStoreInterval))
 	slices.Sort(store.written)
 	assert.DeepEqual(t, store.written, []string{"0000000000000001", "0000000000000002", "0000000000000003"})
-	c.storePending(t.Context(), now.Add(storeFailureLogInterval+2*storeInterval))
+	c.storePending(t.Context(), now.Add(storeFailureLogInterval+2*crasherStoreInterval))
 	assert.Equal(t, len(store.written), 3, "each record is written once")
 }
--- a/internal/control/hosts.go
+++ b/internal/control/hosts.go
@@ -13,17 +13,17 @@
 	"github.com/radishhoist/radishhoist/internal/msg"
 )
 
-// deadHostRetention is how long a dead host is kept. Until it is removed, it counts
-// against the healthy capacity of its services.
+// deadHostRetention is how long a dead host is kept. Until it is removed, its instances
+// count as known but not as healthy capacity of their services.
 const deadHostRetention = 10 * time.Minute
 
-// hostRebuildInterval is the minimum time between two directory builds caused by host
-// changes only. A build processes all hosts and instances, and while a fleet starts, some
-// host changes on every tick. In the meantime, the guard of a host or instance that is
-// leaving refuses requests.
+// hostRebuildInterval is the minimum time between two directory builds that only host
+// changes cause. A build processes all hosts and instances, and while a fleet starts, some
+// host changes on every tick. Until the next build, requests still go to a host or instance
+// that is leaving, and its guard refuses them.
 const hostRebuildInterval = 200 * time.Millisecond
 
-// apply processes entries that replication has applied to its sets.
+// apply processes the entries that replication has applied to its sets.
 func (c *Control) apply(now time.Time, applied []config.Applied) {
 	for _, a := range applied {
 		switch a.Set {
@@ -51,8 +51,8 @@
 		return
 	}
 	if e.Name == c.cfg.Host && e.Version > c.version {
-		// Another host has a newer version of this host's entry, left by a previous
-		// process whose clock was ahead. Continue from that version.
+		// Another host has a newer version of this host's entry, from an earlier process
+		// whose clock was ahead. Continue from that version.
 		c.version = e.Version
 		c.selfChanged = true
 		return
@@ -123,9 +123,9 @@
 	return c.dir
 }
 
-// hasRequiredRecords reports whether the record set is complete and includes the records
-// required to serve traffic. Until then, a request without a route cannot be told from
-// one whose route has not been received. The caller holds the lock.
+// hasRequiredRecords reports whether the record set is complete and includes the required
+// records. Until then, a request that has no route cannot be distinguished from one whose
+// route has not been received yet. The caller holds the lock.
 func (c *Control) hasRequiredRecords() bool {
 	for _, key := range c.cfg.RequiredRecords {
 		if _, ok := c.records.active[key]; !ok {
@@ -135,7 +135,8 @@
 	return c.replica.Complete()
 }
 
-// removeDeadHosts removes hosts that have been dead for deadHostRetention.
+// removeDeadHosts publishes the deletion of hosts that have been dead for deadHostRetention.
+// The caller holds the lock.
 func (c *Control) removeDeadHosts(now time.Time) {
 	for host, at := range c.removeAt {
 		if now.Before(at) {
@@ -154,9 +155,10 @@
 	}
 }
 
-// addUnknownSender adds the sender of a packet to the contacts if it is unknown. A host
-// that starts while the platform is unavailable knows no other host, but its former peers
-// still probe its address, so it can call them. The caller holds the lock.
+// addUnknownSender adds the sender of a membership datagram to the contacts if the sender is
+// unknown. A host that starts while the platform is unavailable knows no other host, but the
+// hosts that knew its earlier process still probe its address, so it can call them. The
+// caller holds the lock.
 func (c *Control) addUnknownSender(p *msg.Packet) {
 	if p.From == "" || p.From == c.cfg.Host || p.FromAddr == "" || c.isKnown(p.From) {
 		return
@@ -164,16 +166,16 @@
 	c.contacts.AddProber(p.From, p.FromAddr)
 }
 
-// isKnown reports whether the entry of a host has been received.
+// isKnown reports whether the entry of a host has been received. The caller holds the lock.
 func (c *Control) isKnown(host string) bool {
 	_, known := c.hosts[host]
 	return known
 }
 
-// callContacts sends the entry of this host to hosts that are known by address only, and
-// requests their entries. Once all of them are known or given up, it pushes the entry of
-// this host again, because the earlier push reached only the hosts known at that time. The
-// caller holds the lock.
+// callContacts sends the entry of this host to the hosts of which only the address is known,
+// and requests their entries. Once each of them is known or no longer called, it pushes the
+// entry of this host again, because the earlier push reached only the hosts known at that
+// time. The caller holds the lock.
 func (c *Control) callContacts(now time.Time) {
 	if c.contacts.AllReached(c.isKnown, c.members.NoPeers()) {
 		c.replica.Resend(c.peers(), msg.SetHosts, config.Key{Kind: hostKind, Name: c.cfg.Host})
--- a/internal/control/join.go
+++ b/internal/control/join.go
@@ -10,10 +10,10 @@
 	"github.com/radishhoist/radishhoist/record"
 )
 
-// join writes the Host record of this host, then reads all records, and returns the
-// revision from which to watch the feeds. Of two hosts that start at the same time, at
-// least one sees the record of the other. Because the list is complete, hosts of a fleet
-// that starts from scratch need not wait for each other.
+// join writes the Host record of this host, then reads all records. It returns the revision
+// from which to watch the feeds. Because of this order, at least one of two hosts that start
+// at the same time sees the record of the other. Because the list is complete, the hosts of
+// a new fleet need not wait for each other.
 func (c *Control) join(ctx context.Context) (int64, error) {
 	if err := c.writeOwnRecord(ctx); err != nil {
 		return 0, err
@@ -25,15 +25,15 @@
 	}
 	c.applyFullList(page, began)
 	c.publish(time.Now())
-	// The shard maps have been applied. Until this call of keys.Manager.MarkSynced, this
-	// host grants no leases.
+	// The shard maps have been applied. The hook calls keys.Manager.MarkSynced, before which
+	// this host grants no leases.
 	c.hooks.ShardMapsRead()
 	return page.Revision, nil
 }
 
-// writeOwnRecord writes the Host record of this host. It first attempts to create it,
-// which usually succeeds and takes one call, and otherwise replaces the record of an
-// earlier process.
+// writeOwnRecord writes the Host record of this host. It first tries to create it, which
+// usually succeeds and takes one call. Otherwise it replaces the record of an earlier
+// process, unless that can be left in place.
 func (c *Control) writeOwnRecord(ctx context.Context) error {
 	key := record.Key{Kind: record.KindHost, Name: c.cfg.Host}
 	value, err := record.Marshal(key, &record.Host{DC: c.cfg.DC, Peer: c.cfg.Peer, Admin: c.cfg.Admin, Incarnation: c.cfg.Incarnation})
@@ -49,20 +49,22 @@
 	case !errors.As(err, &conflict):
 		return err
 	case isOwn(conflict.Current.Value):
-		// Written by an earlier attempt whose response was lost, or by an earlier process
-		// at the same address.
+		// The record was written by an earlier attempt whose response was lost, or by an
+		// earlier process at the same address.
 		return nil
 	}
 	_, err = objects.PutConfirmed(ctx, c.store, key, value, conflict.Current.Version, isOwn)
 	return err
 }
 
-// isCurrentOwnRecord reports whether a stored Host record can be left in place: it has
-// the addresses of this host and is too recent for another host to remove it: the process
-// that wrote it started less than unknownHostRetention ago, and a record is removed only
-// after its host has been unknown for that long. Its incarnation may be that of an earlier
-// process, because hosts exchange the current incarnation directly. This saves one of four calls when a host restarts soon, and one
-// call per host when a whole fleet restarts after a power failure.
+// isCurrentOwnRecord reports whether a stored Host record can be left in place. It must have
+// the addresses of this host and be too recent for another host to remove it: a record is
+// removed once its host has been unknown for unknownHostRetention, so the process that wrote
+// it must have started less than that before this one. The incarnation may be that of an
+// earlier process, because hosts exchange the current one directly.
+//
+// This saves one of four calls when a host restarts soon after it stopped, and one call per
+// host when a whole fleet restarts after a power failure.
 func (c *Control) isCurrentOwnRecord(key record.Key, stored []byte) bool {
 	r, err := record.Parse(stored)
 	if err != nil || r.Key != key {
@@ -76,16 +78,16 @@
 	return h.DC == c.cfg.DC && h.Peer == c.cfg.Peer && h.Admin == c.cfg.Admin && age >= 0 && age < unknownHostRetention
 }
 
-// hostListing is a Host record listed by the platform.
+// hostListing is a Host record in a response of the platform.
 type hostListing struct {
 	name    string
 	version int64
 	*record.Host
 }
 
-// hostListings decodes the Host records of a page, each only once: when 354 hosts start
-// at the same time, each of them reads 354 records. Records that cannot be decoded are
-// skipped.
+// hostListings decodes the Host records of a page and skips those that cannot be decoded.
+// Each page is decoded only once, because each of 354 hosts that start at the same time
+// reads 354 records.
 func hostListings(all []objects.Object) []hostListing {
 	var out []hostListing
 	for _, obj := range all {
@@ -103,8 +105,8 @@
 	return out
 }
 
-// addContacts adds the listed hosts to the contacts: their addresses become seeds, and
-// hosts that are not known yet are called. The caller holds the lock.
+// addContacts adds the listed hosts to the contacts. Their addresses become seeds, and hosts
+// that are not known yet are called (see package contact). The caller holds the lock.
 func (c *Control) addContacts(all []hostListing) {
 	for _, l := range all {
 		if l.name != c.cfg.Host {
--- a/internal/control/join_test.go
+++ b/internal/control/join_test.go
@@ -12,7 +12,7 @@
 	"github.com/radishhoist/radishhoist/record"
 )
 
-// singleRecordStore is a platform that stores one Host record and counts the times it is
+// singleRecordStore is a platform that stores one Host record and counts how often it is
 // overwritten.
 type singleRecordStore struct {
 	unavailableStore
@@ -30,9 +30,10 @@
 	return objects.Object{Kind: key.Kind, Name: key.Name, Version: 8, Value: value}, nil
 }
 
-// After a power failure every host wrote its record again: 354 calls in the same second
-// in which the hosts read all records. A record with the same address is kept unless it
-// is so old that another host may be about to remove it.
+// Guards against unnecessary calls when a whole fleet restarts after a power failure. Every
+// host wrote its record again: 354 calls in the same second in which the hosts read all
+// records. A record with the same address must be kept unless it is so old that another host
+// may be about to remove it.
 func TestRestartedHostKeepsRecentRecord(t *testing.T) {
 	const startedMS = 1_000_000_000
 	retentionMS := uint64(unknownHostRetention.Milliseconds())
--- a/internal/control/loadreport.go
+++ b/internal/control/loadreport.go
@@ -7,10 +7,10 @@
 	"github.com/radishhoist/radishhoist/internal/msg"
 )
 
-// SendLoadReport sends a load report from this host's guard to fronts. With
-// loadreport.ToAll, one host of every other data centre also receives a copy, which it
-// forwards within its data centre. If the rate limit does not allow all
-// recipients, only some receive it.
+// SendLoadReport sends a load report from this host's guard to the fronts of other hosts.
+// With loadreport.ToAll, one host of each other data centre also receives a copy, which it
+// forwards within its data centre. If the rate limit does not allow all recipients, only
+// some receive the report.
 func (c *Control) SendLoadReport(report *msg.LoadReport, to loadreport.Scope) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -18,9 +18,9 @@
 	local, dcs := c.members.Live()
 	if to == loadreport.ToAll {
 		forwarded := &msg.LoadReport{Forward: true, Loads: report.Loads}
-		c.enqueueLoadReport(c.reportLimiter.SelectRemote(now, dcs), forwarded)
+		c.enqueueLoadReport(c.loadReportLimiter.SelectRemote(now, dcs), forwarded)
 	}
-	c.enqueueLoadReport(c.reportLimiter.SelectLocal(now, local, to), report)
+	c.enqueueLoadReport(c.loadReportLimiter.SelectLocal(now, local, to), report)
 }
 
 // enqueueLoadReport queues a load report for the given hosts. The caller holds the lock.
@@ -32,12 +32,12 @@
 	}
 }
 
-// handleLoadReport processes a load report of another host and forwards it within the
-// data centre if requested.
+// handleLoadReport processes a load report from another host and forwards it within the data
+// centre if requested. The caller holds the lock.
 func (c *Control) handleLoadReport(report *msg.LoadReport) {
 	c.hooks.LoadReport(report)
 	if report.Forward {
 		local, _ := c.members.Live()
-		c.enqueueLoadReport(c.reportLimiter.SelectLocal(time.Now(), local, loadreport.ToAll), &msg.LoadReport{Loads: report.Loads})
+		c.enqueueLoadReport(c.loadReportLimiter.SelectLocal(time.Now(), local, loadreport.ToAll), &msg.LoadReport{Loads: report.Loads})
 	}
 }
--- a/internal/control/loadreport_test.go
+++ b/internal/control/loadreport_test.go
@@ -11,8 +11,8 @@
 	"github.com/radishhoist/radishhoist/internal/msg"
 )
 
-// newControlWithHosts creates a Control that knows local hosts of its own data centre, and
-// remote[i] hosts of each other data centre.
+// newControlWithHosts creates a Control that knows the given number of other hosts of its own
+// data centre, and remote[i] hosts of the i-th other data centre.
 func newControlWithHosts(t *testing.T, local int, remote ...int) *Control {
 	t.Helper()
 	c, _ := newTestControl(t)
@@ -33,8 +33,8 @@
 	return c
 }
 
-// takeQueuedReports removes all queued messages and counts the load reports among them,
-// and those to be forwarded.
+// takeQueuedReports removes all queued messages. It returns the number of load reports among
+// them, and how many of these are to be forwarded.
 func takeQueuedReports(c *Control) (all, forwarded int) {
 	for addr, box := range c.outboxes.byAddr {
 		for _, m := range box.queued {
@@ -80,8 +80,9 @@
 	assert.Equal(t, all, 0)
 }
 
-// Hosts of a large fleet must receive load reports while there are no others to send. A
-// front that does not receive them sends no work to instances that recovered long ago.
+// In a large fleet, too, a load report must reach as many hosts as the rate limit allows if
+// there are no other reports to send. A front that receives none sends no requests to
+// instances that have long recovered.
 func TestLargeFleetReceivesLoadReports(t *testing.T) {
 	for _, hosts := range []int{22, 60, 90} {
 		c := newControlWithHosts(t, hosts, 30)
@@ -91,8 +92,8 @@
 	}
 }
 
-// The send rate is limited independently of the number of reports and hosts, and reports
-// of loads leave a reserve for changed estimates.
+// The send rate must be limited regardless of the number of reports and hosts, and reports of
+// load must leave a reserve for reports of changed estimates.
 func TestLoadReportRateIsIndependentOfFleetSize(t *testing.T) {
 	for _, hosts := range []int{7, 64, 500} {
 		c := newControlWithHosts(t, hosts, 20, 20)
@@ -114,9 +115,9 @@
 	}
 }
 
-// Few hosts are told of an idle instance, whatever the size of the data centre. If all
-// were told, all would send requests there, and the reports would use up the host's rate
-// limit.
+// The report of an idle instance must go to few hosts, regardless of the size of the data
+// centre. If all received it, all would send requests there, and the reports would use up the
+// host's rate limit.
 func TestFewHostsReceiveReportOfIdleInstance(t *testing.T) {
 	for _, hosts := range []int{2, 7, 90} {
 		c := newControlWithHosts(t, hosts, 30)
@@ -127,9 +128,9 @@
 	}
 }
 
-// If many estimates change, the reports of that use up the rate limit. Reports of
-// instances that request work have a separate limit and are still sent.
-func TestTrialRequestsAreSentBesideChangedEstimates(t *testing.T) {
+// If many estimates change, the reports of these changes use up the rate limit. Reports of
+// instances that ask for a trial request have a separate limit and must still be sent.
+func TestReportsToFewHostsHaveSeparateRateLimit(t *testing.T) {
 	c := newControlWithHosts(t, 500, 20, 20)
 	start := time.Now()
 	for range 200 {
--- a/internal/control/outbox.go
+++ b/internal/control/outbox.go
@@ -11,16 +11,16 @@
 const (
 	// outboxCapacity is the maximum number of messages queued for one address.
 	outboxCapacity = 64
-	// sendTimeout limits the sending of one message. It allows for a dial and a
-	// ping of the peer (dialTimeout, 500 ms, and pingTimeout, 300 ms, of package peer), with
-	// as much again in reserve. Later delivery is not useful, because periodic repair
-	// restores the lost data.
+	// sendTimeout limits the sending of one message. It is more than twice the time for
+	// connecting to and pinging a peer (dialTimeout, 500 ms, and pingTimeout, 300 ms, of
+	// package peer). Later delivery is not useful, because periodic repair restores the
+	// lost data.
 	sendTimeout = 2 * time.Second
 )
 
-// outboxes hold the messages to other hosts. Each address has its own queue and, while
-// the queue is not empty, its own sending goroutine, so that a host that is unreachable
-// or does not read delays no other.
+// outboxes hold the messages to other hosts. Each address has its own queue and, while the
+// queue is not empty, its own sending goroutine, so that a host that is unreachable or does
+// not read does not delay messages to others.
 type outboxes struct {
 	send func(ctx context.Context, addr string, m msg.Message)
 
@@ -33,7 +33,8 @@
 
 // outbox is the queue of one address.
 type outbox struct {
-	queued  []msg.Message
+	queued []msg.Message
+	// sending is true while the sending goroutine runs.
 	sending bool
 }
 
@@ -58,7 +59,7 @@
 	return true
 }
 
-// start starts sending the queued messages, until the context ends.
+// start starts sending. Messages are sent until the context ends.
 func (o *outboxes) start(ctx context.Context) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -68,7 +69,7 @@
 	}
 }
 
-// wait blocks until all senders have stopped, which they do after the context has ended.
+// wait blocks until all sending goroutines have ended. They end after the context does.
 func (o *outboxes) wait() { o.wg.Wait() }
 
 // startSender starts the sending goroutine of an address if none is running. The caller
--- a/internal/control/take.go
+++ b/internal/control/pages.go
@@ -11,18 +11,18 @@
 	"github.com/radishhoist/radishhoist/record"
 )
 
-// logUndecodable logs, at a limited rate, stored objects that cannot be decoded, such as
-// those of another writer.
+// logUndecodable logs, at a limited rate, the stored objects that cannot be decoded, such
+// as those of another writer.
 func (c *Control) logUndecodable(page objects.Page) {
 	for _, err := range page.Undecodable {
-		if leftOut, ok := c.decodeErrorLog.Allow(time.Now()); ok {
-			event.Log(c.log, event.RecordRefused, slog.String("cause", err.Error()), slog.Uint64("linesLeftOut", leftOut))
+		if suppressed, ok := c.decodeErrorLimiter.Allow(time.Now()); ok {
+			event.Log(c.log, event.RecordRefused, slog.String("cause", err.Error()), slog.Uint64("linesLeftOut", suppressed))
 		}
 	}
 }
 
-// applyFullList applies a list of all records. It includes all writes acknowledged before
-// began, the start of the call.
+// applyFullList applies a list of all records. began is the start of the call; the list
+// includes all writes acknowledged before it.
 func (c *Control) applyFullList(page objects.Page, began time.Time) {
 	decoded := decodePage(page)
 	c.mu.Lock()
@@ -37,38 +37,38 @@
 // call.
 func (c *Control) applyFeedList(feed objects.Feed, page objects.Page, began time.Time) {
 	covers := func(kind string) bool { return c.store.FeedOf(record.Kind(kind)) == feed }
-	read := decodePage(page)
+	decoded := decodePage(page)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.replica.LoadList(c.peers(), read.entries, page.Revision, covers)
+	c.replica.LoadList(c.peers(), decoded.entries, page.Revision, covers)
 	c.dirty = true
 	c.confirmed.confirm(feed, began, platformSource)
-	c.applyPage(page, read.hosts)
+	c.applyPage(page, decoded.hosts)
 }
 
 // applyWatchPage applies the response to a watch. began is the start of the call.
 func (c *Control) applyWatchPage(feed objects.Feed, page objects.Page, began time.Time) {
-	read := decodePage(page)
+	decoded := decodePage(page)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.replica.Publish(c.peers(), msg.SetRecords, read.entries)
+	c.replica.Publish(c.peers(), msg.SetRecords, decoded.entries)
 	c.confirmed.confirm(feed, began, platformSource)
-	c.applyPage(page, read.hosts)
+	c.applyPage(page, decoded.hosts)
 }
 
-// applyPage does the processing common to all responses of the platform. The caller holds
-// the lock.
+// applyPage does what is common to all responses of the platform. The caller holds the
+// lock.
 func (c *Control) applyPage(page objects.Page, hosts []hostListing) {
 	c.logUndecodable(page)
-	c.removeHostRecords(page.Objects)
-	c.storeHostRecords(hosts)
+	c.forgetDeletedHostRecords(page.Objects)
+	c.addHostRecords(hosts)
 	c.addContacts(hosts)
 	c.flush(time.Now())
 }
 
-// decodedPage is the content of a page. Pages are decoded without holding the lock, since
-// parsing and compression take longer in larger fleets, and handling of control messages,
-// and thereby of requests, waits for the lock.
+// decodedPage is the decoded content of a page. Pages are decoded without the lock, because
+// the time for parsing and compression grows with the fleet. Control messages wait for the
+// lock, and requests on the same connection wait for these.
 type decodedPage struct {
 	entries []msg.Entry
 	hosts   []hostListing
--- a/internal/control/rank.go
+++ b/internal/control/rank.go
@@ -8,10 +8,10 @@
 	"github.com/radishhoist/radishhoist/internal/event"
 )
 
-// shouldWatch reports whether this host is one of the first WatchersPerDC live hosts of
-// its data centre, in an order that all hosts agree on. While views of the membership
-// differ, a few hosts more or fewer watch, which is harmless. It also sets c.watching and
-// logs each change of it.
+// shouldWatch reports whether this host is one of the first WatchersPerDC live hosts of its
+// data centre in the order of rank. While the hosts' views of the membership differ, a few
+// more or fewer hosts watch, which is harmless. shouldWatch also sets c.watching and logs
+// each change of it.
 func (c *Control) shouldWatch() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -27,11 +27,11 @@
 	return watch
 }
 
-// backupWaitFactor multiplies the wait time of watches on all but the first watcher of a
-// data centre. Longer waits save calls. Normally a change ends the watch at once; the
-// wait matters if the platform does not end it (see objects.NewTransport). The first
-// watcher uses the shorter wait, which detects sooner that the platform holds a watch
-// beyond its wait time.
+// backupWaitFactor multiplies the wait time of the watches of all watchers of a data centre
+// but the first. Longer waits save calls and normally delay nothing, because a change ends
+// the watch at once. The wait matters if the platform does not end the watch (see
+// objects.NewTransport). The shorter wait of the first watcher detects sooner that the
+// platform holds a watch beyond its wait time.
 const backupWaitFactor = 4
 
 // waitFactor returns the factor for the wait time of this host's watches.
@@ -44,9 +44,9 @@
 	return backupWaitFactor
 }
 
-// rank returns the number of live hosts of the data centre that precede this one in the
-// order of the hashes of their names. Hosts that are leaving are not counted. The caller
-// holds the lock.
+// rank returns the number of live hosts of this data centre that precede this one in the
+// order of the hashes of their names, which is the same on all hosts. Hosts that are leaving
+// are not counted. The caller holds the lock.
 func (c *Control) rank() int {
 	local, _ := c.members.Live()
 	own := xxhash.Sum64String(c.cfg.Host)
@@ -62,10 +62,10 @@
 	return before
 }
 
-// unknownBefore counts, during discoveryTime after the start, the hosts of the data
-// centre that precede this one and are known only from the platform's records. Otherwise
-// every host of a fleet that starts at once would watch. With 24 hosts this saves 78 of
-// 363 calls in a minute.
+// unknownBefore returns the number of hosts of this data centre that precede this one and are
+// known only from their Host records. It returns 0 once discoveryTime has passed since the
+// start. Without it, all hosts of a fleet would watch while they start together. With 24
+// hosts, it saves 78 of 363 calls in a minute. The caller holds the lock.
 func (c *Control) unknownBefore() int {
 	if time.Since(c.started) >= discoveryTime {
 		return 0
@@ -80,6 +80,6 @@
 	return before
 }
 
-// discoveryTime is several times as long as hosts that start at the same time take to
-// discover each other.
+// discoveryTime is several times the time in which hosts that start together discover each
+// other.
 const discoveryTime = 2 * time.Second
--- a/internal/control/records.go
+++ b/internal/control/records.go
@@ -8,13 +8,14 @@
 	"github.com/radishhoist/radishhoist/record"
 )
 
-// recordSet holds the active records, each at the newest version that could be parsed. If
-// a record is invalid or its schema is too new, only that record is rejected and its last
-// valid version stays active.
+// recordSet holds the active records, each in its newest valid version. If a version is
+// invalid or its schema is too new, only that version is rejected, and the last valid one
+// stays active.
 type recordSet struct {
 	active   map[record.Key]*record.Record
 	rejected map[record.Key]msg.ReportRejected
-	dirty    bool
+	// dirty is set if the records have changed since they were last compiled.
+	dirty bool
 }
 
 func newRecordSet() *recordSet {
@@ -24,12 +25,12 @@
 	}
 }
 
-// platformSource is the logged source of records that were not received from another
-// host.
+// platformSource is the source given in logs and in the state dump for records and
+// confirmations that did not come from another host.
 const platformSource = "platform"
 
-// apply activates a record or rejects it with a reason. from is the host that sent it;
-// empty if this host read it from the platform or wrote it.
+// apply activates a record, removes a deleted one, or rejects an invalid one. from is the
+// host that sent the entry, empty if this host read it from the platform or wrote it.
 func (s *recordSet) apply(log *slog.Logger, e msg.Entry, from string) {
 	if from == "" {
 		from = platformSource
--- a/internal/control/send_test.go
+++ b/internal/control/send_test.go
@@ -13,34 +13,34 @@
 	"github.com/radishhoist/radishhoist/internal/msg"
 )
 
-// blockingSender accepts messages for all addresses but one. A message to that address
-// blocks until its context ends.
+// blockingSender accepts messages to all addresses but one. A message to that one blocks
+// until its context ends.
 type blockingSender struct {
 	blockedAddr string
 	mu          sync.Mutex
 	sent        map[string]time.Time
 }
 
-func (p *blockingSender) SendControl(ctx context.Context, addr string, _ msg.Message) error {
-	if addr == p.blockedAddr {
+func (s *blockingSender) SendControl(ctx context.Context, addr string, _ msg.Message) error {
+	if addr == s.blockedAddr {
 		<-ctx.Done()
 		return ctx.Err()
 	}
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.sent[addr] = time.Now()
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.sent[addr] = time.Now()
 	return nil
 }
 
-func (p *blockingSender) SendLossy(ctx context.Context, addr string, m msg.Message) error {
-	return p.SendControl(ctx, addr, m)
+func (s *blockingSender) SendLossy(ctx context.Context, addr string, m msg.Message) error {
+	return s.SendControl(ctx, addr, m)
 }
 
-// A host that is unreachable or does not read must not delay messages to others. When
-// addresses shared a few senders, its messages blocked one for up to 10 s, and with it
-// those to an eighth of the other hosts: 12 of 100 addresses received their message only
-// at the end of this test.
-func TestAStuckPeerHoldsUpNobodyElse(t *testing.T) {
+// A host that is unreachable or does not read must not delay messages to others. When the
+// addresses shared a few senders, one such host blocked its sender for up to 10 s, and with
+// it the messages to an eighth of the other hosts: 12 of 100 addresses received their
+// message only at the end of this test.
+func TestUnresponsivePeerDoesNotDelayOthers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newControlWithStore(unavailableStore{}, nil)
 		sender := &blockingSender{blockedAddr: "10.0.0.0:1", sent: make(map[string]time.Time)}
--- a/internal/control/status.go
+++ b/internal/control/status.go
@@ -17,29 +17,31 @@
 )
 
 const (
-	// reportInterval is how often a host reports its records to the status writer of its
-	// data centre.
-	reportInterval = 5 * time.Second
-	// reportTTL is how long a received report is used.
-	reportTTL = 3 * reportInterval
+	// statusReportInterval is how often a host reports its record set to the status writer of
+	// its data centre.
+	statusReportInterval = 5 * time.Second
+	// statusReportTTL is how long a received status report is used.
+	statusReportTTL = 3 * statusReportInterval
 	// statusRefreshInterval is how often an unchanged summary is written.
 	statusRefreshInterval = time.Minute
-	// maxBehind limits the hosts listed as behind, and the rejected records in a report.
+	// maxBehind limits the number of hosts listed as having an older record set, and the
+	// number of rejected records in a report.
 	maxBehind = 20
 )
 
-// receivedReport is a host's report on its records, with the time of receipt.
+// receivedReport is a host's status report with the time of receipt.
 type receivedReport struct {
 	at time.Time
 	msg.Report
 }
 
-// sendReport sends this host's report to the status writer. The caller holds the lock.
-func (c *Control) sendReport(now time.Time) {
-	if now.Sub(c.reportedAt) < reportInterval {
+// sendStatusReport sends this host's status report to the status writer if it is due. The
+// caller holds the lock.
+func (c *Control) sendStatusReport(now time.Time) {
+	if now.Sub(c.statusReportedAt) < statusReportInterval {
 		return
 	}
-	c.reportedAt = now
+	c.statusReportedAt = now
 	set := c.replica.Set(msg.SetRecords)
 	r := &msg.Report{Root: set.Root(), Newest: set.Newest(), Complete: c.replica.Complete()}
 	for _, rejected := range c.records.rejected {
@@ -49,7 +51,7 @@
 	}
 	to := c.statusWriter()
 	if to == c.cfg.Host {
-		c.storeReport(to, r)
+		c.storeStatusReport(to, r)
 		return
 	}
 	if h, ok := c.hosts[to]; ok {
@@ -57,13 +59,13 @@
 	}
 }
 
-func (c *Control) storeReport(from string, r *msg.Report) {
-	c.reports[from] = receivedReport{at: time.Now(), Report: *r}
+func (c *Control) storeStatusReport(from string, r *msg.Report) {
+	c.statusReports[from] = receivedReport{at: time.Now(), Report: *r}
 }
 
-// statusWriter returns the first live host of this data centre in the alphabetical order
-// of names, which is not the order of rank. That host collects the reports and writes the
-// summary.
+// statusWriter returns the host that collects the status reports and writes the summary:
+// the first live host of this data centre in alphabetical order, unlike rank, which uses
+// the hashes of the names.
 func (c *Control) statusWriter() string {
 	local, _ := c.members.Live()
 	first := c.cfg.Host
@@ -75,8 +77,8 @@
 	return first
 }
 
-// summarize aggregates the reports of this data centre. It returns false if this host is
-// not the status writer.
+// summarize aggregates the status reports of this data centre. It returns false if this
+// host is not the status writer.
 func (c *Control) summarize(now time.Time) (*record.Status, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -88,9 +90,9 @@
 	byRoot := make(map[uint64]*record.HostsInForce)
 	hostsOf := make(map[uint64][]string)
 	rejected := make(map[string]record.Rejected)
-	for host, received := range c.reports {
-		if now.Sub(received.at) > reportTTL {
-			delete(c.reports, host)
+	for host, received := range c.statusReports {
+		if now.Sub(received.at) > statusReportTTL {
+			delete(c.statusReports, host)
 			continue
 		}
 		f, ok := byRoot[received.Root]
@@ -101,8 +103,8 @@
 		f.Hosts++
 		f.Revision = max(f.Revision, received.Newest)
 		hostsOf[received.Root] = append(hostsOf[received.Root], host)
-		for _, bad := range received.Rejected {
-			rejected[bad.Key] = record.Rejected(bad)
+		for _, entry := range received.Rejected {
+			rejected[entry.Key] = record.Rejected(entry)
 		}
 	}
 	s.InForce = newestFirst(byRoot, hostsOf)
@@ -113,8 +115,8 @@
 	return s, true
 }
 
-// newestFirst sorts the record sets by revision, newest first, and lists the hosts that
-// have an older set.
+// newestFirst returns the record sets sorted by revision, newest first. Each set but the
+// first has a list of the hosts that are behind with it.
 func newestFirst(byRoot map[uint64]*record.HostsInForce, hostsOf map[uint64][]string) []record.HostsInForce {
 	var out []record.HostsInForce
 	for root, f := range byRoot {
@@ -182,13 +184,13 @@
 	Records  int    `json:"records"`
 	Root     string `json:"root"`
 	Newest   int64  `json:"newest"`
-	// ActiveVersion is the newest record version that requests are routed by. Newest may be
-	// briefly ahead of it.
+	// ActiveVersion is the newest record version in the directory that routes requests. It
+	// may briefly be behind Newest.
 	ActiveVersion int64 `json:"inForce"`
 	Watching      bool  `json:"watching"`
 	PlatformAway  bool  `json:"platformAway"`
 	Isolated      bool  `json:"isolated"`
-	// Confirmed is the age of the records per feed, and the source of that information.
+	// Confirmed is the age and source of the last confirmation of each feed.
 	Confirmed      []Confirmation       `json:"confirmed"`
 	Rejected       []msg.ReportRejected `json:"rejected"`
 	Members        []MemberState        `json:"members"`
@@ -205,7 +207,7 @@
 	Version int64  `json:"version"`
 }
 
-// State returns the state for the dump.
+// State returns the current state of the control plane.
 func (c *Control) State() State {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/control/teams.go
+++ b/internal/control/teams.go
@@ -11,31 +11,31 @@
 	"github.com/radishhoist/radishhoist/internal/msg"
 )
 
-// TeamRateLimiter enforces the rates of teams. Control carries its datagrams on the
-// membership socket and provides the list of live hosts.
+// TeamRateLimiter enforces the rate limits of teams. Control transports its datagrams over
+// the membership socket and provides the list of live hosts.
 type TeamRateLimiter interface {
 	// Receive processes a datagram from another host.
 	Receive(p *msg.TeamPacket)
-	// Tick is called on every tick of Control, every 50 ms.
+	// Tick is called every tickInterval.
 	Tick()
-	// SetHosts sets the live hosts, sorted by name, and the number of hosts that share
-	// the rates, which includes recently dead hosts.
+	// SetHosts sets the live hosts, sorted by name, and the number of hosts that share the
+	// rates, which includes hosts that died recently.
 	SetHosts(alive []quota.Host, known int)
 }
 
 const (
-	// teamPacketPrefix is the first byte of a team datagram. No membership packet starts
+	// teamPacketPrefix is the first byte of a team datagram. No membership datagram starts
 	// with it.
 	teamPacketPrefix = 0xc1
-	// teamHostsInterval is how often the hosts are set without a change of the directory,
-	// because a dead host may have ceased to count.
+	// teamHostsInterval is how often the hosts are set even without a new directory, because
+	// deadHostShareTime of a dead host may have ended.
 	teamHostsInterval = time.Second
-	// deadHostShareTime is how long a dead host still counts among those that share a
-	// team's rate: it may be alive on the other side of a network partition.
+	// deadHostShareTime is how long a dead host still counts as one that shares the rates,
+	// because it may be alive on the other side of a network partition.
 	deadHostShareTime = 20 * time.Second
 )
 
-// SendTeamPacket sends a team datagram to a host. It may be lost.
+// SendTeamPacket sends a team datagram to a host. The datagram may be lost.
 func (c *Control) SendTeamPacket(to string, p *msg.TeamPacket) {
 	buf, err := p.MarshalMsg([]byte{teamPacketPrefix})
 	if err != nil {
@@ -68,7 +68,7 @@
 	return true
 }
 
-// tickTeams updates the hosts of the team rate limiter if due, and ticks it.
+// tickTeams sets the hosts of the team rate limiter if due and calls its Tick.
 func (c *Control) tickTeams(now time.Time, hostsChanged bool) {
 	if c.hooks.TeamLimiter == nil {
 		return
@@ -80,8 +80,8 @@
 	c.hooks.TeamLimiter.Tick()
 }
 
-// rateSharingHosts returns the live hosts that account for team usage, and the number of
-// hosts that share the rates.
+// rateSharingHosts returns the live hosts and the number of hosts that share the rates, for
+// TeamRateLimiter.SetHosts. Hosts that are leaving are not included, except this one.
 func (c *Control) rateSharingHosts(now time.Time) ([]quota.Host, int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/control/watch.go
+++ b/internal/control/watch.go
@@ -14,13 +14,13 @@
 )
 
 const (
-	// watchPause is the pause after a watch call. It limits the number of calls that a
-	// burst of changes causes.
+	// watchPause is the pause after a watch call. It limits the number of calls during a
+	// burst of changes.
 	watchPause = 200 * time.Millisecond
 	// rankCheckInterval is how often a host checks whether it should watch the platform.
 	rankCheckInterval = 500 * time.Millisecond
-	// joinFeed stands for a feed in logs and in failedFeeds while the host joins the
-	// fleet.
+	// joinFeed is used in logs and in failedFeeds while the host joins the fleet, which
+	// makes calls for no particular feed.
 	joinFeed objects.Feed = "join"
 )
 
@@ -31,9 +31,9 @@
 	record.KindCrasher: true,
 }
 
-// watch joins the fleet and then follows the platform's feeds while this host is one of
-// the watchers of its data centre. The platform may be unavailable for hours, so only
-// this goroutine and those it starts wait for it.
+// watch joins the fleet, then follows the platform's feeds while this host is one of the
+// watchers of its data centre. The platform may be unavailable for hours, so only this
+// goroutine and those that it starts wait for it.
 func (c *Control) watch(ctx context.Context) {
 	revision, ok := c.joinWithRetry(ctx)
 	if !ok {
@@ -58,7 +58,7 @@
 		began := time.Now()
 		revision, err := c.join(ctx)
 		if err == nil {
-			c.markAnswered(joinFeed)
+			c.markSucceeded(joinFeed)
 			return revision, true
 		}
 		c.pauseAfterFailure(ctx, joinFeed, &retry, began, err)
@@ -66,18 +66,18 @@
 	return 0, false
 }
 
-// feedPosition is the position reached in one feed.
+// feedPosition is the position reached in a feed.
 type feedPosition struct {
-	// revision is the revision of the last response.
+	// revision is the revision up to which the feed has been read.
 	revision int64
-	// canWatch is false if the platform no longer stores the events after revision.
+	// canWatch is false if the platform no longer has the events after revision.
 	canWatch bool
 	// fromList is true if the last response was a list.
 	fromList bool
 }
 
-// followFeeds follows every feed in its own goroutine, so that a slow call for one does
-// not delay another, until this host is no longer a watcher.
+// followFeeds follows all feeds until this host is no longer a watcher. Each feed has its own
+// goroutine, so that a slow call for one does not delay the others.
 func (c *Control) followFeeds(ctx context.Context, positions map[objects.Feed]*feedPosition) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -94,9 +94,8 @@
 	}
 }
 
-// followFeed keeps the records of one feed up to date. After a failed call it resumes at
-// its position, since a list is required only if the platform has discarded the events
-// after it.
+// followFeed keeps the records of one feed up to date. After a failed call it resumes at its
+// position. A list is needed only if the platform has discarded the events after that.
 func (c *Control) followFeed(ctx context.Context, feed objects.Feed, p *feedPosition) {
 	retry := backoff{max: c.cfg.MaxRetryInterval}
 	for ctx.Err() == nil && c.shouldWatch() {
@@ -106,26 +105,26 @@
 		if errors.As(err, &compacted) {
 			p.canWatch = false
 			if !p.fromList {
-				// The platform is available; a list returns the missed changes.
+				// The platform is available, so list at once to get the missed changes.
 				continue
 			}
-			// The events after a list just read are gone already. This counts as a failure,
-			// because without a pause lists and watches could alternate without end.
+			// The events after the list just read have already been discarded. This counts as
+			// a failure, because lists and watches could otherwise alternate without a pause.
 		}
 		if err != nil {
 			c.pauseAfterFailure(ctx, feed, &retry, began, err)
 			continue
 		}
 		retry.reset()
-		c.markAnswered(feed)
+		c.markSucceeded(feed)
 		if !p.fromList {
 			sleep.For(ctx, watchPause)
 		}
 	}
 }
 
-// fetch makes one call, started at now: a watch, or a list if watching from the position
-// is impossible.
+// fetch makes one call, started at now: a watch, or a list if the feed cannot be watched
+// from its position.
 func (c *Control) fetch(ctx context.Context, feed objects.Feed, p *feedPosition, now time.Time) error {
 	if !p.canWatch {
 		page, err := c.store.ListFeed(ctx, feed)
@@ -145,8 +144,8 @@
 	return nil
 }
 
-// pauseAfterFailure waits after a failed call. The pause is measured from the start of
-// the call, so that a call that timed out is followed by a shorter pause or none.
+// pauseAfterFailure waits after a failed call. The pause is measured from the start of the
+// call, so that it is shorter or absent after a call that timed out.
 func (c *Control) pauseAfterFailure(ctx context.Context, feed objects.Feed, retry *backoff, began time.Time, err error) {
 	if ctx.Err() != nil {
 		return
@@ -168,9 +167,9 @@
 	c.failedFeeds[feed] = true
 }
 
-// markAnswered records that a call for a feed succeeded. The platform counts as available
-// again once this holds for all feeds that had failed.
-func (c *Control) markAnswered(feed objects.Feed) {
+// markSucceeded records that a call for a feed succeeded. Once no feed is marked as failed,
+// the platform is considered available again.
+func (c *Control) markSucceeded(feed objects.Feed) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !c.failedFeeds[feed] {
--- a/internal/control/watch_test.go
+++ b/internal/control/watch_test.go
@@ -14,8 +14,8 @@
 	"github.com/radishhoist/radishhoist/record"
 )
 
-// compactingStore discards its history during the first watch, including a change that
-// this watch does not return.
+// compactingStore discards its history during the first watch of feed a, including a change
+// that this watch does not return.
 type compactingStore struct {
 	objects.Store
 	mu          sync.Mutex
@@ -59,9 +59,9 @@
 	return objects.Page{}, &objects.CompactedError{After: after}
 }
 
-// Changes made before the history was discarded are applied only with the next list,
-// which must follow immediately rather than after the pause of a failed call.
-func TestADroppedHistoryIsFollowedByAListAtOnce(t *testing.T) {
+// Changes that were made before the history was discarded are only applied with the next
+// list. The list must follow immediately, without the pause after a failed call.
+func TestCompactionIsFollowedByImmediateList(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := &compactingStore{}
 		c := newControlWithStore(store, func(*directory.Directory) {})
--- a/internal/control/watched_test.go
+++ b/internal/control/watcher_test.go
@@ -17,15 +17,15 @@
 	"github.com/radishhoist/radishhoist/record"
 )
 
-// Settings of a deployment in which configurations must be applied within 2 s of their
-// acknowledgement.
+// Settings of a deployment in which a configuration must be applied within 2 s of its
+// acknowledgement by the platform.
 const (
 	testApplyLimit       = 2 * time.Second
 	testWatchWait        = time.Second
 	testMaxRetryInterval = time.Second
-	// testFleetMargin is the part of testApplyLimit reserved for replication from a
-	// watcher to all hosts.
-	testFleetMargin = 500 * time.Millisecond
+	// testReplicationMargin is the part of testApplyLimit that is reserved for replication
+	// from a watcher to all hosts.
+	testReplicationMargin = 500 * time.Millisecond
 )
 
 // watcherTest runs one host as a watcher of a platform in virtual time.
@@ -38,7 +38,7 @@
 	stop     func()
 }
 
-// startWatcherTest starts a platform and one host that runs only the watch loop.
+// startWatcherTest starts a platform and a host that runs only the watch loop.
 func startWatcherTest(t *testing.T, maxRetryInterval time.Duration) *watcherTest {
 	t.Helper()
 	w := &watcherTest{t: t, platform: platformd.NewServer(), key: record.Key{Kind: record.KindService, Name: "plans"}}
@@ -92,6 +92,7 @@
 	return time.Since(start)
 }
 
+// setSilent sets whether the platform accepts calls without responding to them.
 func (w *watcherTest) setSilent(silent bool) {
 	w.platform.SetFaults(platformd.Faults{Silent: silent})
 }
