--- a/internal/control/watch.go
+++ b/internal/control/watch.go
@@ -162,7 +162,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if len(c.failedFeeds) == 0 {
-		event.Log(c.log, event.PlatformAway, slog.String("cause", err.Error()))
+		event.Log(c.log, event.PlatformUnavailable, slog.String("cause", err.Error()))
 	}
 	c.failedFeeds[feed] = true
 }
@@ -177,6 +177,6 @@
 	}
 	delete(c.failedFeeds, feed)
 	if len(c.failedFeeds) == 0 {
-		event.Log(c.log, event.PlatformBack)
+		event.Log(c.log, event.PlatformAvailable)
 	}
 }
--- a/internal/event/event.go
+++ b/internal/event/event.go
@@ -47,8 +47,8 @@
 	AnnounceRefused         = Event{305, "announce refused", slog.LevelWarn}
 	RecordApplied           = Event{400, "record applied", slog.LevelInfo}
 	RecordRefused           = Event{401, "record refused", slog.LevelError}
-	PlatformAway            = Event{402, "platform away", slog.LevelWarn}
-	PlatformBack            = Event{403, "platform back", slog.LevelInfo}
+	PlatformUnavailable     = Event{402, "platform away", slog.LevelWarn}
+	PlatformAvailable       = Event{403, "platform back", slog.LevelInfo}
 	WatchStarted            = Event{404, "watch started", slog.LevelInfo}
 	WatchStopped            = Event{405, "watch stopped", slog.LevelInfo}
 	RecordSetLoaded         = Event{406, "record set loaded", slog.LevelInfo}
@@ -71,7 +71,7 @@
 		RequestFailed, RequestAnswered, AnswerAborted, LinkLost, PathLeftOut, PathBack, PeerRefused,
 		InstanceAnnounced, InstanceGone, InstanceLeaving, InstanceSuspect, InstanceTrusted, AnnounceRefused,
 		RequestEnded, RequestRefused, InstanceEstimateChanged, InstanceEnded, RequestStopped,
-		RecordApplied, RecordRefused, PlatformAway, PlatformBack, WatchStarted, WatchStopped, RecordSetLoaded,
+		RecordApplied, RecordRefused, PlatformUnavailable, PlatformAvailable, WatchStarted, WatchStopped, RecordSetLoaded,
 		PlatformLate, PlatformCallEnded, PlatformPause, RecordNotWritten,
 		HostJoined, HostSuspect, HostDead, HostLeft, ShardOwned, ShardLost,
 	}
--- a/internal/event/sample.go
+++ b/internal/event/sample.go
@@ -7,12 +7,12 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// One in sampleInterval ordinary requests is logged. The selection depends only on the
+// One in sampleDivisor ordinary requests is logged. The selection depends only on the
 // request ID, so that every host that handles a request logs it, or none does.
-const sampleInterval = 32
+const sampleDivisor = 32
 
 // Sampled reports whether the ordinary request with this ID is logged.
-func Sampled(requestID string) bool { return xxhash.Sum64String(requestID)%sampleInterval == 0 }
+func Sampled(requestID string) bool { return xxhash.Sum64String(requestID)%sampleDivisor == 0 }
 
 const (
 	// maxLinesPerSecond limits the lines that one Limiter allows. At a host's peak of 81
