--- a/internal/wire/conn.go
+++ b/internal/wire/conn.go
@@ -14,23 +14,24 @@
 )
 
 const (
-	// streamWindow is the flow-control window of each direction of a stream, in
+	// streamWindowBytes is the flow-control window of each direction of a stream, in
 	// body bytes.
-	streamWindow = 256 << 10
-	// recvQueueSize is the capacity of a stream's receive queue, in messages: a
-	// window of minimum-cost chunks (see minCredit) plus control messages.
-	recvQueueSize = 64
-	// maxPending is the number of unsent bytes above which senders wait.
-	maxPending = 512 << 10
+	streamWindowBytes = 256 << 10
+	// recvQueueMessages is the capacity of a stream's receive queue, in messages. Data
+	// messages take up at most half of it (see minCreditBytes); the rest is for other
+	// messages of the stream.
+	recvQueueMessages = 64
+	// maxPendingBytes is the size of the write queue, in bytes, above which senders wait.
+	maxPendingBytes = 512 << 10
 	// maxStreams is the maximum number of open streams per connection.
 	maxStreams = 4096
-	// writeTimeout bounds one write; a write that exceeds it closes the connection.
-	writeTimeout = 10 * time.Second
-	// readBufferSize is the size of the buffered reader, in bytes.
-	readBufferSize = 16 << 10
-	// maxRetainedBuffer is the largest read or write buffer that a connection
+	// writeTimeout is the time limit of one write. A write that exceeds it closes the
+	// connection.
+	writeTimeout    = 10 * time.Second
+	readBufferBytes = 16 << 10
+	// maxRetainedBufferBytes is the largest read or write buffer that a connection
 	// keeps for reuse, in bytes.
-	maxRetainedBuffer = 64 << 10
+	maxRetainedBufferBytes = 64 << 10
 )
 
 // ErrClosed is returned for operations on a closed connection or stream.
@@ -40,16 +41,19 @@
 type Conn struct {
 	nc       net.Conn
 	handlers Handlers
-	done     chan struct{}
-	once     sync.Once
-	cause    atomic.Pointer[error]
+	// done is closed when the connection has ended, after cause was set.
+	done      chan struct{}
+	closeOnce sync.Once
+	cause     atomic.Pointer[error]
 
-	out writeQueue
+	writes writeQueue
 
 	mu      sync.Mutex
 	streams map[uint64]*connStream
-	nextID  uint64
-	opened  idWindow
+	// lastID is the ID of the latest stream that this end opened.
+	lastID uint64
+	// acceptedIDs holds the IDs of the streams that the peer opened.
+	acceptedIDs idWindow
 	// createdAt is the origin of lastRead. It carries a monotonic clock reading,
 	// so lastRead is not affected by changes of the wall clock.
 	createdAt time.Time
@@ -64,8 +68,8 @@
 	// Accept is called in a new goroutine for every stream that the peer
 	// opens. If nil, streams opened by the peer are dropped.
 	Accept func(Stream)
-	// Control is called in order, on the read loop, for every control message
-	// (a message outside any stream). It must not block. If nil, control
+	// Control is called in order, on the read loop, for every control message (a
+	// message outside any stream) except Ping. It must not block. If nil, control
 	// messages are dropped.
 	Control func(msg.Message)
 	// OnSuspect is called when the connection becomes suspect; may be nil.
@@ -75,8 +79,8 @@
 // controlStream is the stream ID of control messages.
 const controlStream = 0
 
-// NewConn wraps nc and starts its read loop. Writes happen on the goroutines of
-// the senders.
+// NewConn starts the read loop of a connection on nc. Writes happen on the
+// goroutines of the senders.
 func NewConn(nc net.Conn, h Handlers) *Conn {
 	c := &Conn{
 		nc:        nc,
@@ -89,7 +93,8 @@
 	return c
 }
 
-// Open creates a stream to the peer. The peer sees it with its first message.
+// Open creates a stream to the peer, which learns of it from the first message. Only
+// one end of a connection may open streams, because both would assign the same IDs.
 func (c *Conn) Open() (Stream, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -99,8 +104,8 @@
 	if len(c.streams) >= maxStreams {
 		return nil, errors.Errorf("connection has reached the limit of %d open streams", maxStreams)
 	}
-	c.nextID++
-	s := newConnStream(c, c.nextID)
+	c.lastID++
+	s := newConnStream(c, c.lastID)
 	c.streams[s.id] = s
 	return s, nil
 }
@@ -111,11 +116,11 @@
 	return c.send(ctx, controlStream, m)
 }
 
-// Ping sends a ping without waiting. The peer's answer shows in LastRead.
+// Ping sends a ping and does not wait for the answer, which updates LastRead.
 func (c *Conn) Ping() { go c.sendControlBounded(&msg.Ping{}) }
 
-// sendControlBounded sends a control message and gives up after writeTimeout. Call
-// it in a new goroutine: the read loop must not block on writes.
+// sendControlBounded sends a control message within writeTimeout or drops it. It is
+// called in a new goroutine, because the read loop must not block on writes.
 func (c *Conn) sendControlBounded(m msg.Message) {
 	ctx, cancel := context.WithTimeout(context.Background(), writeTimeout)
 	defer cancel()
@@ -140,7 +145,8 @@
 // connection was created if none has.
 func (c *Conn) LastRead() time.Time { return c.createdAt.Add(time.Duration(c.lastRead.Load())) }
 
-// StrayFrames returns the number of frames dropped because their stream was not open.
+// StrayFrames returns the number of frames that were dropped because their stream was
+// not open.
 func (c *Conn) StrayFrames() uint64 { return c.strayFrames.Load() }
 
 // Streams returns the number of open streams.
@@ -159,8 +165,9 @@
 	}
 }
 
+// fail closes the connection; the first error becomes its cause.
 func (c *Conn) fail(err error) {
-	c.once.Do(func() {
+	c.closeOnce.Do(func() {
 		c.cause.Store(&err)
 		close(c.done)
 		_ = c.nc.Close()
@@ -168,7 +175,7 @@
 }
 
 func (c *Conn) readLoop() {
-	r := bufio.NewReaderSize(c.nc, readBufferSize)
+	r := bufio.NewReaderSize(c.nc, readBufferBytes)
 	var scratch []byte
 	for {
 		stream, m, buf, err := ReadFrame(r, scratch)
@@ -177,7 +184,7 @@
 			return
 		}
 		scratch = buf
-		if cap(scratch) > maxRetainedBuffer {
+		if cap(scratch) > maxRetainedBufferBytes {
 			scratch = nil
 		}
 		c.lastRead.Store(int64(time.Since(c.createdAt)))
@@ -189,8 +196,8 @@
 	}
 }
 
-// dispatch routes a message to its stream, which it opens if this is a valid first
-// message. Messages for unknown streams are dropped and counted.
+// dispatch delivers a message to its stream. A valid first message of a new stream
+// opens the stream. Messages of streams that are not open are dropped and counted.
 func (c *Conn) dispatch(id uint64, m msg.Message) error {
 	if id == controlStream {
 		if m.Kind() == msg.KindPing {
@@ -204,7 +211,7 @@
 	}
 	c.mu.Lock()
 	s, ok := c.streams[id]
-	if !ok && c.handlers.Accept != nil && opensStream(m.Kind()) && c.opened.addIfNew(id) {
+	if !ok && c.handlers.Accept != nil && opensStream(m.Kind()) && c.acceptedIDs.addIfNew(id) {
 		if len(c.streams) >= maxStreams {
 			c.mu.Unlock()
 			return errors.Errorf("peer exceeded the limit of %d open streams", maxStreams)
--- a/internal/wire/frame.go
+++ b/internal/wire/frame.go
@@ -18,7 +18,7 @@
 )
 
 const (
-	// ProtocolVersion is exchanged in Hello; peers with another version are refused.
+	// ProtocolVersion is exchanged in Hello; peers with a different version are refused.
 	ProtocolVersion = 4
 	// MaxFrameSize is the maximum frame length in bytes, excluding the length
 	// field. The largest message is a part of a record set, whose values are
@@ -53,15 +53,15 @@
 }
 
 // ReadFrame reads one frame. It reuses scratch if it is large enough; the
-// returned buf is the buffer to pass to the next call. A frame that is too
-// long, too short, malformed or of an unknown kind is an error, after which
-// the connection must not be read further.
+// returned buf is the scratch buffer for the next call. A frame that is too long,
+// too short, malformed or of an unknown kind is an error, after which the
+// connection must not be read further.
 func ReadFrame(r io.Reader, scratch []byte) (stream uint64, m msg.Message, buf []byte, err error) {
-	var head [4]byte
-	if _, err = io.ReadFull(r, head[:]); err != nil {
+	var lengthField [4]byte
+	if _, err = io.ReadFull(r, lengthField[:]); err != nil {
 		return 0, nil, scratch, err
 	}
-	size := binary.BigEndian.Uint32(head[:])
+	size := binary.BigEndian.Uint32(lengthField[:])
 	if size < minPayloadSize || size > MaxFrameSize {
 		return 0, nil, scratch, errors.Errorf("frame length %d is out of range: want %d to %d bytes", size, minPayloadSize, MaxFrameSize)
 	}
@@ -85,10 +85,10 @@
 	}
 	trailing, err := m.UnmarshalMsg(payload[minPayloadSize:])
 	if err != nil {
-		return stream, nil, errors.Wrapf(err, "decode message kind %d", payload[8])
+		return stream, nil, errors.Wrapf(err, "decode message of kind %d", payload[8])
 	}
 	if len(trailing) != 0 {
-		return stream, nil, errors.Errorf("message kind %d has %d trailing bytes", payload[8], len(trailing))
+		return stream, nil, errors.Errorf("message of kind %d has %d trailing bytes", payload[8], len(trailing))
 	}
 	return stream, m, nil
 }
--- a/internal/wire/frame_test.go
+++ b/internal/wire/frame_test.go
@@ -42,8 +42,8 @@
 	})
 }
 
-// connect opens a loopback TCP connection. It returns one end as a Conn and the
-// other end raw.
+// connect opens a loopback TCP connection. It returns one end as a Conn and the other
+// as a net.Conn.
 func connect(t *testing.T, accept func(Stream)) (*Conn, net.Conn) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -80,7 +80,7 @@
 	}
 }
 
-func TestSlowReaderHoldsUpNoOtherStream(t *testing.T) {
+func TestSlowReaderDoesNotBlockOtherStreams(t *testing.T) {
 	streams := make(chan Stream, 2)
 	_, raw := connect(t, func(s Stream) { streams <- s })
 	sender := NewConn(raw, Handlers{})
@@ -92,16 +92,16 @@
 	assert.NilError(t, slow.Send(ctx, &msg.Run{}))
 	<-streams // the receiver never reads from this stream
 
-	short, stop := context.WithTimeout(ctx, 200*time.Millisecond)
-	defer stop()
+	sendCtx, cancelSend := context.WithTimeout(ctx, 200*time.Millisecond)
+	defer cancelSend()
 	sent := 0
 	for ; sent < 100; sent++ {
-		if err = slow.Send(short, &msg.Data{Bytes: make([]byte, ChunkSize)}); err != nil {
+		if err = slow.Send(sendCtx, &msg.Data{Bytes: make([]byte, ChunkSize)}); err != nil {
 			break
 		}
 	}
 	assert.Assert(t, errors.Is(err, context.DeadlineExceeded), "the sender was not blocked by flow control: %v", err)
-	assert.Assert(t, sent*ChunkSize <= streamWindow)
+	assert.Assert(t, sent*ChunkSize <= streamWindowBytes)
 
 	fast, err := sender.Open()
 	assert.NilError(t, err)
@@ -111,7 +111,7 @@
 	assert.Equal(t, m.(*msg.Run).RequestID, "fast")
 }
 
-func TestRepeatedFirstMessageOpensNoSecondStream(t *testing.T) {
+func TestDuplicateFirstMessageOpensNoSecondStream(t *testing.T) {
 	opened := make(chan Stream, 4)
 	c, raw := connect(t, func(s Stream) { opened <- s })
 	frame, err := AppendFrame(nil, 7, &msg.Run{RequestID: "once"})
--- a/internal/wire/window.go
+++ b/internal/wire/idwindow.go
@@ -4,9 +4,9 @@
 // open a stream.
 const idWindowSize = 2 * maxStreams
 
-// idWindow is a sliding bitmap of the stream IDs that have been opened, so that a
-// late or duplicate first message never opens a stream twice. Peers assign
-// ascending IDs but may send the first messages slightly out of order.
+// idWindow is a sliding bitmap of the stream IDs that have been opened. It keeps a
+// late or duplicate first message from opening a stream twice. Peers assign
+// ascending IDs, but may send first messages slightly out of order.
 type idWindow struct {
 	highest uint64
 	bits    [idWindowSize / 64]uint64
--- a/internal/wire/liveness.go
+++ b/internal/wire/liveness.go
@@ -7,18 +7,19 @@
 	"time"
 )
 
-// liveness tracks whether a connection still delivers data. A connection whose path
-// silently drops packets accepts writes without an error for minutes.
+// liveness tracks whether a connection still delivers data. If the network silently
+// drops its packets, a connection accepts writes without an error for minutes.
 type liveness struct {
 	// suspect is set when an expected frame, such as the answer to a ping, did not
 	// arrive in time. The next frame clears it.
 	suspect atomic.Bool
 	mu      sync.Mutex
-	// nextFrame is closed when the next frame arrives; nil while nothing waits for it.
+	// nextFrame is closed when the next frame arrives; it is nil while nothing waits for
+	// it.
 	nextFrame chan struct{}
 }
 
-// frameReceived clears the suspicion and wakes all waiters.
+// frameReceived clears suspect and wakes all waiters.
 func (l *liveness) frameReceived() {
 	l.suspect.Store(false)
 	l.mu.Lock()
@@ -39,8 +40,9 @@
 	return l.nextFrame
 }
 
-// MarkSuspect marks the connection as suspect: an expected frame did not arrive in time. The
-// connection stays open for the streams on it, but new work should use another one.
+// MarkSuspect marks the connection as suspect because an expected frame did not arrive in
+// time. The connection stays open for the streams on it, but new streams should use another
+// connection.
 func (c *Conn) MarkSuspect() {
 	if !c.liveness.suspect.Swap(true) && c.handlers.OnSuspect != nil {
 		c.handlers.OnSuspect()
--- a/internal/wire/pipe.go
+++ b/internal/wire/pipe.go
@@ -7,8 +7,8 @@
 	"github.com/radishhoist/radishhoist/internal/msg"
 )
 
-// pipeDepth is the buffer size of one direction of a pipe, in messages.
-const pipeDepth = 8
+// pipeBufferMessages is the capacity of each direction of a pipe, in messages.
+const pipeBufferMessages = 8
 
 // pipeEnd is one end of an in-process Stream. It connects a front and a guard in
 // the same process without encoding frames.
@@ -21,7 +21,7 @@
 
 // Pipe returns the two ends of an in-process Stream.
 func Pipe() (Stream, Stream) {
-	ab, ba := make(chan msg.Message, pipeDepth), make(chan msg.Message, pipeDepth)
+	ab, ba := make(chan msg.Message, pipeBufferMessages), make(chan msg.Message, pipeBufferMessages)
 	a := &pipeEnd{in: ba, out: ab, closed: make(chan struct{})}
 	b := &pipeEnd{in: ab, out: ba, closed: make(chan struct{})}
 	a.peer, b.peer = b, a
--- a/internal/wire/send.go
+++ b/internal/wire/send.go
@@ -10,25 +10,26 @@
 	"github.com/radishhoist/radishhoist/internal/msg"
 )
 
-// writeQueue holds the encoded frames that a connection has still to write. There
+// writeQueue holds the encoded frames that a connection has not written yet. There
 // is no writer goroutine: a sender that finds no other sender writing writes its
-// own frames and those that others append meanwhile. This saves two goroutine
+// own frames and those that others queue in the meantime. This saves two goroutine
 // wake-ups per message.
 type writeQueue struct {
 	mu      sync.Mutex
 	pending []byte
+	// spare is the buffer of an earlier batch, reused for pending.
 	spare   []byte
 	writing bool
-	// spaceFreed is closed when the pending bytes are handed to the writing sender;
-	// nil while no sender waits for space.
+	// spaceFreed is closed when the writing sender takes the pending bytes; it is nil
+	// while no sender waits for space.
 	spaceFreed chan struct{}
 }
 
 // send writes messages contiguously, or queues them if another sender is writing.
-// It waits while more than maxPending bytes are unsent.
+// It waits while more than maxPendingBytes are queued.
 func (c *Conn) send(ctx context.Context, stream uint64, ms ...msg.Message) error {
 	for {
-		wait, err := c.append(stream, ms)
+		wait, err := c.enqueue(stream, ms)
 		if err != nil {
 			return err
 		}
@@ -45,13 +46,13 @@
 	}
 }
 
-// append queues frames and, if no other sender is writing, writes until the queue
-// is empty. If the queue is full it queues nothing and returns a channel to wait on
-// before the next attempt.
-func (c *Conn) append(stream uint64, ms []msg.Message) (<-chan struct{}, error) {
-	q := &c.out
+// enqueue queues messages as frames and, if no other sender is writing, writes until
+// the queue is empty. If the queue is full, it queues nothing and returns a channel to
+// wait on before the next attempt.
+func (c *Conn) enqueue(stream uint64, ms []msg.Message) (<-chan struct{}, error) {
+	q := &c.writes
 	q.mu.Lock()
-	if len(q.pending) > maxPending {
+	if len(q.pending) > maxPendingBytes {
 		if q.spaceFreed == nil {
 			q.spaceFreed = make(chan struct{})
 		}
@@ -82,7 +83,7 @@
 		q.mu.Unlock()
 		err := c.write(batch)
 		q.mu.Lock()
-		if cap(batch) <= maxRetainedBuffer {
+		if cap(batch) <= maxRetainedBufferBytes {
 			q.spare = batch
 		}
 		if err != nil {
--- a/internal/wire/stream.go
+++ b/internal/wire/stream.go
@@ -13,8 +13,8 @@
 // Stream is a bidirectional sequence of messages with a peer. Send and Recv may be
 // called concurrently with each other, but neither concurrently with itself.
 type Stream interface {
-	// Send sends messages contiguously. Data messages first wait for
-	// flow-control credit from the peer.
+	// Send sends messages contiguously. It first waits until the peer has granted
+	// enough flow-control credit for the Data messages among them.
 	Send(ctx context.Context, ms ...msg.Message) error
 	// Recv returns the next message. Messages received before the connection
 	// ended are returned before its error.
@@ -32,11 +32,12 @@
 	creditMu sync.Mutex
 	// credit is the number of body bytes that may still be sent.
 	credit int
-	// creditAdded holds a token when credit was added since the last wait.
+	// creditAdded has capacity 1 and holds a value if credit was added since the last
+	// wait.
 	creditAdded chan struct{}
 
-	// unreturned is the credit of consumed messages that has not been returned
-	// to the peer, in bytes.
+	// unreturned is the credit for consumed messages, in bytes, that has not been
+	// returned to the peer yet.
 	unreturned int
 	// buffered is the number of body bytes received but not yet consumed.
 	buffered  atomic.Int64
@@ -47,8 +48,8 @@
 	return &connStream{
 		conn:        c,
 		id:          id,
-		recvQueue:   make(chan msg.Message, recvQueueSize),
-		credit:      streamWindow,
+		recvQueue:   make(chan msg.Message, recvQueueMessages),
+		credit:      streamWindowBytes,
 		creditAdded: make(chan struct{}, 1),
 	}
 }
@@ -61,7 +62,7 @@
 		s.addCredit(int(m.Bytes))
 		return nil
 	case *msg.Data:
-		if len(m.Bytes) > ChunkSize || s.buffered.Add(int64(len(m.Bytes))) > streamWindow {
+		if len(m.Bytes) > ChunkSize || s.buffered.Add(int64(len(m.Bytes))) > streamWindowBytes {
 			return errors.Errorf("stream %d: peer exceeded its flow-control window", s.id)
 		}
 	}
@@ -107,8 +108,8 @@
 func (s *connStream) Send(ctx context.Context, ms ...msg.Message) error {
 	for _, m := range ms {
 		if d, ok := m.(*msg.Data); ok {
-			// A small chunk takes up as much of the receive queue as a large one.
-			if err := s.takeCredit(ctx, max(len(d.Bytes), minCredit)); err != nil {
+			// A small chunk occupies one place in the receive queue, like a large one.
+			if err := s.takeCredit(ctx, max(len(d.Bytes), minCreditBytes)); err != nil {
 				return err
 			}
 		}
@@ -116,9 +117,9 @@
 	return s.conn.send(ctx, s.id, ms...)
 }
 
-// minCredit is the minimum credit charged for a Data message, in bytes. It keeps a
+// minCreditBytes is the minimum credit charged for a Data message, in bytes. It keeps a
 // full window of small chunks within half of the receive queue.
-const minCredit = streamWindow / (recvQueueSize / 2)
+const minCreditBytes = streamWindowBytes / (recvQueueMessages / 2)
 
 // Recv implements Stream.
 func (s *connStream) Recv(ctx context.Context) (msg.Message, error) {
@@ -150,8 +151,8 @@
 		return nil
 	}
 	s.buffered.Add(-int64(len(d.Bytes)))
-	s.unreturned += max(len(d.Bytes), minCredit)
-	if s.unreturned < streamWindow/2 {
+	s.unreturned += max(len(d.Bytes), minCreditBytes)
+	if s.unreturned < streamWindowBytes/2 {
 		return nil
 	}
 	returned := uint32(s.unreturned)
