--- a/internal/msg/control.go
+++ b/internal/msg/control.go
@@ -25,13 +25,13 @@
 	// SetHosts holds the state that each host publishes about itself.
 	SetHosts
 	// SetCrashes holds the crashes of instances, with the requests that were running, and
-	// the crashes that requests have been cleared of.
+	// the clearances: records that a request did not cause a crash.
 	SetCrashes
 	// Sets is the number of replicated sets.
 	Sets
 )
 
-// Rumor pushes new entries to a peer.
+// Rumor sends new entries to a peer without a request for them.
 type Rumor struct {
 	Set     SetID
 	Entries []Entry `msg:"entries,limit=20000"`
@@ -77,11 +77,11 @@
 	Items []VersionItem `msg:"items,limit=20000"`
 }
 
-// Snapshot is one part of a whole set, sent in answer to Pull with All.
+// Snapshot is one part of a whole set, sent in answer to a Pull with All.
 type Snapshot struct {
 	Set     SetID
 	Entries []Entry `msg:"entries,limit=20000"`
-	// Part is the index of the part, from 0. Last marks the last part.
+	// Part is the index of the part, from 0, and Last marks the last part.
 	Part uint32
 	Last bool
 	// Complete is false if the sender's own set is incomplete.
@@ -125,17 +125,23 @@
 
 // HostInstance is one instance in a HostState.
 type HostInstance struct {
-	Name      string
-	Service   string
-	Slots     uint32
-	Conns     uint32
-	Version   string
-	State     uint8
-	Health    uint8
-	Evidence  uint32
+	Name    string
+	Service string
+	Slots   uint32
+	// Conns is the maximum number of connections to the instance.
+	Conns uint32
+	// Version is the version of the instance's software.
+	Version string
+	// State is a directory.InstanceState, and Health a detect.Health.
+	State  uint8
+	Health uint8
+	// Evidence is the evidence against a suspect, in hundredths of a nat.
+	Evidence uint32
+	// StartedMS is when the instance was first announced, in Unix milliseconds by its
+	// guard's clock.
 	StartedMS int64
-	// WarmUpLeftMS is the rest of the instance's warm-up in milliseconds. It is a duration
-	// because the clocks of hosts differ.
+	// WarmUpLeftMS is the remaining warm-up time in milliseconds. It is a duration, not a
+	// time, because the clocks of hosts differ.
 	WarmUpLeftMS uint32
 }
 
@@ -166,16 +172,20 @@
 // Report tells the host that aggregates the status of a data centre which records the
 // sender has in force.
 type Report struct {
+	// Root is the root hash of the sender's records, and Newest their greatest version.
 	Root     uint64
 	Newest   int64
 	Complete bool
-	// Rejected lists the records whose last valid version stays in force at the sender.
+	// Rejected lists the records whose current version the sender has rejected. Their
+	// last valid version stays in force.
 	Rejected []ReportRejected `msg:"rejected,limit=64"`
 }
 
 // ReportRejected is a record whose current version is not in force.
 type ReportRejected struct {
-	Key     string
+	Key string
+	// Version is the rejected version, and InForce the version in force, or 0 if there is
+	// none.
 	Version int64
 	InForce int64
 	Reason  string
--- a/internal/msg/keys.go
+++ b/internal/msg/keys.go
@@ -31,7 +31,8 @@
 	Status uint16
 	Header []Field `msg:"header,limit=256"`
 	Body   []byte
-	// RetryAfterMS is when a refused caller may try again.
+	// RetryAfterMS is the time after which a refused caller may try again, in
+	// milliseconds.
 	RetryAfterMS uint32
 }
 
@@ -43,8 +44,9 @@
 	Key       string
 	RequestID string
 	Verdict   verdict.Verdict
-	Complete  bool
-	// StoreResponse reports whether the response below is to be stored for replay.
+	// Complete reports whether the whole response arrived.
+	Complete bool
+	// StoreResponse asks the owner to store the response below for replay.
 	StoreResponse bool
 	Status        uint16
 	Header        []Field `msg:"header,limit=256"`
@@ -66,9 +68,10 @@
 	Granted bool
 	// Epoch is the greatest epoch that the guard knows for the shard.
 	Epoch uint64
-	// TTLMS is the duration of the lease, which the owner counts from its request.
+	// TTLMS is the duration of the lease in milliseconds. The owner counts it from when it
+	// sent the request.
 	TTLMS uint32
-	// RetryAfterMS is the time after which another request may succeed.
+	// RetryAfterMS is the time after which another request may succeed, in milliseconds.
 	RetryAfterMS uint32
 }
 
@@ -77,9 +80,11 @@
 	Key       string
 	BodyHash  uint64
 	RequestID string
-	// State is the key state of package once, and AgeMS the time since it was entered.
-	State  uint8
-	AgeMS  int64
+	// State is the state of the key, as defined by package once, and AgeMS the time since
+	// the key entered it, in milliseconds.
+	State uint8
+	AgeMS int64
+	// Stored reports whether the response below is stored for replay.
 	Stored bool
 	Status uint16
 	Header []Field `msg:"header,limit=256"`
@@ -92,8 +97,9 @@
 	Shard   uint32
 	// Epoch is the epoch of the next owner.
 	Epoch uint64
-	// Since and OpaqueMS state what the table may lack: keys created up to the wall time
-	// Since. Opaque keys are refused for another OpaqueMS milliseconds for that reason.
+	// Since and OpaqueMS state what the table may lack: keys created up to the time Since,
+	// in Unix milliseconds. Opaque keys carry no time, so the next owner refuses new ones
+	// for another OpaqueMS milliseconds.
 	Since    int64
 	OpaqueMS int64
 	Part     uint32
--- a/internal/msg/msg.go
+++ b/internal/msg/msg.go
@@ -9,7 +9,7 @@
 // Kind is the one-byte tag in front of every message in a frame.
 type Kind uint8
 
-// The kinds of message. Numbers are never reused.
+// The kinds of message. The numbers are part of the wire format and are never reused.
 const (
 	KindHello Kind = iota + 1
 	KindReserve
@@ -44,6 +44,6 @@
 type Message interface {
 	msgp.Marshaler
 	msgp.Unmarshaler
-	// Kind is the tag that selects the type when the frame is decoded.
+	// Kind returns the tag that selects the Go type when a frame is decoded.
 	Kind() Kind
 }
--- a/internal/msg/requests.go
+++ b/internal/msg/requests.go
@@ -15,7 +15,8 @@
 	Value string
 }
 
-// Load is the load and condition of one instance, as its guard knew them on sending.
+// Load is the load and health of one instance, as known to its guard when it sent the
+// message.
 type Load struct {
 	Slots   uint32
 	Running uint32
@@ -36,20 +37,19 @@
 	// RetryBudgetLeft is the number of retries left in the guard's part of the service's
 	// retry budget.
 	RetryBudgetLeft uint16
-	// RetryBudgetOverdrawn reports that the request may have been a call made by a
-	// retried run while the budget here was used up: the host where the request
-	// originates makes too many retries.
+	// RetryBudgetOverdrawn reports that the guard's part of the retry budget was used up
+	// and that the request may have been a call made by a retried run: the host where the
+	// request originates makes too many retries.
 	RetryBudgetOverdrawn bool
 	// WantsTrial reports that the guard would like to receive a request: the instance is
-	// idle, or its condition is uncertain and a repeatable request would show it.
+	// idle, or its health is uncertain and an idempotent request would reveal it.
 	WantsTrial bool
 }
 
 // FailureProbability returns FailureEstimate as a probability.
 func (l Load) FailureProbability() float64 { return float64(l.FailureEstimate) / Thousandths }
 
-// Thousandths is the value that stands for 1 in Load.FailureEstimate and
-// Sample.LatencyRatio.
+// Thousandths is the value that represents 1 in the fields given in thousandths.
 const Thousandths = 1000
 
 // InstanceLoad is the Load of one named instance.
@@ -59,7 +59,7 @@
 	Load     Load
 }
 
-// LoadReport tells fronts about changes of load or condition at a guard's instances.
+// LoadReport tells fronts about changes in the load or health of a guard's instances.
 type LoadReport struct {
 	// Forward asks the receiver to forward the report within its data centre.
 	Forward bool
@@ -67,17 +67,17 @@
 }
 
 // Sample is the latest latency that a front observed at another instance of the same
-// service. It is sent along with requests, so that a guard can compare its own
-// instances with their peers without separate messages.
+// service. It is sent along with requests, so that a guard can compare its instances
+// with those of other guards without separate messages.
 type Sample struct {
 	// Instance is a hash of the instance's name, or 0 if there is no sample.
 	Instance uint64
-	// LatencyRatio is the service time relative to the usual one of the route, in
-	// thousandths, because service times differ between routes.
+	// LatencyRatio is the service time relative to the usual service time of the route,
+	// because service times differ between routes, in thousandths.
 	LatencyRatio uint32
 }
 
-// Hello opens a connection.
+// Hello is the first message on a connection and identifies the sender.
 type Hello struct {
 	Proto       uint32
 	Host        string
@@ -88,11 +88,11 @@
 // AdmissionHints is what a front tells the guard about a request for its admission: the
 // latency objective and the request's share in the retry budget.
 type AdmissionHints struct {
-	// ObjectiveMS is the latency objective, counted from the caller's send, and UsedMS
-	// the part of it that has passed.
+	// ObjectiveMS is the latency objective in milliseconds, counted from the arrival of the
+	// request at the front, and ElapsedMS the time since then.
 	ObjectiveMS uint32
 	ElapsedMS   uint32
-	// ExpectedMS is the expected service time, or 0 if unknown.
+	// ExpectedMS is the expected service time in milliseconds, or 0 if unknown.
 	ExpectedMS uint32
 	// AllowLate asks to queue the request even if it would miss the objective.
 	AllowLate bool
@@ -130,13 +130,13 @@
 
 // Grant confirms the slot that Reserve asked for.
 type Grant struct {
-	// TTLMS is how long the guard reserves the slot, by its own clock.
+	// TTLMS is how long the guard reserves the slot, in milliseconds by its own clock.
 	TTLMS uint32
 	Load  Load
 }
 
-// Run tells a guard to run a request. With Reserved, it consumes the Grant on the same
-// stream. Without, the guard admits and runs the request in one step.
+// Run tells a guard to run a request. With Reserved, it uses the slot granted on the same
+// stream; without, the guard admits and runs the request in one step.
 type Run struct {
 	RequestID   string
 	Service     string
@@ -148,8 +148,8 @@
 	Hints       AdmissionHints
 	Reserved    bool
 	Idempotent  bool
-	// Shard and Epoch fence a run that was claimed by key. Epoch is 0 for a run without
-	// a claim.
+	// Shard and Epoch are those of the claim of the request's idempotency key; the guard
+	// refuses a run whose epoch has ended. Epoch is 0 for a run without a claim.
 	Shard  uint32
 	Epoch  uint64
 	Method string
@@ -172,9 +172,11 @@
 	Length uint64
 	// Hash is the xxhash64 of the whole body.
 	Hash uint64
-	// ServiceUS is the service time of the target in microseconds, for responses only.
+	// ServiceUS is the service time of the target in microseconds; it is set for responses
+	// only.
 	ServiceUS uint32
-	// QueueUS is the time in the guard's queue in microseconds, for responses only.
+	// QueueUS is the time in the guard's queue in microseconds; it is set for responses
+	// only.
 	QueueUS uint32
 	Load    Load
 }
@@ -182,7 +184,7 @@
 // Cancel asks the guard to abort the request.
 type Cancel struct{}
 
-// Window grants flow control credit for consumed body bytes.
+// Window returns flow-control credit to the sender of body bytes that were consumed.
 type Window struct {
 	Bytes uint32
 }
--- a/internal/msg/teams.go
+++ b/internal/msg/teams.go
@@ -5,7 +5,7 @@
 //msgp:limit arrays:4096 maps:64
 //msgp:tuple TeamPacket TeamUsage TeamLevel TeamNotice
 
-// TeamPacket is a datagram about the rates of teams.
+// TeamPacket is a datagram of the hosts' shared limits on the request rates of teams.
 type TeamPacket struct {
 	// From is the sending host, and Incarnation its start time in Unix milliseconds.
 	From        string
@@ -16,27 +16,30 @@
 }
 
 // TeamUsage tells the home of a team, the host that keeps its account, how many requests
-// another host has admitted. It may query whether one more request may pass.
+// another host has admitted. It may carry a query, which asks whether one more request may be
+// admitted.
 type TeamUsage struct {
 	Team string
-	// Seq numbers the messages of this host about the team since the host created its
-	// account of the team, which it drops when it is idle.
+	// Seq numbers the sender's messages about the team. It starts again when the sender
+	// creates a new account of the team; a host drops accounts that are idle.
 	Seq uint32
-	// Count is the number of requests admitted by the host without a query since it created
-	// the account, plus those that others reported to it, or that it granted them on a
-	// query, instead of the home, less those that did not run and second grants of a
-	// query. Confirmed is the part of it included in Level.
+	// Count is the number of requests that the sender admitted without a query since it
+	// created the account, plus those that it accounts for in place of the home: those that
+	// other hosts reported to it, and those that it granted on their queries. Requests that
+	// did not run, and the second of two grants of one query, are subtracted. Confirmed is
+	// the part of Count that Level includes.
 	Count, Confirmed int64
-	// Level is the usage of the team as known to the sender, in requests. Known reports
-	// whether the sender has run for long enough to know it.
+	// Level is the usage of the team as known to the sender, in requests, without those of
+	// Count that are not confirmed. Known is false while the sender may not know the usage
+	// yet, after its start.
 	Level float32
 	Known bool
-	// ConfirmedByReceiver reports whether the receiver was the one to confirm Confirmed.
+	// ConfirmedByReceiver reports whether Confirmed was confirmed by the receiver.
 	ConfirmedByReceiver bool
-	// Forwarded reports that the message was forwarded by a host that received it but
+	// Forwarded reports that other hosts report the team's usage to the sender, although it
 	// does not keep the account.
 	Forwarded bool
-	// QueryID identifies the query of the sender, or is 0 if there is none.
+	// QueryID identifies the query, or is 0 if there is none.
 	QueryID uint32
 }
 
@@ -46,19 +49,21 @@
 	// Seq and Count are those of the confirmed TeamUsage.
 	Seq   uint32
 	Count int64
+	// Level is the usage of the team as known to the sender, with the requests of Count.
+	// Known has the same meaning as in TeamUsage.
 	Level float32
 	Known bool
-	// NearLimitMS is how long to query the home before each request, because the team is
-	// close to its limit, in milliseconds. It is 0 if the team is not.
+	// NearLimitMS is how long the receiver is to query the home before each request, in
+	// milliseconds. It is 0 if the team is not near its limit.
 	NearLimitMS uint32
 	// QueryID identifies the query that is answered. If it is not Granted, RetryAfterMS is the
-	// time until a request would be, in milliseconds.
+	// time after which a request may be granted, in milliseconds.
 	QueryID      uint32
 	Granted      bool
 	RetryAfterMS uint32
 }
 
-// TeamNotice tells all hosts that a team is close to its limit.
+// TeamNotice tells all hosts that a team is near its limit.
 type TeamNotice struct {
 	Team  string
 	Level float32
