--- a/internal/targetconn/exchange.go
+++ b/internal/targetconn/exchange.go
@@ -40,7 +40,7 @@
 
 // Error describes a request that got no response.
 type Error struct {
-	// Sent is set if any part of the request was sent: the target may have run it.
+	// Sent is set if any part of the request was sent, so that the target may have run it.
 	Sent bool
 	// Mismatched is set if responses arrived that belong to other requests.
 	Mismatched bool
@@ -59,10 +59,11 @@
 )
 
 const (
-	// maxStrayResponses is how many responses to other requests are skipped. Targets
-	// send extra responses one at a time.
+	// maxStrayResponses is the maximum number of responses to other requests that are
+	// skipped. Targets send extra responses one at a time.
 	maxStrayResponses = 3
-	// maxStrayBodyBytes is the largest body of such a response that is skipped.
+	// maxStrayBodyBytes is the body length from which such a response is not skipped:
+	// the request fails and the connection is closed.
 	maxStrayBodyBytes = 1 << 20
 	// maxInlineBodyBytes is the largest body that is sent in one write with the
 	// header, and the chunk size of a longer one.
@@ -99,7 +100,8 @@
 	// bodyWritten is closed when the whole request body has been sent. It is nil if the
 	// body was sent together with the header.
 	bodyWritten chan struct{}
-	keepAlive   bool
+	// keepAlive reports whether the target keeps the connection open after the response.
+	keepAlive bool
 }
 
 func (x *exchange) run() (*Response, error) {
@@ -188,7 +190,7 @@
 
 // bodySent reports whether the whole request body has been sent. A target that
 // responds early still reads the rest of the body, so it would take another request
-// on the same connection for body data.
+// on the same connection as body data.
 func (x *exchange) bodySent() bool {
 	if x.bodyWritten == nil {
 		return true
@@ -208,7 +210,7 @@
 	x.writeHead(&out)
 	body, err := x.appendBody(&out)
 	if err != nil {
-		// The body ended early, before anything was sent.
+		// Reading the body failed before anything was sent.
 		return &Error{Cause: err}
 	}
 	n, err := x.conn.nc.Write(out.Bytes())
@@ -237,6 +239,8 @@
 	return nil, nil
 }
 
+// shortReadError returns the error of a body that ended early: err, or
+// io.ErrUnexpectedEOF if it is nil.
 func shortReadError(err error) error {
 	if err == nil {
 		return io.ErrUnexpectedEOF
@@ -245,7 +249,7 @@
 }
 
 // writeBody sends a long body. If the body ends early, it resets the connection, so
-// that the target does not take the part for the complete body.
+// that the target does not take the truncated body as complete.
 func (x *exchange) writeBody(body io.Reader) {
 	err := x.copyBody(body)
 	if err == nil {
@@ -271,11 +275,11 @@
 	for {
 		n, err := body.Read(chunk)
 		if n > 0 {
-			frame := strconv.AppendInt(nil, int64(n), 16)
-			frame = append(frame, "\r\n"...)
-			frame = append(frame, chunk[:n]...)
-			frame = append(frame, "\r\n"...)
-			if _, err := x.conn.nc.Write(frame); err != nil {
+			encoded := strconv.AppendInt(nil, int64(n), 16)
+			encoded = append(encoded, "\r\n"...)
+			encoded = append(encoded, chunk[:n]...)
+			encoded = append(encoded, "\r\n"...)
+			if _, err := x.conn.nc.Write(encoded); err != nil {
 				return err
 			}
 		}
@@ -317,7 +321,7 @@
 	return method == http.MethodPost || method == http.MethodPut || method == http.MethodPatch
 }
 
-// body is the response body. The exchange is finished when it ends or is closed.
+// body is the response body. Reading it to its end or closing it finishes the exchange.
 type body struct {
 	exchange *exchange
 	src      io.ReadCloser
--- a/internal/targetconn/exchange_test.go
+++ b/internal/targetconn/exchange_test.go
@@ -73,7 +73,7 @@
 // waitClosed waits until the client has closed the connection.
 func (c *serverConn) waitClosed() { _, _ = io.Copy(io.Discard, c.br) }
 
-func get(id string) *Request {
+func newGet(id string) *Request {
 	return &Request{ID: id, Method: http.MethodGet, URI: "/a%2fb?q", Host: "h", Header: http.Header{"X-Request-Id": {id}}}
 }
 
@@ -81,12 +81,12 @@
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
-	a, err := p.Do(ctx, r)
+	resp, err := p.Do(ctx, r)
 	if err != nil {
 		return "", err
 	}
-	defer func() { _ = a.Body.Close() }()
-	body, err := io.ReadAll(a.Body)
+	defer func() { _ = resp.Body.Close() }()
+	body, err := io.ReadAll(resp.Body)
 	return string(body), err
 }
 
@@ -107,7 +107,7 @@
 		c.waitClosed()
 	})
 	for _, id := range []string{"1", "2"} {
-		body, err := do(t, p, get(id))
+		body, err := do(t, p, newGet(id))
 		assert.NilError(t, err)
 		assert.Equal(t, body, "body "+id)
 	}
@@ -140,10 +140,10 @@
 				c.respond("2", "two")
 				c.waitClosed()
 			})
-			body, err := do(t, p, get("1"))
+			body, err := do(t, p, newGet("1"))
 			assert.NilError(t, err)
 			assert.Equal(t, body, "one")
-			body, err = do(t, p, get("2"))
+			body, err = do(t, p, newGet("2"))
 			assert.NilError(t, err)
 			assert.Equal(t, body, "two")
 		})
@@ -158,7 +158,7 @@
 		}
 		c.waitClosed()
 	})
-	_, err := do(t, p, get("1"))
+	_, err := do(t, p, newGet("1"))
 	e := requireError(t, err)
 	assert.Assert(t, e.Sent && e.Mismatched)
 }
@@ -173,15 +173,15 @@
 	})
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
-	a, err := p.Do(ctx, get("1"))
+	resp, err := p.Do(ctx, newGet("1"))
 	assert.NilError(t, err)
-	assert.Equal(t, a.Status, http.StatusServiceUnavailable)
+	assert.Equal(t, resp.Status, http.StatusServiceUnavailable)
 }
 
 // A request that was sent, even in part, may have run; one that was not sent has not.
 func TestErrorReportsWhetherRequestWasSent(t *testing.T) {
 	p, _ := startTarget(t, func(c *serverConn) { c.readRequest() })
-	_, err := do(t, p, get("1"))
+	_, err := do(t, p, newGet("1"))
 	assert.Assert(t, requireError(t, err).Sent, "%v", err)
 
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -189,9 +189,9 @@
 	closed := l.Addr().String()
 	assert.NilError(t, l.Close())
 	p = New(Config{Address: closed, MaxConns: 1, IdleTimeout: time.Minute, DialTimeout: time.Second})
-	_, err = do(t, p, get("1"))
+	_, err = do(t, p, newGet("1"))
 	assert.Assert(t, !requireError(t, err).Sent)
-	_, err = do(t, p, get("1"))
+	_, err = do(t, p, newGet("1"))
 	assert.Assert(t, !errors.Is(err, errConnLimit), "a failed connection attempt still counts towards MaxConns")
 }
 
@@ -209,7 +209,7 @@
 		c.respond("2", "two")
 		c.waitClosed()
 	})
-	_, err := do(t, p, get("1"))
+	_, err := do(t, p, newGet("1"))
 	assert.NilError(t, err)
 	<-closed
 	for range 1000 {
@@ -218,7 +218,7 @@
 		}
 		time.Sleep(time.Millisecond)
 	}
-	body, err := do(t, p, get("2"))
+	body, err := do(t, p, newGet("2"))
 	assert.NilError(t, err)
 	assert.Equal(t, body, "two")
 	assert.Equal(t, *accepted, 2)
@@ -234,7 +234,7 @@
 				c.readRequest()
 				c.send("%s", head)
 			})
-			_, err := do(t, p, get("1"))
+			_, err := do(t, p, newGet("1"))
 			assert.Assert(t, errors.Is(err, io.ErrUnexpectedEOF), "%v", err)
 		})
 	}
@@ -250,7 +250,7 @@
 				_ = c.Conn.(*net.TCPConn).SetLinger(0)
 			}
 		})
-		body, err := do(t, p, get("1"))
+		body, err := do(t, p, newGet("1"))
 		if reset {
 			assert.Assert(t, err != nil, "a response cut off by a reset was read without an error: %q", body)
 			continue
@@ -261,7 +261,7 @@
 }
 
 // A target that responds before it has read a long body continues to read the body, and
-// would take another request on the same connection for body data.
+// would take another request on the same connection as body data.
 func TestConnectionWithPartlySentBodyIsNotReused(t *testing.T) {
 	second := make(chan string, 1)
 	p, accepted := startTarget(t, func(c *serverConn) {
@@ -279,7 +279,7 @@
 	}
 	_, err := do(t, p, long)
 	assert.NilError(t, err)
-	body, err := do(t, p, get("2"))
+	body, err := do(t, p, newGet("2"))
 	close(unblock)
 	assert.NilError(t, err)
 	assert.Equal(t, body, "two")
@@ -327,10 +327,10 @@
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	time.AfterFunc(10*time.Millisecond, cancel)
-	_, err := p.Do(ctx, get("1"))
+	_, err := p.Do(ctx, newGet("1"))
 	assert.Assert(t, requireError(t, err).Sent)
 	<-closed
-	assert.Equal(t, p.open, 0)
+	assert.Equal(t, p.openConns, 0)
 }
 
 func TestTargetKeepAliveTimeoutIsHonoured(t *testing.T) {
--- a/internal/targetconn/pool.go
+++ b/internal/targetconn/pool.go
@@ -1,10 +1,10 @@
-// Package targetconn is an HTTP/1.1 client for one target. It reports whether any
-// part of a failed request was sent, never retries by itself, and never returns a
-// response that belongs to another request.
+// Package targetconn provides an HTTP/1.1 client for one target. It reports whether
+// any part of a failed request was sent, never retries, and never returns a response
+// that belongs to another request.
 //
 // The net/http client is unsuitable for two reasons. It retries a request on a new
 // connection when a reused one fails, and the retry budget does not count that
-// attempt. It also takes the next bytes on the connection for the response, even if
+// attempt. It also takes the next bytes on the connection as the response, even if
 // they are an extra response to an earlier request.
 package targetconn
 
@@ -23,15 +23,15 @@
 	// one more fails without being sent.
 	MaxConns int
 	// IdleTimeout is how long an idle connection is kept; a shorter timeout in the target's
-	// Keep-Alive header takes precedence. A longer time saves new connections, but
+	// Keep-Alive header takes precedence. A longer timeout saves new connections, but
 	// it should stay below the target's own idle timeout.
 	IdleTimeout time.Duration
 	// DialTimeout is the timeout of one connection attempt.
 	DialTimeout time.Duration
-	// Dial replaces the default TCP dialer; nil uses the default.
+	// Dial replaces the default TCP dialer if it is not nil.
 	Dial func(ctx context.Context, address string) (net.Conn, error)
-	// EchoesRequestID says that the target repeats the request ID in its responses,
-	// so that a successful one without an ID belongs to no request.
+	// EchoesRequestID states that the target repeats the request ID in its responses. A
+	// successful response without an ID is then skipped, because it belongs to no request.
 	EchoesRequestID bool
 }
 
@@ -39,10 +39,11 @@
 type Pool struct {
 	cfg Config
 
-	mu     sync.Mutex
-	idle   []*conn
-	open   int
-	closed bool
+	mu   sync.Mutex
+	idle []*conn
+	// openConns is the number of connections that are open or being opened.
+	openConns int
+	closed    bool
 }
 
 // New returns a Pool without connections.
@@ -64,15 +65,15 @@
 func (p *Pool) Sweep(now time.Time) {
 	p.mu.Lock()
 	var expired []*conn
-	kept := p.idle[:0]
+	remaining := p.idle[:0]
 	for _, c := range p.idle {
 		if now.Before(c.idleUntil) {
-			kept = append(kept, c)
+			remaining = append(remaining, c)
 		} else {
 			expired = append(expired, c)
 		}
 	}
-	p.idle = kept
+	p.idle = remaining
 	p.mu.Unlock()
 	for _, c := range expired {
 		p.discard(c)
@@ -97,8 +98,8 @@
 	}
 }
 
-// popIdleOrReserve returns an idle connection. If there is none, it reserves a place
-// under MaxConns for a new one and returns nil.
+// popIdleOrReserve returns an idle connection. If there is none, it counts a new one
+// towards MaxConns, for the caller to open, and returns nil.
 func (p *Pool) popIdleOrReserve() (*conn, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -107,10 +108,10 @@
 		p.idle = p.idle[:n-1]
 		return c, nil
 	}
-	if p.open >= p.cfg.MaxConns {
+	if p.openConns >= p.cfg.MaxConns {
 		return nil, errConnLimit
 	}
-	p.open++
+	p.openConns++
 	return nil, nil
 }
 
@@ -123,11 +124,12 @@
 	return dialer.DialContext(ctx, "tcp", c.Address)
 }
 
+// dial opens a connection that the caller has already counted in p.openConns.
 func (p *Pool) dial(ctx context.Context) (*conn, error) {
 	nc, err := p.cfg.connect(ctx)
 	if err != nil {
 		p.mu.Lock()
-		p.open--
+		p.openConns--
 		p.mu.Unlock()
 		return nil, err
 	}
@@ -139,9 +141,9 @@
 // nil.
 func (p *Pool) Probe(ctx context.Context) error {
 	p.mu.Lock()
-	full := p.open >= p.cfg.MaxConns
+	full := p.openConns >= p.cfg.MaxConns
 	if !full {
-		p.open++
+		p.openConns++
 	}
 	p.mu.Unlock()
 	if full {
@@ -169,9 +171,10 @@
 	}
 }
 
+// discard closes a connection that is not in p.idle.
 func (p *Pool) discard(c *conn) {
 	_ = c.nc.Close()
 	p.mu.Lock()
-	p.open--
+	p.openConns--
 	p.mu.Unlock()
 }
