--- a/verdict/problem.go
+++ b/verdict/problem.go
@@ -9,16 +9,18 @@
 // Header is the response header that carries the verdict of a failed request.
 const Header = "Radishhoist-Verdict"
 
-// ProblemType is the media type of RFC 9457.
+// ProblemType is the media type of a Problem, defined by RFC 9457.
 const ProblemType = "application/problem+json"
 
 // Problem is the RFC 9457 body of every error response that a front sends to a caller.
 type Problem struct {
+	// Type is "urn:radishhoist:" followed by the Reason, and Title the Reason alone.
 	Type    string `json:"type"`
 	Title   string `json:"title"`
 	Status  int    `json:"status"`
 	Detail  string `json:"detail,omitempty"`
 	Verdict string `json:"verdict"`
+	// Request is the request ID.
 	Request string `json:"request"`
 }
 
--- a/verdict/verdict.go
+++ b/verdict/verdict.go
@@ -1,8 +1,8 @@
 // Package verdict describes whether a failed request may have run on its target.
 //
 // Every failure reported to a caller, an operator or another process carries one
-// of three verdicts. A process that passes a failure on may weaken its verdict but
-// never strengthen it; a process that does not know reports MayHaveRun.
+// of three verdicts. A process that forwards a failure may weaken its verdict to
+// MayHaveRun but never strengthen it; a process that does not know reports MayHaveRun.
 package verdict
 
 import (
@@ -11,7 +11,7 @@
 	"github.com/pkg/errors"
 )
 
-// Verdict tells whether a request may have run on its target.
+// Verdict states whether a request may have run on its target.
 type Verdict uint8
 
 const (
@@ -85,8 +85,8 @@
 	Verdict Verdict
 	Reason  Reason
 	Detail  string
-	// RetryAfterMS is how long, in milliseconds, a caller should wait before it
-	// retries; 0 if no later retry is known to help.
+	// RetryAfterMS is how long a caller should wait before it retries, in milliseconds;
+	// 0 if no later retry is known to help.
 	RetryAfterMS int64
 }
 
