--- a/internal/port/port.go
+++ b/internal/port/port.go
@@ -1,5 +1,5 @@
-// Package port opens listening sockets. Its errors explain what to do if a port is already
-// in use.
+// Package port opens listening sockets. If a port is already in use, its errors say what to
+// do.
 package port
 
 import (
@@ -24,6 +24,6 @@
 		return errors.Wrapf(err, "listen for %s on %s", purpose, address)
 	}
 	_, portNumber, _ := net.SplitHostPort(address)
-	return errors.Wrapf(err, "listen for %s on %s: another process has this port; find it with `ss -lntup 'sport = :%s'` and end it, or use another address",
+	return errors.Wrapf(err, "listen for %s on %s: another process has this port; find it with `ss -lntup 'sport = :%s'` and stop it, or use another address",
 		purpose, address, portNumber)
 }
