--- a/record/configuration.go
+++ b/record/configuration.go
@@ -4,8 +4,8 @@
 
 // Configuration is a complete set of routes, services and teams that is applied
 // atomically, under one version. It replaces the previous Configuration: entries
-// that it no longer lists are removed. It coexists with Service and Route records,
-// and a route of either kind may refer to a service of the other.
+// that it no longer lists are removed. It coexists with Service and Route records:
+// a route in either may refer to a service in the other.
 type Configuration struct {
 	// Label is an optional name that the author gives to this version of the set.
 	Label    string         `json:"label,omitempty"`
@@ -13,10 +13,10 @@
 	Services []NamedService `json:"services"`
 	// Teams are the groups of callers, in addition to Team records.
 	Teams []NamedTeam `json:"teams,omitempty"`
-	// RequireKeys rejects requests without a valid team key, except on open routes.
-	// It does so even if no team has a key.
+	// RequireKeys rejects requests without a valid team key, except on open routes,
+	// even if no team has a key.
 	RequireKeys bool `json:"requireKeys,omitempty"`
-	// Limits limits what a caller may send; nil means that the daemon's settings apply.
+	// Limits restricts what a caller may send; nil means that the daemon's settings apply.
 	Limits *Limits `json:"limits,omitempty"`
 }
 
@@ -38,8 +38,8 @@
 	Team
 }
 
-// Limits limits what a caller may send and how long it may take. Where a limit is
-// 0, the daemon's settings apply.
+// Limits restricts what a caller may send and how long it may take. Where a limit is
+// 0, the daemon's setting applies.
 type Limits struct {
 	// MaxHeaderBytes is the largest request header, in bytes.
 	MaxHeaderBytes int `json:"maxHeaderBytes,omitempty"`
@@ -53,7 +53,7 @@
 
 const (
 	maxLimitBytes = 1 << 40
-	maxLimitMS    = 86400000
+	maxLimitMS    = 86400000 // 24 hours
 )
 
 func (c *Configuration) validate(f *fieldErrors) {
@@ -106,7 +106,8 @@
 	}
 }
 
-// entryPath returns the field path of one list entry: by name, or by index if it has none.
+// entryPath returns the field path of one list entry: by name, or by index if it has no
+// name.
 func entryPath(list string, i int, name string) string {
 	if name == "" {
 		name = strconv.Itoa(i)
--- a/record/record.go
+++ b/record/record.go
@@ -90,7 +90,7 @@
 	// Version is the platform's version of the object, 0 before it is stored.
 	// In an operator's file it is the version that the edit is based on.
 	Version int64
-	// Writer identifies the write that stored the record: the writer and a nonce.
+	// Writer identifies the write that stored the record by its author and a nonce.
 	Writer string
 	Spec   Spec
 }
@@ -105,7 +105,8 @@
 	Spec          json.RawMessage `json:"spec"`
 }
 
-// SchemaTooNewError reports a record whose schema version is newer than this program supports.
+// SchemaTooNewError is returned for a record whose schema version is newer than this program
+// supports.
 type SchemaTooNewError struct {
 	Key    Key
 	Got    int
@@ -140,10 +141,11 @@
 	return strings.Join(lines, "\n")
 }
 
+// fieldErrors collects the errors of one record.
 type fieldErrors struct{ list []FieldError }
 
-func (f *fieldErrors) add(field, wrong, remedy string) {
-	f.list = append(f.list, FieldError{Field: field, Problem: wrong, Remedy: remedy})
+func (f *fieldErrors) add(field, problem, remedy string) {
+	f.list = append(f.list, FieldError{Field: field, Problem: problem, Remedy: remedy})
 }
 
 // Parse decodes and validates one record. It returns a *SchemaTooNewError, an
--- a/record/record_test.go
+++ b/record/record_test.go
@@ -41,7 +41,7 @@
 	assert.Equal(t, tooNew.Newest, 2)
 }
 
-func TestFaultsNameFieldAndRemedy(t *testing.T) {
+func TestValidationErrorsNameFieldAndRemedy(t *testing.T) {
 	for _, c := range []struct{ name, doc, want string }{
 		{"preset", `{"kind":"Service","name":"x","schemaVersion":2,"spec":{"office":"o","preset":"fast","floor":{"percent":5}}}`, `write "quick"`},
 		{"percent", `{"kind":"Service","name":"x","schemaVersion":2,"spec":{"office":"o","preset":"quick","floor":{"percent":101}}}`, "write 1 to 100"},
--- a/record/route.go
+++ b/record/route.go
@@ -17,8 +17,8 @@
 	Methods []string `json:"methods,omitempty"`
 	// Service is the name of the Service record; empty if Split is used.
 	Service string `json:"service,omitempty"`
-	// Split divides the requests among several services by weight. Requests that
-	// one of them cannot take are rejected, not sent to another.
+	// Split divides the requests among several services by weight. A request that its
+	// service cannot serve is rejected, not sent to another.
 	Split []WeightedService `json:"split,omitempty"`
 	// Idempotent is "yes", "no", or empty to decide by the method.
 	Idempotent string `json:"idempotent,omitempty"`
@@ -26,8 +26,8 @@
 	// 0 means DefaultTimeoutMS. A caller may ask for a shorter limit, never a longer
 	// one.
 	TimeoutMS int `json:"timeoutMS,omitempty"`
-	// ObjectiveMS is the latency objective, in milliseconds: a response within it has
-	// its full value. 0 means that any response within the timeout has.
+	// ObjectiveMS is the latency objective, in milliseconds: the time within which a
+	// response should arrive; 0 means the timeout.
 	ObjectiveMS int `json:"objectiveMS,omitempty"`
 	// MaxAttempts is the maximum number of instances that one request is sent to;
 	// 0 means DefaultMaxAttempts.
@@ -59,7 +59,7 @@
 	// DefaultMaxAttempts is the default of Route.MaxAttempts.
 	DefaultMaxAttempts = 3
 	maxAttemptsLimit   = 16
-	maxParts           = 64
+	maxSplitServices   = 64
 	maxWeight          = 1000000
 )
 
@@ -79,7 +79,7 @@
 	}
 	for _, m := range r.Methods {
 		if m == "" || m != strings.ToUpper(m) {
-			f.add("methods", "has "+quote(m), `write HTTP methods in capitals, for example ["GET"]`)
+			f.add("methods", "contains "+quote(m), `write HTTP methods in capitals, for example ["GET"]`)
 		}
 	}
 	f.checkRange("timeoutMS", r.TimeoutMS, 0, maxTimeoutMS)
@@ -95,19 +95,19 @@
 		f.add("service", "is missing", "write the name of a Service record, or a split")
 	case r.Service != "" && len(r.Split) > 0:
 		f.add("split", "is set together with service", "write either service or split")
-	case len(r.Split) > maxParts:
-		f.add("split", "has too many parts", "write at most 64")
+	case len(r.Split) > maxSplitServices:
+		f.add("split", "has too many services", "write at most 64")
 	}
 	sum := 0
-	for _, p := range r.Split {
-		if p.Service == "" {
+	for _, s := range r.Split {
+		if s.Service == "" {
 			f.add("split.service", "is missing", "write the name of a Service record")
 		}
-		f.checkRange("split.weight", p.Weight, 0, maxWeight)
-		sum += p.Weight
+		f.checkRange("split.weight", s.Weight, 0, maxWeight)
+		sum += s.Weight
 	}
 	if len(r.Split) > 0 && sum == 0 {
-		f.add("split.weight", "is 0 in every part", "write a weight above 0 in at least one part")
+		f.add("split.weight", "is 0 for every service", "write a weight above 0 for at least one service")
 	}
 }
 
@@ -156,9 +156,10 @@
 type Stop struct {
 	// Host is the name of the host to drain.
 	Host string `json:"host"`
-	// Instance is the name of the only instance to drain; empty means all of them.
+	// Instance is the name of the instance to drain; empty means all instances on the
+	// host.
 	Instance string `json:"instance,omitempty"`
-	// Reason is shown to operators.
+	// Reason is the reason for the drain, which is shown to operators.
 	Reason string `json:"reason"`
 }
 
--- a/record/schema.go
+++ b/record/schema.go
@@ -19,7 +19,7 @@
 func parseSpec(key Key, version int, raw json.RawMessage) (Spec, error) {
 	newest := newestSchema(key.Kind)
 	if version < 1 {
-		return nil, errors.Errorf("%s: schemaVersion %d is not a version; write %d", key, version, newest)
+		return nil, errors.Errorf("%s: schemaVersion %d is not valid; write %d", key, version, newest)
 	}
 	if version > newest {
 		return nil, &SchemaTooNewError{Key: key, Got: version, Newest: newest}
--- a/record/service.go
+++ b/record/service.go
@@ -4,8 +4,8 @@
 
 // Failure-detection presets of a Service.
 const (
-	// PresetQuick favours short detection times, for services with a customer
-	// waiting at a counter.
+	// PresetQuick favours short detection times, for services whose users wait for the
+	// response.
 	PresetQuick = "quick"
 	// PresetCareful favours few false ejections, for services with few slots.
 	PresetCareful = "careful"
@@ -22,8 +22,8 @@
 	// RetryPercent limits retries and hedges to a percentage of original requests;
 	// 0 means DefaultRetryPercent.
 	RetryPercent int `json:"retryPercent,omitempty"`
-	// AnswerBufferKB is the size in KB up to which a response is held back until it
-	// is known to be complete; 0 means DefaultAnswerBufferKB.
+	// AnswerBufferKB is the size in KB up to which a response is buffered until it is
+	// complete; 0 means DefaultAnswerBufferKB.
 	AnswerBufferKB int `json:"answerBufferKB,omitempty"`
 	// KeyShards is the number of shards for the service's idempotency keys;
 	// 0 means DefaultKeyShards.
--- a/record/system.go
+++ b/record/system.go
@@ -1,6 +1,7 @@
 package record
 
-// Host is written once by each host when it joins, so that other hosts can find it.
+// Host is the address record of one host, which the host writes once, when it joins, so
+// that other hosts can find it.
 type Host struct {
 	// DC is the name of the host's data centre.
 	DC string `json:"dc"`
@@ -61,20 +62,19 @@
 
 // Crasher is a request that has crashed the instances that ran it. The name of the
 // record is the fingerprint of the request (crash.Fingerprint). The system writes the record
-// when it starts to refuse the request, so that this survives a restart of all
-// processes, and deletes it once the request is no longer blamed. An operator who
-// deletes it lets the request run again.
+// when it starts to refuse the request, so that the block survives a restart of all
+// processes, and deletes it when the block ends. If an operator deletes it, the request
+// may run again.
 type Crasher struct {
 	// Request is the method, host and path of the request that last crashed an instance.
 	Request string `json:"request"`
-	// Crashes are the instance crashes that are attributed to the request.
+	// Crashes are the crashes that are attributed to the request.
 	Crashes []InstanceCrash `json:"ends"`
 }
 
-// InstanceCrash is the crash of one run of an instance. A run lasts from the start until
-// the crash.
+// InstanceCrash is a crash of an instance, which ends one run of the instance.
 type InstanceCrash struct {
-	// ID identifies the run of the instance in the fleet.
+	// ID identifies that run in the whole fleet.
 	ID string `json:"id"`
 	// Service and Version are those of the instance.
 	Service string `json:"service"`
@@ -107,23 +107,29 @@
 	AtMS int64 `json:"atMS"`
 	// Hosts is the number of live hosts in the data centre.
 	Hosts int `json:"hosts"`
-	// InForce counts the hosts by the root hash of the record set they have in force.
+	// InForce groups the hosts by the record set that they have in force.
 	InForce []HostsInForce `json:"inForce"`
 	// Rejected lists the records that hosts have rejected, and why.
 	Rejected []Rejected `json:"rejected,omitempty"`
 }
 
-// HostsInForce describes the hosts that have one record set in force.
+// HostsInForce describes the hosts that have the same record set in force.
 type HostsInForce struct {
-	Revision int64    `json:"revision"`
-	Root     string   `json:"root"`
-	Hosts    int      `json:"hosts"`
-	Behind   []string `json:"behind,omitempty"`
+	// Revision is the greatest record version in the set, and Root its root hash in
+	// hexadecimal.
+	Revision int64  `json:"revision"`
+	Root     string `json:"root"`
+	Hosts    int    `json:"hosts"`
+	// Behind lists the names of these hosts, up to a maximum number. It is empty for the
+	// newest set.
+	Behind []string `json:"behind,omitempty"`
 }
 
-// Rejected is one rejected record, with the version still in force, 0 for none.
+// Rejected is one rejected record.
 type Rejected struct {
-	Key     string `json:"key"`
+	Key string `json:"key"`
+	// Version is the rejected version, and InForce the version still in force, or 0 if
+	// there is none.
 	Version int64  `json:"version"`
 	InForce int64  `json:"inForce"`
 	Reason  string `json:"reason"`
--- a/record/team.go
+++ b/record/team.go
@@ -16,8 +16,8 @@
 	// KeyHashes are the hashes of the team's keys in the form of TeamKeyHash.String. There
 	// may be several, so that keys can be rotated.
 	KeyHashes []string `json:"keyHashes,omitempty"`
-	// Priority overrides the route's priority: 0 to 3, higher first; nil means that
-	// the route's applies.
+	// Priority overrides the priority of the route: 0 to 3, higher first; nil means that
+	// the priority of the route applies.
 	Priority *int `json:"priority,omitempty"`
 	// RatePerSecond limits the team's requests over all hosts; 0 means no limit.
 	RatePerSecond float64 `json:"ratePerSecond,omitempty"`
