--- a/internal/core/once/attempt.go
+++ b/internal/core/once/attempt.go
@@ -4,8 +4,9 @@
 // I/O, and callers pass in the time.
 //
 // A request passes from the front, the proxy at the caller, to the guard, the proxy at
-// the target, which is the instance that runs it. An attempt sends the request to one
-// guard once. Its verdict states whether the request ran, did not run, or may have run.
+// the target, which is the instance that runs it. The guard lets a request run once it has
+// a slot, the capacity to run one request. An attempt sends the request to one guard once.
+// Its verdict states whether the request ran, did not run, or may have run.
 //
 // A service's idempotency keys are divided into shards. The service's shard map assigns
 // each shard to a host, its owner, and numbers each assignment by an epoch. Before a
@@ -14,9 +15,9 @@
 // the old owner hands its table over to the next.
 //
 // An owner may accept claims only while it has authority, that is, while it holds the
-// lease of its epoch from a majority of the guards named in the shard map. These are
-// guards of up to maxGuards hosts, or of one more while a lost one is replaced. They
-// grant leases, and need not be the guards that run the service's requests.
+// lease of its epoch from a majority of the guards named in the shard map. The map names up
+// to maxGuards hosts, or one more while a lost one is replaced. The guards of these hosts
+// grant the leases; the service's instances may be on other hosts.
 package once
 
 import "github.com/radishhoist/radishhoist/verdict"
@@ -73,9 +74,10 @@
 // and hash.
 func (a *Attempt) ResponseComplete() bool { return a.phase == Done && a.complete }
 
-// Begin starts the attempt. An idempotent request without a claim is sent at once. Any
-// other request is sent once the guard has granted a slot and, if claim is set, the key's
-// owner has accepted the claim.
+// Begin starts the attempt. An idempotent request without a claim is sent at once, since it
+// can be sent again even if it may have run. Any other request is sent once the guard has
+// granted a slot and, if claim is set, the key's owner has accepted the claim. If the
+// attempt ends before that, the request has not run.
 func (a *Attempt) Begin(idempotent, claim bool) Action {
 	if a.phase != Idle {
 		return SendNothing
--- a/internal/core/once/lease.go
+++ b/internal/core/once/lease.go
@@ -20,7 +20,7 @@
 //
 // A process that has just started may have granted leases before its restart. It
 // therefore grants none until those have expired and it has read the shard maps from the
-// platform, which stores the records. A map received from another host is not sufficient,
+// platform, which stores them. A map received from another host is not sufficient,
 // as it may be older than the epochs granted before the restart.
 type LeaseGranter struct {
 	leaseDuration time.Duration
--- a/internal/core/once/model_test.go
+++ b/internal/core/once/model_test.go
@@ -19,8 +19,8 @@
 // two guards, one after the other. Messages may be lost, duplicated and reordered. A
 // guard's grant may expire, and the guard may be killed and lose its state, or be paused
 // until after its grant has expired. The front may abort at any time. The checker explores
-// every interleaving, with a limited number of faults, of the production Attempt and
-// Queue.
+// every interleaving, with a limited number of faults, of the production once.Attempt and
+// admit.Queue.
 
 // The types of message.
 const (
@@ -41,13 +41,15 @@
 }
 
 type guardModel struct {
-	queue    *admit.Queue
-	now      time.Time
-	opened   bool
-	paused   bool
-	running  bool
-	ran      int
-	finished bool
+	queue *admit.Queue
+	now   time.Time
+	// opened is set once the stream is open, and clockAdvanced once the clock was advanced
+	// beyond the end of the grant.
+	opened        bool
+	clockAdvanced bool
+	running       bool
+	ran           int
+	finished      bool
 }
 
 type model struct {
@@ -145,7 +147,7 @@
 		}
 		if len(g.queue.Tickets()) > 0 && !g.running {
 			add(func() string { return fmt.Sprintf("guard %d's grant expires", i) }, func(m *model) { m.expireGrant(i, true) })
-			if !g.paused {
+			if !g.clockAdvanced {
 				add(func() string { return fmt.Sprintf("guard %d is paused until its grant has expired", i) }, func(m *model) { m.expireGrant(i, false) })
 			}
 		}
@@ -219,7 +221,7 @@
 // does not notice, as after a pause.
 func (m *model) expireGrant(i int, tick bool) {
 	g := m.guards[i]
-	g.now, g.paused = g.now.Add(2*grantTTL), true
+	g.now, g.clockAdvanced = g.now.Add(2*grantTTL), true
 	if tick && len(g.queue.Tick(g.now)) > 0 {
 		m.toFront[i] = append(m.toFront[i], refuseMsg)
 	}
--- a/internal/core/once/owner.go
+++ b/internal/core/once/owner.go
@@ -42,12 +42,14 @@
 	epoch uint64
 }
 
+// incomingTable is a table that is being handed over. For completeSinceMS and opaqueMS, see
+// Table.Export.
 type incomingTable struct {
-	entries   []msg.KeyEntry
-	since     int64
-	opaqueMS  int64
-	updatedAt time.Time
-	complete  bool
+	entries         []msg.KeyEntry
+	completeSinceMS int64
+	opaqueMS        int64
+	updatedAt       time.Time
+	complete        bool
 	// nextPart is the number of the next part. Parts are only accepted in order.
 	nextPart uint32
 }
@@ -71,7 +73,9 @@
 
 // SetMap applies a service's shard map. If this host owned a shard at the preceding epoch,
 // it keeps its table at a new epoch. Otherwise, the shard starts with the table that was
-// handed over for the epoch, or with an empty one, for which older keys are unknown.
+// handed over for the epoch, or with an empty one, for which older keys are unknown. Shards
+// that the map does not assign to this process are dropped. A shard already at a greater
+// epoch is not changed.
 func (o *Owner) SetMap(now time.Time, service string, m *record.ShardMap) {
 	for i, s := range m.Shards {
 		id := ShardID{service, uint32(i)}
@@ -119,7 +123,7 @@
 	case previous != nil && previous.authority.Epoch()+1 == epoch:
 		s.table = previous.table
 	case ok && in.complete:
-		s.table = ImportTable(o.tableConfig(id.Service), now, in.entries, in.since, in.opaqueMS)
+		s.table = ImportTable(o.tableConfig(id.Service), now, in.entries, in.completeSinceMS, in.opaqueMS)
 	default:
 		s.table = NewTable(o.tableConfig(id.Service))
 	}
@@ -216,16 +220,16 @@
 // Freeze makes an owned shard refuse claims and exports its table for the next owner,
 // which uses it from the next epoch on. The shard stays frozen for the rest of its epoch,
 // since the next owner may already have the exported table. Freeze returns ok as false
-// without freezing the shard if this host does not have authority over it. For since and
-// opaqueMS, see Table.Export.
-func (o *Owner) Freeze(now time.Time, id ShardID) (entries []msg.KeyEntry, since, opaqueMS int64, epoch uint64, ok bool) {
+// without freezing the shard if this host does not have authority over it. For
+// completeSinceMS and opaqueMS, see Table.Export.
+func (o *Owner) Freeze(now time.Time, id ShardID) (entries []msg.KeyEntry, completeSinceMS, opaqueMS int64, epoch uint64, ok bool) {
 	s, ok := o.shards[id]
 	if !ok || !s.authority.Held(now) {
 		return nil, 0, 0, 0, false
 	}
 	s.frozen = true
-	entries, since, opaqueMS = s.table.Export(now)
-	return entries, since, opaqueMS, s.authority.Epoch(), true
+	entries, completeSinceMS, opaqueMS = s.table.Export(now)
+	return entries, completeSinceMS, opaqueMS, s.authority.Epoch(), true
 }
 
 // AcceptHandover stores one part of a table that is handed over for an epoch. It returns
@@ -238,7 +242,7 @@
 	}
 	in, ok := o.incoming[key]
 	if !ok || h.Part == 0 {
-		in = &incomingTable{since: h.Since, opaqueMS: h.OpaqueMS}
+		in = &incomingTable{completeSinceMS: h.Since, opaqueMS: h.OpaqueMS}
 		o.incoming[key] = in
 	}
 	if h.Part != in.nextPart {
@@ -269,12 +273,15 @@
 	return out
 }
 
-// OwnedShardState is the state of an owned shard, in the form of the state dump.
+// OwnedShardState describes one owned shard in the state dump.
 type OwnedShardState struct {
 	Service string `json:"service"`
 	Shard   uint32 `json:"shard"`
 	Epoch   uint64 `json:"epoch"`
-	Held    bool   `json:"authority"`
-	Frozen  bool   `json:"handedOver"`
-	Keys    int    `json:"keys"`
+	// Held reports whether the owner has authority.
+	Held bool `json:"authority"`
+	// Frozen reports whether the table was exported for handover. The next owner may not
+	// have received it.
+	Frozen bool `json:"handedOver"`
+	Keys   int  `json:"keys"`
 }
--- a/internal/core/once/placement.go
+++ b/internal/core/once/placement.go
@@ -82,8 +82,9 @@
 // guard if there are fewer than maxGuards, not counting one lost guard, and otherwise
 // removes a lost one. A lost guard is thus replaced by first adding another, and there may
 // be maxGuards+1 for a time. Every shard gets a new epoch, and a majority of the previous
-// guards is also required until all owners have had authority at their new epochs. Only
-// the first usable guard by name changes the guards, to avoid conflicting writes.
+// guards is also required until all owners have had authority at their new epochs. Until
+// then, the guards are not changed again. Only the first usable guard by name changes them,
+// to avoid conflicting writes.
 func changeGuards(service, self string, m *record.ShardMap, hosts []Candidate) bool {
 	if self != firstUsable(m.Guards, hosts) || !allHeld(m) {
 		return false
@@ -124,8 +125,8 @@
 
 // ConfirmHeld returns a map that records over which shards host self has had authority, or
 // nil if the map records this already. held maps the shards over which self has authority
-// to their epochs. Once every shard is recorded, the previous guards are dropped. The
-// record is only needed for guard changes.
+// to their epochs. Once this is recorded for every shard, the previous guards are dropped.
+// Only guard changes depend on it.
 func ConfirmHeld(self string, m *record.ShardMap, held map[uint32]uint64) *record.ShardMap {
 	next := editOwned(self, m, func(i uint32, s *record.Shard) bool {
 		if s.HeldEpoch == s.Epoch || held[i] != s.Epoch {
@@ -170,7 +171,7 @@
 }
 
 // Successor returns the host that should own a shard after its owner leaves, "" if no
-// guard is usable. The owner must not be usable in hosts.
+// guard is usable. The caller must have marked the leaving owner as unusable in hosts.
 func Successor(service string, shard uint32, m *record.ShardMap, hosts []Candidate) string {
 	return preferredOwner(service, shard, m.Guards, hosts)
 }
--- a/internal/core/once/sim_test.go
+++ b/internal/core/once/sim_test.go
@@ -38,8 +38,8 @@
 	faultKill simFault = iota
 	faultPause
 	faultPartition
-	faultOutage
-	faultLostReply
+	faultOutage    // the platform is unavailable
+	faultLostReply // replies of the platform are lost
 	faultDrain
 	numFaults
 )
@@ -91,7 +91,7 @@
 	heldAt           time.Time // when it last had authority over a shard
 	owner            *once.Owner
 	granter          *once.LeaseGranter
-	view             *record.ShardMap
+	view             *record.ShardMap // the newest map that it has received, with version
 	version          int64
 }
 
@@ -103,12 +103,12 @@
 	queue            eventHeap
 	hosts            []*simHost
 	partitionedUntil map[[2]int]time.Time // end of the partition from one host to another
-	unavailableUntil time.Time
-	repliesToLose    int
-	stored           *record.ShardMap
+	unavailableUntil time.Time            // end of the platform's outage
+	repliesToLose    int                  // number of the platform's next replies that are lost
+	stored           *record.ShardMap     // at the platform, with version
 	version          int64
 
-	runs     map[string]int
+	runs     map[string]int // number of runs of each key
 	ops      []porcupine.Operation
 	outcomes map[once.ClaimOutcome]int
 }
@@ -471,9 +471,9 @@
 		if n%4 == 0 {
 			created = 0
 		}
-		for attempt := range 4 {
-			wait := time.Duration(s.rng.IntN(1+attempt*2500)) * time.Millisecond
-			s.schedule(first+wait, -1, func() { s.request(n*4+attempt, key, created, s.rng.IntN(simHosts)) })
+		for repeat := range 4 {
+			wait := time.Duration(s.rng.IntN(1+repeat*2500)) * time.Millisecond
+			s.schedule(first+wait, -1, func() { s.request(n*4+repeat, key, created, s.rng.IntN(simHosts)) })
 		}
 	}
 	s.schedule(simEnd, -1, func() { s.queue = nil })
--- a/internal/core/once/table.go
+++ b/internal/core/once/table.go
@@ -74,7 +74,8 @@
 	// MaxSkew is the maximum tolerated clock skew between the callers and the owner.
 	MaxSkew time.Duration
 	// ClaimTimeout is how long a claim may remain without a result, until its request
-	// counts as may-have-run.
+	// counts as may-have-run. It should exceed the longest timeout of a route, 10 minutes,
+	// so that no claim expires while its request may be running.
 	ClaimTimeout time.Duration
 }
 
@@ -109,7 +110,9 @@
 }
 
 // Activate records that the owner has authority from now on. Keys created later cannot
-// have been claimed at the previous owner, which accepted no claims after that time. Only
+// have been claimed at the previous owner, which accepted no claims after that time. New
+// opaque keys are accepted after the longer of Window and ClaimTimeout: by then, the window
+// of requests that had ended has passed, and the claims of the others have expired. Only
 // the first call has an effect.
 func (t *Table) Activate(now time.Time, wallMS int64) {
 	if t.activated {
@@ -211,9 +214,9 @@
 }
 
 // Export returns the entries for the next owner, together with what they may lack: keys
-// created up to since, in Unix milliseconds, may be missing, and new opaque keys are only
-// accepted after opaqueMS milliseconds.
-func (t *Table) Export(now time.Time) (entries []msg.KeyEntry, since, opaqueMS int64) {
+// created up to completeSinceMS, in Unix milliseconds, may be missing, and new opaque keys
+// are only accepted after opaqueMS milliseconds.
+func (t *Table) Export(now time.Time) (entries []msg.KeyEntry, completeSinceMS, opaqueMS int64) {
 	for key, e := range t.entries {
 		entries = append(entries, msg.KeyEntry{
 			Key: key, BodyHash: e.bodyHash, RequestID: e.requestID, State: uint8(e.state),
@@ -224,8 +227,8 @@
 }
 
 // ImportTable restores a table from the result of Export.
-func ImportTable(cfg TableConfig, now time.Time, entries []msg.KeyEntry, since, opaqueMS int64) *Table {
-	t := &Table{cfg: cfg, entries: make(map[string]*keyEntry, len(entries)), completeSinceMS: since, activated: true}
+func ImportTable(cfg TableConfig, now time.Time, entries []msg.KeyEntry, completeSinceMS, opaqueMS int64) *Table {
+	t := &Table{cfg: cfg, entries: make(map[string]*keyEntry, len(entries)), completeSinceMS: completeSinceMS, activated: true}
 	if opaqueMS > 0 {
 		t.opaqueAcceptedFrom = now.Add(time.Duration(opaqueMS) * time.Millisecond)
 	}
