--- a/internal/guard/call.go
+++ b/internal/guard/call.go
@@ -18,7 +18,8 @@
 )
 
 // call forwards the request to the instance and relays the response. The request must hold
-// a slot, which call releases.
+// a slot, which call releases. A request that was blocked while it was queued, because it is
+// suspected of crashing instances, is refused.
 func (x *exchange) call(m *msg.Run) {
 	if e := x.checkBlocked(); e != nil {
 		x.inst.finish(time.Now(), x.queueID, result{shed: true})
@@ -44,12 +45,12 @@
 	x.inst.start(started, x.waiter, m)
 	run := x.guard.retryBudgets.begin(started, x.inst.service, x.retryReserved, m.Idempotent, x.hints)
 	if !x.retryReserved {
-		// Without a reservation this is a first attempt. An instance that runs a retry
-		// may still have sent it, as a nested request; retryFraction is the
-		// probability of that, in thousandths.
+		// Without a reserved retry, the request is a first attempt. It may still be a
+		// nested request, sent by an instance that is running a retry. run.retryFraction
+		// is then the estimated probability of that, in thousandths.
 		x.nestedRetryChance = run.retryFraction
 	}
-	x.retryReserved = false
+	x.retryReserved = false // begin has used the reservation
 	defer x.guard.retryBudgets.end(run)
 	res, failure := x.exchangeHTTP(ctx, m, started)
 	res.serviceTime = time.Since(started)
@@ -57,7 +58,8 @@
 		res.failed, res.aborted = false, true
 	}
 	if failure != nil {
-		// On success, relayBody has recorded the outcome.
+		// Without a failure, relayBody has recorded the outcome. It has done so too if
+		// only the last Send failed; the request is then also recorded as aborted.
 		x.inst.recordOutcome(time.Now(), res)
 	}
 	switch {
@@ -85,8 +87,8 @@
 }
 
 // mayHaveTerminated reports whether the failure may be due to the target's termination.
-// It also returns true for some complete but unacceptable responses, see
-// classifyResponse.
+// It also returns true for some complete but unacceptable responses, which have the same
+// reason, see classifyResponse.
 func mayHaveTerminated(failure *verdict.Error) bool {
 	return failure != nil && (failure.Reason == verdict.ReasonTargetBroke || failure.Reason == verdict.ReasonTargetDown)
 }
@@ -172,6 +174,7 @@
 func readChunk(resp *targetconn.Response, bytesRead int64) ([]byte, bool, error) {
 	size := wire.ChunkSize
 	if resp.Length >= 0 {
+		// One byte more than the rest lets io.ReadFull reach the end of the body.
 		size = int(min(resp.Length-bytesRead+1, wire.ChunkSize))
 	}
 	chunk := make([]byte, size)
@@ -270,7 +273,7 @@
 		return nil
 	case *msg.End:
 		if m.Length != b.length || m.Hash != b.hash.Sum64() {
-			return errors.New("request body does not match its length or hash")
+			return errors.Errorf("request body has the wrong length or hash: received %d of %d bytes", b.length, m.Length)
 		}
 		b.done = true
 		return nil
