--- a/internal/front/choose.go
+++ b/internal/front/choose.go
@@ -8,36 +8,39 @@
 	"github.com/radishhoist/radishhoist/internal/msg"
 )
 
+// A trial is a caller's request that is sent to an instance, or over a network path, whose
+// state is uncertain, in order to learn that state. Trials are hedged like other attempts:
+// if the response is late, a second attempt is made in parallel.
+
 // trialShare is the share of a healthy instance's requests that an ejected instance still
-// gets, so that its recovery can be observed. Such a trial is a caller's request that is
-// sent to a target, or over a path, whose state is uncertain, in order to learn that state.
-// Ejected instances are tried only with first attempts of requests that can be retried.
-// Trials are hedged like other attempts: if the response is late, a second attempt is made
-// in parallel.
+// gets as trials, so that its recovery can be observed. eject.Select ejects suspect instances.
+// They are tried only with first attempts of requests that can be retried.
 const trialShare = 0.05
 
-// pick is the target chosen for one attempt.
+// pick is the target chosen for one attempt. A target is an instance as the current directory
+// lists it.
 type pick struct {
 	target *target
-	// sample is a latency ratio of another instance. It is sent to the guard with the
-	// request, for comparison with the latency of the chosen one.
+	// sample is the latency ratio of another instance: its service time relative to the
+	// usual one of the route. It is sent to the guard with the request, for comparison with
+	// the chosen instance.
 	sample msg.Sample
 	// entry describes the choice in the request log.
 	entry attemptEntry
-	// options are passed to the guard with the attempt.
+	// options are passed to the guard with the attempt. The caller of choose sets them.
 	options attemptOptions
 }
 
 // choose picks a target that is not in tried and counts the request as pending there. It
 // returns false if no target is left.
 //
-// A request suspected of crashing instances goes to the instance designated for it. Any
-// other request may be used for a trial, and otherwise goes to a usable target. If this
-// gives no target, for a suspected request too, pickFallback chooses one: an ejected target,
-// one whose path is excluded, or any other that accepts requests. A path is the network path
-// to the target's host; it is excluded while no frame arrives from that host. If
-// usesRetryBudget is set, only targets whose guard may have retry budget left are
-// considered, and there is no fallback.
+// A request that this host's guard knows to be suspected of crashing instances goes to the
+// instance designated for it. Any other request may be used for a trial, and otherwise goes
+// to a target in candidates.usable. If this gives no target, for a suspected request too,
+// pickFallback chooses one: an ejected target, one whose path is excluded, or any other that
+// accepts requests. A path is the network path to the target's host; it is excluded while no
+// frame arrives from that host. If usesRetryBudget is set, only targets whose guard may have
+// retry budget left are considered, and there is no fallback.
 func (f *Front) choose(req *request, tried []*target, usesRetryBudget bool, rng *rand.Rand) (pick, bool) {
 	st := req.state
 	now := time.Now()
@@ -63,9 +66,10 @@
 	return pick{target: t, sample: st.takeSample(now, t.hash), entry: st.newEntry(now, t, why)}, true
 }
 
-// pickTrial occasionally sends the first attempt of a request that can be retried over an
-// excluded path or to an ejected instance, and that of any eligible request to an instance
-// whose guard asks for a trial.
+// pickTrial occasionally picks a target for a trial and returns the reason for the request
+// log, or nil if the request is not used for one. Only first attempts are. A request that
+// can be retried may go over an excluded path or to an ejected instance, and any eligible
+// request to an instance whose guard asks for a trial.
 func (st *serviceState) pickTrial(now time.Time, req *request, tried []*target, rng *rand.Rand, p *paths) (*target, string) {
 	candidates := &st.candidates
 	if len(tried) > 0 {
@@ -179,9 +183,9 @@
 	return st.retryBudgetChance(now)
 }
 
-// pickFallback returns an ejected target, or else any other that accepts requests: one whose
-// path is excluded, or, for a suspected request, also one in candidates.usable. Trying such a
-// target is better than refusing the request.
+// pickFallback returns an ejected target that accepts requests, or else any other that does:
+// one whose path is excluded, or, for a suspected request, also one in candidates.usable.
+// Trying such a target is better than refusing the request.
 func (st *serviceState) pickFallback(tried []*target) *target {
 	for _, i := range st.untried(st.candidates.ejected, tried) {
 		if st.targets[i].Usable() {
@@ -196,8 +200,8 @@
 	return nil
 }
 
-// localPositions returns the positions in usable of the targets in local. Both lists hold
-// ascending indexes.
+// localPositions returns the positions in usable of the targets in local, those in this data
+// centre. Both lists hold ascending indexes.
 func localPositions(usable, local []int) []int {
 	out := make([]int, 0, len(local))
 	j := 0
@@ -225,8 +229,9 @@
 	return out
 }
 
-// wasTried reports whether t is the instance of one of the tried targets. Targets are created
-// anew with each directory; their observations are kept and so identify the instance.
+// wasTried reports whether t is the instance of one of the tried targets. Each new
+// directory.Directory creates new targets; their observations are kept and so identify the
+// instance.
 func wasTried(tried []*target, t *target) bool {
 	for _, other := range tried {
 		if other.observed == t.observed {
