--- a/internal/mesh/crash_test.go
+++ b/internal/mesh/crash_test.go
@@ -26,8 +26,8 @@
 	m.flush(h)
 }
 
-// hostsWithoutCrash counts the hosts that are up and have not received a report.
-func (m *Mesh) hostsWithoutCrash(name string) int {
+// countHostsWithoutCrash counts the hosts that are up and lack the report of a crash.
+func (m *Mesh) countHostsWithoutCrash(name string) int {
 	n := 0
 	for _, h := range m.Hosts {
 		if _, known := h.Replica.Set(msg.SetCrashes).Get(config.Key{Kind: "End", Name: name}); h.Up && !known {
@@ -38,15 +38,15 @@
 }
 
 // maxMissingShare is the maximum share of hosts without a report after detectionTime. A crashing
-// request only gets through if both its front and its guard are among them, since each of the two
-// refuses the requests it knows of.
+// request only reaches an instance if both its front and its guard lack the report, since each of them
+// refuses the requests that it knows to be crashing.
 const maxMissingShare = 0.01
 
-// detectionTime is the time within which the fleet learns of a crash in the deployments.
+// detectionTime is the time within which all hosts know of a crash, as required in the deployments.
 const detectionTime = 3 * time.Second
 
-// crashPropagation is the number of hosts without the reports after detectionTime, the time until all
-// hosts had them, and the bytes sent per host in that time.
+// crashPropagation is the number of hosts without a report after detectionTime, the time until all
+// hosts had all reports, and the bytes sent per host in that time.
 type crashPropagation struct {
 	missing  int
 	duration time.Duration
@@ -68,7 +68,7 @@
 		result.duration += Step
 		missing := 0
 		for n := range crashes {
-			missing = max(missing, m.hostsWithoutCrash(fmt.Sprint("end", n)))
+			missing = max(missing, m.countHostsWithoutCrash(fmt.Sprint("end", n)))
 		}
 		if result.duration == detectionTime {
 			result.missing = missing
@@ -89,14 +89,14 @@
 	return sum
 }
 
-// Nearly all hosts have the report of a crash within detectionTime, for any fleet size and with 5 % of
-// the messages lost.
+// Nearly all hosts have the report of a crash within detectionTime, for any fleet size and also when
+// 5 % of the messages are lost.
 func TestCrashIsKnownInTime(t *testing.T) {
 	for _, size := range []struct{ hosts, dcs, seeds int }{{24, 4, 8}, {91, 4, 8}, {354, 5, 4}} {
 		for _, loss := range []float64{0, 0.05} {
 			missing, slowest, bytes := 0, time.Duration(0), 0
 			for seed := range size.seeds {
-				m := New(Config{Hosts: size.hosts, DCs: size.dcs, Seed: uint64(seed), Watchers: 2, LossRate: loss, Replica: quickReplication()})
+				m := New(Config{Hosts: size.hosts, DCs: size.dcs, Seed: uint64(seed), Watchers: 2, LossRate: loss, Replica: quickReplicationConfig()})
 				m.StartAll()
 				m.Run(2 * time.Second)
 				propagation := m.propagateCrashes(t, m.Hosts[seed], 1)
@@ -111,25 +111,25 @@
 }
 
 // After a partition, a data centre has the report of a crash within detectionTime. A host that starts
-// gets it with the first response that names the other hosts.
+// gets it within a second, with the first response that lists the other hosts.
 func TestCrashReachesPartitionedAndRestartedHosts(t *testing.T) {
 	const seeds = 8
 	for _, size := range []struct{ hosts, dcs int }{{24, 4}, {91, 4}} {
 		missing, partitioned := 0, 0
 		for seed := range seeds {
-			m := New(Config{Hosts: size.hosts, DCs: size.dcs, Seed: uint64(seed), Watchers: 2, Replica: quickReplication()})
+			m := New(Config{Hosts: size.hosts, DCs: size.dcs, Seed: uint64(seed), Watchers: 2, Replica: quickReplicationConfig()})
 			m.StartAll()
 			m.Run(2 * time.Second)
 			restarted := m.Hosts[1]
 			m.Stop(restarted)
 			partitionedDC := m.Hosts[0].DC
-			m.Blocked = func(from, to *Host) bool { return (from.DC == partitionedDC) != (to.DC == partitionedDC) }
+			m.Dropped = func(from, to *Host) bool { return (from.DC == partitionedDC) != (to.DC == partitionedDC) }
 			m.publishCrash(m.Hosts[2], "e", encodedCrash(t))
 			m.Run(8 * time.Second)
-			assert.Assert(t, m.hostsWithoutCrash("e") > 0)
-			m.Blocked = func(_, _ *Host) bool { return false }
+			assert.Assert(t, m.countHostsWithoutCrash("e") > 0)
+			m.Dropped = func(_, _ *Host) bool { return false }
 			m.Run(detectionTime)
-			missing += m.hostsWithoutCrash("e")
+			missing += m.countHostsWithoutCrash("e")
 			partitioned += size.hosts / size.dcs
 			m.Start(restarted)
 			m.Run(time.Second)
@@ -141,15 +141,15 @@
 	}
 }
 
-// maxControlBytesPerSecond is the limit of control traffic per host at the target size.
+// maxControlBytesPerSecond is the limit of control traffic per host at the target fleet size.
 const maxControlBytesPerSecond = 19 << 10
 
-// The bytes per host grow with the number of crashes, not with the size of the fleet. Ten reports at once
-// stay within the limit of control traffic during detectionTime.
+// The bytes per host grow with the number of crashes, not with the size of the fleet. With ten
+// simultaneous reports, control traffic stays within its limit during detectionTime.
 func TestCrashPropagationCost(t *testing.T) {
 	for _, size := range []struct{ hosts, dcs int }{{24, 4}, {354, 5}} {
 		for _, crashes := range []int{0, 1, 10} {
-			m := New(Config{Hosts: size.hosts, DCs: size.dcs, Seed: 1, Watchers: 2, Replica: quickReplication()})
+			m := New(Config{Hosts: size.hosts, DCs: size.dcs, Seed: 1, Watchers: 2, Replica: quickReplicationConfig()})
 			m.StartAll()
 			m.Run(2 * time.Second)
 			before, value := m.bytesSent(), encodedCrash(t)
--- a/internal/mesh/mesh.go
+++ b/internal/mesh/mesh.go
@@ -1,6 +1,6 @@
 // Package mesh runs the membership and replication cores of many hosts in one process, with an
-// in-memory network in virtual time. Tests use it to inject failures, the capacity measurement to
-// see how costs grow with the number of hosts. It has no requests, no targets and no sockets.
+// in-memory network and virtual time. Tests use it to inject failures, and the capacity measurement
+// to find out how costs grow with the number of hosts. It simulates no requests and no targets.
 package mesh
 
 import (
@@ -19,18 +19,18 @@
 // Step is the resolution of virtual time.
 const Step = 50 * time.Millisecond
 
-// A host's version is its start time in milliseconds plus its incarnation, shifted left by
-// versionCounterBits, plus the number of changes since the start.
+// versionCounterBits is the number of low bits of a host's version that count its changes since the
+// start. The high bits are the start time in milliseconds plus the incarnation.
 const versionCounterBits = 20
 
-// headerBytes is the size of the frame and transport headers of one message.
+// headerBytes is the size of the frame header and the transport headers of a message.
 const headerBytes = 13 + 40
 
 // Config describes a mesh.
 type Config struct {
 	Hosts, DCs int
 	Seed       uint64
-	// LossRate is the share of messages that are lost.
+	// LossRate is the probability that a message is lost.
 	LossRate float64
 	// Instances is the number of instances that each host announces.
 	Instances int
@@ -40,13 +40,13 @@
 	Replica config.Config
 }
 
-// Mesh is a set of hosts and the network between them at one virtual time.
+// Mesh is a set of simulated hosts and the network between them.
 type Mesh struct {
 	Now   time.Time
 	Hosts []*Host
-	// Blocked reports whether messages from one host to another are lost, to simulate
-	// partitions.
-	Blocked func(from, to *Host) bool
+	// Dropped reports whether messages from one host to another are dropped, to simulate
+	// partitions. It may be replaced at any time between runs.
+	Dropped func(from, to *Host) bool
 	// Platform simulates the object API.
 	Platform Platform
 
@@ -61,19 +61,20 @@
 type Host struct {
 	Name, DC string
 	Up       bool
-	// Frozen marks a process that is paused. Messages sent to it are lost.
-	Frozen      bool
+	// Paused is set while the process is suspended. Messages to it are lost.
+	Paused      bool
 	Incarnation int
 	Members     *member.Node
 	Replica     *config.Node
-	// Contacts are the hosts that are known by address only.
+	// Contacts holds the hosts to call, of which only the address is known.
 	Contacts *contact.Contacts
-	// ClockSkew is the offset of the wall clock from the virtual time at the next start.
+	// ClockSkew is the offset of the host's wall clock from virtual time. It takes effect at the
+	// next start.
 	ClockSkew time.Duration
-	// Sent and Received count messages and bytes. SentRemote counts the messages, without
-	// membership datagrams, that went to another data centre.
+	// Sent and Received count messages and bytes. SentRemote counts those sent to other data
+	// centres, without membership datagrams.
 	Sent, Received, SentRemote Traffic
-	// OnApplied is called, if set, for every entry that comes into force.
+	// OnApplied, if set, is called for every entry that the replica applies.
 	OnApplied func(config.Applied)
 
 	version         int64
@@ -92,7 +93,7 @@
 	t.Bytes += bytes
 }
 
-// delivery is a message in transit.
+// delivery is a packet or message in transit to one incarnation of a host.
 type delivery struct {
 	from, to    *Host
 	incarnation int
@@ -100,7 +101,7 @@
 	message     msg.Message
 }
 
-// Platform simulates the object API with all changes of records as events in order.
+// Platform simulates the object API. Events are all changes of records, in order.
 type Platform struct {
 	Unavailable bool
 	Revision    int64
@@ -146,7 +147,7 @@
 	m := &Mesh{
 		Now: time.Unix(1_000_000, 0), cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, 3)),
 		byName: make(map[string]*Host), inFlight: make(map[int64][]delivery),
-		Blocked: func(_, _ *Host) bool { return false },
+		Dropped: func(_, _ *Host) bool { return false },
 	}
 	for i := range cfg.Hosts {
 		h := &Host{Name: fmt.Sprintf("h%04d", i), DC: fmt.Sprintf("dc%02d", i%cfg.DCs), instances: cfg.Instances}
@@ -156,10 +157,10 @@
 	return m
 }
 
-// Start starts a host with empty state. It contacts one random host that is up.
+// Start starts a host with empty state, which calls one random host that is up.
 func (m *Mesh) Start(h *Host) {
-	m.boot(h)
-	peer, ok := m.randomLiveHost(h)
+	m.initHost(h)
+	peer, ok := m.randomUpHost(h)
 	if !ok {
 		return
 	}
@@ -168,8 +169,8 @@
 	m.sendMessage(h, peer, &msg.Pull{Set: msg.SetHosts, All: true})
 }
 
-// boot starts a host that knows no others.
-func (m *Mesh) boot(h *Host) {
+// initHost starts a new incarnation of a host, which knows no other hosts.
+func (m *Mesh) initHost(h *Host) {
 	h.Incarnation++
 	h.Up, h.watching = true, false
 	h.version = (m.Now.Add(h.ClockSkew).UnixMilli() + int64(h.Incarnation)) << versionCounterBits
@@ -180,9 +181,9 @@
 	m.publish(h)
 }
 
-// StartWithHostList starts a host that has got the list of all hosts from the platform.
+// StartWithHostList starts a host with the list of all hosts, as read from the platform.
 func (m *Mesh) StartWithHostList(h *Host) {
-	m.boot(h)
+	m.initHost(h)
 	for _, other := range m.Hosts {
 		if other != h {
 			h.Contacts.AddListed(other.Name, other.DC, other.Name, false)
@@ -190,8 +191,8 @@
 	}
 }
 
-// StartAll starts all hosts as an established fleet, in which each host knows all others,
-// because that is the state in which costs are measured.
+// StartAll starts all hosts as an established fleet, in which each host knows all others: costs are
+// measured in this state. The messages of the start itself are dropped.
 func (m *Mesh) StartAll() {
 	for _, h := range m.Hosts {
 		m.Start(h)
@@ -209,7 +210,7 @@
 	m.inFlight = make(map[int64][]delivery)
 }
 
-// Forget stops a host and removes it from the state of all others, as if it had never existed.
+// Forget stops a host and removes it from the state of all others, as if it had never run.
 func (m *Mesh) Forget(h *Host) {
 	m.Stop(h)
 	for _, other := range m.Hosts {
@@ -218,10 +219,10 @@
 	}
 }
 
-// Stop stops a host at once.
+// Stop stops a host without notice to the others.
 func (m *Mesh) Stop(h *Host) { h.Up = false }
 
-func (m *Mesh) randomLiveHost(exclude *Host) (*Host, bool) {
+func (m *Mesh) randomUpHost(exclude *Host) (*Host, bool) {
 	var up []*Host
 	for _, h := range m.Hosts {
 		if h.Up && h != exclude {
@@ -252,8 +253,7 @@
 	m.flush(h)
 }
 
-// Republish publishes a new version of a host's entry, as after a change of an instance's
-// health.
+// Republish publishes a new version of a host's entry, as a change of an instance's health does.
 func (m *Mesh) Republish(h *Host) { m.publish(h) }
 
 func (h *Host) replicationPeers() config.Peers {
@@ -261,7 +261,7 @@
 	return config.Peers{Local: local, Remote: remote}
 }
 
-// Run advances virtual time.
+// Run advances virtual time by a duration, in steps.
 func (m *Mesh) Run(duration time.Duration) {
 	for end := m.Now.Add(duration); m.Now.Before(end); {
 		m.Now = m.Now.Add(Step)
@@ -272,7 +272,7 @@
 			m.deliver(d)
 		}
 		for _, h := range m.Hosts {
-			if h.Up && !h.Frozen {
+			if h.Up && !h.Paused {
 				m.tick(h)
 			}
 		}
@@ -285,16 +285,16 @@
 		m.publish(h)
 	}
 	h.Replica.Tick(m.Now, h.replicationPeers())
-	m.callContacts(h)
+	m.callCandidates(h)
 	if m.step%4 == 0 {
 		m.watch(h)
 	}
 	m.flush(h)
 }
 
-// callContacts sends the host's entry to hosts that are known by address only, and requests the
-// entries that they have.
-func (m *Mesh) callContacts(h *Host) {
+// callCandidates sends the host's entry to hosts of which only the address is known, and requests
+// entries from them.
+func (m *Mesh) callCandidates(h *Host) {
 	hosts := h.Replica.Set(msg.SetHosts)
 	known := func(name string) bool {
 		_, ok := hosts.Get(config.Key{Kind: "Host", Name: name})
@@ -311,7 +311,7 @@
 	}
 }
 
-// watch reads changes from the platform if the host's rank makes it a watcher.
+// watch reads changes from the platform if the host is one of the watchers of its data centre.
 func (m *Mesh) watch(h *Host) {
 	if m.Platform.Unavailable || m.rank(h) >= m.cfg.Watchers {
 		h.watching = false
@@ -329,6 +329,8 @@
 	h.watchedRevision = m.Platform.Revision
 }
 
+// rank returns the position of a host among the live hosts of its data centre, ordered by the hash of
+// their names. The lowest ranks are the watchers.
 func (m *Mesh) rank(h *Host) int {
 	local, _ := h.Members.Live()
 	ownHash := xxhash.Sum64String(h.Name)
@@ -341,7 +343,7 @@
 	return rank
 }
 
-// flush sends the output of the cores.
+// flush sends the pending messages of a host's cores and handles the entries applied.
 func (m *Mesh) flush(h *Host) {
 	for {
 		out, applied := h.Replica.Take()
@@ -378,12 +380,12 @@
 		panic(err)
 	}
 	if a.Entry.Name == h.Name && a.Entry.Version > h.version {
-		// An earlier incarnation, with its clock ahead, published a newer version: exceed it.
+		// An earlier incarnation whose clock was ahead has published a newer version: exceed it.
 		h.version = a.Entry.Version
 		m.publish(h)
 		return
 	}
-	// Hosts are addressed by name here.
+	// The name of a simulated host is also its address.
 	h.Members.Update(m.Now, a.Entry.Name, state.DC, a.Entry.Name, a.Entry.Version)
 }
 
@@ -401,7 +403,7 @@
 
 // send delivers a message after one or two steps, unless it is lost.
 func (m *Mesh) send(d delivery) {
-	if m.rng.Float64() < m.cfg.LossRate || m.Blocked(d.from, d.to) {
+	if m.rng.Float64() < m.cfg.LossRate || m.Dropped(d.from, d.to) {
 		return
 	}
 	d.incarnation = d.to.Incarnation
@@ -410,12 +412,12 @@
 }
 
 func (m *Mesh) deliver(d delivery) {
-	if !d.to.Up || d.to.Frozen || d.to.Incarnation != d.incarnation || m.Blocked(d.from, d.to) {
+	if !d.to.Up || d.to.Paused || d.to.Incarnation != d.incarnation || m.Dropped(d.from, d.to) {
 		return
 	}
 	if d.packet != nil {
 		d.to.Received.add(d.packet.Msgsize()/2 + headerBytes)
-		// A packet may be shared by several deliveries; each receiver gets a copy.
+		// Several deliveries may share a packet, so each receiver gets a copy.
 		p := *d.packet
 		d.to.Members.Step(m.Now, &p)
 	} else {
--- a/internal/mesh/mesh_test.go
+++ b/internal/mesh/mesh_test.go
@@ -12,8 +12,8 @@
 	"github.com/radishhoist/radishhoist/internal/msg"
 )
 
-// recordVersionRegressions sets violation when a host applies an older version of a record than
-// before within one incarnation.
+// recordVersionRegressions sets violation if a host applies a version of a record that is not newer
+// than the one it applied before in the same incarnation.
 func recordVersionRegressions(m *Mesh, violation *string) {
 	for _, h := range m.Hosts {
 		seen := map[string]int64{}
@@ -68,6 +68,9 @@
 	return out
 }
 
+// While hosts stop and restart, a host's outbound messages are dropped and the platform is unavailable
+// at times, no host returns to an older version of a record. After the faults all hosts have the
+// records of the platform.
 func TestRecordsNeverRegressAndConverge(t *testing.T) {
 	for seed := range uint64(12) {
 		m := New(Config{Hosts: 24, DCs: 3, Seed: seed, LossRate: 0.05, Instances: 2, Watchers: 2})
@@ -75,7 +78,7 @@
 		violation := ""
 		recordVersionRegressions(m, &violation)
 		var mutedHost *Host
-		m.Blocked = func(from, _ *Host) bool { return from == mutedHost }
+		m.Dropped = func(from, _ *Host) bool { return from == mutedHost }
 		for round := range 40 {
 			name := fmt.Sprintf("r%d", m.rng.IntN(30))
 			m.Platform.Put(name, m.rng.IntN(4) == 0, 200)
@@ -111,6 +114,8 @@
 	}
 }
 
+// A host that restarts while the platform is unavailable gets the records from other hosts, none of
+// them older than before the restart, and no deleted record reappears.
 func TestRestartedHostServesNoOlderSet(t *testing.T) {
 	m := New(Config{Hosts: 12, DCs: 2, Seed: 5, LossRate: 0.02, Watchers: 2})
 	m.StartAll()
@@ -122,7 +127,7 @@
 	m.Run(30 * time.Second)
 	before, ok := converged(m)
 	assert.Assert(t, ok)
-	// While the platform is unavailable, the host starts from its peers alone.
+	// While the platform is unavailable, the host can get records from its peers only.
 	m.Platform.Unavailable = true
 	h := m.Hosts[3]
 	m.Stop(h)
@@ -152,7 +157,7 @@
 	assert.Equal(t, s.Len(), 0)
 }
 
-// recordVersionRegressions must detect a peer that forwards an older version as if it were new.
+// recordVersionRegressions must detect a host that applies an older version.
 func TestVersionCheckDetectsInjectedFault(t *testing.T) {
 	m := New(Config{Hosts: 4, DCs: 1, Seed: 1, Watchers: 1})
 	m.StartAll()
@@ -164,6 +169,7 @@
 	assert.Assert(t, violation != "")
 }
 
+// statusCounts counts the other hosts that are up by the membership status they have for a host.
 func statusCounts(m *Mesh, of *Host) map[member.Status]int {
 	counts := map[member.Status]int{}
 	for _, h := range m.Hosts {
@@ -192,13 +198,15 @@
 	}
 }
 
+// A host whose inbound or outbound messages alone are lost is not considered alive by any other
+// host, and at most the host itself considers others dead. It rejoins when the partition ends.
 func TestOneWayPartitionIsDetected(t *testing.T) {
 	for _, inbound := range []bool{false, true} {
 		m := New(Config{Hosts: 20, DCs: 2, Seed: 4, Watchers: 2})
 		m.StartAll()
 		m.Run(5 * time.Second)
 		victim := m.Hosts[6]
-		m.Blocked = func(from, to *Host) bool {
+		m.Dropped = func(from, to *Host) bool {
 			if inbound {
 				return to == victim
 			}
@@ -212,36 +220,39 @@
 				assert.Equal(t, statusCounts(m, h)[member.Dead] <= 1, true, "inbound %v: hosts other than the victim consider %s dead", inbound, h.Name)
 			}
 		}
-		m.Blocked = func(_, _ *Host) bool { return false }
+		m.Dropped = func(_, _ *Host) bool { return false }
 		m.Run(60 * time.Second)
 		assert.Equal(t, statusCounts(m, victim)[member.Alive], 19, "inbound %v: the victim did not rejoin", inbound)
 	}
 }
 
+// Hosts on both sides of a partition of three minutes rejoin when it ends.
 func TestPartitionedRegionsRejoin(t *testing.T) {
 	m := New(Config{Hosts: 30, DCs: 3, Seed: 8, LossRate: 0.01, Instances: 1, Watchers: 2})
 	m.StartAll()
 	m.Run(5 * time.Second)
-	m.Blocked = func(from, to *Host) bool { return (from.DC == "dc00") != (to.DC == "dc00") }
+	m.Dropped = func(from, to *Host) bool { return (from.DC == "dc00") != (to.DC == "dc00") }
 	m.Platform.Put("before", false, 50)
 	m.Run(3 * time.Minute)
-	m.Blocked = func(_, _ *Host) bool { return false }
+	m.Dropped = func(_, _ *Host) bool { return false }
 	m.Run(90 * time.Second)
 	for _, h := range m.Hosts {
 		assert.Equal(t, statusCounts(m, h)[member.Alive], 29, h.Name)
 	}
 }
 
-func TestFrozenHostRejoins(t *testing.T) {
+// A host that was paused for so long that the others consider it dead rejoins and gets the changes
+// that it missed.
+func TestPausedHostRejoins(t *testing.T) {
 	m := New(Config{Hosts: 20, DCs: 2, Seed: 6, Watchers: 2})
 	m.StartAll()
 	m.Run(5 * time.Second)
 	victim := m.Hosts[4]
-	victim.Frozen = true
+	victim.Paused = true
 	m.Platform.Put("while-frozen", false, 50)
 	m.Run(time.Minute)
 	assert.Equal(t, statusCounts(m, victim)[member.Dead], 19)
-	victim.Frozen = false
+	victim.Paused = false
 	m.Run(40 * time.Second)
 	assert.Equal(t, statusCounts(m, victim)[member.Alive], 19)
 	got, ok := converged(m)
@@ -249,6 +260,8 @@
 	assert.DeepEqual(t, got, expectedVersions(&m.Platform))
 }
 
+// A host whose clock is an hour behind after a restart must not be ignored because its version,
+// derived from the clock, is older than before.
 func TestHostRestartedWithClockBehindRejoins(t *testing.T) {
 	m := New(Config{Hosts: 12, DCs: 2, Seed: 2, Watchers: 2})
 	m.StartAll()
--- a/internal/mesh/start_test.go
+++ b/internal/mesh/start_test.go
@@ -11,8 +11,8 @@
 	"github.com/radishhoist/radishhoist/internal/msg"
 )
 
-// startCost is the average cost per host of starting the whole fleet.
-type startCost struct {
+// startupCost is the average cost per host of starting the whole fleet at once.
+type startupCost struct {
 	hosts           int
 	messages, bytes int
 	remoteBytes     int
@@ -21,19 +21,19 @@
 	mostKnownAfter, allKnownAfter time.Duration
 }
 
-// quickReplication returns the replication parameters of a deployment whose changes must be in
-// force within three seconds.
-func quickReplication() config.Config {
+// quickReplicationConfig returns the replication parameters of a deployment in which changes must be
+// in force within three seconds.
+func quickReplicationConfig() config.Config {
 	c := config.DefaultConfig()
 	c.RepairInterval = 900 * time.Millisecond
 	return c
 }
 
-// startFleet starts all hosts within 0.3 s, as after a power failure, each with a host list from
-// the platform. Their instances announce themselves within the next second, and again when they
-// are warm.
-func startFleet(hosts int, seed uint64) startCost {
-	m := New(Config{Hosts: hosts, DCs: 5, Seed: seed, Watchers: 2, Instances: 1, Replica: quickReplication()})
+// measureStartup starts all hosts within 0.3 s, as after a power failure, each with a host list from
+// the platform, and returns the cost. Instances announce themselves 0.3 s to 1.75 s later, and again
+// when they have warmed up.
+func measureStartup(hosts int, seed uint64) startupCost {
+	m := New(Config{Hosts: hosts, DCs: 5, Seed: seed, Watchers: 2, Instances: 1, Replica: quickReplicationConfig()})
 	start := m.Now
 	for i, h := range m.Hosts {
 		if i%max(hosts/6, 1) == 0 {
@@ -41,7 +41,7 @@
 		}
 		m.StartWithHostList(h)
 	}
-	cost := startCost{hosts: hosts}
+	cost := startupCost{hosts: hosts}
 	for step := 0; m.Now.Sub(start) < startPeriod; step++ {
 		for i, h := range m.Hosts {
 			if announces := 6 + i%30; step == announces || step == 3*announces {
@@ -78,36 +78,40 @@
 }
 
 const (
-	// startPeriod is the time from the start of a fleet until callers send requests.
+	// startPeriod is the time from the start of the fleet until callers send requests.
 	startPeriod = 10 * time.Second
 	// maxControlRate is the rate limit of control traffic, in bytes per second and host.
 	maxControlRate = 19 << 10
 	// smallestCPUShare is the share of a core that the smallest hosts have. messageCPUTime is the
-	// processor time of a message at both ends together. messageCPUShare is the share of the
-	// processor time during the start that messages may use.
+	// CPU time of a message, at sender and receiver together. messageCPUShare is the share of a
+	// host's CPU time that messages may use during the start.
 	smallestCPUShare = 0.16
 	messageCPUTime   = 500 * time.Microsecond
 	messageCPUShare  = 0.25
 	// slowestLink is the bandwidth of the smallest hosts, in bytes per second.
 	slowestLink = 20e6 / 8
-	// maxPropagationTime is the time within which a change is in force everywhere. Hosts that
-	// start must know each other by then.
+	// maxPropagationTime is the time within which a change is in force at all hosts, and within
+	// which starting hosts know each other.
 	maxPropagationTime = 3 * time.Second
 )
 
 // Guards against a start of the whole fleet that exceeds the resources of the hosts, or whose
-// messages per host grow with the fleet. After a power failure, callers waited for seconds, and each
-// of 354 hosts sent 0.2 MB between data centres while starting. Every host read the names of all
-// others from the platform, called sixty of them a second and requested all they knew from each; it
-// forwarded what it learned to three more, with a message for each change.
+// messages per host grow in proportion to the fleet. In the failure, after a loss of power, callers
+// waited for seconds, and each of 354 hosts sent 0.2 MB between data centres while starting. Every
+// host read the names of all others from the platform, called sixty of them a second and requested
+// all entries from each. It forwarded every new entry to three more hosts, with one message per entry.
 //
-// Messages, bytes and bytes between data centres per host, and the time until hosts knew 90 % of
-// the others, were 264, 62 KB, 23 KB and 0.5 s with 24 hosts, and 2,499, 1.2 MB, 485 KB and 0.65 s
-// with 354. They are 197, 42 KB, 9 KB and 0.7 s, and 345, 0.5 MB, 17 KB and 1.1 s, since the fix.
+// Costs per host, and the time until hosts knew 90 % of the others:
+//
+//	hosts      messages  bytes   between data centres  time
+//	24 before  264       62 KB   23 KB                 0.5 s
+//	24 after   197       42 KB   9 KB                  0.7 s
+//	354 before 2,499     1.2 MB  485 KB                0.65 s
+//	354 after  345       0.5 MB  17 KB                 1.1 s
 func TestStartOfAllFitsHostResources(t *testing.T) {
-	small, large := startFleet(24, 1), startFleet(354, 1)
+	small, large := measureStartup(24, 1), measureStartup(354, 1)
 	maxMessages := messageCPUShare * smallestCPUShare * startPeriod.Seconds() / messageCPUTime.Seconds()
-	for _, c := range []startCost{small, large} {
+	for _, c := range []startupCost{small, large} {
 		t.Logf("%+v", c)
 		assert.Assert(t, float64(c.messages) <= maxMessages, "%d messages per host, limit %.0f", c.messages, maxMessages)
 		assert.Assert(t, float64(c.bytes) <= slowestLink, "%d bytes per host", c.bytes)
@@ -118,23 +122,23 @@
 	assert.Assert(t, float64(large.messages) <= maxGrowth*float64(small.messages), "messages per host grew from %d to %d", small.messages, large.messages)
 }
 
-// Guards against a new host that becomes known in some data centres only by the digests of a repair,
-// too late for its instance to get requests in time.
+// Guards against a joining host that some data centres only learn of by a later repair, too late for
+// its instance to get requests in time.
 //
 // The host's instance had announced itself before the platform let the host join. The host called two
-// remote hosts, learned of all others from its first call and then had nothing new to send, so that
-// two of four other data centres were not told. Until the last of 100 hosts knew it, it took up to
-// 2.45 s in ten runs, and up to 1.75 s since the fix.
+// remote hosts and received the entries of all others with the first response. It had nothing new to
+// publish after that, so that two of four other data centres did not get its entry. It took up to
+// 2.45 s in ten runs until the last of 100 hosts knew it, and up to 1.75 s since the fix.
 func TestJoiningHostIsSoonKnownInEveryDataCentre(t *testing.T) {
 	for seed := range uint64(10) {
-		m := New(Config{Hosts: 100, DCs: 5, Seed: seed, Watchers: 2, Instances: 1, Replica: quickReplication()})
+		m := New(Config{Hosts: 100, DCs: 5, Seed: seed, Watchers: 2, Instances: 1, Replica: quickReplicationConfig()})
 		m.StartAll()
-		newcomer := m.Hosts[42]
+		joiningHost := m.Hosts[42]
 		m.Run(time.Second)
-		m.Forget(newcomer)
-		m.StartWithHostList(newcomer)
+		m.Forget(joiningHost)
+		m.StartWithHostList(joiningHost)
 		start := m.Now
-		for !knownByAll(m, newcomer) && m.Now.Sub(start) < maxPropagationTime {
+		for !knownByAll(m, joiningHost) && m.Now.Sub(start) < maxPropagationTime {
 			m.Run(Step)
 		}
 		took := m.Now.Sub(start)
@@ -142,9 +146,10 @@
 	}
 }
 
-// maxTimeToFirstRequest is the time within which a well instance gets requests.
+// maxTimeToFirstRequest is the time within which a healthy instance must get requests.
 const maxTimeToFirstRequest = 2 * time.Second
 
+// knownByAll reports whether all hosts have the entry of a host.
 func knownByAll(m *Mesh, of *Host) bool {
 	for _, h := range m.Hosts {
 		if _, known := h.Replica.Set(msg.SetHosts).Get(config.Key{Kind: "Host", Name: of.Name}); !known {
