--- a/internal/experiment/baseline.go
+++ b/internal/experiment/baseline.go
@@ -4,12 +4,12 @@
 	"time"
 )
 
-// Baseline is a simple policy for comparison. Fronts call instances directly, and the queue
-// of an instance is unbounded.
+// Baseline is a simple policy for comparison. Fronts send requests directly to instances, whose
+// queues are unbounded.
 type Baseline struct {
 	Name string
-	// ConsecutiveFailures is the number of failures in a row that ejects an instance, 0 for
-	// never.
+	// ConsecutiveFailures is the number of consecutive failures after which an instance is
+	// ejected, 0 for never.
 	ConsecutiveFailures int
 	// SlowFactor ejects an instance whose mean service time exceeds the mean of the other
 	// instances by this factor, 0 for never.
@@ -44,14 +44,16 @@
 
 type baselineFront struct {
 	index int
+	// next is the instance that gets the next request.
 	next  int
 	stats []targetStats
 }
 
+// targetStats are a front's statistics of one instance.
 type targetStats struct {
-	failures     int
-	mean         time.Duration
-	ejectedUntil time.Duration
+	consecutiveFailures int
+	meanServiceTime     time.Duration
+	ejectedUntil        time.Duration
 }
 
 type baselineAttempt struct {
@@ -75,12 +77,13 @@
 }
 
 func (b *baselineSim) send() {
-	b.m.requests++
+	b.metrics.requests++
 	f := b.fronts[b.rng.IntN(len(b.fronts))]
 	b.sendAttempt(&baselineAttempt{front: f, arrived: b.now, idempotent: b.rng.Float64() < idempotentShare})
 }
 
-// sendAttempt sends to the next instance in turn that is not ejected.
+// sendAttempt sends to the next instance, round robin, that is not ejected. If all are ejected, it
+// sends to one of them.
 func (b *baselineSim) sendAttempt(t *baselineAttempt) {
 	f := t.front
 	t.instance = f.next
@@ -91,7 +94,7 @@
 			break
 		}
 	}
-	b.schedule(b.path(f.index, t.instance), func() { b.arrive(t) })
+	b.schedule(b.pathDelay(f.index, t.instance), func() { b.arrive(t) })
 	b.schedule(max(deadline-(b.now-t.arrived), 0), func() { b.finish(t, false, deadline) })
 }
 
@@ -109,21 +112,21 @@
 		inst.busy++
 		b.countStart(i)
 		took := b.serviceTime(i)
-		if b.stuck(i) {
+		if b.isStuck(i) {
 			took = time.Hour
 		}
 		failed := b.fails(i)
 		b.schedule(took, func() {
 			inst.busy--
-			if !b.cut(i) {
-				b.schedule(b.path(t.front.index, i), func() { b.finish(t, !failed, took) })
+			if !b.outboundCut(i) {
+				b.schedule(b.pathDelay(t.front.index, i), func() { b.finish(t, !failed, took) })
 			}
 			b.startQueued(i)
 		})
 	}
 }
 
-// finish handles an answer, a failure or the deadline at the front.
+// finish handles a response, a failure or the deadline at the front.
 func (b *baselineSim) finish(t *baselineAttempt, ok bool, took time.Duration) {
 	if t.finished {
 		return
@@ -134,42 +137,46 @@
 		b.sendAttempt(&baselineAttempt{front: t.front, arrived: t.arrived, retry: true, idempotent: true})
 		return
 	}
-	b.countAnswer(t.arrived, ok)
+	b.countResponse(t.arrived, ok)
 }
 
+// recordOutcome adds an outcome to a front's statistics of an instance and ejects the instance if the
+// policy says so.
 func (b *baselineSim) recordOutcome(f *baselineFront, i int, ok bool, took time.Duration) {
 	s := &f.stats[i]
 	if ok {
-		s.failures = 0
+		s.consecutiveFailures = 0
 	} else {
-		s.failures++
+		s.consecutiveFailures++
 	}
-	if s.mean == 0 {
-		s.mean = took
+	if s.meanServiceTime == 0 {
+		s.meanServiceTime = took
 	}
-	s.mean += (took - s.mean) / 5
-	bad := b.policy.ConsecutiveFailures > 0 && s.failures >= b.policy.ConsecutiveFailures
+	s.meanServiceTime += (took - s.meanServiceTime) / 5
+	shouldEject := b.policy.ConsecutiveFailures > 0 && s.consecutiveFailures >= b.policy.ConsecutiveFailures
 	if b.policy.SlowFactor > 0 {
 		var sum time.Duration
 		n := 0
 		for k := range f.stats {
-			if k != i && f.stats[k].mean > 0 {
-				sum += f.stats[k].mean
+			if k != i && f.stats[k].meanServiceTime > 0 {
+				sum += f.stats[k].meanServiceTime
 				n++
 			}
 		}
-		bad = bad || n > 0 && float64(s.mean) > b.policy.SlowFactor*float64(sum)/float64(n)
+		shouldEject = shouldEject || n > 0 && float64(s.meanServiceTime) > b.policy.SlowFactor*float64(sum)/float64(n)
 	}
-	if !bad || b.now < s.ejectedUntil || b.exceedsCap(f) {
+	if !shouldEject || b.now < s.ejectedUntil || b.exceedsCap(f) {
 		return
 	}
-	s.ejectedUntil, s.failures, s.mean = b.now+ejectionTime, 0, 0
+	s.ejectedUntil, s.consecutiveFailures, s.meanServiceTime = b.now+ejectionTime, 0, 0
 	if i != 0 || b.now < FaultStart || !b.fault.isGray() && b.fault != Flapping && b.fault != SlowPath {
-		b.m.falseEjections++
+		b.metrics.falseEjections++
 	}
-	b.measureMargin(f)
+	b.updateMinMargin(f)
 }
 
+// exceedsCap reports whether one more ejection by a front would exceed MaxEjectedShare. A single
+// ejection is always allowed.
 func (b *baselineSim) exceedsCap(f *baselineFront) bool {
 	if b.policy.MaxEjectedShare == 0 {
 		return false
@@ -183,18 +190,18 @@
 	return float64(ejected) > max(b.policy.MaxEjectedShare*float64(len(f.stats)), 1)
 }
 
-// measureMargin updates the least margin over the floor and counts ejections that take a
-// front's capacity below it.
-func (b *baselineSim) measureMargin(f *baselineFront) {
-	left := 0
+// updateMinMargin updates the least capacity above the floor and counts ejections that reduce the
+// capacity available to a front below the floor.
+func (b *baselineSim) updateMinMargin(f *baselineFront) {
+	remainingSlots := 0
 	for k := range f.stats {
 		if b.now >= f.stats[k].ejectedUntil {
-			left += b.site.Slots
+			remainingSlots += b.site.Slots
 		}
 	}
 	required := (b.site.Instances*b.site.Slots*b.site.Floor.Percent + 99) / 100
-	if left < required {
-		b.m.floorViolations++
+	if remainingSlots < required {
+		b.metrics.floorViolations++
 	}
-	b.m.minMargin = min(b.m.minMargin, left-required)
+	b.metrics.minMargin = min(b.metrics.minMargin, remainingSlots-required)
 }
--- a/internal/experiment/noise.go
+++ b/internal/experiment/noise.go
@@ -11,9 +11,9 @@
 )
 
 // Noise is a long run of healthy instances with noisy service times: each instance
-// independently has short bursts of slow answers, as during a garbage collection or a backup.
-// Only detectors run, on generated samples; nothing is ejected, so that every alarm is a
-// false positive.
+// independently has short bursts of slow responses, as during a garbage collection or a backup.
+// Only the detectors run, on generated samples. All instances are healthy, so that every alarm is
+// a false positive.
 type Noise struct {
 	Site Site
 	// Load is the arrival rate as a share of capacity.
@@ -25,13 +25,13 @@
 	BurstFactor float64
 }
 
-// DefaultNoise returns the noise of the user requirement: bursts of five times the service
-// time, up to two seconds long, once a minute at each instance.
+// DefaultNoise returns the noise that detection is required to tolerate: bursts of five times the
+// service time, up to two seconds long, once a minute at each instance.
 func DefaultNoise(site Site) Noise {
 	return Noise{Site: site, Load: 0.6, BurstInterval: time.Minute, MaxBurst: 2 * time.Second, BurstFactor: 5}
 }
 
-// CountAlarms runs the noise for about the given instance-hours and returns the false alarms
+// CountAlarms simulates about the given number of instance-hours and returns the false alarms
 // and the instance-hours simulated.
 func (n Noise) CountAlarms(hours float64, seed uint64) (alarms int, instanceHours float64) {
 	workers := runtime.NumCPU()
@@ -42,9 +42,9 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			found := n.run(perWorker, rand.New(rand.NewPCG(seed, uint64(k))))
+			count := n.run(perWorker, rand.New(rand.NewPCG(seed, uint64(k))))
 			mu.Lock()
-			alarms += found
+			alarms += count
 			mu.Unlock()
 		}()
 	}
@@ -52,12 +52,13 @@
 	return alarms, perWorker.Hours() * float64(n.Site.Instances*workers)
 }
 
+// run simulates all instances for a time and returns the number of alarms.
 func (n Noise) run(length time.Duration, rng *rand.Rand) int {
-	count := n.Site.Instances
-	detectors := make([]*detect.Detector, count)
-	references := make([]detect.Reference, count)
-	burstEnd := make([]time.Duration, count)
-	nextBurst := make([]time.Duration, count)
+	instances := n.Site.Instances
+	detectors := make([]*detect.Detector, instances)
+	references := make([]detect.Reference, instances)
+	burstEnd := make([]time.Duration, instances)
+	nextBurst := make([]time.Duration, instances)
 	for i := range detectors {
 		detectors[i] = detect.NewDetector(n.Site.Params)
 		nextBurst[i] = time.Duration(rng.ExpFloat64() * float64(n.BurstInterval))
@@ -65,22 +66,22 @@
 	rate := n.Load * n.Site.Capacity()
 	alarms := 0
 	for now := time.Duration(0); now < length; now += time.Duration(rng.ExpFloat64() / rate * float64(time.Second)) {
-		i := rng.IntN(count)
+		i := rng.IntN(instances)
 		if now >= nextBurst[i] {
 			burstEnd[i] = now + time.Duration((0.1+0.9*rng.Float64())*float64(n.MaxBurst))
 			nextBurst[i] = burstEnd[i] + time.Duration(rng.ExpFloat64()*float64(n.BurstInterval))
 		}
-		s := n.Site.MedianService.Seconds() * math.Exp(n.Site.LogStdDev*rng.NormFloat64())
+		seconds := n.Site.MedianService.Seconds() * math.Exp(n.Site.LogStdDev*rng.NormFloat64())
 		if now < burstEnd[i] {
-			s *= n.BurstFactor
+			seconds *= n.BurstFactor
 		}
-		took := time.Duration(s * float64(time.Second))
+		took := time.Duration(seconds * float64(time.Second))
 		at := epoch.Add(now)
 		if detectors[i].AddResponse(at, references[i].At(at), took, false) && detectors[i].Health() == detect.Suspect {
 			alarms++
 		}
-		// The sample reaches one other instance, as it would on the front's next request.
-		references[(i+1+rng.IntN(count-1))%count].Add(at, took, false)
+		// One other instance receives the sample, as it would with the front's next request.
+		references[(i+1+rng.IntN(instances-1))%instances].Add(at, took, false)
 	}
 	return alarms
 }
--- a/internal/experiment/radishhoist.go
+++ b/internal/experiment/radishhoist.go
@@ -13,8 +13,8 @@
 )
 
 // radishhoistSim simulates the radishhoist policy with the real core packages: guards with
-// admission control and detectors; fronts with load balancing, floor rule, hedging and retry
-// budget.
+// admission control and failure detection, and fronts with load balancing, ejection limited by the
+// floor, hedging and a retry budget.
 type radishhoistSim struct {
 	*simulation
 	guards []*guardSim
@@ -28,11 +28,11 @@
 	queue     *admit.Queue
 	detector  *detect.Detector
 	reference detect.Reference
-	calls     map[admit.ID]*call
+	attempts  map[admit.ID]*guardAttempt
 }
 
-// call is the state of one attempt at a guard.
-type call struct {
+// guardAttempt is the state of an attempt at its guard.
+type guardAttempt struct {
 	attempt     *attemptSim
 	started     time.Duration
 	reportedAge time.Duration
@@ -52,12 +52,13 @@
 	hedgeDelay  time.Duration
 }
 
+// targetState is what a front knows of an instance and of the path to it.
 type targetState struct {
 	slots, running, queued int
 	loadAt                 time.Duration
 	pending                int
-	service                time.Duration
-	path                   time.Duration
+	serviceTime            time.Duration
+	roundTrip              time.Duration
 	suspect                bool
 	evidence               uint32
 	pathDown               bool
@@ -65,12 +66,13 @@
 	pathBackoff            time.Duration
 }
 
+// sampleSim is the outcome of an attempt at an instance, as observed by a front.
 type sampleSim struct {
-	instance int
-	service  time.Duration
-	failed   bool
-	used     bool
-	at       time.Duration
+	instance    int
+	serviceTime time.Duration
+	failed      bool
+	used        bool
+	at          time.Duration
 }
 
 // requestSim is one request of a caller.
@@ -94,81 +96,82 @@
 }
 
 func newRadishhoistSim(sim *simulation) *radishhoistSim {
-	o := &radishhoistSim{simulation: sim}
+	s := &radishhoistSim{simulation: sim}
 	for i := range sim.site.Instances {
-		o.guards = append(o.guards, &guardSim{
+		s.guards = append(s.guards, &guardSim{
 			index:    i,
 			queue:    admit.NewQueue(admit.Config{Slots: sim.site.Slots, QueuePerSlot: 4, GrantTTL: 250 * time.Millisecond}),
 			detector: detect.NewDetector(sim.site.Params),
-			calls:    make(map[admit.ID]*call),
+			attempts: make(map[admit.ID]*guardAttempt),
 		})
 	}
 	for i := range sim.site.Fronts {
-		f := &frontSim{index: i, rng: rand.New(rand.NewPCG(sim.rng.Uint64(), uint64(i))), budget: retry.NewBudget(o.virtualTime().Add(-10*time.Second), retry.Limits{Share: 0.1, Reserve: 1, Window: 10 * time.Second}), hedgeDelay: 200 * time.Millisecond}
+		f := &frontSim{index: i, rng: rand.New(rand.NewPCG(sim.rng.Uint64(), uint64(i))), budget: retry.NewBudget(s.virtualTime().Add(-10*time.Second), retry.Limits{Share: 0.1, Reserve: 1, Window: 10 * time.Second}), hedgeDelay: 200 * time.Millisecond}
 		for range sim.site.Instances {
 			f.targets = append(f.targets, targetState{slots: sim.site.Slots})
 		}
-		o.fronts = append(o.fronts, f)
-		o.updateEjections(f)
+		s.fronts = append(s.fronts, f)
+		s.updateEjections(f)
 	}
-	for _, g := range o.guards {
-		o.tick(g)
+	for _, g := range s.guards {
+		s.tick(g)
 	}
-	return o
+	return s
 }
 
 // tick runs the guard's periodic work every 20 ms.
-func (o *radishhoistSim) tick(g *guardSim) {
-	o.schedule(20*time.Millisecond, func() {
-		o.applyDecisions(g, g.queue.Tick(o.virtualTime()))
-		ref := g.reference.At(o.virtualTime())
-		for _, id := range sortedIDs(g.calls) {
-			c := g.calls[id]
-			age := o.now - c.started
+func (s *radishhoistSim) tick(g *guardSim) {
+	s.schedule(20*time.Millisecond, func() {
+		s.applyDecisions(g, g.queue.Tick(s.virtualTime()))
+		ref := g.reference.At(s.virtualTime())
+		for _, id := range sortedIDs(g.attempts) {
+			c := g.attempts[id]
+			age := s.now - c.started
 			if c.started == 0 || age < 2*c.reportedAge || age < 20*time.Millisecond {
 				continue
 			}
 			c.reportedAge = age
-			if g.detector.AddPending(o.virtualTime(), ref, age) {
-				o.publish(g)
+			if g.detector.AddPending(s.virtualTime(), ref, age) {
+				s.publish(g)
 			}
 		}
-		o.tick(g)
+		s.tick(g)
 	})
 }
 
-func sortedIDs(calls map[admit.ID]*call) []admit.ID {
-	ids := make([]admit.ID, 0, len(calls))
-	for id := range calls {
+func sortedIDs(attempts map[admit.ID]*guardAttempt) []admit.ID {
+	ids := make([]admit.ID, 0, len(attempts))
+	for id := range attempts {
 		ids = append(ids, id)
 	}
 	slices.Sort(ids)
 	return ids
 }
 
-// publish sends a guard's health state to all fronts, each after its own propagation delay.
-func (o *radishhoistSim) publish(g *guardSim) {
+// publish sends the health of a guard's instance to all fronts, each with its own random delay.
+func (s *radishhoistSim) publish(g *guardSim) {
 	suspect := g.detector.Health() == detect.Suspect
 	evidence := uint32(g.detector.SuspicionEvidence() * 100)
-	if suspect && (g.index != 0 || !o.faultActive()) {
-		o.m.falseEjections++
+	if suspect && (g.index != 0 || !s.faultActive()) {
+		s.metrics.falseEjections++
 	}
-	for _, f := range o.fronts {
-		o.schedule(time.Duration(50+f.rng.IntN(350))*time.Millisecond, func() {
+	for _, f := range s.fronts {
+		s.schedule(time.Duration(50+f.rng.IntN(350))*time.Millisecond, func() {
 			f.targets[g.index].suspect, f.targets[g.index].evidence = suspect, evidence
-			o.updateEjections(f)
-			o.measureMargin()
+			s.updateEjections(f)
+			s.updateMinMargin()
 		})
 	}
 }
 
 // faultActive reports whether instance 0 has a fault, including the normal phases of Flapping.
-func (o *radishhoistSim) faultActive() bool {
-	return o.now >= FaultStart && (o.fault.isGray() || o.fault == Flapping || o.fault == SlowPath)
+func (s *radishhoistSim) faultActive() bool {
+	return s.now >= FaultStart && (s.fault.isGray() || s.fault == Flapping || s.fault == SlowPath)
 }
 
-// updateEjections applies the floor rule for a front.
-func (o *radishhoistSim) updateEjections(f *frontSim) {
+// updateEjections selects the instances that a front ejects, within the limit of the floor, and
+// those that it can use.
+func (s *radishhoistSim) updateEjections(f *frontSim) {
 	members := make([]eject.Member, len(f.targets))
 	for i := range f.targets {
 		t := &f.targets[i]
@@ -177,15 +180,15 @@
 			Suspect: t.suspect, Evidence: t.evidence,
 		}
 	}
-	r := eject.Select(members, o.site.Floor)
+	r := eject.Select(members, s.site.Floor)
 	if slices.Contains(r.Ejected, true) && r.HealthySlots < r.RequiredSlots {
-		o.m.floorViolations++
+		s.metrics.floorViolations++
 	}
 	f.ejected = r.Ejected
 	f.usable, f.local = f.usable[:0], f.local[:0]
 	for i := range members {
 		if members[i].Usable && !r.Ejected[i] {
-			if f.index%o.site.DCs == i%o.site.DCs {
+			if f.index%s.site.DCs == i%s.site.DCs {
 				f.local = append(f.local, len(f.usable))
 			}
 			f.usable = append(f.usable, i)
@@ -193,60 +196,62 @@
 	}
 }
 
-// measureMargin updates the least margin over the floor across all fronts: an instance counts
-// as ejected as soon as any front ejects it.
-func (o *radishhoistSim) measureMargin() {
-	left := 0
-	for i := range o.guards {
-		out := false
-		for _, f := range o.fronts {
-			out = out || f.ejected[i]
+// updateMinMargin updates the least capacity above the floor. An instance counts as ejected if any
+// front ejects it.
+func (s *radishhoistSim) updateMinMargin() {
+	remainingSlots := 0
+	for i := range s.guards {
+		ejected := false
+		for _, f := range s.fronts {
+			ejected = ejected || f.ejected[i]
 		}
-		if !out {
-			left += o.site.Slots
+		if !ejected {
+			remainingSlots += s.site.Slots
 		}
 	}
-	required := (o.site.Instances*o.site.Slots*o.site.Floor.Percent + 99) / 100
-	o.m.minMargin = min(o.m.minMargin, left-required)
+	required := (s.site.Instances*s.site.Slots*s.site.Floor.Percent + 99) / 100
+	s.metrics.minMargin = min(s.metrics.minMargin, remainingSlots-required)
 }
 
 // send starts a new request at a random front.
-func (o *radishhoistSim) send() {
-	f := o.fronts[o.rng.IntN(len(o.fronts))]
-	o.m.requests++
-	f.budget.AddRequest(o.virtualTime(), 0)
-	r := &requestSim{front: f, arrived: o.now, idempotent: o.rng.Float64() < idempotentShare}
-	o.sendAttempt(r)
-	o.schedule(deadline, func() { o.finish(r, false) })
+func (s *radishhoistSim) send() {
+	f := s.fronts[s.rng.IntN(len(s.fronts))]
+	s.metrics.requests++
+	f.budget.AddRequest(s.virtualTime(), 0)
+	r := &requestSim{front: f, arrived: s.now, idempotent: s.rng.Float64() < idempotentShare}
+	s.sendAttempt(r)
+	s.schedule(deadline, func() { s.finish(r, false) })
 	if r.idempotent {
-		o.schedule(f.hedgeDelay, func() {
-			if !r.finished && !r.hedged && len(r.tried) < 3 && f.budget.Take(o.virtualTime()) {
+		s.schedule(f.hedgeDelay, func() {
+			if !r.finished && !r.hedged && len(r.tried) < 3 && f.budget.Take(s.virtualTime()) {
 				r.hedged = true
-				o.sendAttempt(r)
+				s.sendAttempt(r)
 			}
 		})
 	}
 }
 
-func (o *radishhoistSim) finish(r *requestSim, ok bool) {
+// finish ends a request with its first response, or with a failure.
+func (s *radishhoistSim) finish(r *requestSim, ok bool) {
 	if r.finished {
 		return
 	}
 	r.finished = true
-	o.countAnswer(r.arrived, ok)
+	s.countResponse(r.arrived, ok)
 }
 
-// pick selects an instance as the real front does.
-func (o *radishhoistSim) pick(r *requestSim) int {
+// pick selects an instance as the real front does: a path or an ejected instance that is due for a
+// trial, or else by load balancing. It returns -1 if no instance is usable.
+func (s *radishhoistSim) pick(r *requestSim) int {
 	f := r.front
 	if r.idempotent && len(r.tried) == 0 {
-		if i := o.pathTrial(f); i >= 0 {
+		if i := s.pathTrial(f); i >= 0 {
 			return i
 		}
 	}
 	if share := 0.05 * float64(countTrue(f.ejected)) / float64(len(f.targets)); r.idempotent && len(r.tried) == 0 && share > 0 && f.rng.Float64() < share {
-		for i, out := range f.ejected {
-			if out {
+		for i, ejected := range f.ejected {
+			if ejected {
 				return i
 			}
 		}
@@ -256,7 +261,7 @@
 		usable, local = nil, nil
 		for _, i := range f.usable {
 			if !slices.Contains(r.tried, i) {
-				if f.index%o.site.DCs == i%o.site.DCs {
+				if f.index%s.site.DCs == i%s.site.DCs {
 					local = append(local, len(usable))
 				}
 				usable = append(usable, i)
@@ -268,8 +273,8 @@
 		t := &f.targets[i]
 		return balance.Cost(balance.Candidate{
 			Typical: balance.TypicalLoad{Running: 0.3},
-			Slots:   t.slots, Running: t.running, QueuedWork: time.Duration(t.queued) * t.service, LoadAge: o.now - t.loadAt, Pending: t.pending,
-			Service: t.service, RoundTrip: t.path, WarmUpProgress: 1, Local: f.index%o.site.DCs == i%o.site.DCs,
+			Slots:   t.slots, Running: t.running, QueuedWork: time.Duration(t.queued) * t.serviceTime, LoadAge: s.now - t.loadAt, Pending: t.pending,
+			Service: t.serviceTime, RoundTrip: t.roundTrip, WarmUpProgress: 1, Local: f.index%s.site.DCs == i%s.site.DCs,
 		}, balance.CostWeights{})
 	})
 	if k < 0 {
@@ -288,23 +293,23 @@
 	return n
 }
 
-// pathTrial returns an instance whose path is down and due for a retry, -1 if there is none,
-// and postpones the next retry, so that one idempotent request probes the path.
-func (o *radishhoistSim) pathTrial(f *frontSim) int {
+// pathTrial returns an instance whose path is down and due for a trial, or -1. It postpones the next
+// trial of the path, so that only one idempotent request probes it at a time.
+func (s *radishhoistSim) pathTrial(f *frontSim) int {
 	for i := range f.targets {
-		if t := &f.targets[i]; t.pathDown && o.now >= t.pathRetryAt {
-			t.pathRetryAt = o.now + t.pathBackoff
+		if t := &f.targets[i]; t.pathDown && s.now >= t.pathRetryAt {
+			t.pathRetryAt = s.now + t.pathBackoff
 			return i
 		}
 	}
 	return -1
 }
 
-func (o *radishhoistSim) sendAttempt(r *requestSim) {
-	i := o.pick(r)
+func (s *radishhoistSim) sendAttempt(r *requestSim) {
+	i := s.pick(r)
 	if i < 0 {
 		if r.running == 0 {
-			o.finish(r, false)
+			s.finish(r, false)
 		}
 		return
 	}
@@ -312,33 +317,33 @@
 	r.tried = append(r.tried, i)
 	r.running++
 	f.targets[i].pending++
-	o.nextID++
-	t := &attemptSim{req: r, instance: i, id: o.nextID, sent: o.now}
-	sample, has := f.takeSample(o.now, i)
-	o.schedule(o.path(f.index, i), func() { o.arrive(t, sample, has) })
-	o.schedule(300*time.Millisecond, func() { o.handleSilence(t) })
+	s.nextID++
+	t := &attemptSim{req: r, instance: i, id: s.nextID, sent: s.now}
+	sample, hasSample := f.takeSample(s.now, i)
+	s.schedule(s.pathDelay(f.index, i), func() { s.arrive(t, sample, hasSample) })
+	s.schedule(300*time.Millisecond, func() { s.handleSilence(t) })
 }
 
-// handleSilence runs 300 ms after an attempt was sent: two frame timeouts of the real front,
-// which pings the host after the first. If nothing can arrive because the host is cut off, it
+// handleSilence runs 300 ms after an attempt was sent, which corresponds to two frame timeouts of the
+// real front; that one pings the host after the first. If the host's outbound messages are lost, it
 // marks the path as down and fails the attempt.
-func (o *radishhoistSim) handleSilence(t *attemptSim) {
-	if t.finished || !o.cut(t.instance) {
+func (s *radishhoistSim) handleSilence(t *attemptSim) {
+	if t.finished || !s.outboundCut(t.instance) {
 		return
 	}
 	f := t.req.front
 	target := &f.targets[t.instance]
-	if !target.pathDown || o.now >= target.pathRetryAt-target.pathBackoff {
+	if !target.pathDown || s.now >= target.pathRetryAt-target.pathBackoff {
 		target.pathBackoff = min(max(2*target.pathBackoff, time.Second), 30*time.Second)
-		target.pathDown, target.pathRetryAt = true, o.now+target.pathBackoff
-		o.updateEjections(f)
+		target.pathDown, target.pathRetryAt = true, s.now+target.pathBackoff
+		s.updateEjections(f)
 	}
-	o.failAttempt(t, true)
+	s.failAttempt(t, true)
 }
 
-// failAttempt ends an attempt without a successful answer and retries it if allowed. A request
-// that may have run is retried only if it is idempotent and the budget allows it.
-func (o *radishhoistSim) failAttempt(t *attemptSim, mayHaveRun bool) {
+// failAttempt ends an attempt that got no successful response and retries the request if allowed. A
+// request that may have run is only retried if it is idempotent and the retry budget allows it.
+func (s *radishhoistSim) failAttempt(t *attemptSim, mayHaveRun bool) {
 	if t.finished {
 		return
 	}
@@ -349,103 +354,104 @@
 	if r.finished {
 		return
 	}
-	retryAllowed := !mayHaveRun || (r.idempotent && r.front.budget.Take(o.virtualTime()))
+	retryAllowed := !mayHaveRun || (r.idempotent && r.front.budget.Take(s.virtualTime()))
 	if retryAllowed && len(r.tried) < 3 {
-		o.sendAttempt(r)
+		s.sendAttempt(r)
 	} else if r.running == 0 {
-		o.finish(r, false)
+		s.finish(r, false)
 	}
 }
 
 // arrive handles the arrival of an attempt at its guard.
-func (o *radishhoistSim) arrive(t *attemptSim, s sampleSim, has bool) {
-	g := o.guards[t.instance]
-	if has {
-		g.reference.Add(o.virtualTime(), s.service, s.failed)
-	}
-	g.calls[t.id] = &call{attempt: t}
-	left := deadline - (o.now - t.req.arrived)
-	o.applyDecisions(g, g.queue.Offer(o.virtualTime(), admit.Request{ID: t.id, Deadline: o.virtualTime().Add(left)}))
+func (s *radishhoistSim) arrive(t *attemptSim, sample sampleSim, hasSample bool) {
+	g := s.guards[t.instance]
+	if hasSample {
+		g.reference.Add(s.virtualTime(), sample.serviceTime, sample.failed)
+	}
+	g.attempts[t.id] = &guardAttempt{attempt: t}
+	timeLeft := deadline - (s.now - t.req.arrived)
+	s.applyDecisions(g, g.queue.Offer(s.virtualTime(), admit.Request{ID: t.id, Deadline: s.virtualTime().Add(timeLeft)}))
 }
 
-func (o *radishhoistSim) applyDecisions(g *guardSim, decisions []admit.Decision) {
+func (s *radishhoistSim) applyDecisions(g *guardSim, decisions []admit.Decision) {
 	for _, d := range decisions {
-		c, ok := g.calls[d.ID]
+		c, ok := g.attempts[d.ID]
 		if !ok {
 			continue
 		}
 		switch d.Action {
 		case admit.Start:
-			o.startCall(g, d.ID, c)
+			s.startAttempt(g, d.ID, c)
 		case admit.Refuse:
-			delete(g.calls, d.ID)
-			o.sendToFront(g, c.attempt, func() { o.failAttempt(c.attempt, false) })
+			delete(g.attempts, d.ID)
+			s.sendToFront(g, c.attempt, func() { s.failAttempt(c.attempt, false) })
 		}
 	}
 }
 
-// sendToFront runs an action at the front after the path delay, unless the path is cut.
-func (o *radishhoistSim) sendToFront(g *guardSim, t *attemptSim, action func()) {
-	if o.cut(g.index) {
+// sendToFront runs an action at the front after the path delay, unless the host's outbound messages
+// are lost.
+func (s *radishhoistSim) sendToFront(g *guardSim, t *attemptSim, action func()) {
+	if s.outboundCut(g.index) {
 		return
 	}
-	o.schedule(o.path(t.req.front.index, g.index), action)
+	s.schedule(s.pathDelay(t.req.front.index, g.index), action)
 }
 
-func (o *radishhoistSim) startCall(g *guardSim, id admit.ID, c *call) {
-	o.countStart(g.index)
-	c.started = o.now
-	took := o.serviceTime(g.index)
-	left := max(deadline-(o.now-c.attempt.req.arrived), 0)
-	if o.stuck(g.index) || took > left {
-		// The guard cancels the call at the caller's deadline.
-		o.schedule(left, func() { o.endCall(g, id, c, left, false, true) })
+func (s *radishhoistSim) startAttempt(g *guardSim, id admit.ID, c *guardAttempt) {
+	s.countStart(g.index)
+	c.started = s.now
+	took := s.serviceTime(g.index)
+	timeLeft := max(deadline-(s.now-c.attempt.req.arrived), 0)
+	if s.isStuck(g.index) || took > timeLeft {
+		// The guard cancels the attempt at the caller's deadline.
+		s.schedule(timeLeft, func() { s.endAttempt(g, id, c, timeLeft, false, true) })
 		return
 	}
-	failed := o.fails(g.index)
-	o.schedule(took, func() { o.endCall(g, id, c, took, failed, false) })
+	failed := s.fails(g.index)
+	s.schedule(took, func() { s.endAttempt(g, id, c, took, failed, false) })
 }
 
-func (o *radishhoistSim) endCall(g *guardSim, id admit.ID, c *call, took time.Duration, failed, cut bool) {
-	delete(g.calls, id)
-	service := took
-	if failed || cut {
-		service = 0
+func (s *radishhoistSim) endAttempt(g *guardSim, id admit.ID, c *guardAttempt, took time.Duration, failed, cancelled bool) {
+	delete(g.attempts, id)
+	serviceTime := took
+	if failed || cancelled {
+		serviceTime = 0
 	}
 	changed := false
-	ref := g.reference.At(o.virtualTime())
-	if cut {
-		changed = g.detector.AddPending(o.virtualTime(), ref, took)
+	ref := g.reference.At(s.virtualTime())
+	if cancelled {
+		changed = g.detector.AddPending(s.virtualTime(), ref, took)
 	} else {
-		changed = g.detector.AddResponse(o.virtualTime(), ref, took, failed)
+		changed = g.detector.AddResponse(s.virtualTime(), ref, took, failed)
 	}
-	o.applyDecisions(g, g.queue.Done(o.virtualTime(), id, service))
+	s.applyDecisions(g, g.queue.Done(s.virtualTime(), id, serviceTime))
 	if changed {
-		o.publish(g)
+		s.publish(g)
 	}
 	running, queued := g.queue.BusySlots(), g.queue.Queued()
-	o.sendToFront(g, c.attempt, func() { o.handleAnswer(c.attempt, took, failed, cut, running, queued) })
+	s.sendToFront(g, c.attempt, func() { s.handleResponse(c.attempt, took, failed, cancelled, running, queued) })
 }
 
-func (o *radishhoistSim) handleAnswer(t *attemptSim, took time.Duration, failed, cut bool, running, queued int) {
+func (s *radishhoistSim) handleResponse(t *attemptSim, took time.Duration, failed, cancelled bool, running, queued int) {
 	f := t.req.front
 	target := &f.targets[t.instance]
-	target.running, target.queued, target.loadAt = running, queued, o.now
+	target.running, target.queued, target.loadAt = running, queued, s.now
 	if target.pathDown {
 		target.pathDown, target.pathBackoff = false, 0
-		o.updateEjections(f)
+		s.updateEjections(f)
 	}
-	if cut {
-		o.failAttempt(t, true)
+	if cancelled {
+		s.failAttempt(t, true)
 		return
 	}
-	f.observe(o.now, t.instance, took, failed)
-	if target.path == 0 {
-		target.path = 2 * o.path(f.index, t.instance)
+	f.observe(s.now, t.instance, took, failed)
+	if target.roundTrip == 0 {
+		target.roundTrip = 2 * s.pathDelay(f.index, t.instance)
 	}
-	target.path += (2*o.path(f.index, t.instance) - target.path) / 10
+	target.roundTrip += (2*s.pathDelay(f.index, t.instance) - target.roundTrip) / 10
 	if failed {
-		o.failAttempt(t, true)
+		s.failAttempt(t, true)
 		return
 	}
 	if t.finished {
@@ -454,12 +460,12 @@
 	t.finished = true
 	t.req.running--
 	target.pending--
-	o.finish(t.req, true)
+	s.finish(t.req, true)
 }
 
-// observe records the service time and outcome of an answer at the front.
+// observe records the service time and outcome of a response at the front.
 func (f *frontSim) observe(now time.Duration, instance int, took time.Duration, failed bool) {
-	f.samples = append(f.samples, sampleSim{instance: instance, service: took, failed: failed, at: now})
+	f.samples = append(f.samples, sampleSim{instance: instance, serviceTime: took, failed: failed, at: now})
 	if len(f.samples) > 16 {
 		f.samples = f.samples[1:]
 	}
@@ -467,10 +473,10 @@
 		return
 	}
 	t := &f.targets[instance]
-	if t.service == 0 {
-		t.service = took
+	if t.serviceTime == 0 {
+		t.serviceTime = took
 	}
-	t.service += (took - t.service) / 5
+	t.serviceTime += (took - t.serviceTime) / 5
 	f.recentTimes = append(f.recentTimes, took)
 	if len(f.recentTimes) > 64 {
 		f.recentTimes = f.recentTimes[1:]
@@ -482,6 +488,8 @@
 	}
 }
 
+// takeSample returns the latest sample of another instance that was not used before and is at most
+// 10 s old. An attempt carries it to its guard as a reference.
 func (f *frontSim) takeSample(now time.Duration, exclude int) (sampleSim, bool) {
 	for k := len(f.samples) - 1; k >= 0; k-- {
 		s := &f.samples[k]
--- a/internal/experiment/report.go
+++ b/internal/experiment/report.go
@@ -9,22 +9,22 @@
 
 // Options select what a report runs.
 type Options struct {
-	// Seeds is the number of runs per case, FirstSeed the first seed. Seeds from
-	// FirstHeldOutSeed on are never used for tuning.
+	// Seeds is the number of runs per case, FirstSeed the seed of the first run.
 	Seeds     int
 	FirstSeed uint64
 	// NoiseInstanceHours is the length of the noise run in instance-hours, 0 for none.
 	NoiseInstanceHours float64
-	// TargetSize adds LargeSite, the target fleet size.
+	// TargetSize adds the runs of LargeSite, which has the largest intended size.
 	TargetSize bool
 	// OmitBaselines omits the baselines.
 	OmitBaselines bool
 }
 
-// FirstHeldOutSeed is the first seed reserved for reporting; only lower seeds may be used for tuning.
+// FirstHeldOutSeed is the first seed that is reserved for reports. Only lower seeds may be used to
+// tune the policies.
 const FirstHeldOutSeed = 1_000_000
 
-// Report runs the cases, writes Markdown tables and returns the results.
+// Report runs all cases, writes the results as Markdown tables and returns them.
 func Report(out io.Writer, o Options) []Result {
 	var all []Result
 	policies := Policies()
@@ -61,8 +61,9 @@
 	return all
 }
 
-// Recovery runs only the short spike and writes the failures in the last ten seconds of the
-// runs, long after the spike. A policy that recovers without intervention has none.
+// Recovery only runs the case of a short load spike and writes the number of failures in the last
+// ten seconds of the runs, long after the spike. A policy that recovers without intervention has
+// none.
 func Recovery(out io.Writer, o Options) {
 	fmt.Fprintf(out, "| site | load | policy | failed in the last ten seconds, %d runs |\n|---|---|---|---|\n", o.Seeds)
 	for _, site := range []Site{Bureau, Registry} {
@@ -79,19 +80,20 @@
 |---|---|---|---|---|---|---|---|---|---|`
 
 func (r Result) row() string {
-	found := "-"
+	detection := "-"
 	if r.Fault.isGray() {
-		found = fmt.Sprintf("%s / %s", r.DetectP50, r.DetectP99)
+		detection = fmt.Sprintf("%s / %s", r.DetectP50, r.DetectP99)
 	}
 	margin := "-"
 	if r.MinMargin < 1<<30 {
 		margin = fmt.Sprint(r.MinMargin)
 	}
 	return fmt.Sprintf("| %s | %s | %s | %.2f | %.3f | %.3f | %s | %.3f | %s | %d |",
-		r.Fault, r.Policy, found, r.FalseEjections, r.FailedPct, r.LatePct, r.P99.Round(time.Millisecond), r.StartsPerRequest, margin, r.FloorViolations)
+		r.Fault, r.Policy, detection, r.FalseEjections, r.FailedPct, r.LatePct, r.P99.Round(time.Millisecond), r.StartsPerRequest, margin, r.FloorViolations)
 }
 
-// SVG draws a bar chart of the detection time and the p99 of each policy with one slow target.
+// SVG returns a bar chart of the detection time and the 99th percentile of the latency of each policy
+// with one slow target.
 func SVG(results []Result) string {
 	var b strings.Builder
 	const width, barHeight, left = 900, 16, 230
--- a/internal/experiment/run.go
+++ b/internal/experiment/run.go
@@ -17,15 +17,16 @@
 	Fault        Fault
 	Load         float64
 	Runs         int
-	// DetectP50 and DetectP99 are percentiles of the detection time over the runs.
+	// DetectP50 and DetectP99 are percentiles of the detection time in the runs.
 	DetectP50, DetectP99 time.Duration
 	// FalseEjections is the number of ejections of healthy instances per instance-hour.
 	FalseEjections float64
 	// FailedPct and LatePct are percentages of the requests, not counting retries.
 	FailedPct, LatePct float64
-	// P99 is the latency of requests that arrived after the fault began.
+	// P99 is the 99th percentile of the latency of requests that arrived after the fault began.
 	P99 time.Duration
-	// MinMargin is the least capacity above the floor, in slots.
+	// MinMargin is the least capacity above the floor, in slots. FloorViolations counts ejections
+	// that reduced the capacity below the floor.
 	MinMargin       int
 	FloorViolations int
 	// StartsPerRequest is the number of executions started per request.
@@ -34,7 +35,7 @@
 	TailFailures int
 }
 
-// Policies lists radishhoist and the baselines.
+// Policies returns the names of radishhoist and the baselines.
 func Policies() []string {
 	out := []string{"radishhoist"}
 	for _, b := range Baselines {
@@ -45,7 +46,7 @@
 
 // runOne runs one policy with one seed.
 func runOne(site Site, policy string, fault Fault, load float64, seed uint64) *simulation {
-	sim := &simulation{site: site, fault: fault, load: load, rng: rand.New(rand.NewPCG(seed, 11)), m: newMetrics()}
+	sim := &simulation{site: site, fault: fault, load: load, rng: rand.New(rand.NewPCG(seed, 11)), metrics: newMetrics()}
 	var send func()
 	if policy == "radishhoist" {
 		send = newRadishhoistSim(sim).send
@@ -53,7 +54,7 @@
 		i := slices.IndexFunc(Baselines, func(b Baseline) bool { return b.Name == policy })
 		send = newBaselineSim(sim, Baselines[i]).send
 	}
-	sim.arrivals(send)
+	sim.scheduleArrivals(send)
 	sim.run(RunLength + deadline)
 	return sim
 }
@@ -82,21 +83,22 @@
 	var detectionTimes []time.Duration
 	requests, starts, failed, late, falseEjections := 0, 0, 0, 0, 0.0
 	for _, sim := range sims {
-		requests += sim.m.requests
-		starts += sim.m.starts
-		failed += sim.m.failed
-		late += sim.m.late
-		ejections := float64(sim.m.falseEjections)
+		requests += sim.metrics.requests
+		starts += sim.metrics.starts
+		failed += sim.metrics.failed
+		late += sim.metrics.late
+		ejections := float64(sim.metrics.falseEjections)
 		if policy != "radishhoist" {
-			// Each front ejects independently; an ejection by all fronts counts as one.
+			// In a baseline each front ejects independently: an ejection by all fronts counts as
+			// one.
 			ejections /= float64(site.Fronts)
 		}
 		falseEjections += ejections
-		latencyAfterFault.Merge(sim.m.latencyAfterFault)
-		detectionTimes = append(detectionTimes, sim.detection())
-		r.MinMargin = min(r.MinMargin, sim.m.minMargin)
-		r.FloorViolations += sim.m.floorViolations
-		r.TailFailures += sim.m.tailFailures
+		latencyAfterFault.Merge(sim.metrics.latencyAfterFault)
+		detectionTimes = append(detectionTimes, sim.detectionTime())
+		r.MinMargin = min(r.MinMargin, sim.metrics.minMargin)
+		r.FloorViolations += sim.metrics.floorViolations
+		r.TailFailures += sim.metrics.tailFailures
 	}
 	slices.Sort(detectionTimes)
 	r.DetectP50, r.DetectP99 = detectionTimes[len(detectionTimes)/2], detectionTimes[len(detectionTimes)*99/100]
--- a/internal/experiment/scenario.go
+++ b/internal/experiment/scenario.go
@@ -1,7 +1,7 @@
-// Package experiment measures detection, ejection, load balancing and admission in virtual
-// time and compares them with named baselines. It runs the real core packages with simple
-// fakes for targets and network paths. It simulates one service, its instances and the fronts
-// that call it, not a whole cluster.
+// Package experiment measures failure detection, ejection, load balancing and admission control in
+// virtual time and compares them with simple baseline policies. It runs the real core packages with
+// simulated instances and network paths. A simulation has one service, its instances and the fronts
+// that send requests to it.
 package experiment
 
 import (
@@ -11,7 +11,7 @@
 	"github.com/radishhoist/radishhoist/record"
 )
 
-// Site describes the size and timing of one service at one office.
+// Site describes the size and timing of one service.
 type Site struct {
 	Name      string
 	Instances int
@@ -28,7 +28,7 @@
 	Floor         record.Floor
 }
 
-// The sites: the two present offices, and one service at the largest intended size.
+// The sites: one service of each of two deployments, and one service at the largest intended size.
 var (
 	Bureau = Site{
 		Name: "Bureau", Instances: 9, Slots: 7, DCs: 3, Fronts: 24,
@@ -58,7 +58,7 @@
 	return float64(s.Instances*s.Slots) / mean
 }
 
-// Fault is a fault of instance 0, or an overload of all instances, from FaultStart on.
+// Fault is a fault of instance 0 or an overload of all instances. It begins at FaultStart.
 type Fault string
 
 // The faults.
@@ -75,6 +75,7 @@
 	ShortSpike Fault = "spike 2x, 5 s"
 )
 
+// Faults lists all faults in the order of the reports.
 var Faults = []Fault{NoFault, Slow5, Slow3, Errors, Stuck, Flapping, OneWayCut, SlowPath, Overload, ShortSpike}
 
 // isGray reports whether the fault is a gray failure of one instance, which is to be detected
@@ -101,7 +102,7 @@
 	spikeLength = 5 * time.Second
 )
 
-// rate returns the arrival rate at a time, as a share of capacity.
+// rate returns the arrival rate at a time as a share of capacity. load is the rate without overload.
 func (f Fault) rate(load float64, at time.Duration) float64 {
 	switch {
 	case f == Overload && at >= FaultStart:
