--- a/internal/soak/check_test.go
+++ b/internal/soak/check_test.go
@@ -11,8 +11,8 @@
 
 const second = time.Second
 
-// passingRun is a run without violations: a graceful stop of host 1, an unresponsive
-// platform, and requests and changes before, during and after these faults.
+// passingRun returns the observations of a run without violations, with a graceful stop of host 1,
+// an unresponsive platform, and requests and changes before, during and after these faults.
 func passingRun() *Observations {
 	return &Observations{
 		Length: 40 * second, ApplyWithin: 2 * second,
@@ -26,13 +26,13 @@
 			{Mark: "c", Sent: 6 * second, Done: 6 * second, Status: 503, Verdict: verdict.NotRun.String()},
 			{Mark: "d", Sent: 30 * second, Done: 30 * second, Status: 200, Served: true},
 		},
-		Runs:  map[string]int{"a": 1, "b": 1, "d": 1},
-		Ends:  []time.Duration{15 * second, 16 * second, 17 * second, 19 * second, 22 * second},
-		Acked: []AckedChange{{Version: 3, At: 2 * second}, {Version: 4, At: 20 * second}},
+		Runs:    map[string]int{"a": 1, "b": 1, "d": 1},
+		Crashes: []time.Duration{15 * second, 16 * second, 17 * second, 19 * second, 22 * second},
+		Acked:   []AckedChange{{Version: 3, At: 2 * second}, {Version: 4, At: 20 * second}},
 		Samples: []Sample{
 			{Host: 0, QueriedAt: 3 * second, Version: 2}, {Host: 0, QueriedAt: 5 * second, Version: 3},
 			{Host: 0, QueriedAt: 21 * second, Version: 3}, {Host: 0, QueriedAt: 23 * second, Version: 4},
-			// A restarted process may begin without any records.
+			// A restarted process may start without any records.
 			{Host: 1, Incarnation: 0, QueriedAt: 4 * second, Version: 3}, {Host: 1, Incarnation: 1, QueriedAt: 9 * second, Version: 0},
 		},
 	}
@@ -42,38 +42,38 @@
 	assert.Equal(t, len(passingRun().Check()), 0, "%v", passingRun().Check())
 }
 
-// Each check reports the violation injected for it, and no other check does.
+// Each check reports the violation injected for it, and no other check reports one.
 func TestEachCheckFindsItsViolation(t *testing.T) {
 	for _, c := range []struct {
 		invariant string
 		inject    func(*Observations)
 	}{
 		{AtMostOnce, func(r *Observations) { r.Runs["a"] = 2 }},
-		{NotRunIsTrue, func(r *Observations) { r.Runs["c"] = 1 }},
-		{NotRunIsTrue, func(r *Observations) { r.Requests[2].Verdict, r.Runs["c"] = "", 1 }},
-		{CompleteAnswer, func(r *Observations) { r.Requests[0].Served = false }},
-		{CompleteAnswer, func(r *Observations) { delete(r.Runs, "a") }},
+		{NotRunIsAccurate, func(r *Observations) { r.Runs["c"] = 1 }},
+		{NotRunIsAccurate, func(r *Observations) { r.Requests[2].Verdict, r.Runs["c"] = "", 1 }},
+		{CompleteResponse, func(r *Observations) { r.Requests[0].Served = false }},
+		{CompleteResponse, func(r *Observations) { delete(r.Runs, "a") }},
 		{GracefulStop, func(r *Observations) { r.Requests[1].Status, r.Requests[1].Served = 0, false }},
 		{AppliedInTime, func(r *Observations) { r.Samples[3].Version = 3 }},
 		{MonotonicVersion, func(r *Observations) { r.Samples[2].Version = 2 }},
-		{ServesAfterFaults, func(r *Observations) { r.Requests[3].Served, r.Requests[3].Status = false, 502 }},
-		{ServesAfterFaults, func(r *Observations) { r.Requests = r.Requests[:3] }},
-		{NoOtherStopped, func(r *Observations) { r.Requests[2].Stopped = true }},
-		{BoundedCrashes, func(r *Observations) { r.Ends = append(r.Ends, 25*second, 26*second, 27*second, 28*second) }},
+		{RecoversAfterFaults, func(r *Observations) { r.Requests[3].Served, r.Requests[3].Status = false, 502 }},
+		{RecoversAfterFaults, func(r *Observations) { r.Requests = r.Requests[:3] }},
+		{NoOtherBlocked, func(r *Observations) { r.Requests[2].Blocked = true }},
+		{BoundedCrashes, func(r *Observations) { r.Crashes = append(r.Crashes, 25*second, 26*second, 27*second, 28*second) }},
 	} {
 		r := passingRun()
 		c.inject(r)
 		violations := r.Check()
 		assert.Assert(t, len(violations) > 0, c.invariant)
 		for _, v := range violations {
-			// A version older than before may be late as well.
+			// A sample with a version older than before may also violate AppliedInTime.
 			assert.Assert(t, v.Invariant == c.invariant || c.invariant == MonotonicVersion && v.Invariant == AppliedInTime, v.String())
 		}
 	}
 }
 
-// A change that is late within three seconds of a fault, or a connection that breaks when
-// its host is killed, is no violation.
+// It is no violation if a change is late within three seconds of a fault, or if a connection breaks
+// when its host's daemon is killed.
 func TestFaultsExcuseViolations(t *testing.T) {
 	r := passingRun()
 	r.Acked = []AckedChange{{Version: 5, At: 12 * second}}
@@ -88,31 +88,31 @@
 	assert.Equal(t, len(r.Check()), 0, "%v", r.Check())
 }
 
-// A seed always yields the same schedule. Faults overlap, leave the end of the run free of
-// faults, and never take down more than half of the processes at once.
+// A seed always yields the same schedule. Faults overlap, do not occur at the end of the run, and
+// never affect more than half of the daemons at the same time.
 func TestScheduleIsSeededAndBounded(t *testing.T) {
 	const hosts, length = 9, 30 * second
-	seen := make(map[FaultKind]int)
+	counts := make(map[FaultKind]int)
 	for seed := range uint64(200) {
 		faults := Schedule(seed, hosts, length)
 		assert.DeepEqual(t, faults, Schedule(seed, hosts, length))
-		overlap := 0
+		overlapping := 0
 		for i, f := range faults {
-			seen[f.Kind]++
+			counts[f.Kind]++
 			assert.Assert(t, f.At >= firstFault && f.End() <= length-faultFreeEnd && f.Length > 0, f.String())
 			down := 0
 			for _, b := range faults[:i] {
 				if b.End() <= f.At {
 					continue
 				}
-				overlap++
+				overlapping++
 				if b.Kind.affectsDaemon() && f.Kind.affectsDaemon() {
 					down++
 				}
 			}
 			assert.Assert(t, down < hosts/2)
 		}
-		assert.Assert(t, overlap > 0)
+		assert.Assert(t, overlapping > 0)
 	}
-	assert.Equal(t, len(seen), len(faultKinds))
+	assert.Equal(t, len(counts), len(faultKinds))
 }
--- a/internal/soak/proxy.go
+++ b/internal/soak/proxy.go
@@ -27,10 +27,11 @@
 	client, upstream net.Conn
 	closeOnce        sync.Once
 	mu               sync.Mutex
-	silenced         bool
+	// silenced is set if the connection stays open without passing data.
+	silenced bool
 }
 
-// slowDelay is the delay that CutSlow adds to each chunk forwarded.
+// slowDelay is the delay that CutSlow adds before each write.
 const slowDelay = 250 * time.Millisecond
 
 // startProxy listens on an address and forwards its connections to upstream.
@@ -44,8 +45,8 @@
 	return p, nil
 }
 
-// setMode sets the network fault to simulate, "" for none. Connections that existed under
-// CutSilent stay silent.
+// setMode sets the network fault to simulate, "" for none. Connections that were open under
+// CutSilent pass no data afterwards either.
 func (p *proxy) setMode(mode FaultKind) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -66,6 +67,7 @@
 	return p.mode
 }
 
+// close closes the listener and resets all connections.
 func (p *proxy) close() {
 	_ = p.listener.Close()
 	p.mu.Lock()
@@ -108,21 +110,22 @@
 	p.mu.Unlock()
 }
 
-// copy forwards one direction of the connection.
+// copy forwards data in one direction until the connection ends. On a silenced connection it discards
+// the data and does not pass on the end of the stream.
 func (c *proxyConn) copy(to, from net.Conn) {
 	buf := make([]byte, 16<<10)
 	for {
 		n, err := from.Read(buf)
-		if n > 0 && !c.silent() {
+		if n > 0 && !c.isSilenced() {
 			if c.proxy.currentMode() == CutSlow {
 				time.Sleep(slowDelay)
 			}
-			if _, werr := to.Write(buf[:n]); werr != nil {
-				err = werr
+			if _, writeErr := to.Write(buf[:n]); writeErr != nil {
+				err = writeErr
 			}
 		}
 		if err != nil {
-			if !errors.Is(err, io.EOF) || !c.silent() {
+			if !errors.Is(err, io.EOF) || !c.isSilenced() {
 				c.close()
 			}
 			return
@@ -136,7 +139,7 @@
 	c.silenced = true
 }
 
-func (c *proxyConn) silent() bool {
+func (c *proxyConn) isSilenced() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.silenced
--- a/internal/soak/report.go
+++ b/internal/soak/report.go
@@ -12,40 +12,41 @@
 	"github.com/radishhoist/radishhoist/internal/logtest"
 )
 
-// maxListed limits the violations listed in a report.
-const maxListed = 20
+// maxListedViolations limits the violations listed in a report.
+const maxListedViolations = 20
 
 // Report writes a summary of the run and its violations, and returns the violations.
-func (r *Observations) Report(out io.Writer, seed uint64) []Violation {
-	violations := r.Check()
+func (o *Observations) Report(out io.Writer, seed uint64) []Violation {
+	violations := o.Check()
 	served := 0
-	for _, req := range r.Requests {
+	for _, req := range o.Requests {
 		if req.Served {
 			served++
 		}
 	}
 	fmt.Fprintf(out, "seed %d: %d faults, %d of %d requests served, %d changes acknowledged, %d version samples, %d instances crashed: %d violations\n",
-		seed, len(r.Faults), served, len(r.Requests), len(r.Acked), len(r.Samples), len(r.Ends), len(violations))
+		seed, len(o.Faults), served, len(o.Requests), len(o.Acked), len(o.Samples), len(o.Crashes), len(violations))
 	if len(violations) == 0 {
 		return nil
 	}
-	for _, v := range violations[:min(len(violations), maxListed)] {
+	for _, v := range violations[:min(len(violations), maxListedViolations)] {
 		fmt.Fprintln(out, "  "+v.String())
 	}
-	for _, f := range r.Faults {
+	for _, f := range o.Faults {
 		fmt.Fprintln(out, "    "+f.String())
 	}
 	return violations
 }
 
-// maxHosts limits the hosts of a run to the addresses and processes that one machine offers.
+// maxHosts limits the hosts of a run, given the addresses and processes available on one machine.
 const maxHosts = 90
 
-// RunSeeds runs count consecutive seeds, starting at cfg.Seed, and writes a report of each.
-// The logs of seeds with violations are saved in logDir, unless it is empty.
+// RunSeeds runs count consecutive seeds, starting at cfg.Seed, and writes a report of each. It returns
+// an error if any seed has violations, and saves the logs of these seeds in logDir, unless that is
+// empty.
 func RunSeeds(ctx context.Context, out io.Writer, cfg Config, count int, logDir string) error {
-	if cfg.Hosts < dcs || cfg.Hosts > maxHosts || cfg.Duration < 2*faultFreeEnd {
-		return errors.Errorf("soak: hosts must be between %d and %d, and the run time at least %s", dcs, maxHosts, 2*faultFreeEnd)
+	if cfg.Hosts < dataCentres || cfg.Hosts > maxHosts || cfg.Duration < 2*faultFreeEnd {
+		return errors.Errorf("soak: hosts must be between %d and %d, and the run time at least %s", dataCentres, maxHosts, 2*faultFreeEnd)
 	}
 	failed := 0
 	for ; count > 0 && ctx.Err() == nil; count-- {
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -30,8 +30,8 @@
 	Seed     uint64
 	Hosts    int
 	Duration time.Duration
-	// NetOctet is the third octet of the addresses, 127.0.NetOctet.x, so that concurrent runs and
-	// tests do not collide.
+	// NetOctet is the third octet of the addresses, 127.0.NetOctet.x. Concurrent runs and tests
+	// need different ones.
 	NetOctet int
 	// Logs receives the output of the processes.
 	Logs io.Writer
@@ -41,18 +41,19 @@
 	service     = "plans"
 	slots       = 4
 	serviceTime = 20 * time.Millisecond
-	dcs         = 3
-	// callers is the number of callers per host and callInterval the pause between two
-	// requests of a caller: about 20 requests per second and host.
-	callers       = 2
-	callInterval  = 80 * time.Millisecond
-	callerTimeout = 8 * time.Second
+	dataCentres = 3
+	// callersPerHost is the number of callers per host, callInterval the pause between two requests
+	// of a caller. Together they make about 20 requests per second and host.
+	callersPerHost = 2
+	callInterval   = 80 * time.Millisecond
+	callerTimeout  = 8 * time.Second
 	// sampleInterval is the time between two queries of the version in force at a host.
 	sampleInterval = 100 * time.Millisecond
+	// changeInterval is the time between two changes of a record.
 	changeInterval = 700 * time.Millisecond
 	// stopTimeout limits the wait for a graceful stop.
 	stopTimeout = 10 * time.Second
-	// startTimeout limits the wait for the fleet to serve.
+	// startTimeout limits the wait until the whole fleet serves.
 	startTimeout = time.Minute
 	// applyWithin and drainTimeout are settings of the daemons.
 	applyWithin  = 2 * time.Second
@@ -63,14 +64,14 @@
 type node struct {
 	host   *lab.Host
 	target *lab.Target
-	link   *proxy
-	// processMu is held from the start of a daemon fault until the daemon runs again: a
-	// stop may take longer than scheduled, and the next fault must not hit the process
-	// in between.
-	processMu sync.Mutex
+	// platformProxy forwards the daemon's connections to the platform.
+	platformProxy *proxy
+	// daemonMu is held from the start of a daemon fault until the daemon runs again. A stop may
+	// take longer than scheduled, and the next fault must not hit the process before the restart.
+	daemonMu sync.Mutex
 }
 
-// run is the state of a run in progress.
+// run is the state of a run in progress. mu protects incarnations and observed.
 type run struct {
 	cfg       Config
 	fleet     *lab.Fleet
@@ -106,7 +107,7 @@
 func (r *run) stop() {
 	r.fleet.Stop()
 	for _, n := range r.nodes {
-		n.link.close()
+		n.platformProxy.close()
 	}
 }
 
@@ -121,14 +122,14 @@
 	platform := strings.TrimPrefix(r.fleet.Platform, "http://")
 	settings := fmt.Sprintf("[control]\napply_within = %s\n[guard]\ndrain_timeout = %s\n", applyWithin, drainTimeout)
 	for i := range r.cfg.Hosts {
-		link, err := startProxy(fmt.Sprintf("%s:%d", r.address(100+i), lab.PlatformPort), platform)
+		platformProxy, err := startProxy(fmt.Sprintf("%s:%d", r.address(100+i), lab.PlatformPort), platform)
 		if err != nil {
 			return err
 		}
-		n := &node{link: link}
+		n := &node{platformProxy: platformProxy}
 		r.nodes = append(r.nodes, n)
-		r.fleet.PlatformURL = "http://" + link.listener.Addr().String()
-		if n.host, err = r.fleet.StartHost(fmt.Sprintf("h%02d", i), fmt.Sprintf("dc%d", i%dcs), r.address(10+i), settings); err != nil {
+		r.fleet.PlatformURL = "http://" + platformProxy.listener.Addr().String()
+		if n.host, err = r.fleet.StartHost(fmt.Sprintf("h%02d", i), fmt.Sprintf("dc%d", i%dataCentres), r.address(10+i), settings); err != nil {
 			return err
 		}
 		if n.target, err = r.fleet.StartTarget(n.host, service, 1, slots, serviceTime); err != nil {
@@ -140,20 +141,20 @@
 
 func (r *run) address(n int) string { return fmt.Sprintf("127.0.%d.%d", r.cfg.NetOctet, n) }
 
-// runTraffic runs traffic, changes and faults for the length of the run.
+// runTraffic sends requests, writes changes and injects faults for the length of the run.
 func (r *run) runTraffic(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, r.cfg.Duration)
 	defer cancel()
 	r.startTime = time.Now()
 	var wg sync.WaitGroup
 	for i := range r.nodes {
-		for c := range callers {
+		for c := range callersPerHost {
 			wg.Go(func() { r.sendRequests(ctx, i, c) })
 		}
 		wg.Go(func() { r.sampleVersions(ctx, i) })
 	}
 	wg.Go(func() { r.writeChanges(ctx) })
-	wg.Go(func() { r.sendFatalRequests(ctx) })
+	wg.Go(func() { r.sendCrashingRequests(ctx) })
 	for _, f := range Schedule(r.cfg.Seed, r.cfg.Hosts, r.cfg.Duration) {
 		wg.Go(func() { r.inject(ctx, f) })
 	}
@@ -162,7 +163,8 @@
 
 func (r *run) elapsed() time.Duration { return time.Since(r.startTime) }
 
-// inject starts and ends a fault and records the actual times.
+// inject starts and ends a fault and records its actual times. It does nothing if an earlier fault of
+// the same daemon lasts beyond the scheduled end.
 func (r *run) inject(ctx context.Context, f Fault) {
 	endAt := f.End()
 	if !sleep.For(ctx, f.At-r.elapsed()) {
@@ -170,20 +172,20 @@
 	}
 	if f.Kind.affectsDaemon() {
 		n := r.nodes[f.Host]
-		n.processMu.Lock()
-		defer n.processMu.Unlock()
+		n.daemonMu.Lock()
+		defer n.daemonMu.Unlock()
 	}
 	f.At = r.elapsed()
 	if f.At >= endAt {
-		return // the previous fault lasted beyond the end of this one
+		return
 	}
 	end := r.applyFault(f)
 	r.mu.Lock()
 	index := len(r.observed.Faults)
 	// The fault counts as active until its actual end is recorded.
-	lasting := f
-	lasting.Length = r.cfg.Duration
-	r.observed.Faults = append(r.observed.Faults, lasting)
+	ongoing := f
+	ongoing.Length = r.cfg.Duration
+	r.observed.Faults = append(r.observed.Faults, ongoing)
 	r.mu.Unlock()
 	sleep.For(ctx, endAt-f.At)
 	end()
@@ -207,8 +209,8 @@
 		_ = n.host.Daemon.Signal(syscall.SIGSTOP)
 		return func() { _ = n.host.Daemon.Signal(syscall.SIGCONT) }
 	case CutSilent, CutReset, CutSlow:
-		n.link.setMode(f.Kind)
-		return func() { n.link.setMode("") }
+		n.platformProxy.setMode(f.Kind)
+		return func() { n.platformProxy.setMode("") }
 	case TargetFails, TargetSlow, TargetCuts:
 		_ = n.target.SetBehaviour(behaviours[f.Kind])
 		return func() { _ = n.target.SetBehaviour(target.Behaviour{Mode: target.Good}) }
@@ -230,8 +232,7 @@
 	PlatformSlow:    {SlowMS: 200},
 }
 
-// restart starts a host's daemon again once the old process has exited, killing that process
-// if it does not exit in time.
+// restart waits until a host's daemon has exited, kills it after stopTimeout, and starts it again.
 func (r *run) restart(host int) {
 	h := r.nodes[host].host
 	if ended, _ := h.Daemon.Wait(stopTimeout); !ended {
@@ -252,8 +253,8 @@
 	return r.incarnations[host]
 }
 
-// sampleVersions polls the version in force at a host. Samples during which the process was
-// restarted are discarded.
+// sampleVersions polls the record version in force at a host. It discards a sample if the daemon was
+// restarted during the query.
 func (r *run) sampleVersions(ctx context.Context, host int) {
 	for sleep.For(ctx, sampleInterval) {
 		incarnation, queriedAt := r.incarnation(host), r.elapsed()
@@ -267,8 +268,8 @@
 	}
 }
 
-// writeChanges repeatedly writes a record directly to the platform, bypassing the proxies, as
-// an operator on another machine does. Only acknowledged changes have to be in force in time.
+// writeChanges repeatedly writes a record to the platform, as an operator on another machine does,
+// bypassing the proxies. Only changes that the platform acknowledges must be in force in time.
 func (r *run) writeChanges(ctx context.Context) {
 	client := objects.NewClient(r.fleet.Platform, time.Second)
 	defer client.Close()
@@ -293,8 +294,8 @@
 	}
 }
 
-// sendRequests sends one request after the other over a persistent connection, which lasts
-// until the host closes it.
+// sendRequests sends requests sequentially over a persistent connection, which it keeps until the
+// host closes it.
 func (r *run) sendRequests(ctx context.Context, host, caller int) {
 	client := &http.Client{Timeout: callerTimeout, Transport: &http.Transport{MaxIdleConnsPerHost: 1}}
 	defer client.CloseIdleConnections()
@@ -309,23 +310,23 @@
 }
 
 const (
-	// meanFatalInterval is the mean time between two sends of the fatal request, and
-	// fatalStartShare the share of the run before the first one.
-	meanFatalInterval = 300 * time.Millisecond
-	fatalStartShare   = 0.15
+	// meanCrashingInterval is the mean time between two sends of the crashing request.
+	// crashingStartShare is the share of the run that passes before the first one.
+	meanCrashingInterval = 300 * time.Millisecond
+	crashingStartShare   = 0.15
 )
 
-// sendFatalRequests repeatedly sends the request that crashes the instances that run it,
-// each time to a random host.
-func (r *run) sendFatalRequests(ctx context.Context) {
+// sendCrashingRequests repeatedly sends the request that crashes the instances that run it, each
+// time to a random host.
+func (r *run) sendCrashingRequests(ctx context.Context) {
 	rng := rand.New(rand.NewPCG(r.cfg.Seed, 2))
 	client := &http.Client{Timeout: callerTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
-	if !sleep.For(ctx, time.Duration(fatalStartShare*float64(r.cfg.Duration))) {
+	if !sleep.For(ctx, time.Duration(crashingStartShare*float64(r.cfg.Duration))) {
 		return
 	}
 	var wg sync.WaitGroup
-	for n := 0; sleep.For(ctx, time.Duration(rng.ExpFloat64()*float64(meanFatalInterval))); n++ {
-		req := Request{Mark: fmt.Sprintf("fatal-%d", n), Host: rng.IntN(r.cfg.Hosts), Fatal: true, Idempotent: true, Sent: r.elapsed()}
+	for n := 0; sleep.For(ctx, time.Duration(rng.ExpFloat64()*float64(meanCrashingInterval))); n++ {
+		req := Request{Mark: fmt.Sprintf("fatal-%d", n), Host: rng.IntN(r.cfg.Hosts), Crashing: true, Idempotent: true, Sent: r.elapsed()}
 		wg.Go(func() {
 			r.send(client, &req, "/plans"+target.CrashPathSuffix)
 			req.Done = r.elapsed()
@@ -337,8 +338,8 @@
 	wg.Wait()
 }
 
-// send sends one request and records its answer. It does not take the context of the run, so
-// that the end of the run does not cancel it.
+// send sends one request and records its response. It does not use the context of the run, so that
+// the end of the run does not cancel requests in flight.
 func (r *run) send(client *http.Client, req *Request, path string) {
 	method := http.MethodPost
 	if req.Idempotent {
@@ -359,11 +360,11 @@
 		return
 	}
 	req.Status, req.Verdict = resp.StatusCode, resp.Header.Get(verdict.Header)
-	req.Stopped = strings.Contains(string(body), string(verdict.ReasonCrashesTargets))
+	req.Blocked = strings.Contains(string(body), string(verdict.ReasonCrashesTargets))
 	req.Served = resp.StatusCode == http.StatusOK && strings.Contains(string(body), "mark="+req.Mark+" ")
 }
 
-// collectRuns adds up the runs of each request over all instances.
+// collectRuns adds up the runs of each request over all instances and collects the crash times.
 func (r *run) collectRuns() error {
 	for _, n := range r.nodes {
 		runs, err := n.target.Runs()
@@ -374,7 +375,7 @@
 			r.observed.Runs[mark] += count
 		}
 		for _, ms := range runs.CrashTimes {
-			r.observed.Ends = append(r.observed.Ends, time.UnixMilli(ms).Sub(r.startTime))
+			r.observed.Crashes = append(r.observed.Crashes, time.UnixMilli(ms).Sub(r.startTime))
 		}
 	}
 	return nil
--- a/internal/soak/run_test.go
+++ b/internal/soak/run_test.go
@@ -14,7 +14,7 @@
 	"github.com/radishhoist/radishhoist/internal/logtest"
 )
 
-// A short run of a seed with every class of fault. Long runs are started manually.
+// A short run of a seed that has faults of every component. Long runs are started manually.
 func TestShortSoakHasNoViolations(t *testing.T) {
 	bin := t.TempDir()
 	build := exec.Command("go", "build", "-o", bin, "../../cmd/...")
--- a/internal/soak/schedule.go
+++ b/internal/soak/schedule.go
@@ -1,6 +1,5 @@
-// Package soak runs the real programs as separate processes on loopback addresses, injects
-// faults from outside by a seeded schedule, and checks invariants on what callers, instances
-// and operators observe.
+// Package soak runs the real programs as separate processes on loopback addresses, injects faults
+// by a seeded schedule, and checks invariants on what callers, instances and operators observe.
 //
 // A seed determines the schedule, but the interleaving of a run depends on the machine: rerun
 // a seed that failed, and add a regression test once the cause is known.
@@ -23,10 +22,10 @@
 	// Terminate sends SIGTERM to a daemon, which then drains, and restarts it at the end of
 	// the fault.
 	Terminate FaultKind = "terminate"
-	// Pause suspends a daemon with SIGSTOP until the end of the fault.
+	// Pause suspends a daemon with SIGSTOP and resumes it at the end of the fault.
 	Pause FaultKind = "pause"
-	// CutSilent drops all data between a host and the platform without closing the
-	// connections; connections open at that time stay silent.
+	// CutSilent drops all data between a host and the platform without closing the connections.
+	// Connections that are open during the fault pass no data after it either.
 	CutSilent FaultKind = "cut-silent"
 	// CutReset resets a host's connections to the platform, including new ones.
 	CutReset FaultKind = "cut-reset"
@@ -42,6 +41,7 @@
 	TargetCuts  FaultKind = "target-cuts"
 )
 
+// faultKinds are all kinds of fault, for Schedule to select from.
 var faultKinds = []FaultKind{
 	Kill, Terminate, Pause, CutSilent, CutReset, CutSlow, PlatformSilent, PlatformRefuses, PlatformSlow,
 	TargetFails, TargetSlow, TargetCuts,
@@ -52,7 +52,7 @@
 	return k == PlatformSilent || k == PlatformRefuses || k == PlatformSlow
 }
 
-// affectsTarget reports whether the fault affects an instance, leaving the daemons undisturbed.
+// affectsTarget reports whether the fault affects an instance rather than a daemon.
 func (k FaultKind) affectsTarget() bool {
 	return k == TargetFails || k == TargetSlow || k == TargetCuts
 }
@@ -81,21 +81,21 @@
 }
 
 const (
-	// firstFault is the time of the first fault, so that the fleet first serves undisturbed.
+	// firstFault is the time of the first fault, before which the fleet serves without faults.
 	firstFault = time.Second
-	// faultFreeEnd is the time without faults at the end of a run, in which the fleet must
-	// recover and serve.
+	// faultFreeEnd is the time without faults at the end of a run, in which the fleet must recover
+	// and serve requests.
 	faultFreeEnd = 8 * time.Second
-	// maxFaultGap limits the time between the starts of two faults; it is below
+	// maxFaultGap limits the time between the starts of two faults. It is less than
 	// maxFaultLength, so that faults overlap.
 	maxFaultGap    = 1200 * time.Millisecond
 	minFaultLength = 300 * time.Millisecond
 	maxFaultLength = 5 * time.Second
 )
 
-// Schedule generates the faults of a seed. At any time there is at most one fault each of a
-// host's process, its link and its instance, and one of the platform. More than half of the
-// processes are never down at once.
+// Schedule generates the faults of a seed. At any time, a host's daemon, its connections to the
+// platform and its instance have at most one fault each, and so has the platform. At most half of
+// the daemons have a fault at the same time.
 func Schedule(seed uint64, hosts int, length time.Duration) []Fault {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	var out []Fault
@@ -106,14 +106,14 @@
 			return out
 		}
 		f.Length = min(f.Length, length-faultFreeEnd-f.At)
-		if fits(out, f, hosts) {
+		if canAdd(out, f, hosts) {
 			out = append(out, f)
 		}
 	}
 }
 
-// fits reports whether a fault may be scheduled in addition to the earlier ones.
-func fits(before []Fault, f Fault, hosts int) bool {
+// canAdd reports whether a fault may be scheduled in addition to the earlier ones.
+func canAdd(before []Fault, f Fault, hosts int) bool {
 	down := 0
 	for _, b := range before {
 		if b.End()+b.cooldown() < f.At {
@@ -122,7 +122,7 @@
 		if b.Kind.affectsDaemon() {
 			down++
 		}
-		if b.class() == f.class() && (f.Kind.affectsPlatform() || b.Host == f.Host) {
+		if b.component() == f.component() && (f.Kind.affectsPlatform() || b.Host == f.Host) {
 			return false
 		}
 	}
@@ -130,16 +130,16 @@
 }
 
 const (
-	// restartCooldown is the least time between two faults of the same process, link or
-	// instance, which a process needs to restart.
+	// restartCooldown is the minimum time between two faults of the same component of a host. It
+	// allows for the restart of a process.
 	restartCooldown = time.Second
-	// platformCooldown is the least time between two platform faults. It leaves 3 s after
-	// settlePeriod in which late changes are detected. With a cooldown of 1 s the platform
-	// was disturbed nearly all the time, which excused all hosts.
+	// platformCooldown is the minimum time between two platform faults. It leaves 3 s after
+	// settlePeriod in which late changes are detected. With a cooldown of 1 s, the time in which no
+	// host is checked covered nearly the whole run.
 	platformCooldown = settlePeriod + 3*time.Second
 )
 
-// cooldown is the least time between the end of a fault and the next fault of its class.
+// cooldown is the minimum time between the end of a fault and the next fault of the same component.
 func (f Fault) cooldown() time.Duration {
 	if f.Kind.affectsPlatform() {
 		return platformCooldown
@@ -147,7 +147,8 @@
 	return restartCooldown
 }
 
-// class identifies the component that the fault affects: platform, instance, process or link.
-func (f Fault) class() int {
+// component identifies the component that the fault affects: the platform, or a host's instance,
+// daemon or connections to the platform.
+func (f Fault) component() int {
 	return slices.Index([]bool{f.Kind.affectsPlatform(), f.Kind.affectsTarget(), f.Kind.affectsDaemon(), true}, true)
 }
