--- a/internal/fleetsim/crash_test.go
+++ b/internal/fleetsim/crash_test.go
@@ -162,7 +162,7 @@
 		s := shortRegistry(seed)
 		s.CrashingRequests = []CrashingRequest{crashingRequest("status", 0)}
 		s.CrashingRequests[0].RatePerSecond = ratePerSecond
-		s.Duration = 8 * time.Second // the request is blocked within the first second; the rest shows that it stays blocked
+		s.Duration = 8 * time.Second // it is blocked within the first second; later requests must not crash more
 		return s
 	}
 }
