--- a/internal/experiment/baseline.go
+++ b/internal/experiment/baseline.go
@@ -30,6 +30,7 @@
 // ejectionTime is the time for which a baseline ejects an instance.
 const ejectionTime = 30 * time.Second
 
+// baselineSim simulates a baseline policy.
 type baselineSim struct {
 	*simulation
 	policy    Baseline
@@ -37,6 +38,7 @@
 	fronts    []*baselineFront
 }
 
+// baselineInstance simulates one instance, with busy slots and an unbounded queue.
 type baselineInstance struct {
 	busy  int
 	queue []*baselineAttempt
@@ -56,6 +58,7 @@
 	ejectedUntil        time.Duration
 }
 
+// baselineAttempt is one attempt of a request. arrived is the arrival time of the request.
 type baselineAttempt struct {
 	front      *baselineFront
 	instance   int
--- a/internal/experiment/radishhoist.go
+++ b/internal/experiment/radishhoist.go
@@ -33,27 +33,35 @@
 
 // guardAttempt is the state of an attempt at its guard.
 type guardAttempt struct {
-	attempt     *attemptSim
-	started     time.Duration
+	attempt *attemptSim
+	// started is the start of its execution, 0 before.
+	started time.Duration
+	// reportedAge is the time since then at the last report to the detector.
 	reportedAge time.Duration
 }
 
 // frontSim simulates one front.
 type frontSim struct {
-	index       int
-	rng         *rand.Rand
-	budget      *retry.Budget
-	targets     []targetState
-	ejected     []bool
-	usable      []int
-	local       []int
+	index   int
+	rng     *rand.Rand
+	budget  *retry.Budget
+	targets []targetState
+	ejected []bool
+	// usable are the instances that the front can use, local the indexes in usable of those in its
+	// own data centre.
+	usable []int
+	local  []int
+	// samples are the latest outcomes, and recentTimes the latest service times, of any instance.
 	samples     []sampleSim
 	recentTimes []time.Duration
-	hedgeDelay  time.Duration
+	// hedgeDelay is the time after which an idempotent request is hedged.
+	hedgeDelay time.Duration
 }
 
 // targetState is what a front knows of an instance and of the path to it.
 type targetState struct {
+	// running and queued are the load that the guard reported at loadAt, pending the attempts of
+	// this front that have not ended.
 	slots, running, queued int
 	loadAt                 time.Duration
 	pending                int
