--- a/internal/soak/check.go
+++ b/internal/soak/check.go
@@ -84,8 +84,8 @@
 )
 
 const (
-	// settlePeriod is the time after a fault of a host, or of the platform, in which the host's
-	// deadlines are not checked.
+	// settlePeriod is the time after a fault of a host, or of the platform, in which time limits
+	// are not checked at the host.
 	settlePeriod = 3 * time.Second
 	// clockSlack allows for the delay on a busy machine between an acknowledgement and the
 	// recording of its time.
@@ -165,8 +165,8 @@
 
 const (
 	// crashesUntilBlocked is the number of crashes after which a request is blocked.
-	// maxLateCrashes limits the crashes that follow once hosts have had settlePeriod to learn of
-	// those.
+	// maxLateCrashes limits the crashes that follow once connected hosts have had settlePeriod to
+	// learn of those.
 	crashesUntilBlocked, maxLateCrashes = 3, 3
 )
 
