--- a/internal/core/admit/admit_test.go
+++ b/internal/core/admit/admit_test.go
@@ -13,7 +13,7 @@
 var base = time.Unix(1000, 0)
 
 func newTestQueue(slots int) *Queue {
-	return NewQueue(Config{Slots: slots, QueuePerSlot: 2, GrantLife: time.Second})
+	return NewQueue(Config{Slots: slots, QueuePerSlot: 2, GrantTTL: time.Second})
 }
 
 func request(id ID, class uint32) Request {
@@ -87,7 +87,7 @@
 	r := request(1, 0)
 	r.Reserve = true
 	assert.Equal(t, q.Offer(base, r)[0].Action, Grant)
-	// The process was suspended, so no Tick has expired the grant.
+	// No Tick has expired the grant, as after a suspension of the process.
 	d := q.Run(base.Add(2*time.Second), 1)
 	assert.Equal(t, d.Action, Refuse)
 	assert.Equal(t, q.BusySlots(), 0)
@@ -136,10 +136,10 @@
 	assert.Assert(t, q.Idle())
 }
 
-// Revoke cancels unused grants and leaves running and waiting requests alone.
+// Revoke cancels unused grants and does not affect running and waiting requests.
 func TestRevokedGrantsCannotRun(t *testing.T) {
 	now := time.Unix(1000, 0)
-	q := NewQueue(Config{Slots: 2, QueuePerSlot: 2, GrantLife: time.Minute})
+	q := NewQueue(Config{Slots: 2, QueuePerSlot: 2, GrantTTL: time.Minute})
 	deadline := now.Add(time.Hour)
 	assert.Equal(t, q.Offer(now, Request{ID: 1, Deadline: deadline})[0].Action, Start)
 	assert.Equal(t, q.Offer(now, Request{ID: 2, Deadline: deadline, Reserve: true})[0].Action, Grant)
@@ -153,12 +153,12 @@
 	assert.Equal(t, q.Queued(), 1)
 }
 
-// Requests are ordered by the team's priority, and by the route's among equal team
-// priorities. Without the second rule, important routes queued behind unimportant ones
-// as soon as all teams had the same priority.
+// Requests are ordered by team priority, and by route priority among equal team
+// priorities. Without the second rule, high-priority routes queued behind low-priority
+// ones as soon as all teams had the same priority.
 func TestTeamPriorityOutranksRoutePriority(t *testing.T) {
 	now := time.Unix(0, 0)
-	q := NewQueue(Config{Slots: 1, QueuePerSlot: 8, GrantLife: time.Second})
+	q := NewQueue(Config{Slots: 1, QueuePerSlot: 8, GrantTTL: time.Second})
 	offer := func(id ID, priority, subPriority uint8) {
 		q.Offer(now, Request{ID: id, Priority: priority, SubPriority: subPriority, Deadline: now.Add(time.Minute), ExpectedServiceTime: time.Millisecond})
 	}
--- a/internal/core/eject/eject.go
+++ b/internal/core/eject/eject.go
@@ -1,9 +1,10 @@
-// Package eject decides which suspect instances a front leaves out, without taking
-// a service below its capacity floor.
+// Package eject decides which suspect instances a front ejects, without taking a service
+// below its capacity floor. An ejected instance is not selected as a target except for
+// trials or as a fallback.
 //
 // Suspects are considered in a total order: highest evidence first, ties by name.
-// Fronts with the same evidence therefore leave out the same instances without any
-// other coordination.
+// Fronts with the same evidence therefore eject the same instances without any other
+// coordination.
 package eject
 
 import (
@@ -17,63 +18,63 @@
 	Name  string
 	Slots int
 	// Usable is false for instances that are leaving, dead, cold or unreachable. They
-	// reduce the healthy capacity before any suspect is left out.
+	// reduce the healthy capacity before any suspect is ejected.
 	Usable bool
-	// Suspect marks the instance as a candidate to be left out.
+	// Suspect marks the instance as a candidate for ejection.
 	Suspect bool
 	// Evidence ranks suspects; higher is worse.
 	Evidence uint32
 }
 
-// Result is the outcome of Apply.
+// Result is the outcome of Select.
 type Result struct {
-	// Ejected reports which members are left out, by index.
+	// Ejected reports, by index, which members are ejected.
 	Ejected []bool
-	// Healthy is the remaining capacity, in slots.
-	Healthy int
-	// Required is the floor, in slots.
-	Required int
-	// Known is the total capacity of all members, in slots.
-	Known int
-	// KeptSuspects is the number of suspects that remain in use because of the floor.
+	// HealthySlots is the capacity that remains after the ejections, in slots.
+	HealthySlots int
+	// RequiredSlots is the capacity floor, in slots.
+	RequiredSlots int
+	// KnownSlots is the total capacity of all members, in slots.
+	KnownSlots int
+	// KeptSuspects is the number of suspects that are not ejected because of the floor.
 	KeptSuspects int
 }
 
-// Apply decides which members to leave out. The required capacity is the floor's
-// percentage of all known slots, rounded up. The floor's number of instances, at
-// least one, must remain usable as well.
-func Apply(members []Member, floor record.Floor) Result {
+// Select decides which members to eject. The required capacity is the floor's percentage
+// of all known slots, rounded up. In addition, the floor's number of instances, at least
+// one, must remain usable.
+func Select(members []Member, floor record.Floor) Result {
 	res := Result{Ejected: make([]bool, len(members))}
 	usable := 0
 	var suspects []int
 	for i, m := range members {
-		res.Known += m.Slots
+		res.KnownSlots += m.Slots
 		if !m.Usable {
 			continue
 		}
 		usable++
-		res.Healthy += m.Slots
+		res.HealthySlots += m.Slots
 		if m.Suspect {
 			suspects = append(suspects, i)
 		}
 	}
-	res.Required = (res.Known*floor.Percent + 99) / 100
-	sort.Slice(suspects, func(a, b int) bool { return ranksWorse(members[suspects[a]], members[suspects[b]]) })
+	res.RequiredSlots = (res.KnownSlots*floor.Percent + 99) / 100
+	sort.Slice(suspects, func(a, b int) bool { return ejectedBefore(members[suspects[a]], members[suspects[b]]) })
 	for _, i := range suspects {
-		left := res.Healthy - members[i].Slots
-		if left < res.Required || usable-1 < max(floor.Instances, 1) {
+		remaining := res.HealthySlots - members[i].Slots
+		if remaining < res.RequiredSlots || usable-1 < max(floor.Instances, 1) {
 			res.KeptSuspects++
 			continue
 		}
 		res.Ejected[i] = true
-		res.Healthy = left
+		res.HealthySlots = remaining
 		usable--
 	}
 	return res
 }
 
-// ranksWorse reports whether a is left out before b.
-func ranksWorse(a, b Member) bool {
+// ejectedBefore reports whether suspect a is considered for ejection before suspect b.
+func ejectedBefore(a, b Member) bool {
 	if a.Evidence != b.Evidence {
 		return a.Evidence > b.Evidence
 	}
--- a/internal/core/quota/account.go
+++ b/internal/core/quota/account.go
@@ -6,7 +6,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// account is one host's view of a team's usage.
+// account is a host's view of a team's usage.
 type account struct {
 	node     *Node
 	team     string
@@ -18,8 +18,8 @@
 	// applies after a start, until a host that has been running longer reports the real
 	// one.
 	used, assumed bucket
-	// levelWithRetries is the level including the refused requests that were told when to
-	// retry. Each refusal raises it by one, so that the retries do not all arrive at once.
+	// levelWithRetries is the level including one request for each refusal. The retry
+	// delay is derived from it, so that refused callers do not all retry at once.
 	levelWithRetries bucket
 	// standalone counts what this host admitted against its own share. successorUsed
 	// counts what it granted in place of an unresponsive home, against the share of the
@@ -32,22 +32,23 @@
 	homes        [2]string
 	hostsVersion uint64
 
-	// count is the number of requests this host admitted without a query since the account
-	// was created, plus those that other hosts reported to it, or that it granted them on
-	// a query, instead of the home, less those that did not run and second grants of a
-	// query. confirmed is the part of it that the home confirmedBy has acknowledged.
+	// count is the number of requests since the account was created that this host reports
+	// to the home: those it admitted without a query, and those that, in place of the home,
+	// it received reports of or granted on a query. Requests that did not run and second
+	// grants of a query are subtracted. confirmed is the part of count that the home, or
+	// another host in its place, has confirmed; confirmedBy is that host.
 	count, confirmed int64
 	confirmedBy      string
-	// seq numbers the usage reports sent; confirmedSeq is the last one acknowledged.
+	// seq numbers the usage reports sent; confirmedSeq is the last one confirmed.
 	seq, confirmedSeq uint32
-	// unconfirmedSince is when the first report since the last acknowledgement or
-	// timeout was sent, zero for none. timeouts counts the consecutive reports before it
-	// that timed out.
+	// unconfirmedSince is when the first report since the last confirmation or timeout
+	// was sent, zero for none. timeouts is the number of timeouts since the last
+	// confirmation.
 	unconfirmedSince time.Time
 	timeouts         int
 
 	nearLimitUntil, refusedUntil, standaloneUntil time.Time
-	refusalWait                                   time.Duration
+	refusalRetryAfter                             time.Duration
 	// admitted and refused count this host's requests.
 	admitted, refused uint64
 
@@ -57,9 +58,9 @@
 	lastNotice time.Time
 }
 
-// grantsKept is the number of grants remembered per host, so that a repeated query is
-// answered without being counted twice.
-const grantsKept = 8
+// maxRememberedGrants is the number of grants remembered per account and querying host,
+// so that a retried query is answered without being counted twice.
+const maxRememberedGrants = 8
 
 // reporter is the usage that one host has reported.
 type reporter struct {
@@ -68,8 +69,9 @@
 	seq              uint32
 	count, confirmed int64
 	reportedAt       time.Time
-	// granted holds the IDs of the host's latest granted queries.
-	granted [grantsKept]uint32
+	// grantedQueries holds the IDs of the host's latest granted queries, each at its ID
+	// modulo maxRememberedGrants.
+	grantedQueries [maxRememberedGrants]uint32
 }
 
 // account returns the account of a team, creating it if needed.
@@ -87,7 +89,8 @@
 	return a
 }
 
-// setLimit applies a new limit. Usage beyond the new limit is not held against the team.
+// setLimit applies a new limit. The level, known or assumed, is kept as the known level;
+// usage beyond the new capacity is dropped.
 func (a *account) setLimit(now time.Time, limit Limit) {
 	before := a.level(now)
 	a.limit = limit
@@ -126,9 +129,9 @@
 // isKnown reports whether the level no longer depends on an assumption.
 func (a *account) isKnown(now time.Time) bool { return a.assumed.levelAt(now, a.rate()) == 0 }
 
-// add counts n admitted requests, or takes back requests that did not run if n is
-// negative. The level is bounded, so requests admitted beyond the limit because hosts did
-// not know of each other are compensated only in part.
+// add counts n admitted requests, or subtracts requests that did not run if n is negative.
+// The level is bounded, so requests beyond the limit that hosts admitted without knowing
+// of those admitted elsewhere are compensated only in part.
 func (a *account) add(now time.Time, n float64) {
 	a.used.set(now, min(a.used.levelAt(now, a.rate())+n, a.capacity()+a.node.cfg.ExtraBurst))
 	if !a.isKnown(now) {
@@ -136,7 +139,8 @@
 	}
 }
 
-// mergeLevel raises the level to one reported by another host.
+// mergeLevel raises the level to one reported by another host. If that host knows the real
+// level, the assumption made at the start no longer applies.
 func (a *account) mergeLevel(now time.Time, level float64, known bool) {
 	a.used.raise(now, a.rate(), min(level, a.capacity()+a.node.cfg.ExtraBurst))
 	if known {
@@ -154,12 +158,13 @@
 		a.add(now, 1)
 		return true, 0
 	}
-	ahead := max(level, a.levelWithRetries.levelAt(now, a.rate())) + 1
-	a.levelWithRetries.set(now, ahead)
-	return false, drainTime(ahead-a.capacity(), a.rate())
+	levelAfterRetry := max(level, a.levelWithRetries.levelAt(now, a.rate())) + 1
+	a.levelWithRetries.set(now, levelAfterRetry)
+	return false, drainTime(levelAfterRetry-a.capacity(), a.rate())
 }
 
-// admitStandalone admits a request within this host's own share of the rate.
+// admitStandalone admits a request within this host's own share of the limit. It does not
+// count the request; recordAdmitted does.
 func (a *account) admitStandalone(now time.Time) (bool, time.Duration) {
 	rate, capacity := a.limitsForShare(a.node.ownShare())
 	level := a.standalone.levelAt(now, rate)
@@ -170,9 +175,9 @@
 }
 
 // admitAsSuccessor admits a request in place of a home that does not answer this host's
-// reports. It grants at most the part successorFraction of the share of this host and of
-// those that reported to it within requestingPeriod, because other hosts may still reach
-// the home, which grants the whole rate until it learns of the partition.
+// reports. It grants at most the fraction successorFraction of the share of this host and
+// of those that reported to it within requestingPeriod, because other hosts may still
+// reach the home, which grants the whole rate until it learns of the partition.
 func (a *account) admitAsSuccessor(now time.Time) (bool, time.Duration) {
 	requesting := 1
 	for _, r := range a.reporters {
@@ -183,7 +188,7 @@
 	share := successorFraction * min(float64(requesting)/float64(a.node.knownHosts), 1)
 	rate, capacity := a.limitsForShare(share)
 	if now.Sub(a.lastAsSuccessor) > requestingPeriod {
-		// The share starts at the same relative usage as the whole.
+		// The bucket of the share starts filled to the same fraction as the team's.
 		a.successorUsed.raise(now, rate, a.level(now)/a.capacity()*capacity)
 	}
 	a.lastAsSuccessor = now
@@ -191,15 +196,15 @@
 	if level+1 > capacity {
 		return false, drainTime(level+1-capacity, rate)
 	}
-	ok, wait := a.admit(now)
+	ok, retryAfter := a.admit(now)
 	if ok {
 		a.successorUsed.add(now, rate, 1)
 	}
-	return ok, wait
+	return ok, retryAfter
 }
 
-// enterStandalone makes this host enforce its own share for standalonePeriod. The share
-// starts at the same relative usage as the whole.
+// enterStandalone makes this host enforce its own share for standalonePeriod. The bucket of
+// the share starts filled to the same fraction as the team's.
 func (a *account) enterStandalone(now time.Time) {
 	if !now.Before(a.standaloneUntil) {
 		rate, capacity := a.limitsForShare(a.node.ownShare())
@@ -208,17 +213,18 @@
 	a.standaloneUntil = now.Add(standalonePeriod)
 }
 
-// recordAdmitted counts a request admitted by this host.
+// recordAdmitted counts a request of this host's own callers that was admitted, also
+// against the host's own share.
 func (a *account) recordAdmitted(now time.Time) {
 	a.admitted++
 	rate, _ := a.limitsForShare(a.node.ownShare())
 	a.standalone.add(now, rate, 1)
 }
 
-// drainTime returns how long n requests take to drain, bounded by maxWait.
+// drainTime returns how long n requests take to drain, bounded by maxRetryAfter.
 func drainTime(n, perSecond float64) time.Duration {
 	d := time.Duration(n / max(perSecond, 1e-9) * float64(time.Second))
-	return min(max(d, time.Millisecond), maxWait)
+	return min(max(d, time.Millisecond), maxRetryAfter)
 }
 
 // homes returns the home of a team's account and its successor, "" for none. It uses
--- a/internal/front/cost.go
+++ b/internal/front/cost.go
@@ -12,14 +12,14 @@
 // candidate describes the target for the cost function. expected is the mean service time
 // of the route. The caller must hold the service's lock.
 func (t *target) candidate(now time.Time, req *request, expected time.Duration, typical balance.TypicalLoad, p *paths, cfg Config) balance.Candidate {
-	warm := 1.0
-	if left := t.WarmUpEnd.Sub(now); left > 0 {
-		warm = max(1-left.Seconds()/directory.DefaultWarmUp.Seconds(), 0)
+	warmUpProgress := 1.0
+	if warmUpLeft := t.WarmUpEnd.Sub(now); warmUpLeft > 0 {
+		warmUpProgress = max(1-warmUpLeft.Seconds()/directory.DefaultWarmUp.Seconds(), 0)
 	}
 	return balance.Candidate{
 		Slots: t.Slots, Running: int(t.observed.load.Running), QueuedWork: req.queuedAhead(now, t.observed.load),
 		LoadAge: now.Sub(t.observed.loadAt), Typical: typical, Pending: t.observed.pending, Service: t.serviceTime(expected),
-		RoundTrip: p.roundTrip(t.Host.Name), Warmth: warm, Local: t.Host.DC == cfg.DC,
+		RoundTrip: p.roundTrip(t.Host.Name), WarmUpProgress: warmUpProgress, Local: t.Host.DC == cfg.DC,
 		FailureProbability: t.observed.failureChance(now),
 	}
 }
@@ -45,7 +45,7 @@
 )
 
 // typicalLoad is the load per slot of the usable targets, from recent load reports. Distant
-// hosts report theirs only with answers. The caller must hold st.mu.
+// hosts report theirs only with responses. The caller must hold st.mu.
 func (st *serviceState) typicalLoad(now time.Time, req *request) balance.TypicalLoad {
 	slots, running, waiting := 0, 0, time.Duration(0)
 	for _, i := range st.candidates.usable {
@@ -77,8 +77,8 @@
 		higher += l.WaitingMS[p]
 	}
 	own := time.Duration(l.WaitingMS[min(req.priority(), len(l.WaitingMS)-1)]) * time.Millisecond
-	left := max(req.route.Objective()-now.Sub(req.arrived), 0)
-	due := left / 2 * time.Duration(l.Slots)
+	timeLeft := max(req.route.Objective()-now.Sub(req.arrived), 0)
+	due := timeLeft / 2 * time.Duration(l.Slots)
 	return time.Duration(higher)*time.Millisecond + min(own, due)
 }
 
@@ -88,7 +88,7 @@
 const (
 	// retryableFailureWeight is the weight of a failure for a request that can be retried
 	// while budget is left. Most failures are reported within milliseconds, so the retry
-	// still answers in time, and each one reveals a failing instance before a request that
+	// still responds in time, and each one reveals a failing instance before a request that
 	// cannot be retried reaches it.
 	retryableFailureWeight = 0.2
 	// crossDCWeight is the cost of traffic between data centres, relative to the request's
@@ -104,7 +104,7 @@
 	weight := 1 - retryChance*(1-retryableFailureWeight)
 	objective := req.route.Objective()
 	return balance.CostWeights{
-		Objective: objective, Left: objective - now.Sub(req.arrived),
+		Objective: objective, TimeLeft: objective - now.Sub(req.arrived),
 		FailureWeight: weight, RemoteWeight: crossDCWeight,
 	}
 }
@@ -117,7 +117,7 @@
 }
 
 // expectedServiceTimeLocked is the mean service time of the request's route, or a third of
-// its objective before the first answer. The caller must hold st.mu.
+// its objective before the first response. The caller must hold st.mu.
 func (st *serviceState) expectedServiceTimeLocked(req *request) time.Duration {
 	if l, ok := st.latencies[req.route.Name]; ok && l.mean > 0 {
 		return l.mean
--- a/internal/front/suspect_test.go
+++ b/internal/front/suspect_test.go
@@ -23,35 +23,35 @@
 		i := &directory.Instance{Name: fmt.Sprint("i", n), Service: "s", Version: fmt.Sprint(n % 2)}
 		observed := &observations{}
 		observed.updateLoad(time.Unix(1000, 0), msg.Load{Slots: 4, Running: uint32(rng.IntN(5)), RetryBudgetLeft: uint16(rng.IntN(2))})
-		st.targets = append(st.targets, &target{Target: &directory.Target{Instance: i, Host: &directory.Host{}}, hash: guard.InstanceHash(i.Name), observed: observed})
+		st.targets = append(st.targets, &target{Target: &directory.Target{Instance: i, Host: &directory.Host{}}, hash: guard.NameHash(i.Name), observed: observed})
 		st.candidates.usable = append(st.candidates.usable, index)
 	}
 	return st
 }
 
-// All hosts send a suspect to the same instance, whatever loads they know of. It must be
-// untried, and of software that the request may reach. No target is chosen only if no such
-// instance is left.
+// All hosts send a request suspected of crashing its targets to the same instance, whatever
+// loads they know of. The instance must be untried and run a version that the request may
+// reach. No target is chosen only if no such instance is left.
 func TestAllHostsChooseSameInstanceForSuspect(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1000, 0)
 		instances := rapid.IntRange(1, 12).Draw(t, "instances")
 		rng := rand.New(rand.NewPCG(1, rapid.Uint64().Draw(t, "seed")))
-		fingerprint := crash.Fingerprint(rapid.Uint64().Draw(t, "fingerprint"))
-		v := &crash.Assessment{Crashes: 3, BlockedUntil: now.Add(time.Minute), CrashedSoftware: []crash.Software{{Service: "s", Version: "0"}}}
+		fp := crash.Fingerprint(rapid.Uint64().Draw(t, "fingerprint"))
+		a := &crash.Assessment{Crashes: 3, BlockedUntil: now.Add(time.Minute), CrashedSoftware: []crash.Software{{Service: "s", Version: "0"}}}
 		one, other := newServiceView(instances, rng), newServiceView(instances, rng)
 
 		var tried []*target
 		for left := instances / 2; ; left-- {
-			a, b := one.pickForSuspect(now, fingerprint, v, tried, false), other.pickForSuspect(now, fingerprint, v, sameTargets(other, tried), false)
-			if a == nil {
+			first, second := one.pickForCrashSuspect(now, fp, a, tried, false), other.pickForCrashSuspect(now, fp, a, sameTargets(other, tried), false)
+			if first == nil {
 				assert.Equal(t, left, 0, "no target chosen although an untried one of the other version is left")
-				assert.Assert(t, b == nil)
+				assert.Assert(t, second == nil)
 				return
 			}
-			assert.Equal(t, a.Name, b.Name)
-			assert.Equal(t, a.Version, "1")
-			tried = append(tried, a)
+			assert.Equal(t, first.Name, second.Name)
+			assert.Equal(t, first.Version, "1")
+			tried = append(tried, first)
 		}
 	})
 }
@@ -69,13 +69,13 @@
 	return out
 }
 
-// A suspect is retried only where retry budget is left.
+// A request suspected of crashing its targets is retried only where retry budget is left.
 func TestSuspectIsRetriedOnlyWithinRetryBudget(t *testing.T) {
 	now := time.Unix(1000, 0)
-	v := &crash.Assessment{Crashes: 1}
+	a := &crash.Assessment{Crashes: 1}
 	for seed := range uint64(50) {
 		st := newServiceView(8, rand.New(rand.NewPCG(1, seed)))
-		if picked := st.pickForSuspect(now, 7, v, nil, true); picked != nil {
+		if picked := st.pickForCrashSuspect(now, 7, a, nil, true); picked != nil {
 			assert.Assert(t, picked.observed.retryBudgetLeft(now))
 		}
 	}
--- a/internal/guard/call.go
+++ b/internal/guard/call.go
@@ -17,11 +17,12 @@
 	"github.com/radishhoist/radishhoist/verdict"
 )
 
-// call forwards the request to the instance and relays the response. The goroutine that
-// calls it has a slot for the request, which call releases.
+// call forwards the request to the instance and relays the response. The request must hold
+// a slot, which call releases. A request that was blocked while it was queued, because it is
+// suspected of crashing instances, is refused.
 func (x *exchange) call(m *msg.Run) {
 	if e := x.checkBlocked(); e != nil {
-		x.inst.finish(time.Now(), x.id, result{shed: true})
+		x.inst.finish(time.Now(), x.queueID, result{shed: true})
 		x.refuse(e)
 		return
 	}
@@ -31,9 +32,9 @@
 	go func() {
 		select {
 		case <-x.disconnected:
-			// Requests that are not idempotent continue if their body has arrived
-			// whole (without the rest, bodyReader aborts them): stopping one half
-			// way is worse than a response that nobody receives.
+			// A request that is not idempotent continues: aborting it midway is worse
+			// than a response that nobody receives. If its body is incomplete,
+			// bodyReader aborts it.
 			if m.Idempotent {
 				cancel()
 			}
@@ -44,12 +45,12 @@
 	x.inst.start(started, x.waiter, m)
 	run := x.guard.retryBudgets.begin(started, x.inst.service, x.retryReserved, m.Idempotent, x.hints)
 	if !x.retryReserved {
-		// Without a reservation this is a first attempt. An instance that runs a retry
-		// may still have sent it, as a nested request; retryFraction is the
-		// probability of that, in thousandths.
+		// Without a reserved retry, the request is a first attempt. It may still be a
+		// nested request, sent by an instance that is running a retry. run.retryFraction
+		// is then the estimated probability of that, in thousandths.
 		x.nestedRetryChance = run.retryFraction
 	}
-	x.retryReserved = false
+	x.retryReserved = false // begin has used the reservation
 	defer x.guard.retryBudgets.end(run)
 	res, failure := x.exchangeHTTP(ctx, m, started)
 	res.serviceTime = time.Since(started)
@@ -57,7 +58,8 @@
 		res.failed, res.aborted = false, true
 	}
 	if failure != nil {
-		// On success, relayBody has recorded the outcome.
+		// Without a failure, relayBody has recorded the outcome. It has done so too if
+		// only the last Send failed; the request is then also recorded as aborted.
 		x.inst.recordOutcome(time.Now(), res)
 	}
 	switch {
@@ -78,18 +80,21 @@
 	}
 	x.logEnd(started, res, failure)
 	x.guard.counts.ended(started.Sub(x.arrived), res)
-	x.inst.finish(time.Now(), x.id, res)
+	x.inst.finish(time.Now(), x.queueID, res)
 	if failure != nil {
 		x.fail(failure)
 	}
 }
 
 // mayHaveTerminated reports whether the failure may be due to the target's termination.
-// It is true also for some complete but unacceptable responses, see classifyResponse.
+// It also returns true for some complete but unacceptable responses, which have the same
+// reason, see classifyResponse.
 func mayHaveTerminated(failure *verdict.Error) bool {
 	return failure != nil && (failure.Reason == verdict.ReasonTargetBroke || failure.Reason == verdict.ReasonTargetDown)
 }
 
+// errDeadline is the cause with which a call's context is cancelled at the request's
+// deadline.
 var errDeadline = errors.New("deadline")
 
 // exchangeHTTP sends the request to the instance and relays its response. The End
@@ -108,8 +113,8 @@
 	if failure != nil {
 		return res, failure
 	}
-	// The instance may have failed only because a request that originated on this host,
-	// and so perhaps in the instance, has just failed.
+	// If a request that originated on this host has just failed, the instance may have
+	// sent it, and have failed only because of that.
 	res.excused = res.failed && x.guard.failedCalls.excuse(time.Now())
 	head := &msg.Head{
 		RequestID: m.RequestID, Status: uint16(resp.Status),
@@ -121,11 +126,12 @@
 	return res, nil
 }
 
+// micros converts a duration to whole microseconds, at most the maximum of a uint32.
 func micros(d time.Duration) uint32 { return uint32(min(d.Microseconds(), 1<<32-1)) }
 
 // relayBody sends the response: the head together with the first chunk, and with the
-// last chunk the End message that confirms completeness. A small response is sent in
-// one piece.
+// last chunk the End message that confirms completeness. A response of one chunk is sent
+// in one go.
 func (x *exchange) relayBody(ctx context.Context, resp *targetconn.Response, head *msg.Head, res result, started time.Time) *verdict.Error {
 	hash := xxhash.New()
 	end := &msg.End{}
@@ -168,6 +174,7 @@
 func readChunk(resp *targetconn.Response, bytesRead int64) ([]byte, bool, error) {
 	size := wire.ChunkSize
 	if resp.Length >= 0 {
+		// One byte more than the rest lets io.ReadFull reach the end of the body.
 		size = int(min(resp.Length-bytesRead+1, wire.ChunkSize))
 	}
 	chunk := make([]byte, size)
@@ -182,7 +189,7 @@
 	case resp.Length >= 0 && bytesRead+int64(n) != resp.Length:
 		return nil, false, err
 	case resp.Length < 0:
-		if _, again := resp.Body.Read(make([]byte, 1)); again != io.EOF {
+		if _, next := resp.Body.Read(make([]byte, 1)); next != io.EOF {
 			return nil, false, err
 		}
 	}
@@ -193,8 +200,8 @@
 	return verdict.New(verdict.Ran, verdict.ReasonTargetBroke, "the target's response body was truncated")
 }
 
-// buildRequest builds the request to the target: the caller's request with the
-// remaining time and the name of the intended instance added.
+// buildRequest builds the request to the target: the caller's request, with the request
+// id, the remaining time and the name of the intended instance added.
 func (x *exchange) buildRequest(m *msg.Run) *targetconn.Request {
 	d := x.guard.cfg.Dialect
 	req := &targetconn.Request{
@@ -202,8 +209,8 @@
 		Header: header.FromFields(m.Header), Length: m.BodyLength,
 	}
 	req.Header.Set(header.RequestID, m.RequestID)
-	left := time.Until(x.deadline).Milliseconds()
-	set(req.Header, d.Timeout, strconv.FormatInt(max(left, 1), 10))
+	timeLeft := time.Until(x.deadline).Milliseconds()
+	set(req.Header, d.Timeout, strconv.FormatInt(max(timeLeft, 1), 10))
 	set(req.Header, d.ExpectedInstance, x.inst.name)
 	if m.BodyLength != 0 {
 		req.Body = &bodyReader{x: x, hash: xxhash.New()}
@@ -211,8 +218,8 @@
 	return req
 }
 
-// set sets a header if the dialect, which holds the header names configured for the
-// deployment, has a name for it.
+// set sets a header whose name comes from the dialect, the header names configured for the
+// deployment. An empty name means that the deployment does not use the header.
 func set(h http.Header, name, value string) {
 	if name != "" {
 		h.Set(name, value)
@@ -224,6 +231,7 @@
 	x      *exchange
 	hash   *xxhash.Digest
 	length uint64
+	// unread is the rest of the last chunk, and done reports that the body is complete.
 	unread []byte
 	done   bool
 }
@@ -244,6 +252,7 @@
 	return n, nil
 }
 
+// next receives the next chunk or the end of the body.
 func (b *bodyReader) next() error {
 	var m msg.Message
 	select {
@@ -264,7 +273,7 @@
 		return nil
 	case *msg.End:
 		if m.Length != b.length || m.Hash != b.hash.Sum64() {
-			return errors.New("request body does not match its length or hash")
+			return errors.Errorf("request body has the wrong length or hash: received %d of %d bytes", b.length, m.Length)
 		}
 		b.done = true
 		return nil
--- a/internal/guard/state.go
+++ b/internal/guard/state.go
@@ -35,7 +35,8 @@
 	Counts          Counts  `json:"counts"`
 }
 
-// Suspect reports whether the guard asks target selection to avoid the instance.
+// Suspect reports whether the detector suspects the instance, so that target selection
+// avoids it.
 func (s InstanceState) Suspect() bool { return s.Health == detect.Suspect.String() }
 
 func (i *instance) state() InstanceState {
@@ -57,23 +58,23 @@
 // SuspectState describes one suspected request in the state dump.
 type SuspectState struct {
 	Fingerprint string `json:"print"`
-	// Crashes is the number of crashes that no other request explains, or the number of
+	// CrashCount is the number of crashes that no other request explains, or the number of
 	// all its crashes if the request is blocked.
-	Crashes int `json:"ends"`
+	CrashCount int `json:"ends"`
 	// Until is when the request may reach the software that it crashed again, empty
 	// if it is not blocked.
 	Until string `json:"until,omitempty"`
-	// Instances lists the crashes.
-	Instances []record.InstanceCrash `json:"instances"`
+	// Crashes lists the crashes that the request is suspected of.
+	Crashes []record.InstanceCrash `json:"instances"`
 }
 
 // Suspects returns the suspected requests for the state dump.
 func (g *Guard) Suspects() []SuspectState {
 	out := []SuspectState{}
-	for p, v := range *g.suspects.assessments.Load() {
-		s := SuspectState{Fingerprint: p.String(), Crashes: v.Crashes, Instances: crashRecords(g.suspects.crashesOf(p))}
-		if !v.BlockedUntil.IsZero() {
-			s.Until = v.BlockedUntil.UTC().Format(time.RFC3339)
+	for fp, a := range *g.suspects.assessments.Load() {
+		s := SuspectState{Fingerprint: fp.String(), CrashCount: a.Crashes, Crashes: crashRecords(g.suspects.crashesOf(fp))}
+		if !a.BlockedUntil.IsZero() {
+			s.Until = a.BlockedUntil.UTC().Format(time.RFC3339)
 		}
 		out = append(out, s)
 	}
@@ -84,8 +85,8 @@
 // BlockedCount returns the number of blocked requests.
 func (g *Guard) BlockedCount() int {
 	n := 0
-	for _, v := range *g.suspects.assessments.Load() {
-		if !v.BlockedUntil.IsZero() {
+	for _, a := range *g.suspects.assessments.Load() {
+		if !a.BlockedUntil.IsZero() {
 			n++
 		}
 	}
