--- a/internal/cli/losses.go
+++ b/internal/cli/losses.go
@@ -67,15 +67,15 @@
 func (a *app) printLosses(r *losses.Report) error {
 	w := tabwriter.NewWriter(a.out, 0, 0, 2, ' ', 0)
 	line := func(format string, args ...any) { _, _ = fmt.Fprintf(w, format+"\n", args...) }
-	line("%d requests lost; %d log lines were dropped by the rate limit, %d could not be parsed", r.Lost, r.LinesLeftOut, r.Unreadable)
+	line("%d requests lost; %d log lines were dropped by the rate limit, %d could not be parsed", r.Failed, r.LinesDropped, r.Unreadable)
 	line("\nROUTE\tSERVICE\tCAUSE\tLOST\tCALLS\tEXAMPLE")
 	for _, row := range r.Rows {
-		line("%s\t%s\t%s\t%d\t%d\t%s", row.Route, row.Service, row.Cause, row.Lost, row.Calls, row.Example.Request)
+		line("%s\t%s\t%s\t%d\t%d\t%s", row.Route, row.Service, row.Cause, row.Failed, row.Calls, row.Example.Request)
 	}
 	line("\nFROM\tLOST\tMAIN CAUSE")
 	for _, window := range r.Windows {
 		cause := mainCause(window.Causes)
-		line("%s\t%d\t%s (%d)", window.From.UTC().Format(time.TimeOnly), window.Lost, cause, window.Causes[cause])
+		line("%s\t%d\t%s (%d)", window.From.UTC().Format(time.TimeOnly), window.Failed, cause, window.Causes[cause])
 	}
 	line("\nretries of lost requests: %d sent; %d requests not retried because the retry budget was used up, %d retries refused by guards; for example %s",
 		r.Retries.Sent, r.Retries.OverBudget, r.Retries.Refused, r.Retries.Example.Request)
--- a/internal/losses/lines.go
+++ b/internal/losses/lines.go
@@ -24,31 +24,34 @@
 	statusTimeout    = 504
 )
 
-// logLine is a log line about a request, written by a front at the end of the request or
-// by a guard.
+// logLine is a log line about a request, written by a front or a guard when the request
+// ends or is refused.
 type logLine struct {
-	At           time.Time `json:"time"`
-	Event        int       `json:"event"`
-	Request      string    `json:"request"`
-	Route        string    `json:"route"`
-	Service      string    `json:"service"`
-	Status       int       `json:"status"`
-	Reason       string    `json:"reason"`
-	RepeatUnpaid bool      `json:"repeatUnpaid"`
-	Attempts     []attempt `json:"attempts"`
-	// Instance, ExcusedByCall and WaitedMS are set in guards' lines.
-	Instance      string `json:"instance"`
-	ExcusedByCall bool   `json:"excusedByCall"`
-	WaitedMS      int64  `json:"waitedMS"`
-	LinesLeftOut  uint64 `json:"linesLeftOut"`
+	At              time.Time `json:"time"`
+	Event           int       `json:"event"`
+	Request         string    `json:"request"`
+	Route           string    `json:"route"`
+	Service         string    `json:"service"`
+	Status          int       `json:"status"`
+	Reason          string    `json:"reason"`
+	RetryOverBudget bool      `json:"repeatUnpaid"`
+	Attempts        []attempt `json:"attempts"`
+	// Instance, FailedByCall and WaitedMS are set only in lines written by guards.
+	// FailedByCall reports that the request failed because a call that the instance made
+	// to another service failed.
+	Instance     string `json:"instance"`
+	FailedByCall bool   `json:"excusedByCall"`
+	WaitedMS     int64  `json:"waitedMS"`
+	LinesDropped uint64 `json:"linesLeftOut"`
 }
 
-// attempt is one attempt as logged by the front.
+// attempt is one attempt as logged by the front. FailureEstimate is the probability, when
+// the target was selected, that it was failing most requests.
 type attempt struct {
-	Target  string  `json:"target"`
-	Sick    float64 `json:"sick"`
-	Outcome string  `json:"outcome"`
-	MS      int64   `json:"ms"`
+	Target          string  `json:"target"`
+	FailureEstimate float64 `json:"sick"`
+	Outcome         string  `json:"outcome"`
+	MS              int64   `json:"ms"`
 }
 
 // lastAttempt returns the attempt that determined the outcome, the zero value if there
@@ -70,7 +73,7 @@
 		c.report.Unreadable++
 		return
 	}
-	c.report.LinesLeftOut += l.LinesLeftOut
+	c.report.LinesDropped += l.LinesDropped
 	switch l.Event {
 	case requestFailed:
 		c.failures = append(c.failures, l)
@@ -79,7 +82,7 @@
 			c.failures = append(c.failures, l)
 		}
 	case requestEnded:
-		if l.ExcusedByCall {
+		if l.FailedByCall {
 			c.failedByCall[l.Request+"@"+l.Instance] = true
 		}
 	case requestRefused:
--- a/internal/losses/losses.go
+++ b/internal/losses/losses.go
@@ -38,7 +38,8 @@
 	CauseCancelled Cause = "the caller left"
 )
 
-// rejectedCause returns the cause of a request that this system itself failed.
+// rejectedCause returns the cause of a request that was answered with an error of the
+// proxy instead of a response from an instance.
 func rejectedCause(reason string) Cause {
 	if reason == "cancelled" {
 		return CauseCancelled
@@ -53,7 +54,7 @@
 	unhealthyThreshold, suspectThreshold = 0.5, 0.1
 	// immediateMS is the longest time of an immediate failure, in milliseconds.
 	// Unhealthy instances fail within 2 ms; the rest allows for network latency. A
-	// refusal within this time does not count as a wait.
+	// request that is refused within this time does not count as having waited.
 	immediateMS = 50
 )
 
@@ -68,24 +69,24 @@
 	Route   string  `json:"route"`
 	Service string  `json:"service"`
 	Cause   Cause   `json:"cause"`
-	Lost    int     `json:"lost"`
+	Failed  int     `json:"lost"`
 	Example Example `json:"example"`
-	// Calls is how many of them were made by an instance. Each of them also fails the
-	// request that the instance was serving.
+	// Calls is the number of these requests that were made by an instance. Each of them
+	// also fails the request that the instance was serving.
 	Calls int `json:"calls"`
 }
 
 // Window counts the failed requests of one time window by cause.
 type Window struct {
 	From   time.Time     `json:"from"`
-	Lost   int           `json:"lost"`
+	Failed int           `json:"lost"`
 	Causes map[Cause]int `json:"causes"`
 }
 
 // Retries counts the retries of failed requests.
 type Retries struct {
-	// Sent is the number of attempts that reached an instance, without the first one of
-	// each request.
+	// Sent is the number of attempts that reached an instance, not counting the first
+	// such attempt of each request.
 	Sent int `json:"sent"`
 	// OverBudget is the number of requests that were not retried because the retry budget
 	// was exhausted, and Refused the number of refusals by guards for that reason.
@@ -104,14 +105,14 @@
 
 // Report is the summary of the logs that a Collector has read.
 type Report struct {
-	Lost    int            `json:"lost"`
+	Failed  int            `json:"lost"`
 	Rows    []Row          `json:"rows"`
 	Windows []Window       `json:"windows"`
 	Retries Retries        `json:"repeats"`
 	Waits   []RefusedWaits `json:"waits"`
-	// LinesLeftOut is the number of lines that the daemons dropped at their log rate
+	// LinesDropped is the number of lines that the daemons dropped at their log rate
 	// limit, and Unreadable the number of lines that are not in the daemons' format.
-	LinesLeftOut uint64 `json:"linesLeftOut"`
+	LinesDropped uint64 `json:"linesLeftOut"`
 	Unreadable   int    `json:"unreadable"`
 }
 
@@ -139,7 +140,7 @@
 	for i := range c.failures {
 		l := &c.failures[i]
 		cause := c.classify(l)
-		out.Lost++
+		out.Failed++
 		out.Retries.add(l)
 		addRow(rows, l, cause)
 		from := l.At.Truncate(c.window)
@@ -148,14 +149,14 @@
 			w = &Window{From: from, Causes: make(map[Cause]int)}
 			windows[from] = w
 		}
-		w.Lost++
+		w.Failed++
 		w.Causes[cause]++
 	}
 	for _, r := range rows {
 		out.Rows = append(out.Rows, *r)
 	}
 	slices.SortFunc(out.Rows, func(a, b Row) int {
-		return cmp.Or(cmp.Compare(a.Route, b.Route), cmp.Compare(b.Lost, a.Lost), cmp.Compare(a.Cause, b.Cause))
+		return cmp.Or(cmp.Compare(a.Route, b.Route), cmp.Compare(b.Failed, a.Failed), cmp.Compare(a.Cause, b.Cause))
 	})
 	for _, w := range windows {
 		out.Windows = append(out.Windows, *w)
@@ -175,7 +176,7 @@
 		r = &Row{Route: l.Route, Service: l.Service, Cause: cause, Example: Example{l.Request, l.At}}
 		rows[key] = r
 	}
-	r.Lost++
+	r.Failed++
 	if isInstanceCall(l.Request) {
 		r.Calls++
 	}
@@ -198,9 +199,9 @@
 		return CauseCallFailed
 	case last.MS > immediateMS:
 		return CauseLateFailure
-	case last.Sick >= unhealthyThreshold:
+	case last.FailureEstimate >= unhealthyThreshold:
 		return CauseUnhealthy
-	case last.Sick >= suspectThreshold:
+	case last.FailureEstimate >= suspectThreshold:
 		return CauseSuspect
 	default:
 		return CauseHealthy
@@ -217,7 +218,7 @@
 		}
 		ranBefore = ranBefore || ran
 	}
-	if !l.RepeatUnpaid {
+	if !l.RetryOverBudget {
 		return
 	}
 	if r.OverBudget++; r.OverBudget == 1 {
--- a/internal/losses/losses_test.go
+++ b/internal/losses/losses_test.go
@@ -27,7 +27,7 @@
 	c := NewCollector(5 * time.Second)
 	assert.NilError(t, c.Read(strings.NewReader(logs)))
 	r := c.Report()
-	assert.Equal(t, r.Lost, 7)
+	assert.Equal(t, r.Failed, 7)
 	type row struct {
 		route string
 		cause Cause
@@ -37,7 +37,7 @@
 	var rows []row
 	for _, x := range r.Rows {
 		assert.Assert(t, x.Example.Request != "")
-		rows = append(rows, row{x.Route, x.Cause, x.Lost, x.Calls})
+		rows = append(rows, row{x.Route, x.Cause, x.Failed, x.Calls})
 	}
 	assert.Assert(t, len(rows) == 7)
 	for _, want := range []row{
@@ -51,14 +51,14 @@
 		assert.Assert(t, found, "%v is not in %v", want, rows)
 	}
 	assert.Equal(t, len(r.Windows), 2)
-	assert.Equal(t, r.Windows[0].Lost, 4)
+	assert.Equal(t, r.Windows[0].Failed, 4)
 	assert.Equal(t, r.Retries.Sent, 1)
 	assert.Equal(t, r.Retries.OverBudget, 1)
 	assert.Equal(t, r.Retries.Refused, 1)
 	assert.Equal(t, r.Retries.Example.Request, "a1")
 	assert.Equal(t, len(r.Waits), 1)
 	assert.Equal(t, r.Waits[0].Longest, 4013*time.Millisecond)
-	assert.Equal(t, r.LinesLeftOut, uint64(3))
+	assert.Equal(t, r.LinesDropped, uint64(3))
 	assert.Equal(t, r.Unreadable, 1)
 }
 
@@ -70,8 +70,8 @@
 		_ = c.Read(strings.NewReader(text))
 		sum := 0
 		for _, row := range c.Report().Rows {
-			sum += row.Lost
+			sum += row.Failed
 		}
-		assert.Equal(t, sum, c.Report().Lost)
+		assert.Equal(t, sum, c.Report().Failed)
 	})
 }
