--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -107,7 +107,7 @@
 	}, keys.Hooks{DistributeMap: func(obj objects.Object) { d.control.ApplyObject(obj) }}, store, log)
 	d.guard = guard.New(guard.Config{
 		Host: cfg.Host, QueuePerSlot: cfg.QueuePerSlot, GrantTTL: cfg.GrantTTL,
-		TargetIdleTimeout: cfg.TargetIdle, Dialect: adapter.Dialect,
+		TargetIdleTimeout: cfg.TargetIdleTimeout, Dialect: adapter.Dialect,
 	}, guardLimits(cfg), log, d.keys, guard.Hooks{
 		Changed:    func() { d.control.InstancesChanged() },
 		LoadReport: d.distributeLoadReport,
@@ -116,7 +116,7 @@
 		Blocked:    func(s guard.BlockedRequest) { d.control.StoreCrasher(s.Fingerprint, s.Request, s.Crashes) },
 	})
 	d.teams = teams.New(teams.Config{
-		Host: cfg.Host, Incarnation: uint64(d.started.UnixMilli()), Allowance: cfg.TeamAllowance, AllowanceFraction: cfg.TeamOver, Window: cfg.TeamWindow,
+		Host: cfg.Host, Incarnation: uint64(d.started.UnixMilli()), Allowance: cfg.TeamAllowance, AllowanceFraction: cfg.TeamAllowanceFraction, Window: cfg.TeamWindow,
 		Send: func(to string, p *msg.TeamPacket) { d.control.SendTeamPacket(to, p) },
 	})
 	d.control = control.New(controlConfig(cfg, adapter.RequiredRecords, d.started), control.Hooks{
@@ -164,7 +164,7 @@
 
 func controlConfig(cfg *settings.Config, needs []record.Key, started time.Time) control.Config {
 	m := member.DefaultConfig(cfg.Host)
-	m.ProbeInterval, m.ProbeTimeout, m.SuspicionTimeout = cfg.ProbeInterval, cfg.ProbeTimeout, cfg.Suspicion
+	m.ProbeInterval, m.ProbeTimeout, m.SuspicionTimeout = cfg.ProbeInterval, cfg.ProbeTimeout, cfg.SuspicionTimeout
 	r := config.DefaultConfig()
 	r.RepairInterval = cfg.RepairInterval
 	return control.Config{
--- a/internal/settings/keys.go
+++ b/internal/settings/keys.go
@@ -14,7 +14,7 @@
 	"github.com/radishhoist/radishhoist/record"
 )
 
-// key is one row of the settings reference.
+// key is one settings key, a row of the settings reference.
 type key struct {
 	section, name string
 	def           string
@@ -22,16 +22,16 @@
 	// unit and bound (the allowed values) are shown in the reference.
 	unit, bound string
 	doc         string
-	// remedy is what to write instead of an invalid value.
-	remedy string
-	set    func(*Config, string) error
+	// expected describes a valid value, for error messages.
+	expected string
+	set      func(*Config, string) error
 	// get returns the value in the form that set accepts, to compare two files.
 	get func(*Config) string
 	// live is set if a running process applies a new value.
 	live bool
 }
 
-const addressRemedy = "an IP number and a port, for example 127.0.0.1:8080"
+const expectedAddress = "an IP address and a port, for example 127.0.0.1:8080"
 
 var keys = []key{
 	identifier("host", "name", "this host's name, unique in the fleet", func(c *Config) *string { return &c.Host }),
@@ -46,48 +46,49 @@
 	adapterKey(),
 	seedsKey(),
 	levelKey(),
-	number("limits", "max_header_bytes", "65536", "bytes", 4096, 1<<20, "largest request header from a caller", func(c *Config) *int { return &c.MaxHeaderBytes }),
-	live(number("limits", "max_body_bytes", "33554432", "bytes", 1024, 1<<30, "largest request body from a caller", func(c *Config) *int { return &c.MaxBodyBytes })),
-	number("limits", "buffer_body_bytes", "262144", "bytes", 0, 8<<20, "how much of a request body is kept so that a retry can send it again; larger bodies are sent once", func(c *Config) *int { return &c.BufferBodyBytes }),
-	number("limits", "max_conns", "4096", "connections", 16, 1<<20, "callers' connections held at once; more wait to be accepted", func(c *Config) *int { return &c.MaxConns }),
-	live(number("limits", "memory_mb", "0", "MB", 0, 1<<20, "memory the process may use before it is killed; the garbage collector then works harder well below it; 0 for no bound", func(c *Config) *int { return &c.MemoryMB })),
-	number("limits", "max_fds", "0", "descriptors", 0, 1<<20, "file descriptors the process may hold; callers' connections get half of them at most; 0 for no bound", func(c *Config) *int { return &c.MaxFDs }),
+	integer("limits", "max_header_bytes", "65536", "bytes", 4096, 1<<20, "largest request header from a caller", func(c *Config) *int { return &c.MaxHeaderBytes }),
+	live(integer("limits", "max_body_bytes", "33554432", "bytes", 1024, 1<<30, "largest request body from a caller", func(c *Config) *int { return &c.MaxBodyBytes })),
+	integer("limits", "buffer_body_bytes", "262144", "bytes", 0, 8<<20, "how much of a request body is kept so that a retry can send it again; larger bodies are sent once", func(c *Config) *int { return &c.BufferBodyBytes }),
+	integer("limits", "max_conns", "4096", "connections", 16, 1<<20, "callers' connections held at once; more wait to be accepted", func(c *Config) *int { return &c.MaxConns }),
+	live(integer("limits", "memory_mb", "0", "MB", 0, 1<<20, "memory the process may use before it is killed; the garbage collector then works harder well below it; 0 for no bound", func(c *Config) *int { return &c.MemoryMB })),
+	integer("limits", "max_fds", "0", "descriptors", 0, 1<<20, "file descriptors the process may hold; callers' connections get half of them at most; 0 for no bound", func(c *Config) *int { return &c.MaxFDs }),
 	duration("limits", "header_timeout", "5s", 100*time.Millisecond, time.Minute, "time a caller has to send a request header", func(c *Config) *time.Duration { return &c.HeaderTimeout }),
 	duration("limits", "idle_timeout", "90s", time.Second, time.Hour, "time an idle caller's connection is kept", func(c *Config) *time.Duration { return &c.IdleTimeout }),
-	number("guard", "queue_per_slot", "4", "requests per slot", 0, 100, "requests that may wait at an instance; more means fewer refusals in a burst and longer waits", func(c *Config) *int { return &c.QueuePerSlot }),
+	integer("guard", "queue_per_slot", "4", "requests per slot", 0, 100, "requests that may wait at an instance; more means fewer refusals in a burst and longer waits", func(c *Config) *int { return &c.QueuePerSlot }),
 	duration("guard", "grant_life", "250ms", 10*time.Millisecond, 10*time.Second, "time a reserved slot is held for a request that is not idempotent; longer survives slower paths and wastes more slots on lost fronts", func(c *Config) *time.Duration { return &c.GrantTTL }),
 	live(duration("guard", "announce_expiry", "5s", time.Second, time.Minute, "time a target may go without announcing itself before it counts as gone", func(c *Config) *time.Duration { return &c.AnnounceExpiry })),
 	live(duration("guard", "drain_timeout", "60s", time.Second, time.Hour, "time from the signal to stop until the process is killed: it ends a tenth of it earlier, and reports the requests that still ran", func(c *Config) *time.Duration { return &c.DrainTimeout })),
-	duration("guard", "target_idle", "30s", time.Second, 10*time.Minute, "time an idle connection to a target is kept; keep it under the target's own idle time", func(c *Config) *time.Duration { return &c.TargetIdle }),
+	duration("guard", "target_idle", "30s", time.Second, 10*time.Minute, "time an idle connection to a target is kept; keep it under the target's own idle time", func(c *Config) *time.Duration { return &c.TargetIdleTimeout }),
 	duration("control", "probe_interval", "1s", 50*time.Millisecond, time.Minute, "time between two membership probes of one host; shorter finds dead hosts sooner and sends more", func(c *Config) *time.Duration { return &c.ProbeInterval }),
 	duration("control", "probe_timeout", "300ms", 10*time.Millisecond, 10*time.Second, "time a direct probe may go unanswered before other hosts are asked", func(c *Config) *time.Duration { return &c.ProbeTimeout }),
-	duration("control", "suspicion", "4s", 100*time.Millisecond, time.Minute, "time a suspected host has to refute; shorter is quicker and wrong more often", func(c *Config) *time.Duration { return &c.Suspicion }),
+	duration("control", "suspicion", "4s", 100*time.Millisecond, time.Minute, "time a suspected host has to refute; shorter is quicker and wrong more often", func(c *Config) *time.Duration { return &c.SuspicionTimeout }),
 	duration("control", "apply_within", "17s", 100*time.Millisecond, 10*time.Minute, "time in which an acknowledged record is to be in force on every host; written steps that together take longer are refused", func(c *Config) *time.Duration { return &c.ApplyWithin }),
 	derived(duration("control", "repair_interval", "5s", 100*time.Millisecond, time.Minute, "time between two digests of the record set to a random peer", func(c *Config) *time.Duration { return &c.RepairInterval }), maxDerivedRepairInterval),
 	derived(duration("control", "away_max", "2s", 100*time.Millisecond, time.Minute, "longest pause between two calls to a platform that does not answer; longer spares it, shorter notices its return sooner", func(c *Config) *time.Duration { return &c.MaxRetryInterval }), maxDerivedRetryInterval),
 	derived(duration("control", "watch_wait", "25s", 100*time.Millisecond, 30*time.Second, "time the platform is asked to hold a watch open; shorter makes more calls and bounds how long a watcher can miss news without a sign", func(c *Config) *time.Duration { return &c.WatchWait }), maxDerivedWatchWait),
 	duration("control", "status_interval", "5s", time.Second, time.Hour, "least time between two summaries of what is in force, which a data centre writes to the platform", func(c *Config) *time.Duration { return &c.StatusInterval }),
-	number("control", "watchers_per_dc", "2", "hosts", 1, 16, "hosts of a data centre that watch the platform; each waiting watch counts as a platform read", func(c *Config) *int { return &c.WatchersPerDC }),
+	integer("control", "watchers_per_dc", "2", "hosts", 1, 16, "hosts of a data centre that watch the platform; each waiting watch counts as a platform read", func(c *Config) *int { return &c.WatchersPerDC }),
 	duration("control", "promise_life", "3s", 100*time.Millisecond, time.Minute, "life of a promise to a key owner; longer rides out longer cuts and delays the successor more", func(c *Config) *time.Duration { return &c.LeaseDuration }),
-	live(fraction("retry", "reserve", "24", 0, 1e6, "repeats", "repeats that a service may have in a window beyond its share of the requests, over all hosts together", func(c *Config) *float64 { return &c.RetryReserve })),
+	live(decimal("retry", "reserve", "24", 0, 1e6, "repeats", "repeats that a service may have in a window beyond its share of the requests, over all hosts together", func(c *Config) *float64 { return &c.RetryReserve })),
 	live(duration("retry", "window", "10s", time.Second, 10*time.Minute, "span in which requests and repeats are counted; longer lets a calm time pay for a worse one behind it", func(c *Config) *time.Duration { return &c.RetryWindow })),
-	fraction("teams", "allowance", "20", 0, 1e6, "requests", "requests that a team may have beyond its limit in any window over all hosts; most are let pass, the rest is for what hosts do not know of each other yet", func(c *Config) *float64 { return &c.TeamAllowance }),
-	fraction("teams", "over", "0.1", 0, 1, "share", "the same as a part of what the limit allows in a window, beside the allowance", func(c *Config) *float64 { return &c.TeamOver }),
+	decimal("teams", "allowance", "20", 0, 1e6, "requests", "requests that a team may have beyond its limit in any window over all hosts; most are let pass, the rest is for what hosts do not know of each other yet", func(c *Config) *float64 { return &c.TeamAllowance }),
+	decimal("teams", "over", "0.1", 0, 1, "share", "the same as a part of what the limit allows in a window, beside the allowance", func(c *Config) *float64 { return &c.TeamAllowanceFraction }),
 	duration("teams", "window", "5s", time.Second, time.Minute, "span in which a team's requests are counted against its limit and the allowance", func(c *Config) *time.Duration { return &c.TeamWindow }),
 	presetKey(),
-	fraction("defaults", "floor_share", "0.7", 0.01, 1, "share", "healthy capacity that ejection never goes below, for services that the platform names without a Service record", func(c *Config) *float64 { return &c.FloorShare }),
-	fraction("defaults", "retry_share", "0.1", 0, 0.5, "share", "repeats that each request earns, for the same services", func(c *Config) *float64 { return &c.RetryShare }),
+	decimal("defaults", "floor_share", "0.7", 0.01, 1, "share", "healthy capacity that ejection never goes below, for services that the platform names without a Service record", func(c *Config) *float64 { return &c.FloorShare }),
+	decimal("defaults", "retry_share", "0.1", 0, 0.5, "share", "repeats that each request earns, for the same services", func(c *Config) *float64 { return &c.RetryShare }),
 }
 
+// identifier returns a required key whose value is a name.
 func identifier(section, name, doc string, field func(*Config) *string) key {
 	return key{
 		section: section, name: name, required: true, doc: doc,
 		unit: "name", bound: "1 to 64 letters, digits, '.', '_' or '-'",
-		remedy: "1 to 64 letters, digits, '.', '_' or '-'",
-		get:    func(c *Config) string { return *field(c) },
+		expected: "1 to 64 letters, digits, '.', '_' or '-'",
+		get:      func(c *Config) string { return *field(c) },
 		set: func(c *Config, v string) error {
 			if !validName(v) {
-				return errors.Errorf("%q is not a name", v)
+				return errors.Errorf("%q is not a valid name", v)
 			}
 			*field(c) = v
 			return nil
@@ -111,14 +112,16 @@
 	return strings.Trim(v, "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789._-") == ""
 }
 
+// address returns a required key whose value is an IP address and a port. With loopback
+// set, only loopback addresses are allowed.
 func address(section, name, doc string, loopback bool, field func(*Config) *string) key {
 	k := key{
 		section: section, name: name, required: true, doc: doc,
-		unit: "IP:port", bound: "an IP number, port 1 to 65535", remedy: addressRemedy,
+		unit: "IP:port", bound: "an IP number, port 1 to 65535", expected: expectedAddress,
 	}
 	if loopback {
 		k.bound = "a loopback IP number, port 1 to 65535"
-		k.remedy = "a loopback IP number and a port, for example 127.0.0.1:7700"
+		k.expected = "a loopback IP address and a port, for example 127.0.0.1:7700"
 	}
 	k.get = func(c *Config) string { return *field(c) }
 	k.set = func(c *Config, v string) error {
@@ -134,33 +137,33 @@
 func checkAddress(v string, loopback bool) error {
 	host, port, err := net.SplitHostPort(v)
 	if err != nil {
-		return errors.Errorf("%q is not an address", v)
+		return errors.Errorf("%q is not an IP address and a port", v)
 	}
 	ip := net.ParseIP(host)
 	if ip == nil {
-		return errors.Errorf("%q is not an IP number", host)
+		return errors.Errorf("%q is not an IP address", host)
 	}
 	if loopback && !ip.IsLoopback() {
-		return errors.Errorf("%q is not a loopback IP number", host)
+		return errors.Errorf("%q is not a loopback IP address", host)
 	}
 	if n, err := strconv.Atoi(port); err != nil || n < 1 || n > 65535 {
-		return errors.Errorf("%q is not a port", port)
+		return errors.Errorf("%q is not a port number from 1 to 65535", port)
 	}
 	return nil
 }
 
-func number(section, name, def, unit string, low, high int, doc string, field func(*Config) *int) key {
+func integer(section, name, def, unit string, low, high int, doc string, field func(*Config) *int) key {
 	bound := fmt.Sprintf("%d to %d", low, high)
 	return key{
-		section: section, name: name, def: def, unit: unit, bound: bound, doc: doc, remedy: "a whole number, " + bound,
+		section: section, name: name, def: def, unit: unit, bound: bound, doc: doc, expected: "an integer, " + bound,
 		get: func(c *Config) string { return strconv.Itoa(*field(c)) },
 		set: func(c *Config, v string) error {
 			n, err := strconv.Atoi(v)
 			if err != nil {
-				return errors.Errorf("%q is not a whole number", v)
+				return errors.Errorf("%q is not an integer", v)
 			}
 			if n < low || n > high {
-				return errors.Errorf("%d is out of bounds", n)
+				return errors.Errorf("%d is out of range", n)
 			}
 			*field(c) = n
 			return nil
@@ -172,15 +175,15 @@
 	bound := fmt.Sprintf("%s to %s", low, high)
 	return key{
 		section: section, name: name, def: def, unit: "time with its unit", bound: bound, doc: doc,
-		remedy: "a time with its unit, " + bound + ", for example " + def,
-		get:    func(c *Config) string { return field(c).String() },
+		expected: "a duration with a unit, " + bound + ", for example " + def,
+		get:      func(c *Config) string { return field(c).String() },
 		set: func(c *Config, v string) error {
 			d, err := time.ParseDuration(v)
 			if err != nil {
-				return errors.Errorf("%q is not a time with its unit", v)
+				return errors.Errorf("%q is not a duration with a unit", v)
 			}
 			if d < low || d > high {
-				return errors.Errorf("%s is out of bounds", d)
+				return errors.Errorf("%s is out of range", d)
 			}
 			*field(c) = d
 			return nil
@@ -188,10 +191,10 @@
 	}
 }
 
-func fraction(section, name, def string, low, high float64, unit, doc string, field func(*Config) *float64) key {
+func decimal(section, name, def string, low, high float64, unit, doc string, field func(*Config) *float64) key {
 	bound := fmt.Sprintf("%g to %g", low, high)
 	return key{
-		section: section, name: name, def: def, unit: unit, bound: bound, doc: doc, remedy: "a number, " + bound,
+		section: section, name: name, def: def, unit: unit, bound: bound, doc: doc, expected: "a number, " + bound,
 		get: func(c *Config) string { return strconv.FormatFloat(*field(c), 'g', -1, 64) },
 		set: func(c *Config, v string) error {
 			n, err := strconv.ParseFloat(v, 64)
@@ -199,7 +202,7 @@
 				return errors.Errorf("%q is not a number", v)
 			}
 			if !(n >= low && n <= high) {
-				return errors.Errorf("%g is out of bounds", n)
+				return errors.Errorf("%g is out of range", n)
 			}
 			*field(c) = n
 			return nil
@@ -211,7 +214,7 @@
 func choice(section, name, def, doc string, values []string, field func(*Config) *string) key {
 	bound := strings.Join(values, ", ")
 	return key{
-		section: section, name: name, def: def, unit: "word", bound: bound, doc: doc, remedy: "one of " + bound,
+		section: section, name: name, def: def, unit: "word", bound: bound, doc: doc, expected: "one of " + bound,
 		get: func(c *Config) string { return *field(c) },
 		set: func(c *Config, v string) error {
 			if !slices.Contains(values, v) {
@@ -228,7 +231,8 @@
 		[]string{record.PresetQuick, record.PresetCareful}, func(c *Config) *string { return &c.Preset })
 }
 
-// DefaultAdapter is the adapter for platforms that use this product's native API.
+// DefaultAdapter is the adapter for platforms that implement this project's own object
+// API.
 const DefaultAdapter = "own"
 
 // Adapters are the allowed values of [platform] adapter. The daemon adds the adapters
@@ -238,7 +242,7 @@
 func adapterKey() key {
 	k := choice("platform", "adapter", DefaultAdapter, "dialect of the platform, its callers and its targets", nil, func(c *Config) *string { return &c.Adapter })
 	k.bound = DefaultAdapter + ", or another that the daemon was built with"
-	k.remedy = DefaultAdapter + ", or another that the daemon was built with"
+	k.expected = DefaultAdapter + ", or another that the daemon was built with"
 	k.set = func(c *Config, v string) error {
 		if !slices.Contains(Adapters, v) {
 			return errors.Errorf("%q is not one of %s", v, strings.Join(Adapters, ", "))
@@ -252,13 +256,13 @@
 func platformKey() key {
 	return key{
 		section: "platform", name: "url", required: true, unit: "URL", bound: "http or https, host and port",
-		doc:    "base URL of the platform's object API",
-		remedy: "a URL, for example http://127.0.0.1:7000",
-		get:    func(c *Config) string { return c.Platform },
+		doc:      "base URL of the platform's object API",
+		expected: "a URL, for example http://127.0.0.1:7000",
+		get:      func(c *Config) string { return c.Platform },
 		set: func(c *Config, v string) error {
 			u, err := url.Parse(v)
 			if err != nil || u.Host == "" || (u.Scheme != "http" && u.Scheme != "https") {
-				return errors.Errorf("%q is not an http URL", v)
+				return errors.Errorf("%q is not an http or https URL with a host", v)
 			}
 			c.Platform = v
 			return nil
@@ -269,9 +273,9 @@
 func seedsKey() key {
 	return key{
 		section: "peers", name: "seeds", def: "", unit: "IP:port list", bound: "addresses with commas between",
-		doc:    "peer addresses to start from while the platform is away",
-		remedy: "comma-separated addresses, for example 10.0.0.1:7300, 10.0.0.2:7300",
-		get:    func(c *Config) string { return strings.Join(c.Seeds, ", ") },
+		doc:      "peer addresses to start from while the platform is away",
+		expected: "comma-separated addresses, for example 10.0.0.1:7300, 10.0.0.2:7300",
+		get:      func(c *Config) string { return strings.Join(c.Seeds, ", ") },
 		set: func(c *Config, v string) error {
 			c.Seeds = nil
 			for _, part := range strings.Split(v, ",") {
@@ -297,7 +301,7 @@
 // derived returns k as a key whose default is derived from apply_within.
 func derived(k key, longest time.Duration) key {
 	k.def = ""
-	k.doc += fmt.Sprintf("; by default %g of apply_within, %s at most, less where the sum would not fit", derivedShare, longest)
+	k.doc += fmt.Sprintf("; by default %g of apply_within, %s at most, less where the sum would not fit", derivedFraction, longest)
 	return k
 }
 
--- a/internal/settings/propagation.go
+++ b/internal/settings/propagation.go
@@ -8,7 +8,7 @@
 )
 
 // PropagationDelay is the worst-case time from the platform's acknowledgement of a record
-// until the record is in force on every host, if something goes wrong at each step.
+// until the record is in force on every host, with a failure at each step.
 type PropagationDelay struct {
 	// Notice is the time until a watcher detects the change after its pending watch
 	// was lost or rejected, for example because its connection broke or the platform
@@ -34,16 +34,16 @@
 	// intervals: each pause lasts 0.5 to 1.5 intervals. In simulations of 50 to 800
 	// hosts, all hosts that gossip had missed were repaired within 1.4 intervals.
 	maxRepairIntervals = 1.5
-	// derivedShare is the share of ApplyWithin that each timing gets if it is not
+	// derivedFraction is the fraction of ApplyWithin that each timing gets if it is not
 	// configured; below 2 s it gets less. Notice is then at most 0.3 of ApplyWithin plus
 	// 0.4 s, Distribution 0.1 s and Repair 0.45 of ApplyWithin, in total 2.0 s of 2 s and
 	// 13.3 s of 17 s.
-	derivedShare = 0.3
+	derivedFraction = 0.3
 	// minDerived is the shortest derived timing: a host can sustain ten watches,
 	// retries or digests per second.
 	minDerived = 100 * time.Millisecond
-	// maxDerivedRetryInterval is the longest derived MaxRetryInterval. During an outage of hours,
-	// two hosts of each data centre then call the platform every 2 s, which is a
+	// maxDerivedRetryInterval is the longest derived MaxRetryInterval. During an outage of
+	// hours, two hosts of each data centre then call the platform every 2 s, which is a
 	// negligible load.
 	maxDerivedRetryInterval = 2 * time.Second
 	// maxDerivedWatchWait and maxDerivedRepairInterval limit the other two. The platform
@@ -61,13 +61,13 @@
 	}
 }
 
-// deriveTimings sets WatchWait, MaxRetryInterval and RepairInterval from ApplyWithin if they are
-// not configured.
+// deriveTimings sets WatchWait, MaxRetryInterval and RepairInterval from ApplyWithin, each
+// unless it is configured.
 func (c *Config) deriveTimings() {
 	c.timingsConfigured = c.WatchWait != 0 || c.MaxRetryInterval != 0 || c.RepairInterval != 0
 	fixed := objects.LateThreshold + distributionTime
 	longestFit := time.Duration(float64(c.ApplyWithin-fixed) / (1 + maxRepairIntervals))
-	timing := min(time.Duration(derivedShare*float64(c.ApplyWithin)), longestFit)
+	timing := min(time.Duration(derivedFraction*float64(c.ApplyWithin)), longestFit)
 	timing = max(timing, minDerived).Round(time.Millisecond)
 	derive := func(field *time.Duration, longest time.Duration) {
 		if *field == 0 {
--- a/internal/settings/reload_test.go
+++ b/internal/settings/reload_test.go
@@ -7,9 +7,9 @@
 )
 
 func TestAdoptAppliesLiveKeysOnly(t *testing.T) {
-	running, err := Parse("f.ini", []byte(good))
+	running, err := Parse("f.ini", []byte(validSettings))
 	assert.NilError(t, err)
-	updated, err := Parse("f.ini", []byte(good+"[log]\nlevel = warn\n[guard]\ngrant_life = 2s\n"))
+	updated, err := Parse("f.ini", []byte(validSettings+"[log]\nlevel = warn\n[guard]\ngrant_life = 2s\n"))
 	assert.NilError(t, err)
 	assert.DeepEqual(t, Compare(running, updated), []Change{{Key: "[log] level", Live: true}, {Key: "[guard] grant_life"}})
 	adopted := Adopt(running, updated)
@@ -21,7 +21,7 @@
 // For every key, get must return a value that set accepts and that reads back the same;
 // otherwise Compare would miss changes of the key.
 func TestEveryKeyRoundTrips(t *testing.T) {
-	c, err := Parse("f.ini", []byte(good))
+	c, err := Parse("f.ini", []byte(validSettings))
 	assert.NilError(t, err)
 	for _, k := range keys {
 		value := k.get(c)
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -43,10 +43,10 @@
 	Adapter string
 	// Seeds are peer addresses to join through if the platform is unavailable at start.
 	Seeds []string
-	// TeamAllowance and TeamOver are how far a team may exceed its limit in any
-	// TeamWindow over all hosts: a number of requests plus a fraction of the limit.
-	TeamAllowance, TeamOver float64
-	TeamWindow              time.Duration
+	// TeamAllowance and TeamAllowanceFraction are how far a team may exceed its limit in
+	// any TeamWindow over all hosts: a number of requests plus a fraction of the limit.
+	TeamAllowance, TeamAllowanceFraction float64
+	TeamWindow                           time.Duration
 	// LogLevel is debug, info, warn or error.
 	LogLevel string
 
@@ -73,17 +73,18 @@
 	GrantTTL time.Duration
 	// AnnounceExpiry is how long after its last announcement a target counts as gone.
 	AnnounceExpiry time.Duration
-	// DrainTimeout is the time from the stop signal until the process is killed.
+	// DrainTimeout is the time from the stop signal until the process is killed, in which
+	// the daemon has to finish its requests and exit.
 	DrainTimeout time.Duration
-	// TargetIdle is how long an idle connection to a target is kept.
-	TargetIdle time.Duration
+	// TargetIdleTimeout is how long an idle connection to a target is kept.
+	TargetIdleTimeout time.Duration
 
 	// ProbeInterval is the time between two membership probes.
 	ProbeInterval time.Duration
 	// ProbeTimeout is how long to wait for the response to a direct probe.
 	ProbeTimeout time.Duration
-	// Suspicion is how long a suspected host has to refute before it is declared dead.
-	Suspicion time.Duration
+	// SuspicionTimeout is how long a suspected host has to refute before it is declared dead.
+	SuspicionTimeout time.Duration
 	// RepairInterval is the mean time between digests of the record set that are sent to
 	// a random peer.
 	RepairInterval time.Duration
@@ -106,13 +107,15 @@
 	StatusInterval time.Duration
 
 	// RetryReserve is the number of retries that a service may make in a RetryWindow
-	// in addition to its share of the requests, over all hosts.
+	// beyond the percentage of its requests that its retry budget allows, over all hosts.
 	RetryReserve float64
 	// RetryWindow is the window in which requests and retries are counted.
 	RetryWindow time.Duration
 
 	// Preset, FloorShare and RetryShare apply to services that the platform names
-	// without a Service record.
+	// without a Service record. Preset selects the failure-detection parameters.
+	// FloorShare is the fraction of the capacity that ejection leaves in use, and
+	// RetryShare the number of retries allowed per request.
 	Preset     string
 	FloorShare float64
 	RetryShare float64
@@ -164,21 +167,21 @@
 		section := file.Section(k.section)
 		if !section.HasKey(k.name) {
 			if k.required {
-				problems = append(problems, fmt.Sprintf("%s: [%s] %s: is missing; write %s", path, k.section, k.name, k.remedy))
+				problems = append(problems, fmt.Sprintf("%s: [%s] %s: is missing; expected %s", path, k.section, k.name, k.expected))
 			}
 			continue
 		}
 		value := section.Key(k.name).String()
 		if err := k.set(c, value); err != nil {
-			problems = append(problems, fmt.Sprintf("%s: [%s] %s: %v; write %s", path, k.section, k.name, err, k.remedy))
+			problems = append(problems, fmt.Sprintf("%s: [%s] %s: %v; expected %s", path, k.section, k.name, err, k.expected))
 		}
 	}
 	if err := c.checkAnnounce(); err != nil {
-		problems = append(problems, fmt.Sprintf("%s: [listen] announce: %v; write a loopback IP number and a port, for example 127.0.0.1:7700", path, err))
+		problems = append(problems, fmt.Sprintf("%s: [listen] announce: %v; expected a loopback IP address and a port, for example 127.0.0.1:7700", path, err))
 	}
 	c.deriveTimings()
 	if err := c.checkPropagationDelay(); err != nil {
-		problems = append(problems, fmt.Sprintf("%s: [control] apply_within: %s is too short: %v; shorten or remove these keys, or write a longer apply_within", path, c.ApplyWithin, err))
+		problems = append(problems, fmt.Sprintf("%s: [control] apply_within: %s is too short: %v; shorten or remove these keys, or set a longer apply_within", path, c.ApplyWithin, err))
 	}
 	if len(problems) > 0 {
 		return nil, errors.New(strings.Join(problems, "\n"))
@@ -187,13 +190,13 @@
 }
 
 // checkAnnounce restricts the announce address to loopback or an IP of this host, because
-// whoever announces a target receives the target's requests.
+// a process that announces a target receives the target's requests.
 func (c *Config) checkAnnounce() error {
 	host := ipOf(c.Announce)
 	if host == "" || net.ParseIP(host).IsLoopback() || host == ipOf(c.Callers) || host == ipOf(c.Peer) {
 		return nil
 	}
-	return errors.Errorf("%q is not a loopback IP number, nor the IP number of callers or peer", host)
+	return errors.Errorf("%q is neither a loopback address nor the IP address of callers or peer", host)
 }
 
 func ipOf(addr string) string {
@@ -235,7 +238,7 @@
 			if suggested, ok := suggestKey(key.Name()); ok {
 				remedy = fmt.Sprintf("did you mean [%s] %s?", suggested.section, suggested.name)
 			}
-			problems = append(problems, fmt.Sprintf("%s: [%s] %s: is not a key; %s", path, section.Name(), key.Name(), remedy))
+			problems = append(problems, fmt.Sprintf("%s: [%s] %s: is not a settings key; %s", path, section.Name(), key.Name(), remedy))
 		}
 	}
 	return problems
