--- a/internal/daemon/bench_test.go
+++ b/internal/daemon/bench_test.go
@@ -20,9 +20,8 @@
 	"github.com/radishhoist/radishhoist/record"
 )
 
-// pair is two daemons in this process: one with a front only, and one with a target
-// beside it.
-type pair struct {
+// daemonPair is two daemons in this process: front has no target, host has one.
+type daemonPair struct {
 	front, host *Daemon
 	target      *target.Server
 }
@@ -72,7 +71,7 @@
 	return d
 }
 
-func startPair(tb testing.TB) *pair {
+func startDaemonPair(tb testing.TB) *daemonPair {
 	tb.Helper()
 	daemons := startDaemons(tb, startPlatform(tb))
 	t, err := target.Start(target.Config{Name: "t", Service: "s", Address: "127.0.0.1:0", Announce: daemons[1].cfg.Load().Announce, Slots: 256})
@@ -83,7 +82,7 @@
 			d.Shutdown(nil)
 		}
 	})
-	p := &pair{front: daemons[0], host: daemons[1], target: t}
+	p := &daemonPair{front: daemons[0], host: daemons[1], target: t}
 	for end := time.Now().Add(20 * time.Second); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 		s := p.front.front.Status()
 		if len(s) == 1 && s[0].HealthySlots > 0 && p.host.ready.Load() {
@@ -111,7 +110,7 @@
 // its host, and a call through the front of another host. All three include the cost
 // of the caller and the target.
 func BenchmarkRequest(b *testing.B) {
-	p := startPair(b)
+	p := startDaemonPair(b)
 	for _, c := range []struct{ name, url string }{
 		{"direct", "http://" + p.target.Address() + "/x"},
 		{"sameHost", "http://" + p.host.cfg.Load().Callers + "/x"},
--- a/internal/daemon/crash_test.go
+++ b/internal/daemon/crash_test.go
@@ -156,8 +156,8 @@
 const crashPropagationTimeout = 500 * time.Millisecond
 
 // waitForSuspect waits until the suspects command lists a request that has crashed one
-// instance, and returns its output. The crash report is sent separately from the answer to
-// the request and may arrive later.
+// instance, and returns its output. The crash report is sent separately from the response
+// to the request and may arrive later.
 func waitForSuspect(t *testing.T, platform string, d *Daemon) string {
 	t.Helper()
 	shown := ""
@@ -230,9 +230,9 @@
 }
 
 // The fingerprint of a request must not include the Host header when its route matches
-// every host. Callers address each front by its own address, so in a soak one request had
-// another fingerprint at each front: each blocked it only after three crashes, and
-// eighteen instances crashed for one path.
+// every host. Callers address each front by its own address. In a soak test, the same
+// request therefore had another fingerprint at each front; each front blocked it only
+// after three crashes, and one path crashed eighteen instances.
 func TestFingerprintOmitsHostHeader(t *testing.T) {
 	daemons := startDaemons(t, startPlatform(t))
 	defer shutdown(daemons)
@@ -249,9 +249,10 @@
 	assert.Equal(t, len(i.Runs().CrashTimes), 3)
 }
 
-// Non-idempotent requests without a key, with a key, and with a body too large to buffer:
-// each that reached an instance is reported as "may have run", and each after the third
-// crash as "not run". Blocking it does not block another body or another path.
+// Sends non-idempotent requests without a key, with a key, and with a body too large to
+// buffer. Each one that reached an instance must be reported as "may have run", and each
+// one after the third crash as "not run". Blocking it must not block another body or
+// another path.
 func TestVerdictsOfBlockedNonIdempotentRequests(t *testing.T) {
 	daemons := startDaemons(t, startPlatform(t))
 	defer shutdown(daemons)
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -36,7 +36,8 @@
 	"github.com/radishhoist/radishhoist/record"
 )
 
-// PlatformAdapter are the platform-specific parts of a daemon, which a deployment may replace.
+// PlatformAdapter holds the platform-specific parts of a daemon, which a deployment may
+// replace.
 type PlatformAdapter struct {
 	// Store is the platform's object API.
 	Store objects.Store
@@ -81,20 +82,21 @@
 }
 
 const (
-	// firstMessageTimeout bounds the wait for the first message on a stream.
+	// firstMessageTimeout bounds the wait for the first message on a stream from a peer.
 	firstMessageTimeout = 10 * time.Second
-	// guardTickInterval is the resolution of grants and deadlines in the guard.
+	// guardTickInterval is the interval at which the guard checks for expired grants and
+	// deadlines.
 	guardTickInterval = 20 * time.Millisecond
-	// sweepInterval is how often idle peer connections are closed.
-	sweepInterval = time.Minute
+	// idleSweepInterval is how often idle peer connections are closed.
+	idleSweepInterval = time.Minute
 	// failedStartTimeout bounds the cleanup after a failed start.
 	failedStartTimeout = time.Second
-	// adminTimeout bounds reading an admin, readiness or announce request.
+	// adminTimeout bounds the time to read a request to the admin, readiness or announce
+	// address.
 	adminTimeout = 5 * time.Second
 )
 
-// Start opens all sockets and starts the roles. On error it stops whatever it had
-// started.
+// Start opens all sockets and starts the roles. On error it stops what it has started.
 func Start(cfg *settings.Config, adapter PlatformAdapter, log *slog.Logger) (*Daemon, error) {
 	log = log.With(slog.String("host", cfg.Host), slog.String("dc", cfg.DC))
 	d := &Daemon{log: log, started: time.Now(), store: adapter.Store}
@@ -143,9 +145,9 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	d.cancel = cancel
-	d.goRun(func() { d.control.Run(ctx) })
-	d.goRun(func() { d.tick(ctx) })
-	d.goRun(func() { d.keys.Run(ctx) })
+	d.startTask(func() { d.control.Run(ctx) })
+	d.startTask(func() { d.tick(ctx) })
+	d.startTask(func() { d.keys.Run(ctx) })
 	for _, warning := range cfg.Warnings {
 		event.Log(log, event.SettingsStrained, slog.String("cause", warning))
 	}
@@ -162,19 +164,20 @@
 	return guard.Limits{AnnounceExpiry: cfg.AnnounceExpiry, RetryReserve: cfg.RetryReserve, RetryWindow: cfg.RetryWindow}
 }
 
-func controlConfig(cfg *settings.Config, needs []record.Key, started time.Time) control.Config {
+func controlConfig(cfg *settings.Config, requiredRecords []record.Key, started time.Time) control.Config {
 	m := member.DefaultConfig(cfg.Host)
 	m.ProbeInterval, m.ProbeTimeout, m.SuspicionTimeout = cfg.ProbeInterval, cfg.ProbeTimeout, cfg.SuspicionTimeout
-	r := config.DefaultConfig()
-	r.RepairInterval = cfg.RepairInterval
+	replica := config.DefaultConfig()
+	replica.RepairInterval = cfg.RepairInterval
 	return control.Config{
 		Host: cfg.Host, DC: cfg.DC, Peer: cfg.Peer, Admin: cfg.Admin, Seeds: cfg.Seeds,
-		Incarnation: uint64(started.UnixMilli()), Member: m, Replica: r, WatchersPerDC: cfg.WatchersPerDC,
-		RequiredRecords: needs, MaxRetryInterval: cfg.MaxRetryInterval, StatusInterval: cfg.StatusInterval,
+		Incarnation: uint64(started.UnixMilli()), Member: m, Replica: replica, WatchersPerDC: cfg.WatchersPerDC,
+		RequiredRecords: requiredRecords, MaxRetryInterval: cfg.MaxRetryInterval, StatusInterval: cfg.StatusInterval,
 	}
 }
 
-func (d *Daemon) goRun(f func()) {
+// startTask runs f in a goroutine that close waits for.
+func (d *Daemon) startTask(f func()) {
 	d.wg.Add(1)
 	go func() {
 		defer d.wg.Done()
@@ -231,12 +234,12 @@
 	if wrap != nil {
 		l = wrap(l)
 	}
-	d.goRun(func() { _ = s.Serve(l) })
+	d.startTask(func() { _ = s.Serve(l) })
 	return nil
 }
 
-// distributeLoadReport passes a load report of the guard to the local front and to
-// hosts that use its instances.
+// distributeLoadReport passes a load report of the guard to the local front and to the
+// hosts in the given scope.
 func (d *Daemon) distributeLoadReport(report *msg.LoadReport, to loadreport.Scope) {
 	d.front.HandleLoadReport(report)
 	d.control.SendLoadReport(report, to)
@@ -261,10 +264,11 @@
 	}
 }
 
+// tick runs the periodic tasks of the guard and the peer pool until the context ends.
 func (d *Daemon) tick(ctx context.Context) {
 	ticker := time.NewTicker(guardTickInterval)
 	defer ticker.Stop()
-	sweep := time.NewTicker(sweepInterval)
+	sweep := time.NewTicker(idleSweepInterval)
 	defer sweep.Stop()
 	for {
 		select {
@@ -290,11 +294,10 @@
 	}
 }
 
-// applyPlannedStop drains the host when a planned stop begins to cover it, and
-// resumes when none does. Idempotency keys are handed over before other
-// hosts learn that this host leaves: otherwise one of them could take over a shard
-// without its key table. Until the takeover, requests with a key of that shard are
-// refused, so the announcement follows at once.
+// applyPlannedStop drains the host when a Stop record covers it, and resumes when none
+// does. Idempotency keys are handed over before other hosts learn that this host leaves:
+// otherwise one of them could take over a shard without its key table. Until the takeover,
+// requests with a key of that shard are refused, so the announcement follows at once.
 func (d *Daemon) applyPlannedStop(dir *directory.Directory) {
 	stop := dir.PlannedStop(d.cfg.Load().Host, "")
 	covered := stop != nil
@@ -307,7 +310,7 @@
 		return
 	}
 	event.Log(d.log, event.Draining, slog.String("cause", "planned stop: "+stop.Reason))
-	d.goRun(func() {
+	d.startTask(func() {
 		ctx, cancel := context.WithTimeout(context.Background(), handOverTimeout)
 		defer cancel()
 		d.keys.HandOver(ctx)
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -14,12 +14,12 @@
 )
 
 // Runs two daemons and a target in one process, so that the race detector covers front,
-// wire frames and guard under hedges, retries, large answers and keys. Shutdown must
-// leave no goroutine running.
+// wire frames and guard with hedges, retries, large responses and idempotency keys.
+// Shutdown must leave no goroutine running.
 func TestConcurrentRequestsAndShutdown(t *testing.T) {
 	defer goleak.VerifyNone(t, goleak.IgnoreCurrent())
 	t.Run("load", func(t *testing.T) {
-		p := startPair(t)
+		p := startDaemonPair(t)
 		client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 32}}
 		defer client.CloseIdleConnections()
 		for _, mode := range []target.Behaviour{
@@ -34,7 +34,7 @@
 	http.DefaultClient.CloseIdleConnections()
 }
 
-func sendConcurrently(t *testing.T, client *http.Client, p *pair) {
+func sendConcurrently(t *testing.T, client *http.Client, p *daemonPair) {
 	t.Helper()
 	var wg sync.WaitGroup
 	for n := range 16 {
--- a/internal/daemon/drain.go
+++ b/internal/daemon/drain.go
@@ -12,41 +12,44 @@
 )
 
 const (
-	// acceptGrace is how long new requests of callers are still accepted: callers
-	// switch to another host after two readiness checks, one second apart.
+	// acceptGrace is how long new requests are still accepted after the readiness check
+	// starts to fail: callers switch to another host after two failed checks, one second
+	// apart.
 	acceptGrace = 2900 * time.Millisecond
-	// acceptShare bounds that time as a fraction of the drain timeout, because the
-	// process is killed at the end of the drain timeout.
-	acceptShare = 0.48
-	// targetShare is the fraction of that time in which the targets of this host still
-	// get new work that is expected to finish in time. They keep running, and without
-	// them a fleet would lack capacity while its hosts are stopped one after another.
-	targetShare = 0.75
-	// completionShare is the fraction of the drain timeout in which requests may run.
-	// With 0.9, work that took 5.5 s was interrupted in a 6 s stop.
-	completionShare = 0.95
-	// flushShare bounds the time for writing the last answers, and closeShare the time
-	// for closing all parts, as fractions of the drain timeout: 7 of 91 hosts were
-	// killed while they spent 0.4 s or more on one of these.
-	flushShare = 0.02
-	closeShare = 0.01
+	// acceptFraction bounds acceptGrace as a fraction of the drain timeout, at the end of
+	// which the process is killed.
+	acceptFraction = 0.48
+	// dispatchFraction is the fraction of the accept time in which the targets of this
+	// host, which keep running, still receive new requests that are expected to finish
+	// in time. Without them the fleet would lack capacity while its hosts are stopped
+	// one after another.
+	dispatchFraction = 0.75
+	// completionFraction is the fraction of the drain timeout in which requests may run.
+	// At 0.9, requests that needed 5.5 s of a 6 s drain timeout were interrupted.
+	completionFraction = 0.95
+	// flushFraction bounds the time for writing the last responses, and closeFraction the
+	// time for closing all components, as fractions of the drain timeout: 7 of 91 hosts
+	// were killed while they spent 0.4 s or more on one of these.
+	flushFraction = 0.02
+	closeFraction = 0.01
 )
 
-// Shutdown stops the daemon gracefully. It fails the readiness check, lets local
-// targets take short work for a while, then notifies the fleet, refuses new work,
-// waits for requests in flight and closes all parts. It does not need the platform.
+// Shutdown stops the daemon gracefully. It fails the readiness check and lets local
+// targets take short requests for a while. Then it notifies the fleet, refuses new
+// requests, waits for those in flight and closes all components. It does not need the
+// platform.
 // Each value received from repeated restarts the drain timeout. It reports whether
 // all requests in flight finished in time.
 func (d *Daemon) Shutdown(repeated <-chan os.Signal) bool {
 	d.shuttingDown.Store(true)
 	timeout := d.cfg.Load().DrainTimeout
-	acceptTime := min(acceptGrace, fractionOf(timeout, acceptShare))
+	acceptTime := min(acceptGrace, fractionOf(timeout, acceptFraction))
 	accepting, stopAccepting := context.WithTimeout(context.Background(), acceptTime)
 	defer stopAccepting()
-	dispatching, stopDispatching := context.WithTimeout(accepting, fractionOf(acceptTime, targetShare))
+	dispatching, stopDispatching := context.WithTimeout(accepting, fractionOf(acceptTime, dispatchFraction))
 	defer stopDispatching()
 	d.front.Drain()
-	ctx, cancel := drainContext(fractionOf(timeout, completionShare), repeated, func(end time.Time) {
+	ctx, cancel := drainContext(fractionOf(timeout, completionFraction), repeated, func(end time.Time) {
 		d.guard.SetShutdownTime(end)
 		event.Log(d.log, event.Draining, slog.String("cause", "stop signal received"), slog.Int64("withinMS", time.Until(end).Milliseconds()))
 	})
@@ -65,21 +68,22 @@
 	completed = d.guard.Wait(ctx.Done()) && completed
 	if !completed {
 		d.front.CancelRequests()
-		d.flushAnswers(fractionOf(timeout, flushShare))
+		d.flushResponses(fractionOf(timeout, flushFraction))
 	}
 	e := event.Drained
 	if !completed {
 		e = event.DrainTimeout
 	}
 	event.Log(d.log, e)
-	d.close(fractionOf(timeout, closeShare))
+	d.close(fractionOf(timeout, closeFraction))
 	return completed
 }
 
-// drainContext returns a context that ends a timeout after the last stop signal, and
-// passes each new end time to onEnd. A host may be stopped for two reasons in
-// succession, and whoever sends the second signal waits as long as the first did. Ending
-// at the deadline of the first signal interrupted work of 3 s, 3 s after the second.
+// drainContext returns a context that ends at the given timeout after the last stop
+// signal, and passes each new end time to onEnd. A host may be stopped for two reasons in
+// succession, and the sender of the second signal also waits for the whole drain timeout.
+// When the context ended at the deadline of the first signal, requests that needed 3 s
+// were interrupted 3 s after the second.
 func drainContext(timeout time.Duration, repeated <-chan os.Signal, onEnd func(end time.Time)) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(context.Background())
 	onEnd(time.Now().Add(timeout))
@@ -102,20 +106,20 @@
 	return ctx, cancel
 }
 
-// flushAnswers waits until the answers to cancelled requests are written.
-func (d *Daemon) flushAnswers(timeout time.Duration) {
+// flushResponses waits until the responses to cancelled requests are written.
+func (d *Daemon) flushResponses(timeout time.Duration) {
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	if err := d.callers.Shutdown(ctx); err != nil {
-		event.Log(d.log, event.DrainTimeout, slog.String("cause", "answers not written in time: "+err.Error()))
+		event.Log(d.log, event.DrainTimeout, slog.String("cause", "responses not written in time: "+err.Error()))
 	}
 }
 
-func fractionOf(d time.Duration, share float64) time.Duration {
-	return time.Duration(share * float64(d))
+func fractionOf(d time.Duration, fraction float64) time.Duration {
+	return time.Duration(fraction * float64(d))
 }
 
-// close stops all parts and waits for them up to the timeout; what is still running
+// close stops all components and waits for them up to the timeout. What is still running
 // then ends with the process.
 func (d *Daemon) close(timeout time.Duration) {
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
@@ -140,8 +144,8 @@
 	d.store.Close()
 }
 
-// awaitGroup waits for the group or the end of the context, and reports whether the
-// group was done.
+// awaitGroup waits until the group is done or the context ends, and reports whether the
+// group is done.
 func awaitGroup(ctx context.Context, wg *sync.WaitGroup) bool {
 	ended := make(chan struct{})
 	go func() {
--- a/internal/daemon/drain_test.go
+++ b/internal/daemon/drain_test.go
@@ -12,8 +12,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// A second stop signal restarts the drain timeout, for example when a host is stopped
-// first because its instance has left and then on its own account.
+// A second stop signal restarts the drain timeout. A host gets two if, for example, it is
+// stopped first because its instance has left, and then because the host itself is stopped.
 func TestSecondStopSignalRestartsDrainTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const timeout = 5 * time.Second
@@ -46,15 +46,15 @@
 // process is killed at its end.
 func TestShutdownPhasesFitDrainTimeout(t *testing.T) {
 	const margin = 0.019
-	assert.Assert(t, completionShare+flushShare+closeShare <= 1-margin)
-	assert.Assert(t, acceptShare < completionShare)
+	assert.Assert(t, completionFraction+flushFraction+closeFraction <= 1-margin)
+	assert.Assert(t, acceptFraction < completionFraction)
 }
 
-// Accepted requests may run for nearly all of the drain timeout: a request that arrived
-// 1.7 s after a 6 s stop had begun needed until 5.52 s.
+// Accepted requests may run for nearly all of the drain timeout: with one of 6 s, a request
+// that arrived 1.7 s after the stop signal needed until 5.52 s.
 func TestRequestsMayUseMostOfDrainTimeout(t *testing.T) {
 	const drainTimeout, needed = 6 * time.Second, 5520 * time.Millisecond
-	assert.Assert(t, fractionOf(drainTimeout, completionShare) > needed, "%s", fractionOf(drainTimeout, completionShare))
+	assert.Assert(t, fractionOf(drainTimeout, completionFraction) > needed, "%s", fractionOf(drainTimeout, completionFraction))
 }
 
 // A goroutine that does not end must not block the shutdown beyond its context.
--- a/internal/daemon/late.go
+++ b/internal/daemon/late.go
@@ -8,7 +8,7 @@
 	"github.com/radishhoist/radishhoist/internal/objects"
 )
 
-// lateCallLogger logs calls to the platform that are late or fail, with rate limiting.
+// lateCallLogger logs platform calls that are late or fail, up to a rate limit.
 type lateCallLogger struct {
 	log   *slog.Logger
 	limit event.Limiter
--- a/internal/daemon/reload.go
+++ b/internal/daemon/reload.go
@@ -11,13 +11,13 @@
 	"github.com/radishhoist/radishhoist/internal/settings"
 )
 
-// reloadInterval is how often the settings file is checked for changes that come
-// without a signal. No setting is urgent enough to need a shorter interval.
+// reloadInterval is how often the settings file is checked for changes that are not
+// signalled. No setting is urgent enough to need a shorter interval.
 const reloadInterval = 5 * time.Second
 
-// WatchSettings reloads the settings file on each signal, and when its content has changed
-// at a reload interval, until the context ends. After each reload it calls onReload
-// with the settings in effect.
+// WatchSettings reloads the settings file on each signal, and whenever a periodic check
+// finds that its content has changed, until the context ends. After each successful reload
+// it calls onReload with the settings in effect.
 func (d *Daemon) WatchSettings(ctx context.Context, path string, signals <-chan os.Signal, onReload func(*settings.Config)) {
 	ticker := time.NewTicker(reloadInterval)
 	defer ticker.Stop()
