--- a/internal/cli/apply.go
+++ b/internal/cli/apply.go
@@ -81,8 +81,8 @@
 // with replace, the version that was just read.
 func (a *app) apply(ctx context.Context, s objects.Store, r *record.Record, replace, dryRun bool) error {
 	current, err := s.Get(ctx, r.Key)
-	var missing *objects.NotFoundError
-	if err != nil && !errors.As(err, &missing) {
+	var notFound *objects.NotFoundError
+	if err != nil && !errors.As(err, &notFound) {
 		return err
 	}
 	ifVersion := r.Version
@@ -108,8 +108,8 @@
 	return a.write(ctx, s, r, ifVersion)
 }
 
-// write stores the record with a writer mark that is unique to this write. If the response
-// is lost, the mark shows whether the stored record is this write or another operator's.
+// write stores the record with a writer field that is unique to this write. If the response
+// is lost, the field shows whether this write or another operator's was stored.
 func (a *app) write(ctx context.Context, s objects.Store, r *record.Record, ifVersion int64) error {
 	writer := operator() + " " + uuid.NewString()
 	value, err := record.MarshalWithWriter(r.Key, r.Spec, writer)
@@ -138,9 +138,9 @@
 	return "operator"
 }
 
-// conflict prints both sides of a record that another operator has changed and returns
-// the conflict as an error.
-func (a *app) conflict(r *record.Record, current objects.Object, changes []change) error {
+// conflict prints the differences between a record and the stored one, which another
+// operator has changed, and returns the conflict as an error.
+func (a *app) conflict(r *record.Record, current objects.Object, changes []fieldChange) error {
 	a.printLine("%s: NOT written.", r.Key)
 	switch {
 	case current.Version == 0:
@@ -164,7 +164,7 @@
 	return "an unknown writer"
 }
 
-func (a *app) printChanges(key record.Key, version int64, changes []change) {
+func (a *app) printChanges(key record.Key, version int64, changes []fieldChange) {
 	if version == 0 {
 		a.printLine("%s is new", key)
 		return
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -45,7 +45,7 @@
 func ExitCode(err error) int {
 	var (
 		conflict    *objects.ConflictError
-		missing     *objects.NotFoundError
+		notFound    *objects.NotFoundError
 		unavailable *objects.UnavailableError
 		invalid     *record.InvalidError
 		tooNew      *record.SchemaTooNewError
@@ -57,7 +57,7 @@
 		return ExitOK
 	case errors.As(err, &conflict):
 		return ExitConflict
-	case errors.As(err, &missing):
+	case errors.As(err, &notFound):
 		return ExitNotFound
 	case errors.As(err, &unavailable), errors.Is(err, objects.ErrUnknownOutcome):
 		return ExitUnavailable
--- a/internal/cli/diff.go
+++ b/internal/cli/diff.go
@@ -8,8 +8,8 @@
 	"github.com/radishhoist/radishhoist/record"
 )
 
-// change is one field that differs between two records.
-type change struct {
+// fieldChange is one field that differs between two records.
+type fieldChange struct {
 	Field string
 	Old   string
 	New   string
@@ -20,12 +20,12 @@
 
 // diffRecord lists the spec fields that differ between a stored value, empty if there is
 // none, and a record. Both are converted to the newest schema first.
-func diffRecord(stored []byte, r *record.Record) ([]change, error) {
+func diffRecord(stored []byte, r *record.Record) ([]fieldChange, error) {
 	var old record.Spec
 	if len(stored) > 0 {
 		rec, err := record.Parse(stored)
 		if err != nil {
-			return []change{{Field: "spec", Old: "cannot be read: " + err.Error(), New: "the new spec"}}, nil
+			return []fieldChange{{Field: "spec", Old: "cannot be read: " + err.Error(), New: "the new spec"}}, nil
 		}
 		old = rec.Spec
 	}
@@ -40,20 +40,20 @@
 	return diffFields(before, after), nil
 }
 
-func diffFields(before, after map[string]string) []change {
-	var out []change
+func diffFields(before, after map[string]string) []fieldChange {
+	var out []fieldChange
 	for field, v := range after {
 		old, ok := before[field]
 		if !ok {
 			old = absent
 		}
 		if old != v {
-			out = append(out, change{field, old, v})
+			out = append(out, fieldChange{field, old, v})
 		}
 	}
 	for field, v := range before {
 		if _, ok := after[field]; !ok {
-			out = append(out, change{field, v, absent})
+			out = append(out, fieldChange{field, v, absent})
 		}
 	}
 	sort.Slice(out, func(i, j int) bool { return out[i].Field < out[j].Field })
--- a/internal/cli/losses.go
+++ b/internal/cli/losses.go
@@ -17,16 +17,17 @@
 	"github.com/radishhoist/radishhoist/internal/losses"
 )
 
-// defaultLossWindow is the default length of the time windows in which losses are counted.
+// defaultLossWindow is the default length of the time windows in which failed requests are
+// counted.
 const defaultLossWindow = 5 * time.Second
 
 func (a *app) lossesCommand() *cli.Command {
 	return &cli.Command{
-		Name: "losses", Usage: "report which requests were lost, where and why, from the logs of all hosts", ArgsUsage: "[FILE...]",
-		Description: "Reads the daemons' logs from files, or from standard input, and counts lost requests by route, cause\n" +
+		Name: "losses", Usage: "report failed requests by route, cause and time, from the logs of all hosts", ArgsUsage: "[FILE...]",
+		Description: "Reads the daemons' logs from files, or from standard input, and counts failed requests by route, cause\n" +
 			"and time, the retries that were sent and refused, and the requests refused after waiting in a queue,\n" +
 			"each with an example request for `radishhoist trace`.",
-		Flags: []cli.Flag{&cli.DurationFlag{Name: "window", Usage: "`LENGTH` of the time windows in which losses are counted", Value: defaultLossWindow}},
+		Flags: []cli.Flag{&cli.DurationFlag{Name: "window", Usage: "`LENGTH` of the time windows in which failed requests are counted", Value: defaultLossWindow}},
 		Action: func(_ context.Context, cmd *cli.Command) error {
 			window := cmd.Duration("window")
 			if window <= 0 {
@@ -67,7 +68,7 @@
 func (a *app) printLosses(r *losses.Report) error {
 	w := tabwriter.NewWriter(a.out, 0, 0, 2, ' ', 0)
 	line := func(format string, args ...any) { _, _ = fmt.Fprintf(w, format+"\n", args...) }
-	line("%d requests lost; %d log lines were dropped by the rate limit, %d could not be parsed", r.Failed, r.LinesDropped, r.Unreadable)
+	line("%d failed requests; %d log lines were dropped by the rate limit, %d could not be parsed", r.Failed, r.LinesDropped, r.Unreadable)
 	line("\nROUTE\tSERVICE\tCAUSE\tLOST\tCALLS\tEXAMPLE")
 	for _, row := range r.Rows {
 		line("%s\t%s\t%s\t%d\t%d\t%s", row.Route, row.Service, row.Cause, row.Failed, row.Calls, row.Example.Request)
@@ -77,7 +78,7 @@
 		cause := mainCause(window.Causes)
 		line("%s\t%d\t%s (%d)", window.From.UTC().Format(time.TimeOnly), window.Failed, cause, window.Causes[cause])
 	}
-	line("\nretries of lost requests: %d sent; %d requests not retried because the retry budget was used up, %d retries refused by guards; for example %s",
+	line("\nretries of failed requests: %d sent; %d requests not retried because the retry budget was exhausted, %d retries refused by guards; for example %s",
 		r.Retries.Sent, r.Retries.OverBudget, r.Retries.Refused, r.Retries.Example.Request)
 	line("\nSERVICE\tREFUSED AFTER WAIT\tLONGEST\tEXAMPLE")
 	for _, wait := range r.Waits {
@@ -86,7 +87,7 @@
 	return errors.Wrap(w.Flush(), "write the report")
 }
 
-// mainCause returns the cause with the most losses, the first by name on a tie.
+// mainCause returns the cause of the most failed requests, the first by name on a tie.
 func mainCause(causes map[losses.Cause]int) losses.Cause {
 	names := slices.Sorted(maps.Keys(causes))
 	return slices.MaxFunc(names, func(x, y losses.Cause) int { return causes[x] - causes[y] })
--- a/internal/cli/records.go
+++ b/internal/cli/records.go
@@ -15,7 +15,7 @@
 
 func (a *app) getCommand() *cli.Command {
 	return &cli.Command{
-		Name: "get", Usage: "show one record in a form to edit", ArgsUsage: "KIND NAME",
+		Name: "get", Usage: "print one record for editing", ArgsUsage: "KIND NAME",
 		Description: "The record is printed with its current version. Edit it and pass it to `apply -f`: the write\n" +
 			"takes effect only if nobody has changed the record in the meantime.",
 		Action: func(ctx context.Context, cmd *cli.Command) error {
@@ -37,8 +37,8 @@
 	}
 }
 
-// row is one record in the output of list and status.
-type row struct {
+// recordRow is one record in the output of list and status.
+type recordRow struct {
 	Kind    record.Kind `json:"kind"`
 	Name    string      `json:"name"`
 	Version int64       `json:"version"`
@@ -73,10 +73,10 @@
 	}
 }
 
-func makeRows(objects []objects.Object) []row {
-	rows := []row{}
+func makeRows(objects []objects.Object) []recordRow {
+	rows := []recordRow{}
 	for _, obj := range objects {
-		r := row{Kind: obj.Kind, Name: obj.Name, Version: obj.Version}
+		r := recordRow{Kind: obj.Kind, Name: obj.Name, Version: obj.Version}
 		rec, err := record.Parse(obj.Value)
 		if err != nil {
 			r.Problem = err.Error()
@@ -114,7 +114,7 @@
 	}
 }
 
-func (a *app) printRows(rows []row) {
+func (a *app) printRows(rows []recordRow) {
 	a.printTable("KIND\tNAME\tVERSION\tSUMMARY", func(w *tabwriter.Writer) {
 		for _, r := range rows {
 			text := r.Summary
@@ -126,10 +126,12 @@
 	})
 }
 
-func (a *app) printTable(head string, fill func(*tabwriter.Writer)) {
+// printTable prints a table. columns has the tab-separated headings, and writeRows writes
+// rows in the same form.
+func (a *app) printTable(columns string, writeRows func(*tabwriter.Writer)) {
 	w := tabwriter.NewWriter(a.out, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(w, head)
-	fill(w)
+	fmt.Fprintln(w, columns)
+	writeRows(w)
 	_ = w.Flush()
 }
 
@@ -144,7 +146,7 @@
 		Name: "delete", Usage: "delete one record", ArgsUsage: "KIND NAME",
 		Flags: []cli.Flag{
 			&cli.IntFlag{Name: "version", Usage: "delete only this `VERSION`; the current one if omitted"},
-			&cli.BoolFlag{Name: "force", Usage: "delete a service even if routes still lead to it"},
+			&cli.BoolFlag{Name: "force", Usage: "delete a service even if routes still send requests to it"},
 		},
 		Action: func(ctx context.Context, cmd *cli.Command) error {
 			key, err := keyArg(cmd)
@@ -179,7 +181,7 @@
 	return nil
 }
 
-// checkUnused returns an UnsafeError for a service that a route leads to.
+// checkUnused returns an UnsafeError for a service to which a route sends requests.
 func checkUnused(ctx context.Context, s objects.Store, key record.Key) error {
 	if key.Kind != record.KindService {
 		return nil
@@ -194,7 +196,7 @@
 			continue
 		}
 		if route, ok := r.Spec.(*record.Route); ok && route.Service == key.Name {
-			return &UnsafeError{fmt.Sprintf("route %s still leads to service %s: its requests would fail; delete the route first, or use --force", r.Name, key.Name)}
+			return &UnsafeError{fmt.Sprintf("route %s still sends requests to service %s, and they would fail; delete the route first, or use --force", r.Name, key.Name)}
 		}
 	}
 	return nil
--- a/internal/cli/send.go
+++ b/internal/cli/send.go
@@ -38,7 +38,7 @@
 func (a *app) sendCommand() *cli.Command {
 	return &cli.Command{
 		Name: "send", Usage: "send one request as a caller would and show verdict, target and timings", ArgsUsage: "METHOD URL",
-		Description: "The address in the URL is the callers' address of a host; --host sets the host name that routes match.",
+		Description: "The URL has the address on which a host listens for callers; --host sets the host name that routes match.",
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: "host", Usage: "the request's `HOST` header"},
 			&cli.StringFlag{Name: "team", Usage: "send as `TEAM`"},
@@ -109,7 +109,7 @@
 	}
 }
 
-// maxShownBodyBytes is how much of a body is printed.
+// maxShownBodyBytes is the number of bytes of a body that are printed.
 const maxShownBodyBytes = 2000
 
 func truncate(b []byte) string {
--- a/internal/cli/status.go
+++ b/internal/cli/status.go
@@ -23,14 +23,14 @@
 	DaemonErr    string           `json:"daemonProblem,omitempty"`
 	InForce      []*record.Status `json:"inForce"`
 	PlatformErr  string           `json:"platformProblem,omitempty"`
-	Stops        []row            `json:"stops"`
-	Unreadable   []row            `json:"unreadable,omitempty"`
+	Stops        []recordRow      `json:"stops"`
+	Unreadable   []recordRow      `json:"unreadable,omitempty"`
 }
 
 func (a *app) statusCommand() *cli.Command {
 	return &cli.Command{
-		Name: "status", Usage: "show what is in force where, and why", ArgsUsage: " ",
-		Description: "For each service: the healthy capacity against the floor, and which targets are left out and why, as\n" +
+		Name: "status", Usage: "show each service's capacity, and which records are in force on which hosts", ArgsUsage: " ",
+		Description: "For each service: the healthy capacity compared with the floor, and which targets are not used and why, as\n" +
 			"seen by the daemon at --admin. For each data centre: how many hosts have which revision of the\n" +
 			"records in force, which hosts are behind, and which records were refused.",
 		Action: func(ctx context.Context, cmd *cli.Command) error {
@@ -47,7 +47,7 @@
 // collectStatus queries the daemon and the platform. If one does not respond, the report has the
 // error and the data of the other.
 func (a *app) collectStatus(ctx context.Context, cmd *cli.Command) *statusReport {
-	r := &statusReport{InForce: []*record.Status{}, Stops: []row{}}
+	r := &statusReport{InForce: []*record.Status{}, Stops: []recordRow{}}
 	var seen state.Status
 	if err := adminGet(ctx, cmd.String("admin"), state.StatusPath, nil, &seen); err != nil {
 		r.DaemonErr = err.Error()
@@ -62,14 +62,14 @@
 	for _, obj := range page.Objects {
 		rec, err := record.Parse(obj.Value)
 		if err != nil {
-			r.Unreadable = append(r.Unreadable, row{Kind: obj.Kind, Name: obj.Name, Problem: err.Error()})
+			r.Unreadable = append(r.Unreadable, recordRow{Kind: obj.Kind, Name: obj.Name, Problem: err.Error()})
 			continue
 		}
 		if s, ok := rec.Spec.(*record.Status); ok {
 			r.InForce = append(r.InForce, s)
 			continue
 		}
-		r.Stops = append(r.Stops, row{Kind: obj.Kind, Name: obj.Name, Version: obj.Version, Summary: summary(rec)})
+		r.Stops = append(r.Stops, recordRow{Kind: obj.Kind, Name: obj.Name, Version: obj.Version, Summary: summary(rec)})
 	}
 	return r
 }
--- a/internal/cli/stop.go
+++ b/internal/cli/stop.go
@@ -84,8 +84,8 @@
 		return err
 	}
 	current, err := s.Get(ctx, key)
-	var missing *objects.NotFoundError
-	if err != nil && !errors.As(err, &missing) {
+	var notFound *objects.NotFoundError
+	if err != nil && !errors.As(err, &notFound) {
 		return err
 	}
 	r.Version = current.Version
@@ -93,7 +93,7 @@
 }
 
 // checkFloor returns an UnsafeError if the stop would leave a service below its floor, or
-// if the daemon cannot be asked.
+// if the daemon does not respond.
 func checkFloor(ctx context.Context, cmd *cli.Command, host, instance string) error {
 	var seen state.Status
 	if err := adminGet(ctx, cmd.String("admin"), state.StatusPath, nil, &seen); err != nil {
--- a/internal/cli/suspects.go
+++ b/internal/cli/suspects.go
@@ -21,7 +21,7 @@
 	return &cli.Command{
 		Name: "suspects", Usage: "list the requests suspected of crashing the instances that run them",
 		Description: "Shows the suspects known to the daemon at --admin and the platform's records of blocked requests. A blocked\n" +
-			"request is identified by its fingerprint, the PRINT, also in responses and logs.",
+			"request is identified by its fingerprint, PRINT, which responses and logs contain too.",
 		Action: a.listSuspects,
 		Commands: []*cli.Command{{
 			Name: "clear", Usage: "allow a blocked request again, on all hosts", ArgsUsage: "PRINT",
@@ -90,10 +90,10 @@
 // shows those.
 func mergeSuspects(fromDaemon []guard.SuspectState, stored []objects.Object) []*suspect {
 	byFingerprint := make(map[string]*suspect)
-	for _, k := range fromDaemon {
-		s := &suspect{Fingerprint: k.Fingerprint, BlockedUntil: k.Until, CrashCount: k.CrashCount}
-		s.setCrashes(k.Crashes)
-		byFingerprint[k.Fingerprint] = s
+	for _, d := range fromDaemon {
+		s := &suspect{Fingerprint: d.Fingerprint, BlockedUntil: d.Until, CrashCount: d.CrashCount}
+		s.setCrashes(d.Crashes)
+		byFingerprint[d.Fingerprint] = s
 	}
 	for _, obj := range stored {
 		rec, err := record.Parse(obj.Value)
--- a/internal/cli/teams.go
+++ b/internal/cli/teams.go
@@ -24,7 +24,7 @@
 func (a *app) teamsCommand() *cli.Command {
 	keyFlags := []cli.Flag{&cli.DurationFlag{Name: "wait", Value: 20 * time.Second, Usage: "`TIME` to wait until the change is in force on every host; 0 checks once"}}
 	return &cli.Command{
-		Name: "teams", Usage: "list the use that teams make of their rate limits, over all hosts",
+		Name: "teams", Usage: "list how much of its rate limit each team uses, over all hosts",
 		Description: "Queries every host that the platform lists. A team's usage comes from its home, the host that keeps its\n" +
 			"account; requests are counted by the host that received them. Keys are never shown.",
 		Action: a.listTeams,
@@ -50,7 +50,7 @@
 	// UsedFraction is the fraction in use of the capacity that rate and burst give; 1 is all of it.
 	UsedFraction float64 `json:"used"`
 	// Home is the host that keeps the account of the team's usage over all hosts.
-	// NearLimit is set if all hosts ask it about each request.
+	// NearLimit is set while all hosts query the home for each request.
 	Home      string `json:"home"`
 	NearLimit bool   `json:"close"`
 	// Admitted and Refused count requests by host.
@@ -111,9 +111,9 @@
 	return out, nil
 }
 
-// mergeTeams merges the hosts' states by team, the highest usage first. Usage comes from the
-// team's home, which has the most accurate value, or is the highest that any host reports
-// if the home is unreachable.
+// mergeTeams merges the hosts' states by team, the highest usage first. A team's usage is
+// that reported by its home, which is the most accurate, or the highest that any host
+// reports if the home is unreachable.
 func mergeTeams(byHost map[string][]teams.State) []*teamUsage {
 	byTeam := make(map[string]*teamUsage)
 	for host, list := range byHost {
@@ -267,7 +267,7 @@
 const inForcePollInterval = 200 * time.Millisecond
 
 // awaitInForce waits until the current version of a record is in force on every host that the
-// platform lists. After the wait time it returns an error with the other hosts.
+// platform lists. After the wait time it returns an error that names the remaining hosts.
 func (a *app) awaitInForce(ctx context.Context, cmd *cli.Command, s objects.Store, key record.Key) error {
 	obj, err := s.Get(ctx, key)
 	if err != nil {
--- a/internal/cli/trace.go
+++ b/internal/cli/trace.go
@@ -123,17 +123,18 @@
 }
 
 // traceAttempt is one attempt in the log line of a front: what the front knew of the target
-// when it chose it, and the outcome.
+// when it selected it, and the outcome.
 type traceAttempt struct {
 	Target, Host, Why, Outcome string
-	// Sick is the probability that the target was failing most requests.
-	Sick float64
-	// Of is the number of targets to choose from.
-	Running, Queued, Of int
-	// AgeMS is the age of the state that the front had of the target, -1 for none, and
-	// MS the duration of the attempt.
+	// FailureEstimate is the probability that the target was failing most requests.
+	FailureEstimate float64 `json:"sick"`
+	Running, Queued int
+	// AgeMS is the age of the load report that the front had of the target, -1 for none,
+	// and MS the duration of the attempt.
 	AgeMS, MS int64
-	LeftOut   int `json:"leftOut"`
+	// Usable and Ejected are the numbers of usable and ejected targets.
+	Usable  int `json:"of"`
+	Ejected int `json:"leftOut"`
 }
 
 func (a *app) printAttempts(raw json.RawMessage) {
@@ -142,11 +143,11 @@
 		return
 	}
 	for i, t := range attempts {
-		age := fmt.Sprintf("state %d ms old", t.AgeMS)
+		age := fmt.Sprintf("load report %d ms old", t.AgeMS)
 		if t.AgeMS < 0 {
-			age = "no state received"
+			age = "no load report received"
 		}
-		_, _ = fmt.Fprintf(a.out, "    attempt %d: %s on %s, %s among %d targets (%d left out); sick probability %.2f, %d running, %d queued, %s -> %s after %d ms\n",
-			i+1, t.Target, t.Host, t.Why, t.Of, t.LeftOut, t.Sick, t.Running, t.Queued, age, t.Outcome, t.MS)
+		_, _ = fmt.Fprintf(a.out, "    attempt %d: %s on %s, %s among %d targets (%d ejected); failure probability %.2f, %d running, %d queued, %s -> %s after %d ms\n",
+			i+1, t.Target, t.Host, t.Why, t.Usable, t.Ejected, t.FailureEstimate, t.Running, t.Queued, age, t.Outcome, t.MS)
 	}
 }
--- a/internal/cli/trace_test.go
+++ b/internal/cli/trace_test.go
@@ -27,7 +27,7 @@
 	assert.NilError(t, err)
 	for _, want := range []string{
 		"10:00:00.500  h2  306 request ended at the instance  r1", "instance=i1  sick=0.93  status=500",
-		"attempt 1: i1 on h2, least cost among 8 targets (1 left out); sick probability 0.02, 1 running, 0 queued, state 140 ms old -> status 500 after 3 ms",
+		"attempt 1: i1 on h2, least cost among 8 targets (1 ejected); failure probability 0.02, 1 running, 0 queued, load report 140 ms old -> status 500 after 3 ms",
 	} {
 		assert.Assert(t, strings.Contains(out, want), out)
 	}
@@ -55,7 +55,7 @@
 	var out bytes.Buffer
 	err := New(strings.NewReader(logs), &out, nil).Run(context.Background(), []string{"radishhoist", "losses"})
 	assert.NilError(t, err)
-	for _, want := range []string{"2 requests lost", "failed at an instance believed well", "ended here: queue-full", "r1.7", "10:00:00"} {
+	for _, want := range []string{"2 failed requests", "failed at an instance believed well", "ended here: queue-full", "r1.7", "10:00:00"} {
 		assert.Assert(t, strings.Contains(out.String(), want), out.String())
 	}
 	err = New(strings.NewReader(logs), &out, nil).Run(context.Background(), []string{"radishhoist", "losses", "--window", "0s"})
