--- a/cmd/radishhoist/main.go
+++ b/cmd/radishhoist/main.go
@@ -14,11 +14,13 @@
 	"github.com/radishhoist/radishhoist/platform"
 )
 
-// watchWait is required to create a store. The command line does not watch.
+// watchWait is needed to create a store, but has no effect: the command line does not watch
+// the platform.
 const watchWait = time.Second
 
 // adapters are those for platforms other than the project's own. The command line only
-// reads Configurations from these, so the default settings suffice for services.
+// reads Configurations from these platforms, so the default settings suffice for the
+// services that they define.
 var adapters = cli.Adapters{
 	platform.AdapterName: func(url string) objects.Store {
 		return platform.NewStore(url, watchWait, settings.Default().ServiceDefaults())
--- a/cmd/radishhoistd/cgo.go
+++ b/cmd/radishhoistd/cgo.go
@@ -1,6 +1,6 @@
 package main
 
-// The hosts expect programs that are linked against the system C library. Without a use of
-// cgo the linker would omit it.
+// The hosts expect programs that are linked against the system C library, which the linker
+// omits from a program that does not use cgo.
 
 import "C"
--- a/cmd/radishhoistd/main.go
+++ b/cmd/radishhoistd/main.go
@@ -60,9 +60,9 @@
 	return serve(path, cfg)
 }
 
-// ports returns the store, header names and required records for the platform adapter that
-// the settings select.
-func ports(cfg *settings.Config) daemon.PlatformAdapter {
+// platformAdapter returns the store, header names and required records of the platform
+// adapter that the settings select.
+func platformAdapter(cfg *settings.Config) daemon.PlatformAdapter {
 	if cfg.Adapter == platform.AdapterName {
 		return daemon.PlatformAdapter{
 			Store:           platform.NewStore(cfg.Platform, cfg.WatchWait, cfg.ServiceDefaults()),
@@ -80,35 +80,35 @@
 	defer sink.Close()
 	log := slog.New(slog.NewJSONHandler(sink, &slog.HandlerOptions{Level: level}))
 	limitMemory(cfg.MemoryMB)
-	stop := make(chan os.Signal, 1)
-	signal.Notify(stop, syscall.SIGTERM, syscall.SIGINT)
-	d, err := daemon.Start(cfg, ports(cfg), log)
+	stopSignals := make(chan os.Signal, 1)
+	signal.Notify(stopSignals, syscall.SIGTERM, syscall.SIGINT)
+	d, err := daemon.Start(cfg, platformAdapter(cfg), log)
 	if err != nil {
 		event.Log(log, event.StartFailed, slog.String("cause", err.Error()))
 		return err
 	}
-	hangups := make(chan os.Signal, 1)
-	signal.Notify(hangups, syscall.SIGHUP)
+	reloadSignals := make(chan os.Signal, 1)
+	signal.Notify(reloadSignals, syscall.SIGHUP)
 	ctx, cancel := context.WithCancel(context.Background())
-	go d.WatchSettings(ctx, path, hangups, func(cfg *settings.Config) {
+	go d.WatchSettings(ctx, path, reloadSignals, func(cfg *settings.Config) {
 		limitMemory(cfg.MemoryMB)
 		setLevel(level, cfg.LogLevel)
 	})
-	<-stop
+	<-stopSignals
 	cancel()
 	// Each further SIGTERM restarts the drain timeout.
-	extend := make(chan os.Signal, 1)
-	signal.Notify(extend, syscall.SIGTERM)
-	// Restores the default action of SIGINT: a second interrupt from a terminal ends the
+	repeatedStops := make(chan os.Signal, 1)
+	signal.Notify(repeatedStops, syscall.SIGTERM)
+	// Restore the default action of SIGINT: a second interrupt from a terminal ends the
 	// process at once.
-	signal.Stop(stop)
-	if !d.Shutdown(extend) {
+	signal.Stop(stopSignals)
+	if !d.Shutdown(repeatedStops) {
 		return fmt.Errorf("requests were still running at the drain timeout of %s", cfg.DrainTimeout)
 	}
 	return nil
 }
 
-// setLevel sets the log level, whose name the settings have validated.
+// setLevel sets the log level. The name has been validated with the settings.
 func setLevel(level *slog.LevelVar, name string) {
 	if err := level.UnmarshalText([]byte(name)); err != nil {
 		panic("radishhoistd: " + err.Error())
