--- a/internal/daemon/reload.go
+++ b/internal/daemon/reload.go
@@ -57,17 +57,17 @@
 	}
 	running := d.cfg.Load()
 	var applied, pending []string
-	for _, c := range settings.Compare(running, updated) {
+	for _, c := range settings.Diff(running, updated) {
 		if c.Live {
 			applied = append(applied, c.Key)
 		} else {
 			pending = append(pending, c.Key)
 		}
 	}
-	adopted := settings.Adopt(running, updated)
-	d.cfg.Store(adopted)
-	d.front.SetLimits(frontLimits(adopted))
-	d.guard.SetLimits(guardLimits(adopted))
-	onReload(adopted)
+	effective := settings.ApplyLive(running, updated)
+	d.cfg.Store(effective)
+	d.front.SetLimits(frontLimits(effective))
+	d.guard.SetLimits(guardLimits(effective))
+	onReload(effective)
 	event.Log(d.log, event.Reloaded, slog.Any("taken", applied), slog.Any("atNextStart", pending))
 }
--- a/internal/settings/propagation.go
+++ b/internal/settings/propagation.go
@@ -65,9 +65,9 @@
 // unless it is configured.
 func (c *Config) deriveTimings() {
 	c.timingsConfigured = c.WatchWait != 0 || c.MaxRetryInterval != 0 || c.RepairInterval != 0
-	fixed := objects.LateThreshold + distributionTime
-	longestFit := time.Duration(float64(c.ApplyWithin-fixed) / (1 + maxRepairIntervals))
-	timing := min(time.Duration(derivedFraction*float64(c.ApplyWithin)), longestFit)
+	fixedDelay := objects.LateThreshold + distributionTime
+	maxTiming := time.Duration(float64(c.ApplyWithin-fixedDelay) / (1 + maxRepairIntervals))
+	timing := min(time.Duration(derivedFraction*float64(c.ApplyWithin)), maxTiming)
 	timing = max(timing, minDerived).Round(time.Millisecond)
 	derive := func(field *time.Duration, longest time.Duration) {
 		if *field == 0 {
--- a/internal/settings/reload.go
+++ b/internal/settings/reload.go
@@ -9,8 +9,8 @@
 	Live bool
 }
 
-// Compare returns the keys whose values differ, in the order of the reference.
-func Compare(old, updated *Config) []Change {
+// Diff returns the keys whose values differ, in the order of the reference.
+func Diff(old, updated *Config) []Change {
 	var out []Change
 	for _, k := range keys {
 		if k.get(old) != k.get(updated) {
@@ -20,9 +20,9 @@
 	return out
 }
 
-// Adopt returns the settings of a running process after a reload: the values of live
+// ApplyLive returns the settings of a running process after a reload: the values of live
 // keys from updated, all other values from running.
-func Adopt(running, updated *Config) *Config {
+func ApplyLive(running, updated *Config) *Config {
 	out := *running
 	for _, k := range keys {
 		if !k.live {
--- a/internal/settings/reload_test.go
+++ b/internal/settings/reload_test.go
@@ -6,20 +6,20 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestAdoptAppliesLiveKeysOnly(t *testing.T) {
+func TestApplyLiveChangesLiveKeysOnly(t *testing.T) {
 	running, err := Parse("f.ini", []byte(validSettings))
 	assert.NilError(t, err)
 	updated, err := Parse("f.ini", []byte(validSettings+"[log]\nlevel = warn\n[guard]\ngrant_life = 2s\n"))
 	assert.NilError(t, err)
-	assert.DeepEqual(t, Compare(running, updated), []Change{{Key: "[log] level", Live: true}, {Key: "[guard] grant_life"}})
-	adopted := Adopt(running, updated)
-	assert.Equal(t, adopted.LogLevel, "warn")
-	assert.Equal(t, adopted.GrantTTL, running.GrantTTL)
-	assert.DeepEqual(t, Compare(running, running), []Change(nil))
+	assert.DeepEqual(t, Diff(running, updated), []Change{{Key: "[log] level", Live: true}, {Key: "[guard] grant_life"}})
+	result := ApplyLive(running, updated)
+	assert.Equal(t, result.LogLevel, "warn")
+	assert.Equal(t, result.GrantTTL, running.GrantTTL)
+	assert.DeepEqual(t, Diff(running, running), []Change(nil))
 }
 
 // For every key, get must return a value that set accepts and that reads back the same;
-// otherwise Compare would miss changes of the key.
+// otherwise Diff would miss changes of the key.
 func TestEveryKeyRoundTrips(t *testing.T) {
 	c, err := Parse("f.ini", []byte(validSettings))
 	assert.NilError(t, err)
