--- a/cmd/radishhoistd/main.go
+++ b/cmd/radishhoistd/main.go
@@ -54,7 +54,7 @@
 		for _, warning := range cfg.Warnings {
 			fmt.Println(path + ": warning: " + warning)
 		}
-		fmt.Println(path + ": the settings are good")
+		fmt.Println(path + ": the settings are valid")
 		return nil
 	}
 	return serve(path, cfg)
--- a/internal/cli/losses.go
+++ b/internal/cli/losses.go
@@ -78,7 +78,7 @@
 		cause := mainCause(window.Causes)
 		line("%s\t%d\t%s (%d)", window.From.UTC().Format(time.TimeOnly), window.Failed, cause, window.Causes[cause])
 	}
-	line("\nretries of failed requests: %d sent; %d requests not retried because the retry budget was exhausted, %d retries refused by guards; for example %s",
+	line("\nretries of failed requests: %d sent; %d requests not retried because the retry budget was used up, %d retries refused by guards; for example %s",
 		r.Retries.Sent, r.Retries.OverBudget, r.Retries.Refused, r.Retries.Example.Request)
 	line("\nSERVICE\tREFUSED AFTER WAIT\tLONGEST\tEXAMPLE")
 	for _, wait := range r.Waits {
--- a/internal/settings/keys.go
+++ b/internal/settings/keys.go
@@ -163,7 +163,7 @@
 				return errors.Errorf("%q is not an integer", v)
 			}
 			if n < low || n > high {
-				return errors.Errorf("%d is out of range", n)
+				return errors.Errorf("%d is out of bounds", n)
 			}
 			*field(c) = n
 			return nil
@@ -183,7 +183,7 @@
 				return errors.Errorf("%q is not a duration with a unit", v)
 			}
 			if d < low || d > high {
-				return errors.Errorf("%s is out of range", d)
+				return errors.Errorf("%s is out of bounds", d)
 			}
 			*field(c) = d
 			return nil
@@ -202,7 +202,7 @@
 				return errors.Errorf("%q is not a number", v)
 			}
 			if !(n >= low && n <= high) {
-				return errors.Errorf("%g is out of range", n)
+				return errors.Errorf("%g is out of bounds", n)
 			}
 			*field(c) = n
 			return nil
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -37,7 +37,7 @@
 		{"announce not loopback", strings.Replace(validSettings, "127.0.0.1:7700", "10.0.0.1:7700", 1), []string{"[listen] announce", "neither a loopback address nor the IP address of callers or peer"}},
 		{"unknown key", validSettings + "[guard]\nqueue_per_slots = 4\n", []string{"[guard] queue_per_slots: is not a settings key", "[guard] queue_per_slot?"}},
 		{"bad time", validSettings + "[guard]\ngrant_life = 250\n", []string{`"250" is not a duration with a unit`, "10ms to 10s"}},
-		{"out of bounds", validSettings + "[control]\nwatchers_per_dc = 99\n", []string{"99 is out of range", "1 to 16"}},
+		{"out of bounds", validSettings + "[control]\nwatchers_per_dc = 99\n", []string{"99 is out of bounds", "1 to 16"}},
 		{"two errors", strings.Replace(validSettings, "name = h1", "name = a b", 1) + "[log]\nlevel = loud\n", []string{"[host] name", "[log] level"}},
 		{"bad URL", strings.Replace(validSettings, "http://127.0.0.1:7000", "127.0.0.1", 1), []string{"[platform] url"}},
 	} {
