--- a/internal/standin/platformd/server.go
+++ b/internal/standin/platformd/server.go
@@ -20,8 +20,8 @@
 	Outage bool `json:"outage"`
 	// SlowMS delays every call by that many milliseconds.
 	SlowMS int `json:"slowMS"`
-	// Silent accepts calls and never responds to them, nor to calls in progress.
-	// Their connections stay open and get no response even after Silent is cleared.
+	// Silent accepts calls without responding to them or to calls in progress. Their
+	// connections stay open and get no response even after Silent is cleared.
 	Silent bool `json:"silent"`
 	// DropResponses is the number of writes whose response is dropped. The writes
 	// themselves are still processed.
--- a/internal/standin/platformd/store.go
+++ b/internal/standin/platformd/store.go
@@ -1,6 +1,6 @@
 // Package platformd is a small stand-in for the platform's object API, for tests and
 // the demo. It stores objects in memory and can simulate an outage, slow calls, calls
-// without a response, and responses that are lost after the write has taken effect.
+// without a response, and lost responses to writes that have taken effect.
 package platformd
 
 import (
@@ -22,7 +22,7 @@
 	events   []objects.Object
 	// compacted is the revision of the newest event that is no longer retained.
 	compacted int64
-	// changed is closed and replaced at every write.
+	// changed is closed and replaced at every successful write.
 	changed chan struct{}
 }
 
--- a/internal/standin/target/crash.go
+++ b/internal/standin/target/crash.go
@@ -9,13 +9,13 @@
 	"time"
 )
 
-// CrashPathSuffix is the path suffix of requests that make the stand-in simulate a crash: it
-// closes its connections and its port refuses new ones. After Config.Downtime it listens
-// again under another instance name and keeps its counters.
+// CrashPathSuffix is the path suffix of requests that make the stand-in simulate a crash:
+// it closes its connections, and its port refuses new ones. After Config.Downtime it
+// listens again under another instance name and keeps its counters.
 const CrashPathSuffix = "/fatal"
 
 const (
-	// crashDelay is how long such a request runs before the crash.
+	// crashDelay is the time from the start of such a request to the crash.
 	crashDelay = 50 * time.Millisecond
 	// defaultDowntime is the default of Config.Downtime.
 	defaultDowntime = 2 * time.Second
@@ -38,7 +38,8 @@
 	time.AfterFunc(cmp.Or(s.cfg.Downtime, defaultDowntime), s.restart)
 }
 
-// serveOn starts to serve on a listener and counts a start.
+// serveOn starts serving on a listener and counts a start. Once the stand-in is
+// stopped, it only closes the listener.
 func (s *Server) serveOn(l net.Listener) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -80,8 +81,9 @@
 	}
 }
 
-// instanceName returns the name of the current start: the configured name for the
-// first, the name with the number of the start for others. The caller must hold mu.
+// instanceName returns the instance name of the current start: the configured name for
+// the first one, and that name with the number of the start for later ones. The caller
+// must hold mu.
 func (s *Server) instanceName() string {
 	if s.starts <= 1 {
 		return s.cfg.Name
--- a/internal/standin/target/target.go
+++ b/internal/standin/target/target.go
@@ -24,7 +24,7 @@
 	"github.com/radishhoist/radishhoist/internal/sleep"
 )
 
-// Mode is a way in which the stand-in behaves.
+// Mode selects how the stand-in handles requests.
 type Mode string
 
 // Modes of the stand-in.
@@ -38,11 +38,13 @@
 	// Truncate closes the connection halfway through the body of a Behaviour.Share of
 	// responses.
 	Truncate Mode = "truncate"
-	// Swap responds to a Behaviour.Share of requests with the id of another request.
+	// Swap sets the id of another request in the response to a Behaviour.Share of
+	// requests.
 	Swap Mode = "swap"
 	// Stuck never responds.
 	Stuck Mode = "stuck"
-	// Flap is Slow and Good in turn, each for Behaviour.PeriodMS.
+	// Flap alternates between Good and Slow, each for Behaviour.PeriodMS, and starts
+	// with Slow.
 	Flap Mode = "flap"
 )
 
@@ -91,8 +93,8 @@
 	// behaviourSince is when behaviour was set.
 	behaviourSince time.Time
 	leaving        bool
-	// runs are the numbers of runs by mark.
-	runs       map[string]int
+	// runsByMark are the numbers of runs by the value of MarkHeader.
+	runsByMark map[string]int
 	totalRuns  int
 	running    int
 	maxRunning int
@@ -108,7 +110,7 @@
 	}
 	cfg.Address = l.Addr().String()
 	ctx, cancel := context.WithCancel(context.Background())
-	s := &Server{cfg: cfg, stop: cancel, done: make(chan struct{}), behaviour: Behaviour{Mode: Good}, behaviourSince: time.Now(), runs: make(map[string]int)}
+	s := &Server{cfg: cfg, stop: cancel, done: make(chan struct{}), behaviour: Behaviour{Mode: Good}, behaviourSince: time.Now(), runsByMark: make(map[string]int)}
 	s.mux = http.NewServeMux()
 	s.mux.HandleFunc("PUT /standin/behaviour", s.putBehaviour)
 	s.mux.HandleFunc("GET /standin/runs", s.getRuns)
@@ -131,7 +133,8 @@
 	s.closeServer()
 }
 
-// Leave announces that the stand-in is leaving and wants no new requests.
+// Leave announces that the stand-in is leaving, so that the daemon sends it no new
+// requests.
 func (s *Server) Leave() {
 	s.mu.Lock()
 	s.leaving = true
@@ -146,14 +149,14 @@
 	s.behaviour, s.behaviourSince = b, time.Now()
 }
 
-// Runs are the stand-in's counters. ByMark has the numbers of runs of the requests
-// that carried a MarkHeader, by its value; Total counts all runs.
+// Runs are the stand-in's counters of request executions. ByMark counts those of
+// requests with a MarkHeader, by its value; Total counts all.
 type Runs struct {
 	ByMark     map[string]int `json:"byMark"`
 	Total      int            `json:"total"`
 	MaxRunning int            `json:"maxRunning"`
-	// CrashTimes are the times at which a request with CrashPathSuffix crashed the stand-in, in
-	// Unix milliseconds.
+	// CrashTimes are the times at which a request with CrashPathSuffix crashed the
+	// stand-in, in Unix milliseconds.
 	CrashTimes []int64 `json:"ends,omitempty"`
 	// PID is the id of the process that responds.
 	PID int `json:"pid"`
@@ -163,8 +166,8 @@
 func (s *Server) Runs() Runs {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	out := Runs{ByMark: make(map[string]int, len(s.runs)), Total: s.totalRuns, MaxRunning: s.maxRunning, CrashTimes: s.crashTimes, PID: os.Getpid()}
-	for k, v := range s.runs {
+	out := Runs{ByMark: make(map[string]int, len(s.runsByMark)), Total: s.totalRuns, MaxRunning: s.maxRunning, CrashTimes: s.crashTimes, PID: os.Getpid()}
+	for k, v := range s.runsByMark {
 		out.ByMark[k] = v
 	}
 	return out
@@ -218,7 +221,7 @@
 	s.running++
 	s.maxRunning = max(s.maxRunning, s.running)
 	if mark := r.Header.Get(MarkHeader); mark != "" {
-		s.runs[mark]++
+		s.runsByMark[mark]++
 	}
 	b := s.behaviour
 	if b.Mode == Flap && time.Since(s.behaviourSince).Milliseconds()/max(b.PeriodMS, 1)%2 == 1 {
@@ -247,9 +250,9 @@
 	return time.Duration(d)
 }
 
-// respond writes a response with the request's path, mark and body, by which the
-// caller can check that the response belongs to its request. If the query parameter
-// "size" is given, the body is padded to that many bytes.
+// respond writes a response with the request's path, mark and body, so that the caller
+// can check that the response belongs to its request. If the query parameter "size" is
+// given, the body is padded to that many bytes.
 func (s *Server) respond(w http.ResponseWriter, r *http.Request, b Behaviour, body []byte) {
 	affected := rand.Float64() < b.Share
 	id := r.Header.Get(header.RequestID)
@@ -289,9 +292,9 @@
 
 func (s *Server) announce(ctx context.Context) {
 	s.mu.Lock()
-	leaving, name, down := s.leaving, s.instanceName(), s.server == nil
+	leaving, name, isDown := s.leaving, s.instanceName(), s.server == nil
 	s.mu.Unlock()
-	if s.cfg.Announce == "" || down {
+	if s.cfg.Announce == "" || isDown {
 		return
 	}
 	body, err := json.Marshal(guard.Announcement{
@@ -311,6 +314,6 @@
 	}
 }
 
-// maxConnections is the number of connections that the stand-in announces to accept.
-// Users' targets accept about 350.
+// maxConnections is the connection limit that the stand-in announces. The targets of
+// users accept about 350 connections.
 const maxConnections = 350
