--- a/cmd/radishhoist-lab/main.go
+++ b/cmd/radishhoist-lab/main.go
@@ -157,13 +157,13 @@
 		Action: func(_ context.Context, cmd *cli.Command) error {
 			options := experiment.Options{
 				Seeds: cmd.Int("seeds"), FirstSeed: uint64(cmd.Int("first")),
-				NoiseInstanceHours: cmd.Float("noise-hours"), TargetSize: cmd.Bool("large"), OmitBaselines: cmd.Bool("ours"),
+				NoiseInstanceHours: cmd.Float("noise-hours"), LargeSite: cmd.Bool("large"), OmitBaselines: cmd.Bool("ours"),
 			}
 			if cmd.Bool("recovery") {
-				experiment.Recovery(os.Stdout, options)
+				experiment.ReportRecovery(os.Stdout, options)
 				return nil
 			}
-			results := experiment.Report(os.Stdout, options)
+			results := experiment.ReportAll(os.Stdout, options)
 			if path := cmd.String("svg"); path != "" {
 				return os.WriteFile(path, []byte(experiment.SVG(results)), 0o644)
 			}
--- a/internal/cli/status.go
+++ b/internal/cli/status.go
@@ -106,8 +106,8 @@
 			a.printLine("SERVICE %s IS BELOW ITS FLOOR: traffic is spread over its least unhealthy targets. See docs/operate/floor.md.", svc.Name)
 		}
 		for _, t := range svc.Targets {
-			if t.Why != "" {
-				a.printLine("  %s on %s: %s, %s", t.Name, t.Host, t.Use, t.Why)
+			if t.Reason != "" {
+				a.printLine("  %s on %s: %s, %s", t.Name, t.Host, t.Use, t.Reason)
 			}
 		}
 	}
@@ -116,7 +116,7 @@
 			a.printLine("  host %s (%s): %s", m.Host, m.DC, m.Status)
 		}
 	}
-	if s.Control.PlatformAway {
+	if s.Control.PlatformUnavailable {
 		a.printLine("  this host gets no response from the platform and continues with the records it has")
 	}
 }
@@ -203,9 +203,9 @@
 		a.printLine("team       %s: %s", e.Team, limit)
 	}
 	if e.Target != "" {
-		a.printLine("target now %s on %s: %s", e.Target, e.TargetHost, e.TargetWhy)
+		a.printLine("target now %s on %s: %s", e.Target, e.TargetHost, e.TargetReason)
 	}
-	for _, out := range e.LeftOut {
+	for _, out := range e.UnusedTargets {
 		a.printLine("not used   %s", out)
 	}
 	if e.Problem != "" {
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -28,8 +28,8 @@
 
 // Config holds the parameters of a Control.
 type Config struct {
-	// Host, DC, Peer and Admin identify this host and its addresses.
-	Host, DC, Peer, Admin string
+	// Host, DC, PeerAddr and AdminAddr identify this host and its addresses.
+	Host, DC, PeerAddr, AdminAddr string
 	// Incarnation is the start time of the process in Unix milliseconds.
 	Incarnation uint64
 	// Seeds are the peer addresses to contact while no other host is known.
@@ -147,7 +147,7 @@
 	version := int64(cfg.Incarnation) << versionShift
 	c := &Control{
 		cfg: cfg, hooks: hooks, store: store, log: log, rng: rng, started: time.Now(),
-		members:           member.New(cfg.Member, cfg.DC, cfg.Peer, version, rng),
+		members:           member.New(cfg.Member, cfg.DC, cfg.PeerAddr, version, rng),
 		replica:           config.NewNode(cfg.Replica, rng),
 		version:           version,
 		hosts:             make(map[string]*directory.Host),
@@ -158,7 +158,7 @@
 		compiled:          directory.Compile(nil, false),
 		dir:               &directory.Directory{},
 		statusReports:     make(map[string]receivedReport),
-		contacts:          contact.New(cfg.DC, excludeAddr(cfg.Seeds, cfg.Peer), rng),
+		contacts:          contact.New(cfg.DC, excludeAddr(cfg.Seeds, cfg.PeerAddr), rng),
 		failedFeeds:       make(map[objects.Feed]bool),
 		selfChanged:       true,
 		loadReportLimiter: loadreport.New(rng),
@@ -181,12 +181,12 @@
 
 // Listen opens the membership socket. It must be called before Run.
 func (c *Control) Listen() error {
-	addr, err := net.ResolveUDPAddr("udp", c.cfg.Peer)
+	addr, err := net.ResolveUDPAddr("udp", c.cfg.PeerAddr)
 	if err != nil {
-		return errors.Wrapf(err, "resolve membership address %s", c.cfg.Peer)
+		return errors.Wrapf(err, "resolve membership address %s", c.cfg.PeerAddr)
 	}
 	c.udp, err = net.ListenUDP("udp", addr)
-	return port.Explain(err, "membership", c.cfg.Peer)
+	return port.Explain(err, "membership", c.cfg.PeerAddr)
 }
 
 // Run runs the control plane until the context ends.
@@ -297,7 +297,7 @@
 	c.version++
 	c.members.SetVersion(c.version)
 	state := msg.HostState{
-		DC: c.cfg.DC, Peer: c.cfg.Peer, Admin: c.cfg.Admin,
+		DC: c.cfg.DC, PeerAddr: c.cfg.PeerAddr, AdminAddr: c.cfg.AdminAddr,
 		Incarnation: c.cfg.Incarnation, Leaving: c.leaving,
 	}
 	for _, inst := range c.hooks.Instances() {
@@ -329,7 +329,7 @@
 	defer c.mu.Unlock()
 	c.traffic.MessagesIn++
 	switch m := m.(type) {
-	case *msg.Report:
+	case *msg.StatusReport:
 		c.storeStatusReport(from.Host, m)
 		return
 	case *msg.LoadReport:
@@ -393,7 +393,7 @@
 // data.
 func (c *Control) sendMessage(ctx context.Context, addr string, m msg.Message) {
 	switch m.(type) {
-	case *msg.LoadReport, *msg.Report:
+	case *msg.LoadReport, *msg.StatusReport:
 		_ = c.sender.SendLossy(ctx, addr, m)
 	default:
 		_ = c.sender.SendControl(ctx, addr, m)
@@ -427,7 +427,7 @@
 		if c.handleTeamPacket(buf[:n]) {
 			continue
 		}
-		var p msg.Packet
+		var p msg.MemberPacket
 		if _, err := p.UnmarshalMsg(buf[:n]); err != nil {
 			continue
 		}
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -32,7 +32,7 @@
 // newControlWithStore creates a Control with a store and without sockets.
 func newControlWithStore(store objects.Store, directory func(*directory.Directory)) *Control {
 	return New(Config{
-		Host: "a", DC: "dc", Peer: "127.0.0.1:0", Incarnation: 1, MaxRetryInterval: 2 * time.Second,
+		Host: "a", DC: "dc", PeerAddr: "127.0.0.1:0", Incarnation: 1, MaxRetryInterval: 2 * time.Second,
 		Member: member.DefaultConfig("a"), Replica: config.DefaultConfig(), WatchersPerDC: 1,
 	}, Hooks{
 		Directory:     directory,
@@ -67,7 +67,7 @@
 // complete. It must then start to serve traffic although the snapshot has no new entries.
 func TestCompletenessWithoutNewEntriesIsNoticed(t *testing.T) {
 	c, directories := newTestControl(t)
-	peerState := msg.HostState{DC: "dc", Peer: "127.0.0.1:2", Incarnation: 1}
+	peerState := msg.HostState{DC: "dc", PeerAddr: "127.0.0.1:2", Incarnation: 1}
 	value, err := peerState.MarshalMsg(nil)
 	assert.NilError(t, err)
 	from := &msg.Hello{Host: "b"}
@@ -124,7 +124,7 @@
 // probes from hosts that knew its earlier process. It must call the sender, but only once.
 func TestHostWithoutPeersCallsItsProber(t *testing.T) {
 	c, _ := newTestControl(t)
-	probe := &msg.Packet{Kind: msg.PacketPing, From: "b", FromAddr: "127.0.0.1:2", ProbedHost: "a"}
+	probe := &msg.MemberPacket{Kind: msg.PacketPing, From: "b", FromAddr: "127.0.0.1:2", ProbedHost: "a"}
 	c.addUnknownSender(probe)
 	now := time.Now()
 	c.tick(now)
@@ -136,7 +136,7 @@
 	assert.Assert(t, announces && isPull && pull.All && pull.Set == msg.SetHosts)
 
 	c.hosts["c"] = &directory.Host{Name: "c"}
-	c.addUnknownSender(&msg.Packet{Kind: msg.PacketPing, From: "c", FromAddr: "127.0.0.1:3", ProbedHost: "a"})
+	c.addUnknownSender(&msg.MemberPacket{Kind: msg.PacketPing, From: "c", FromAddr: "127.0.0.1:3", ProbedHost: "a"})
 	assert.Equal(t, c.contacts.CandidateCount(), 1)
 }
 
--- a/internal/control/hosts.go
+++ b/internal/control/hosts.go
@@ -61,7 +61,7 @@
 		event.Log(c.log, event.HostLeft, slog.String("peer", e.Name))
 	}
 	h := &directory.Host{
-		Name: e.Name, DC: state.DC, PeerAddr: state.Peer, AdminAddr: state.Admin,
+		Name: e.Name, DC: state.DC, PeerAddr: state.PeerAddr, AdminAddr: state.AdminAddr,
 		Incarnation: state.Incarnation, Leaving: state.Leaving,
 	}
 	for _, inst := range state.Instances {
@@ -69,12 +69,12 @@
 	}
 	c.hosts[e.Name] = h
 	delete(c.removeAt, e.Name)
-	c.members.Update(now, e.Name, state.DC, state.Peer, e.Version)
+	c.members.Update(now, e.Name, state.DC, state.PeerAddr, e.Version)
 }
 
 func toWire(i directory.Instance) msg.HostInstance {
 	return msg.HostInstance{
-		Name: i.Name, Service: i.Service, Slots: uint32(i.Slots), Conns: uint32(i.Conns), Version: i.Version,
+		Name: i.Name, Service: i.Service, Slots: uint32(i.Slots), MaxConns: uint32(i.MaxConns), SoftwareVersion: i.SoftwareVersion,
 		State: uint8(i.State), Health: uint8(i.Health), Evidence: i.Evidence, StartedMS: i.StartedMS,
 		WarmUpLeftMS: uint32(i.WarmUpLeft.Milliseconds()),
 	}
@@ -83,7 +83,7 @@
 func fromWire(now time.Time, i msg.HostInstance) directory.Instance {
 	left := time.Duration(i.WarmUpLeftMS) * time.Millisecond
 	return directory.Instance{
-		Name: i.Name, Service: i.Service, Slots: int(i.Slots), Conns: int(i.Conns), Version: i.Version,
+		Name: i.Name, Service: i.Service, Slots: int(i.Slots), MaxConns: int(i.MaxConns), SoftwareVersion: i.SoftwareVersion,
 		State: directory.InstanceState(i.State), Health: detect.Health(i.Health), Evidence: i.Evidence, StartedMS: i.StartedMS,
 		WarmUpLeft: left, WarmUpEnd: now.Add(left),
 	}
@@ -159,7 +159,7 @@
 // unknown. A host that starts while the platform is unavailable knows no other host, but the
 // hosts that knew its earlier process still probe its address, so it can call them. The
 // caller holds the lock.
-func (c *Control) addUnknownSender(p *msg.Packet) {
+func (c *Control) addUnknownSender(p *msg.MemberPacket) {
 	if p.From == "" || p.From == c.cfg.Host || p.FromAddr == "" || c.isKnown(p.From) {
 		return
 	}
--- a/internal/control/join.go
+++ b/internal/control/join.go
@@ -36,7 +36,7 @@
 // process, unless that can be left in place.
 func (c *Control) writeOwnRecord(ctx context.Context) error {
 	key := record.Key{Kind: record.KindHost, Name: c.cfg.Host}
-	value, err := record.Marshal(key, &record.Host{DC: c.cfg.DC, Peer: c.cfg.Peer, Admin: c.cfg.Admin, Incarnation: c.cfg.Incarnation})
+	value, err := record.Marshal(key, &record.Host{DC: c.cfg.DC, Peer: c.cfg.PeerAddr, Admin: c.cfg.AdminAddr, Incarnation: c.cfg.Incarnation})
 	if err != nil {
 		return err
 	}
@@ -75,7 +75,7 @@
 		return false
 	}
 	age := time.Duration(int64(c.cfg.Incarnation)-int64(h.Incarnation)) * time.Millisecond
-	return h.DC == c.cfg.DC && h.Peer == c.cfg.Peer && h.Admin == c.cfg.Admin && age >= 0 && age < unknownHostRetention
+	return h.DC == c.cfg.DC && h.Peer == c.cfg.PeerAddr && h.Admin == c.cfg.AdminAddr && age >= 0 && age < unknownHostRetention
 }
 
 // hostListing is a Host record in a response of the platform.
--- a/internal/control/loadreport_test.go
+++ b/internal/control/loadreport_test.go
@@ -17,7 +17,7 @@
 	t.Helper()
 	c, _ := newTestControl(t)
 	addHost := func(name, dc string) {
-		state := msg.HostState{DC: dc, Peer: "127.0.0.1:1" + name[1:], Incarnation: 1}
+		state := msg.HostState{DC: dc, PeerAddr: "127.0.0.1:1" + name[1:], Incarnation: 1}
 		value, err := state.MarshalMsg(nil)
 		assert.NilError(t, err)
 		c.applyHost(time.Now(), msg.Entry{Kind: hostKind, Name: name, Version: 1 << 20, Value: value})
--- a/internal/control/records.go
+++ b/internal/control/records.go
@@ -13,7 +13,7 @@
 // stays active.
 type recordSet struct {
 	active   map[record.Key]*record.Record
-	rejected map[record.Key]msg.ReportRejected
+	rejected map[record.Key]msg.RejectedRecord
 	// dirty is set if the records have changed since they were last compiled.
 	dirty bool
 }
@@ -21,7 +21,7 @@
 func newRecordSet() *recordSet {
 	return &recordSet{
 		active:   make(map[record.Key]*record.Record),
-		rejected: make(map[record.Key]msg.ReportRejected),
+		rejected: make(map[record.Key]msg.RejectedRecord),
 	}
 }
 
@@ -66,7 +66,7 @@
 }
 
 func (s *recordSet) reject(log *slog.Logger, key record.Key, version int64, err error) {
-	rejected := msg.ReportRejected{Key: key.String(), Version: version, Reason: err.Error()}
+	rejected := msg.RejectedRecord{Key: key.String(), Version: version, Reason: err.Error()}
 	if last, ok := s.active[key]; ok {
 		rejected.InForce = last.Version
 	}
--- a/internal/control/recovery_test.go
+++ b/internal/control/recovery_test.go
@@ -75,7 +75,7 @@
 		w.platform.SetFaults(platformd.Faults{})
 		time.Sleep(time.Minute)
 		w.platform.SetFaults(platformd.Faults{Outage: true})
-		for !w.control.State().PlatformAway {
+		for !w.control.State().PlatformUnavailable {
 			time.Sleep(time.Millisecond)
 		}
 		// One call was refused; the next one succeeds.
--- a/internal/control/status.go
+++ b/internal/control/status.go
@@ -32,7 +32,7 @@
 // receivedReport is a host's status report with the time of receipt.
 type receivedReport struct {
 	at time.Time
-	msg.Report
+	msg.StatusReport
 }
 
 // sendStatusReport sends this host's status report to the status writer if it is due. The
@@ -43,7 +43,7 @@
 	}
 	c.statusReportedAt = now
 	set := c.replica.Set(msg.SetRecords)
-	r := &msg.Report{Root: set.Root(), Newest: set.Newest(), Complete: c.replica.Complete()}
+	r := &msg.StatusReport{Root: set.Root(), Newest: set.Newest(), Complete: c.replica.Complete()}
 	for _, rejected := range c.records.rejected {
 		if len(r.Rejected) < maxBehind {
 			r.Rejected = append(r.Rejected, rejected)
@@ -59,8 +59,8 @@
 	}
 }
 
-func (c *Control) storeStatusReport(from string, r *msg.Report) {
-	c.statusReports[from] = receivedReport{at: time.Now(), Report: *r}
+func (c *Control) storeStatusReport(from string, r *msg.StatusReport) {
+	c.statusReports[from] = receivedReport{at: time.Now(), StatusReport: *r}
 }
 
 // statusWriter returns the host that collects the status reports and writes the summary:
@@ -89,7 +89,7 @@
 	s := &record.Status{DC: c.cfg.DC, Writer: c.cfg.Host, AtMS: now.UnixMilli(), Hosts: len(local) + 1}
 	byRoot := make(map[uint64]*record.HostsInForce)
 	hostsOf := make(map[uint64][]string)
-	rejected := make(map[string]record.Rejected)
+	rejected := make(map[string]record.RejectedRecord)
 	for host, received := range c.statusReports {
 		if now.Sub(received.at) > statusReportTTL {
 			delete(c.statusReports, host)
@@ -104,7 +104,7 @@
 		f.Revision = max(f.Revision, received.Newest)
 		hostsOf[received.Root] = append(hostsOf[received.Root], host)
 		for _, entry := range received.Rejected {
-			rejected[entry.Key] = record.Rejected(entry)
+			rejected[entry.Key] = record.RejectedRecord(entry)
 		}
 	}
 	s.InForce = newestFirst(byRoot, hostsOf)
@@ -186,13 +186,13 @@
 	Newest   int64  `json:"newest"`
 	// ActiveVersion is the newest record version in the directory that routes requests. It
 	// may briefly be behind Newest.
-	ActiveVersion int64 `json:"inForce"`
-	Watching      bool  `json:"watching"`
-	PlatformAway  bool  `json:"platformAway"`
-	Isolated      bool  `json:"isolated"`
+	ActiveVersion       int64 `json:"inForce"`
+	Watching            bool  `json:"watching"`
+	PlatformUnavailable bool  `json:"platformAway"`
+	Isolated            bool  `json:"isolated"`
 	// Confirmed is the age and source of the last confirmation of each feed.
 	Confirmed      []Confirmation       `json:"confirmed"`
-	Rejected       []msg.ReportRejected `json:"rejected"`
+	Rejected       []msg.RejectedRecord `json:"rejected"`
 	Members        []MemberState        `json:"members"`
 	Traffic        Traffic              `json:"traffic"`
 	InstancesKnown int                  `json:"instancesKnown"`
@@ -215,9 +215,9 @@
 	s := State{
 		Version: c.version, Leaving: c.leaving, Complete: c.replica.Complete(),
 		Records: set.Len(), Root: fmt.Sprintf("%016x", set.Root()), Newest: set.Newest(), ActiveVersion: c.activeVersion,
-		Watching: c.watching, PlatformAway: len(c.failedFeeds) > 0, Isolated: c.members.Isolated(),
+		Watching: c.watching, PlatformUnavailable: len(c.failedFeeds) > 0, Isolated: c.members.Isolated(),
 		Confirmed: c.confirmed.state(time.Now()),
-		Rejected:  []msg.ReportRejected{}, Members: []MemberState{}, Traffic: c.traffic,
+		Rejected:  []msg.RejectedRecord{}, Members: []MemberState{}, Traffic: c.traffic,
 	}
 	for _, r := range c.records.rejected {
 		s.Rejected = append(s.Rejected, r)
--- a/internal/core/admit/admit.go
+++ b/internal/core/admit/admit.go
@@ -152,8 +152,8 @@
 // MeanServiceTime returns the moving average of the service time.
 func (q *Queue) MeanServiceTime() time.Duration { return q.serviceTime }
 
-// Ticket describes a request held by the Queue, for state dumps and tests.
-type Ticket struct {
+// TicketInfo describes a request held by the Queue, for state dumps and tests.
+type TicketInfo struct {
 	ID ID
 	// State is "waiting", "granted" or "running".
 	State string
@@ -162,12 +162,12 @@
 func (s state) String() string { return [...]string{"waiting", "granted", "running"}[s] }
 
 // Tickets returns the requests held by the Queue, sorted by ID.
-func (q *Queue) Tickets() []Ticket {
-	out := make([]Ticket, 0, len(q.tickets))
+func (q *Queue) Tickets() []TicketInfo {
+	out := make([]TicketInfo, 0, len(q.tickets))
 	for id, t := range q.tickets {
-		out = append(out, Ticket{ID: id, State: t.state.String()})
+		out = append(out, TicketInfo{ID: id, State: t.state.String()})
 	}
-	slices.SortFunc(out, func(a, b Ticket) int { return cmp.Compare(a.ID, b.ID) })
+	slices.SortFunc(out, func(a, b TicketInfo) int { return cmp.Compare(a.ID, b.ID) })
 	return out
 }
 
--- a/internal/core/config/node.go
+++ b/internal/core/config/node.go
@@ -61,17 +61,17 @@
 type Node struct {
 	cfg  Config
 	rng  *rand.Rand
-	sets [msg.Sets]*Set
+	sets [msg.SetCount]*Set
 	// complete reports for each set whether it has been complete at least once. It is
 	// always true for the sets that need no snapshot.
-	complete [msg.Sets]bool
+	complete [msg.SetCount]bool
 	// now is the time of the last Tick.
 	now time.Time
 	// pendingPulls holds the time at which each entry was requested from a peer.
 	pendingPulls        map[pullKey]time.Time
 	nextRepair          time.Time
-	snapshotRequestedAt [msg.Sets]time.Time
-	snapshots           [msg.Sets]incomingSnapshot
+	snapshotRequestedAt [msg.SetCount]time.Time
+	snapshots           [msg.SetCount]incomingSnapshot
 	relayQueue          relayQueue
 	resends             []resend
 	out                 []Outbound
--- a/internal/core/config/step.go
+++ b/internal/core/config/step.go
@@ -7,7 +7,7 @@
 func (n *Node) Step(peers Peers, from string, m msg.Message) {
 	switch m := m.(type) {
 	case *msg.Rumor:
-		if m.Set < msg.Sets {
+		if m.Set < msg.SetCount {
 			n.applyAndPush(peers, m.Set, from, m.Entries)
 		}
 	case *msg.Digest:
@@ -27,7 +27,7 @@
 // list if the set is small. A matching digest from a peer with a complete set proves that
 // this host's set is complete too.
 func (n *Node) handleDigest(from string, m *msg.Digest) {
-	if m.Set >= msg.Sets {
+	if m.Set >= msg.SetCount {
 		return
 	}
 	if m.Root == n.sets[m.Set].Root() {
@@ -53,7 +53,7 @@
 
 // handleBuckets lists this host's versions in the buckets that differ.
 func (n *Node) handleBuckets(from string, m *msg.Buckets) {
-	if m.Set >= msg.Sets {
+	if m.Set >= msg.SetCount {
 		return
 	}
 	s := n.sets[m.Set]
@@ -75,7 +75,7 @@
 // handleVersions pulls the entries that are newer at the peer and pushes those that are
 // newer here.
 func (n *Node) handleVersions(from string, m *msg.Versions) {
-	if m.Set >= msg.Sets {
+	if m.Set >= msg.SetCount {
 		return
 	}
 	var pull []msg.VersionItem
@@ -110,7 +110,7 @@
 }
 
 func (n *Node) handlePull(from string, m *msg.Pull) {
-	if m.Set >= msg.Sets {
+	if m.Set >= msg.SetCount {
 		return
 	}
 	if m.All {
@@ -167,7 +167,7 @@
 		n.applySnapshot(from, m)
 		return
 	}
-	if m.Set >= msg.Sets || n.complete[m.Set] || from != n.snapshots[m.Set].from || m.Part != n.snapshots[m.Set].nextPart || !m.Complete {
+	if m.Set >= msg.SetCount || n.complete[m.Set] || from != n.snapshots[m.Set].from || m.Part != n.snapshots[m.Set].nextPart || !m.Complete {
 		return
 	}
 	n.snapshots[m.Set].nextPart++
--- a/internal/core/directory/directory.go
+++ b/internal/core/directory/directory.go
@@ -26,13 +26,13 @@
 
 // Instance is a running instance of a service, as announced by its guard.
 type Instance struct {
-	Name    string
-	Service string
-	Slots   int
-	Conns   int
-	Version string
-	State   InstanceState
-	Health  detect.Health
+	Name            string
+	Service         string
+	Slots           int
+	MaxConns        int
+	SoftwareVersion string
+	State           InstanceState
+	Health          detect.Health
 	// Evidence is the evidence against a suspect, in hundredths of a nat. It ranks
 	// suspects.
 	Evidence uint32
--- a/internal/core/member/member.go
+++ b/internal/core/member/member.go
@@ -106,7 +106,7 @@
 // Datagram is a packet to send to an address.
 type Datagram struct {
 	To     string
-	Packet *msg.Packet
+	Packet *msg.MemberPacket
 }
 
 // Node is the membership state of one host. It is not safe for concurrent use.
--- a/internal/core/member/probe.go
+++ b/internal/core/member/probe.go
@@ -50,7 +50,7 @@
 	m := n.members[host]
 	n.seq++
 	n.probes[n.seq] = &probe{host: host, sent: now}
-	n.send(m.PeerAddr, &msg.Packet{Kind: msg.PacketPing, Seq: n.seq, ProbedHost: host})
+	n.send(m.PeerAddr, &msg.MemberPacket{Kind: msg.PacketPing, Seq: n.seq, ProbedHost: host})
 }
 
 // recentDeathPeriod is how long a dead host is probed frequently: most hosts return soon
@@ -88,7 +88,7 @@
 	host := dead[n.rng.IntN(len(dead))]
 	m := n.members[host]
 	n.seq++
-	p := &msg.Packet{Kind: msg.PacketPing, Seq: n.seq, ProbedHost: host}
+	p := &msg.MemberPacket{Kind: msg.PacketPing, Seq: n.seq, ProbedHost: host}
 	p.Claims = append(p.Claims, msg.MemberClaim{Host: host, Version: m.Version, Status: uint8(Dead)})
 	n.send(m.PeerAddr, p)
 }
@@ -126,7 +126,7 @@
 		if helper.Host == p.host || helper.Status != Alive {
 			continue
 		}
-		n.send(helper.PeerAddr, &msg.Packet{Kind: msg.PacketPingRequest, Seq: seq, ProbedHost: p.host, ProbedAddr: m.PeerAddr})
+		n.send(helper.PeerAddr, &msg.MemberPacket{Kind: msg.PacketPingRequest, Seq: seq, ProbedHost: p.host, ProbedAddr: m.PeerAddr})
 		if sent++; sent == n.cfg.IndirectProbes {
 			return
 		}
@@ -204,14 +204,14 @@
 	return out
 }
 
-func (n *Node) send(to string, p *msg.Packet) {
+func (n *Node) send(to string, p *msg.MemberPacket) {
 	p.From, p.FromVersion, p.FromAddr = n.cfg.Host, n.version, n.peerAddr
 	p.Claims = append(p.Claims, n.selectClaims(p.ProbedHost)...)
 	n.out = append(n.out, Datagram{To: to, Packet: p})
 }
 
 // Step processes a packet.
-func (n *Node) Step(now time.Time, p *msg.Packet) {
+func (n *Node) Step(now time.Time, p *msg.MemberPacket) {
 	if m, ok := n.members[p.From]; ok {
 		m.LastHeard = now
 		n.confirmAlive(now, m, p.FromVersion)
@@ -231,27 +231,27 @@
 
 // handlePing answers a ping. If this host considers the sender suspect or dead, the answer
 // carries that claim, so that the sender can refute it.
-func (n *Node) handlePing(p *msg.Packet) {
+func (n *Node) handlePing(p *msg.MemberPacket) {
 	if p.ProbedHost != n.cfg.Host {
 		return
 	}
-	ack := &msg.Packet{Kind: msg.PacketAck, Seq: p.Seq, ProbedHost: p.From}
+	ack := &msg.MemberPacket{Kind: msg.PacketAck, Seq: p.Seq, ProbedHost: p.From}
 	if m, ok := n.members[p.From]; ok && m.Status != Alive {
 		ack.Claims = append(ack.Claims, msg.MemberClaim{Host: m.Host, Version: m.Version, Status: uint8(m.Status)})
 	}
 	n.send(p.FromAddr, ack)
 }
 
-func (n *Node) handlePingRequest(now time.Time, p *msg.Packet) {
+func (n *Node) handlePingRequest(now time.Time, p *msg.MemberPacket) {
 	n.seq++
 	n.relays[n.seq] = relay{requesterAddr: p.FromAddr, seq: p.Seq, sent: now}
-	n.send(p.ProbedAddr, &msg.Packet{Kind: msg.PacketPing, Seq: n.seq, ProbedHost: p.ProbedHost})
+	n.send(p.ProbedAddr, &msg.MemberPacket{Kind: msg.PacketPing, Seq: n.seq, ProbedHost: p.ProbedHost})
 }
 
-func (n *Node) handleAck(now time.Time, p *msg.Packet) {
+func (n *Node) handleAck(now time.Time, p *msg.MemberPacket) {
 	if r, ok := n.relays[p.Seq]; ok {
 		delete(n.relays, p.Seq)
-		n.send(r.requesterAddr, &msg.Packet{Kind: msg.PacketAck, Seq: r.seq})
+		n.send(r.requesterAddr, &msg.MemberPacket{Kind: msg.PacketAck, Seq: r.seq})
 		return
 	}
 	sentProbe, ok := n.probes[p.Seq]
--- a/internal/core/quota/admit.go
+++ b/internal/core/quota/admit.go
@@ -121,7 +121,7 @@
 	p.Usages = append(p.Usages, msg.TeamUsage{
 		Team: a.team, Seq: a.seq, Count: a.count, Confirmed: a.confirmed,
 		Level: float32(max(a.used.levelAt(now, a.rate())-float64(a.count-a.confirmed), 0)), Known: a.isKnown(now),
-		ConfirmedByReceiver: a.confirmedBy == to, Forwarded: n.receivesReports(a), QueryID: queryID,
+		ConfirmedByReceiver: a.confirmedBy == to, SenderReceivesReports: n.receivesReports(a), QueryID: queryID,
 	})
 	if a.count != a.confirmed && a.unconfirmedSince.IsZero() {
 		a.unconfirmedSince = now
--- a/internal/core/quota/home.go
+++ b/internal/core/quota/home.go
@@ -21,7 +21,7 @@
 	r := a.reporter(p)
 	if added := a.newRequests(now, r, u); added != 0 {
 		a.add(now, float64(added))
-		if !n.isHome(a) && !u.Forwarded {
+		if !n.isHome(a) && !u.SenderReceivesReports {
 			a.count += added
 			n.unconfirmed[a.team] = a
 		}
@@ -93,7 +93,7 @@
 		admit = a.admitAsSuccessor
 	}
 	ok, retryAfter := admit(now)
-	if ok && !n.isHome(a) && !u.Forwarded {
+	if ok && !n.isHome(a) && !u.SenderReceivesReports {
 		a.count++
 		n.unconfirmed[a.team] = a
 	}
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -126,7 +126,7 @@
 		Instances:     d.guard.Instances,
 		LoadReport:    func(p *msg.LoadReport) { d.front.HandleLoadReport(p) },
 		Crashed:       d.guard.ApplyCrash,
-		Cleared:       d.guard.ApplyCleared,
+		Cleared:       d.guard.ApplyClearance,
 		Unblocked:     d.guard.ClearSuspect,
 		ShardMapsRead: d.keys.MarkSynced,
 		TeamLimiter:   d.teams,
@@ -149,7 +149,7 @@
 	d.startTask(func() { d.tick(ctx) })
 	d.startTask(func() { d.keys.Run(ctx) })
 	for _, warning := range cfg.Warnings {
-		event.Log(log, event.SettingsStrained, slog.String("cause", warning))
+		event.Log(log, event.SettingsWarning, slog.String("cause", warning))
 	}
 	event.Log(log, event.Started, slog.String("callers", cfg.Callers), slog.String("peer", cfg.Peer),
 		slog.String("announce", cfg.Announce), slog.String("admin", cfg.Admin))
@@ -170,7 +170,7 @@
 	replica := config.DefaultConfig()
 	replica.RepairInterval = cfg.RepairInterval
 	return control.Config{
-		Host: cfg.Host, DC: cfg.DC, Peer: cfg.Peer, Admin: cfg.Admin, Seeds: cfg.Seeds,
+		Host: cfg.Host, DC: cfg.DC, PeerAddr: cfg.Peer, AdminAddr: cfg.Admin, Seeds: cfg.Seeds,
 		Incarnation: uint64(started.UnixMilli()), Member: m, Replica: replica, WatchersPerDC: cfg.WatchersPerDC,
 		RequiredRecords: requiredRecords, MaxRetryInterval: cfg.MaxRetryInterval, StatusInterval: cfg.StatusInterval,
 	}
@@ -275,7 +275,7 @@
 		case now := <-ticker.C:
 			d.guard.Tick(now)
 		case <-sweep.C:
-			d.pool.Sweep()
+			d.pool.CloseIdle()
 		case <-ctx.Done():
 			return
 		}
--- a/internal/daemon/late.go
+++ b/internal/daemon/late.go
@@ -16,7 +16,7 @@
 
 func newLateCallLogger(log *slog.Logger) *lateCallLogger { return &lateCallLogger{log: log} }
 
-func (l *lateCallLogger) report(call objects.LateCall) {
+func (l *lateCallLogger) report(call objects.CallReport) {
 	suppressed, ok := l.limit.Allow(time.Now())
 	if !ok {
 		return
--- a/internal/daemon/metrics.go
+++ b/internal/daemon/metrics.go
@@ -31,7 +31,7 @@
 	set.NewGauge("radishhoist_records_newest", d.controlGauge(func(s control.State) float64 { return float64(s.Newest) }))
 	set.NewGauge("radishhoist_records_confirmed_age_seconds", func() float64 { return d.control.ConfirmedAge().Seconds() })
 	set.NewGauge("radishhoist_records_rejected", d.controlGauge(func(s control.State) float64 { return float64(len(s.Rejected)) }))
-	set.NewGauge("radishhoist_platform_away", d.controlGauge(func(s control.State) float64 { return boolToFloat(s.PlatformAway) }))
+	set.NewGauge("radishhoist_platform_away", d.controlGauge(func(s control.State) float64 { return boolToFloat(s.PlatformUnavailable) }))
 	set.NewGauge("radishhoist_isolated", d.controlGauge(func(s control.State) float64 { return boolToFloat(s.Isolated) }))
 	set.NewGauge("radishhoist_hosts_alive", d.controlGauge(countAliveHosts))
 	set.NewGauge("radishhoist_control_bytes_sent", d.controlGauge(func(s control.State) float64 { return float64(s.Traffic.BytesOut) }))
--- a/internal/event/event.go
+++ b/internal/event/event.go
@@ -26,13 +26,13 @@
 	StartFailed             = Event{105, "start failed", slog.LevelError}
 	Reloaded                = Event{106, "settings reloaded", slog.LevelInfo}
 	ReloadRefused           = Event{107, "settings refused", slog.LevelError}
-	SettingsStrained        = Event{108, "settings strained", slog.LevelWarn}
+	SettingsWarning         = Event{108, "settings strained", slog.LevelWarn}
 	RequestFailed           = Event{200, "request failed", slog.LevelWarn}
 	RequestAnswered         = Event{206, "request answered", slog.LevelInfo}
 	AnswerAborted           = Event{201, "answer aborted", slog.LevelWarn}
 	LinkLost                = Event{202, "link lost", slog.LevelWarn}
-	PathLeftOut             = Event{203, "path left out", slog.LevelWarn}
-	PathBack                = Event{204, "path back", slog.LevelInfo}
+	PathExcluded            = Event{203, "path left out", slog.LevelWarn}
+	PathRestored            = Event{204, "path back", slog.LevelInfo}
 	PeerRefused             = Event{205, "peer refused", slog.LevelWarn}
 	InstanceAnnounced       = Event{300, "instance announced", slog.LevelInfo}
 	InstanceGone            = Event{301, "instance gone", slog.LevelWarn}
@@ -67,8 +67,8 @@
 // All returns every event. A test compares them with docs/EVENTS.md.
 func All() []Event {
 	return []Event{
-		Started, Ready, Draining, Drained, DrainTimeout, StartFailed, Reloaded, ReloadRefused, SettingsStrained,
-		RequestFailed, RequestAnswered, AnswerAborted, LinkLost, PathLeftOut, PathBack, PeerRefused,
+		Started, Ready, Draining, Drained, DrainTimeout, StartFailed, Reloaded, ReloadRefused, SettingsWarning,
+		RequestFailed, RequestAnswered, AnswerAborted, LinkLost, PathExcluded, PathRestored, PeerRefused,
 		InstanceAnnounced, InstanceGone, InstanceLeaving, InstanceSuspect, InstanceTrusted, AnnounceRefused,
 		RequestEnded, RequestRefused, InstanceEstimateChanged, InstanceEnded, RequestStopped,
 		RecordApplied, RecordRefused, PlatformUnavailable, PlatformAvailable, WatchStarted, WatchStopped, RecordSetLoaded,
--- a/internal/experiment/report.go
+++ b/internal/experiment/report.go
@@ -14,8 +14,8 @@
 	FirstSeed uint64
 	// NoiseInstanceHours is the length of the noise run in instance-hours, 0 for none.
 	NoiseInstanceHours float64
-	// TargetSize adds the runs of LargeSite, which has the largest intended size.
-	TargetSize bool
+	// LargeSite adds the runs of LargeSite, which has the largest intended size.
+	LargeSite bool
 	// OmitBaselines omits the baselines.
 	OmitBaselines bool
 }
@@ -24,8 +24,8 @@
 // tune the policies.
 const FirstHeldOutSeed = 1_000_000
 
-// Report runs all cases, writes the results as Markdown tables and returns them.
-func Report(out io.Writer, o Options) []Result {
+// ReportAll runs all cases, writes the results as Markdown tables and returns them.
+func ReportAll(out io.Writer, o Options) []Result {
 	var all []Result
 	policies := Policies()
 	if o.OmitBaselines {
@@ -43,7 +43,7 @@
 			}
 		}
 	}
-	if o.TargetSize {
+	if o.LargeSite {
 		fmt.Fprintf(out, "\n### %s, 1,600 fronts, 40 %% load, 2 runs a row\n\n%s\n", LargeSite.Name, tableHead)
 		for _, fault := range []Fault{NoFault, Slow5, Errors, Stuck} {
 			r := RunCase(LargeSite, "radishhoist", fault, 0.4, o.FirstSeed, 2)
@@ -61,10 +61,10 @@
 	return all
 }
 
-// Recovery only runs the case of a short load spike and writes the number of failures in the last
+// ReportRecovery only runs the case of a short load spike and writes the number of failures in the last
 // ten seconds of the runs, long after the spike. A policy that recovers without intervention has
 // none.
-func Recovery(out io.Writer, o Options) {
+func ReportRecovery(out io.Writer, o Options) {
 	fmt.Fprintf(out, "| site | load | policy | failed in the last ten seconds, %d runs |\n|---|---|---|---|\n", o.Seeds)
 	for _, site := range []Site{Bureau, Registry} {
 		for _, load := range []float64{0.4, 0.7} {
--- a/internal/fleetsim/fleet.go
+++ b/internal/fleetsim/fleet.go
@@ -163,7 +163,7 @@
 			Changed: func() {}, LoadReport: h.sendLoadReport,
 			Crashed: func(e crash.Crash) { h.broadcast(func(other *host) { other.guard.ApplyCrash(e) }) },
 			Cleared: func(crashID string, p crash.Fingerprint) {
-				h.broadcast(func(other *host) { other.guard.ApplyCleared(crashID, p) })
+				h.broadcast(func(other *host) { other.guard.ApplyClearance(crashID, p) })
 			},
 		})
 	h.front = front.New(front.Config{
--- a/internal/fleetsim/fleet_test.go
+++ b/internal/fleetsim/fleet_test.go
@@ -105,7 +105,7 @@
 // Guards against healthy instances that get no requests, in particular when there are few requests
 // and each front gets few responses from each instance. When only suspect instances asked for
 // requests, 61 of 111 spans of the service with the most instances were underserved.
-func TestWellInstancesGetRequests(t *testing.T) {
+func TestHealthyInstancesGetRequests(t *testing.T) {
 	// The order of simultaneous events is not deterministic, so that runs with the same seed differ:
 	// two seeds gave 1 to 8 underserved spans of 74 (3.9 on average in 32 runs), which exceeded a
 	// tenth in one run. With more seeds a tenth is a reliable limit.
@@ -148,7 +148,7 @@
 // instance. Healthy instances must get requests nevertheless. With a random choice of instances, a
 // request fails if it reaches a sick instance that fails it. The real policy must avoid at least a
 // third of these failures and serve at least as many requests in time as a random choice serves at all.
-func TestALargeFleetServes(t *testing.T) {
+func TestLargeFleetServesRequests(t *testing.T) {
 	const maxUnderserved = 0.1
 	health := bureau(0).Health
 	sickShare := health.MeanSick.Seconds() / (health.MeanSick + health.MeanHealthy).Seconds()
@@ -191,7 +191,7 @@
 
 // Under heavy load, no request that is not idempotent runs twice, retries and the calls they make
 // stay within their budget in every window, and most requests are served.
-func TestPromisesHoldUnderHeavyLoad(t *testing.T) {
+func TestInvariantsHoldUnderHeavyLoad(t *testing.T) {
 	for _, c := range []struct {
 		name     string
 		load     float64
--- a/internal/fleetsim/share_test.go
+++ b/internal/fleetsim/share_test.go
@@ -68,7 +68,7 @@
 // for some milliseconds, and shares vary by chance where an even share is few requests. An even share
 // in each span is a goal, see docs/CAPACITY.md; the test checks that few spans fall short and that no
 // instance is starved.
-func TestEqualInstancesShareTheWork(t *testing.T) {
+func TestEqualInstancesGetEqualShares(t *testing.T) {
 	const span, minShare, starvedShare = 5 * time.Second, 0.5, 0.1
 	for _, size := range []struct {
 		hosts       int
--- a/internal/front/attempt.go
+++ b/internal/front/attempt.go
@@ -207,7 +207,7 @@
 		return a.proceed(ctx, a.state.HandleGrant())
 	case *msg.Head:
 		if m.RequestID != a.req.id {
-			return a.rejectResponse(verdict.ReasonAnswerMismatch, "the response carries the id of another request")
+			return a.rejectResponse(verdict.ReasonResponseMismatch, "the response carries the id of another request")
 		}
 		a.state.HandleResponseStart()
 		a.response = newResponse(a, m)
@@ -237,7 +237,7 @@
 		return a.rejectResponse(verdict.ReasonTargetBroke, "response body received before the response header")
 	}
 	a.response.add(m.Bytes)
-	if len(a.response.buffered) <= a.req.service.Record.AnswerBufferBytes() {
+	if len(a.response.buffered) <= a.req.service.Record.ResponseBufferBytes() {
 		return nil
 	}
 	// Too large to buffer: stream it to the caller.
@@ -270,7 +270,7 @@
 	fail.RetryAfterMS = int64(m.RetryAfterMS)
 	o := &outcome{fail: fail, load: m.Load}
 	switch m.Reason {
-	case verdict.ReasonTargetDown, verdict.ReasonTargetBroke, verdict.ReasonTargetCrashed, verdict.ReasonAnswerMismatch:
+	case verdict.ReasonTargetDown, verdict.ReasonTargetBroke, verdict.ReasonTargetCrashed, verdict.ReasonResponseMismatch:
 		o.targetObserved, o.failed = true, true
 	}
 	return o
--- a/internal/front/choose.go
+++ b/internal/front/choose.go
@@ -77,7 +77,7 @@
 	}
 	retryable := req.idempotent && st.retryBudgetLeft(now)
 	if retryable {
-		for _, i := range candidates.unreachable {
+		for _, i := range candidates.excluded {
 			if p.tryAcquireTrial(now, st.targets[i].Host.Name) {
 				return st.targets[i], whyPath
 			}
@@ -154,7 +154,7 @@
 
 // pickUsable picks the target with the lowest cost in a random sample of candidates.usable.
 func (st *serviceState) pickUsable(now time.Time, req *request, tried []*target, usesRetryBudget bool, rng *rand.Rand, p *paths, cfg Config) *target {
-	usable, local := st.candidates.usable, st.candidates.local
+	usable, local := st.candidates.eligible, st.candidates.local
 	if len(tried) > 0 {
 		usable, local = st.untried(usable, tried), st.untried(local, tried)
 	}
--- a/internal/front/cost.go
+++ b/internal/front/cost.go
@@ -48,7 +48,7 @@
 // hosts report theirs only with responses. The caller must hold st.mu.
 func (st *serviceState) typicalLoad(now time.Time, req *request) balance.TypicalLoad {
 	slots, running, waiting := 0, 0, time.Duration(0)
-	for _, i := range st.candidates.usable {
+	for _, i := range st.candidates.eligible {
 		t := st.targets[i]
 		if now.Sub(t.observed.loadAt) > loadMaxAge {
 			continue
--- a/internal/front/cost_test.go
+++ b/internal/front/cost_test.go
@@ -47,7 +47,7 @@
 		observed := &observations{}
 		observed.updateLoad(now.Add(-age), msg.Load{Slots: 4, RetryBudgetLeft: left})
 		st.targets = append(st.targets, &target{observed: observed})
-		st.candidates.usable = append(st.candidates.usable, i)
+		st.candidates.eligible = append(st.candidates.eligible, i)
 	}
 	return st
 }
--- a/internal/front/paths.go
+++ b/internal/front/paths.go
@@ -87,7 +87,7 @@
 	defer p.mu.Unlock()
 	e := p.getOrCreate(host)
 	if e.excluded {
-		event.Log(p.log, event.PathBack, slog.String("peer", host))
+		event.Log(p.log, event.PathRestored, slog.String("peer", host))
 	}
 	e.misses, e.excluded, e.backoff = 0, false, 0
 	if sample <= 0 {
@@ -113,7 +113,7 @@
 	e.backoff = min(max(2*e.backoff, pathBackoffMin), pathBackoffMax)
 	e.retryAt = now.Add(e.backoff)
 	if !e.excluded {
-		event.Log(p.log, event.PathLeftOut, slog.String("peer", host), slog.Int("unanswered", e.misses))
+		event.Log(p.log, event.PathExcluded, slog.String("peer", host), slog.Int("unanswered", e.misses))
 	}
 	e.excluded = true
 }
--- a/internal/front/requestlog.go
+++ b/internal/front/requestlog.go
@@ -45,7 +45,7 @@
 	return attemptEntry{
 		Target: t.Name, Host: t.Host.Name, Why: why,
 		FailureEstimate: t.observed.failureEstimate.SickForSelection(now, failureModel), Running: int(t.observed.load.Running), Queued: int(t.observed.load.Queued),
-		AgeMS: ageMS(now, t.observed.loadAt), Usable: len(st.candidates.usable), Ejected: len(st.candidates.ejected), startedAt: now,
+		AgeMS: ageMS(now, t.observed.loadAt), Usable: len(st.candidates.eligible), Ejected: len(st.candidates.ejected), startedAt: now,
 	}
 }
 
--- a/internal/front/response.go
+++ b/internal/front/response.go
@@ -31,7 +31,7 @@
 func newResponse(att *attempt, head *msg.Head) *response {
 	resp := &response{attempt: att, head: head, hash: xxhash.New()}
 	if head.Length > 0 {
-		resp.buffered = make([]byte, 0, min(head.Length, int64(att.req.service.Record.AnswerBufferBytes())))
+		resp.buffered = make([]byte, 0, min(head.Length, int64(att.req.service.Record.ResponseBufferBytes())))
 	}
 	return resp
 }
--- a/internal/front/service.go
+++ b/internal/front/service.go
@@ -66,13 +66,13 @@
 // suspect targets without taking the service below its capacity floor.
 type candidateSets struct {
 	result eject.Result
-	// usable and local are the indexes of the targets to choose from, in all data centres
+	// eligible and local are the indexes of the targets to choose from, in all data centres
 	// and in this one: those that accept requests, whose path is not excluded and that
 	// eject.Select has not ejected. ejected are those that it has.
-	usable, local, ejected []int
-	// unreachable are targets whose path is excluded.
-	unreachable []int
-	computedAt  time.Time
+	eligible, local, ejected []int
+	// excluded are targets whose path is excluded.
+	excluded   []int
+	computedAt time.Time
 }
 
 // sampleRingSize is the number of latency samples kept for each service.
@@ -151,12 +151,12 @@
 		case sets.result.Ejected[i]:
 			sets.ejected = append(sets.ejected, i)
 		case members[i].Usable:
-			sets.usable = append(sets.usable, i)
+			sets.eligible = append(sets.eligible, i)
 			if t.Host.DC == cfg.DC {
 				sets.local = append(sets.local, i)
 			}
 		case t.Usable():
-			sets.unreachable = append(sets.unreachable, i)
+			sets.excluded = append(sets.excluded, i)
 		}
 	}
 	st.candidates = sets
@@ -165,7 +165,7 @@
 // retryBudgetLeft reports whether the guard of any usable target may have retry budget
 // left. The caller must hold st.mu.
 func (st *serviceState) retryBudgetLeft(now time.Time) bool {
-	for _, i := range st.candidates.usable {
+	for _, i := range st.candidates.eligible {
 		if st.targets[i].observed.retryBudgetLeft(now) {
 			return true
 		}
@@ -178,7 +178,7 @@
 // hold st.mu.
 func (st *serviceState) retryBudgetChance(now time.Time) float64 {
 	fresh, left := 0, 0
-	for _, i := range st.candidates.usable {
+	for _, i := range st.candidates.eligible {
 		o := st.targets[i].observed
 		if now.Sub(o.loadAt) > loadMaxAge {
 			continue
--- a/internal/front/status.go
+++ b/internal/front/status.go
@@ -32,8 +32,8 @@
 	DC    string `json:"dc"`
 	Slots int    `json:"slots"`
 	// Use is "used", "left out" or "unusable". Why gives the reason.
-	Use string `json:"use"`
-	Why string `json:"why,omitempty"`
+	Use    string `json:"use"`
+	Reason string `json:"why,omitempty"`
 	// LatencyRatio is the service time relative to that of the service's other targets;
 	// 0 if unknown.
 	LatencyRatio float64 `json:"pace"`
@@ -75,7 +75,7 @@
 	for i, t := range st.targets {
 		use, why := f.explainUse(now, t, r.Ejected[i])
 		out.Targets = append(out.Targets, TargetStatus{
-			Name: t.Name, Host: t.Host.Name, DC: t.Host.DC, Slots: t.Slots, Use: use, Why: why,
+			Name: t.Name, Host: t.Host.Name, DC: t.Host.DC, Slots: t.Slots, Use: use, Reason: why,
 			LatencyRatio: t.observed.latencyRatio, FailureEstimate: t.observed.failureEstimate.SickForSelection(now, failureModel),
 			ShedShare: t.observed.shedShare.At(now), RetryBudgetLeft: int(t.observed.load.RetryBudgetLeft),
 			Running: int(t.observed.load.Running), Queued: int(t.observed.load.Queued),
@@ -123,13 +123,13 @@
 	Priority          int    `json:"priority"`
 	Team              string `json:"team,omitempty"`
 	// Open says that callers need no API key for this route.
-	Open       bool     `json:"open"`
-	TeamRate   float64  `json:"teamRatePerSecond,omitempty"`
-	Target     string   `json:"targetNow,omitempty"`
-	TargetHost string   `json:"targetHost,omitempty"`
-	TargetWhy  string   `json:"targetWhy,omitempty"`
-	LeftOut    []string `json:"leftOut,omitempty"`
-	Problem    string   `json:"problem,omitempty"`
+	Open          bool     `json:"open"`
+	TeamRate      float64  `json:"teamRatePerSecond,omitempty"`
+	Target        string   `json:"targetNow,omitempty"`
+	TargetHost    string   `json:"targetHost,omitempty"`
+	TargetReason  string   `json:"targetWhy,omitempty"`
+	UnusedTargets []string `json:"leftOut,omitempty"`
+	Problem       string   `json:"problem,omitempty"`
 }
 
 // Explain says how a request would be handled now, by the first of the route's weighted
@@ -176,7 +176,7 @@
 	status := f.serviceStatus(svc, st)
 	for _, t := range status.Targets {
 		if t.Use != "used" {
-			out.LeftOut = append(out.LeftOut, t.Name+": "+t.Use+", "+t.Why)
+			out.UnusedTargets = append(out.UnusedTargets, t.Name+": "+t.Use+", "+t.Reason)
 		}
 	}
 	st.mu.Lock()
@@ -187,5 +187,5 @@
 		return
 	}
 	out.Target, out.TargetHost = t.Name, t.Host.Name
-	out.TargetWhy = fmt.Sprintf("lowest cost in a random sample of %d usable targets; another call may choose a different one", len(status.Targets)-len(out.LeftOut))
+	out.TargetReason = fmt.Sprintf("lowest cost in a random sample of %d usable targets; another call may choose a different one", len(status.Targets)-len(out.UnusedTargets))
 }
--- a/internal/front/suspect.go
+++ b/internal/front/suspect.go
@@ -66,7 +66,7 @@
 func (st *serviceState) pickForCrashSuspect(now time.Time, fp crash.Fingerprint, a *crash.Assessment, tried []*target, usesRetryBudget bool) *target {
 	var best *target
 	lowest := uint64(0)
-	for _, i := range st.untried(st.candidates.usable, tried) {
+	for _, i := range st.untried(st.candidates.eligible, tried) {
 		t := st.targets[i]
 		if a.Blocked(now, t.softwareVersion()) || usesRetryBudget && !t.observed.retryBudgetLeft(now) {
 			continue
@@ -88,7 +88,7 @@
 
 // softwareVersion returns the service and version that the instance runs.
 func (t *target) softwareVersion() crash.Software {
-	return crash.Software{Service: t.Service, Version: t.Version}
+	return crash.Software{Service: t.Service, Version: t.SoftwareVersion}
 }
 
 // succeeded reports whether a complete response with a success status was received, which
--- a/internal/front/suspect_test.go
+++ b/internal/front/suspect_test.go
@@ -20,11 +20,11 @@
 func newServiceView(instances int, rng *rand.Rand) *serviceState {
 	st := &serviceState{}
 	for index, n := range rng.Perm(instances) {
-		i := &directory.Instance{Name: fmt.Sprint("i", n), Service: "s", Version: fmt.Sprint(n % 2)}
+		i := &directory.Instance{Name: fmt.Sprint("i", n), Service: "s", SoftwareVersion: fmt.Sprint(n % 2)}
 		observed := &observations{}
 		observed.updateLoad(time.Unix(1000, 0), msg.Load{Slots: 4, Running: uint32(rng.IntN(5)), RetryBudgetLeft: uint16(rng.IntN(2))})
 		st.targets = append(st.targets, &target{Target: &directory.Target{Instance: i, Host: &directory.Host{}}, hash: guard.NameHash(i.Name), observed: observed})
-		st.candidates.usable = append(st.candidates.usable, index)
+		st.candidates.eligible = append(st.candidates.eligible, index)
 	}
 	return st
 }
@@ -50,7 +50,7 @@
 				return
 			}
 			assert.Equal(t, first.Name, second.Name)
-			assert.Equal(t, first.Version, "1")
+			assert.Equal(t, first.SoftwareVersion, "1")
 			tried = append(tried, first)
 		}
 	})
--- a/internal/guard/call.go
+++ b/internal/guard/call.go
@@ -28,10 +28,10 @@
 	}
 	ctx, cancel := context.WithDeadlineCause(x.ctx, x.deadline, errDeadline)
 	defer cancel()
-	defer context.AfterFunc(x.inst.runCtx, cancel)()
+	defer context.AfterFunc(x.inst.processCtx, cancel)()
 	go func() {
 		select {
-		case <-x.disconnected:
+		case <-x.frontGone:
 			// A request that is not idempotent continues: aborting it midway is worse
 			// than a response that nobody receives. If its body is incomplete,
 			// bodyReader aborts it.
@@ -66,7 +66,7 @@
 	case failure == nil || ctx.Err() == nil:
 	case errors.Is(context.Cause(ctx), errDeadline):
 		failure = verdict.New(failure.Verdict, verdict.ReasonDeadline, "the target did not answer within the deadline")
-	case x.inst.runCtx.Err() != nil:
+	case x.inst.processCtx.Err() != nil:
 		failure = verdict.New(failure.Verdict, verdict.ReasonTargetBroke, "the target restarted; requests it was running are lost")
 	}
 	if failure != nil && failure.Verdict == verdict.NotRun {
@@ -257,7 +257,7 @@
 	var m msg.Message
 	select {
 	case m = <-b.x.inbox:
-	case <-b.x.disconnected:
+	case <-b.x.frontGone:
 		// Messages received before the disconnect are still in the inbox.
 		select {
 		case m = <-b.x.inbox:
--- a/internal/guard/classify.go
+++ b/internal/guard/classify.go
@@ -81,7 +81,7 @@
 	case errors.As(err, &failed) && !failed.Sent:
 		return verdict.New(verdict.NotRun, verdict.ReasonTargetDown, "nothing was sent: "+err.Error())
 	case errors.As(err, &failed) && failed.Mismatched:
-		return verdict.New(verdict.MayHaveRun, verdict.ReasonAnswerMismatch, "the target sent only responses to other requests")
+		return verdict.New(verdict.MayHaveRun, verdict.ReasonResponseMismatch, "the target sent only responses to other requests")
 	default:
 		return verdict.New(verdict.MayHaveRun, verdict.ReasonTargetBroke, "the connection to the target broke before it responded")
 	}
--- a/internal/guard/classify_test.go
+++ b/internal/guard/classify_test.go
@@ -57,6 +57,6 @@
 	cause := errors.New("x")
 	assert.Equal(t, callVerdict(&targetconn.Error{Cause: cause}).Verdict, verdict.NotRun)
 	assert.Equal(t, callVerdict(&targetconn.Error{Sent: true, Cause: cause}).Verdict, verdict.MayHaveRun)
-	assert.Equal(t, callVerdict(&targetconn.Error{Sent: true, Mismatched: true, Cause: cause}).Reason, verdict.ReasonAnswerMismatch)
+	assert.Equal(t, callVerdict(&targetconn.Error{Sent: true, Mismatched: true, Cause: cause}).Reason, verdict.ReasonResponseMismatch)
 	assert.Equal(t, callVerdict(cause).Verdict, verdict.MayHaveRun)
 }
--- a/internal/guard/instance.go
+++ b/internal/guard/instance.go
@@ -28,10 +28,10 @@
 	address string
 	started time.Time
 	client  *targetconn.Pool
-	// runCtx is cancelled when the instance is known to have restarted: requests
+	// processCtx is cancelled when the instance is known to have restarted: requests
 	// running there are lost.
-	runCtx    context.Context
-	cancelRun context.CancelFunc
+	processCtx    context.Context
+	cancelProcess context.CancelFunc
 	// probeMu is held while the instance's port is probed.
 	probeMu sync.Mutex
 
@@ -117,7 +117,7 @@
 	}
 	runCtx, cancelRun := context.WithCancel(context.Background())
 	return &instance{
-		guard: g, name: name, hash: NameHash(name), runCtx: runCtx, cancelRun: cancelRun,
+		guard: g, name: name, hash: NameHash(name), processCtx: runCtx, cancelProcess: cancelRun,
 		service: a.Service, address: a.Address, started: now,
 		client: targetconn.New(targetconn.Config{
 			Address: a.Address, MaxConns: a.connections(), IdleTimeout: g.cfg.TargetIdleTimeout,
@@ -225,7 +225,7 @@
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	i.deliver(i.queue.Revoke())
-	i.cancelRun()
+	i.cancelProcess()
 }
 
 // deliver passes decisions to the goroutines waiting for them. The caller must hold
@@ -307,7 +307,7 @@
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	out := directory.Instance{
-		Name: i.name, Service: i.service, Slots: i.slots, Conns: i.conns, Version: i.version,
+		Name: i.name, Service: i.service, Slots: i.slots, MaxConns: i.conns, SoftwareVersion: i.version,
 		Health: i.detector.Health(), StartedMS: i.started.UnixMilli(),
 		WarmUpLeft: max(time.Until(i.warmUpEnd), 0),
 	}
--- a/internal/guard/serve.go
+++ b/internal/guard/serve.go
@@ -41,8 +41,8 @@
 	waiter  *waiter
 	// inbox receives the front's messages, and disconnected is closed when the front
 	// cancels or disconnects.
-	inbox        chan msg.Message
-	disconnected chan struct{}
+	inbox     chan msg.Message
+	frontGone chan struct{}
 	// deadline is when the caller stops waiting, by this host's clock.
 	deadline time.Time
 	// hints is the front's information on the request; retryReserved reports that a retry
@@ -110,7 +110,7 @@
 	x.waiter = &waiter{fingerprint: x.fingerprint, overdueAfter: overdueAfter(hints)}
 	x.queueID = inst.offer(x.arrived, r, x.waiter)
 	x.inbox = make(chan msg.Message, 1)
-	x.disconnected = make(chan struct{})
+	x.frontGone = make(chan struct{})
 	go x.read()
 	return true
 }
@@ -133,7 +133,7 @@
 // read moves the front's messages to the inbox until the front cancels or
 // disconnects, or the exchange ends.
 func (x *exchange) read() {
-	defer close(x.disconnected)
+	defer close(x.frontGone)
 	for {
 		m, err := x.stream.Recv(x.ctx)
 		if err != nil {
@@ -159,7 +159,7 @@
 			return
 		}
 		x.call(m)
-	case <-x.disconnected:
+	case <-x.frontGone:
 		x.abandon()
 	}
 }
@@ -172,7 +172,7 @@
 			x.refuseDecision(d)
 			return
 		}
-	case <-x.disconnected:
+	case <-x.frontGone:
 		x.abandon()
 		return
 	}
@@ -186,7 +186,7 @@
 		x.runReserved(m)
 	case d := <-x.waiter.decisions:
 		x.refuseDecision(d)
-	case <-x.disconnected:
+	case <-x.frontGone:
 		x.abandon()
 	}
 }
--- a/internal/guard/suspects.go
+++ b/internal/guard/suspects.go
@@ -178,8 +178,8 @@
 	return slices.ContainsFunc(g.all(), func(i *instance) bool { return i.software() == software })
 }
 
-// ApplyCleared applies a reported clearance: the request did not cause the crash.
-func (g *Guard) ApplyCleared(id string, fp crash.Fingerprint) { g.addClearance(id, fp) }
+// ApplyClearance applies a reported clearance: the request did not cause the crash.
+func (g *Guard) ApplyClearance(id string, fp crash.Fingerprint) { g.addClearance(id, fp) }
 
 // addClearance records that a request did not cause a crash and reports whether that was
 // new.
@@ -196,7 +196,7 @@
 // again.
 func (g *Guard) ClearSuspect(fp crash.Fingerprint) {
 	for _, c := range g.suspects.crashesOf(fp) {
-		g.ApplyCleared(c.ID, fp)
+		g.ApplyClearance(c.ID, fp)
 	}
 }
 
@@ -272,7 +272,7 @@
 		}
 		select {
 		case <-time.After(wait):
-		case <-x.disconnected:
+		case <-x.frontGone:
 			return
 		case <-x.ctx.Done():
 			return
--- a/internal/guard/suspects_test.go
+++ b/internal/guard/suspects_test.go
@@ -239,8 +239,8 @@
 		g, reports := newSuspectGuard(t, "10.0.0.1:80", "s")
 		g.RecordCompletion(5, crash.Software{Service: "s", Version: "1"})
 		reportThreeCrashes(g)
-		g.ApplyCleared("a", 5)
-		g.ApplyCleared("b", 5)
+		g.ApplyClearance("a", 5)
+		g.ApplyClearance("b", 5)
 		time.Sleep(crash.ClearanceWait)
 		assert.Equal(t, len(reports.cleared), 1)
 		assert.Equal(t, g.CrashAssessment(5).Crashes, 0)
@@ -254,7 +254,7 @@
 	reportThreeCrashes(g)
 	time.AfterFunc(crash.ClearanceWait/3, func() {
 		for _, id := range []string{"a", "b", "c"} {
-			g.ApplyCleared(id, 5)
+			g.ApplyClearance(id, 5)
 		}
 	})
 	_, completed := send(t, g, "/", 5).(*msg.End)
@@ -276,7 +276,7 @@
 			<-waiting
 			assert.Equal(t, g.CrashAssessment(5).Crashes, 3)
 			if cleared {
-				g.ApplyCleared("a", 5)
+				g.ApplyClearance("a", 5)
 			}
 			time.Sleep(2 * crash.ClearanceWait)
 			assert.Equal(t, len(reports.blocked) == 0, cleared)
--- a/internal/lab/capacity.go
+++ b/internal/lab/capacity.go
@@ -151,7 +151,7 @@
 		h := &directory.Host{Name: fmt.Sprintf("host-%04d", i), DC: fmt.Sprintf("dc-%02d", i%11), PeerAddr: "10.0.0.1:7300", Alive: true}
 		for k := range instancesPerHost {
 			h.Instances = append(h.Instances, directory.Instance{
-				Name: fmt.Sprintf("host-%04d-%d", i, k), Service: fmt.Sprintf("service-%03d", (i*instancesPerHost+k)%designServices), Slots: 6, Conns: 350,
+				Name: fmt.Sprintf("host-%04d-%d", i, k), Service: fmt.Sprintf("service-%03d", (i*instancesPerHost+k)%designServices), Slots: 6, MaxConns: 350,
 			})
 		}
 		out = append(out, h)
--- a/internal/lab/demo.go
+++ b/internal/lab/demo.go
@@ -194,7 +194,7 @@
 	for _, svc := range s.Services {
 		printf("   on %s, service %s: %d of %d slots in use, the floor is %d", f.Hosts[0].Name, svc.Name, svc.HealthySlots, svc.KnownSlots, svc.RequiredSlots)
 		for _, t := range svc.Targets {
-			printf("     %-14s %-4s %-9s %s", t.Name, t.DC, t.Use, t.Why)
+			printf("     %-14s %-4s %-9s %s", t.Name, t.DC, t.Use, t.Reason)
 		}
 	}
 }
--- a/internal/mesh/mesh.go
+++ b/internal/mesh/mesh.go
@@ -97,7 +97,7 @@
 type delivery struct {
 	from, to    *Host
 	incarnation int
-	packet      *msg.Packet
+	packet      *msg.MemberPacket
 	message     msg.Message
 }
 
@@ -239,10 +239,10 @@
 func (m *Mesh) publish(h *Host) {
 	h.version++
 	h.Members.SetVersion(h.version)
-	state := msg.HostState{DC: h.DC, Peer: "10.111.112.113:7300", Admin: "10.111.112.113:7900", Incarnation: uint64(h.version)}
+	state := msg.HostState{DC: h.DC, PeerAddr: "10.111.112.113:7300", AdminAddr: "10.111.112.113:7900", Incarnation: uint64(h.version)}
 	for i := range h.instances {
 		state.Instances = append(state.Instances, msg.HostInstance{
-			Name: fmt.Sprintf("service-%03d-%s", i, h.Name), Service: fmt.Sprintf("service-%03d", i), Slots: 6, Conns: 350, Version: "2026.12.1", StartedMS: 1,
+			Name: fmt.Sprintf("service-%03d-%s", i, h.Name), Service: fmt.Sprintf("service-%03d", i), Slots: 6, MaxConns: 350, SoftwareVersion: "2026.12.1", StartedMS: 1,
 		})
 	}
 	value, err := state.MarshalMsg(nil)
--- a/internal/mesh/mesh_test.go
+++ b/internal/mesh/mesh_test.go
@@ -227,7 +227,7 @@
 }
 
 // Hosts on both sides of a partition of three minutes rejoin when it ends.
-func TestPartitionedRegionsRejoin(t *testing.T) {
+func TestPartitionedDataCentresRejoin(t *testing.T) {
 	m := New(Config{Hosts: 30, DCs: 3, Seed: 8, LossRate: 0.01, Instances: 1, Watchers: 2})
 	m.StartAll()
 	m.Run(5 * time.Second)
--- a/internal/mesh/start_test.go
+++ b/internal/mesh/start_test.go
@@ -108,7 +108,7 @@
 //	24 after   197       42 KB   9 KB                  0.7 s
 //	354 before 2,499     1.2 MB  485 KB                0.65 s
 //	354 after  345       0.5 MB  17 KB                 1.1 s
-func TestStartOfAllFitsHostResources(t *testing.T) {
+func TestFleetStartFitsHostResources(t *testing.T) {
 	small, large := measureStartup(24, 1), measureStartup(354, 1)
 	maxMessages := messageCPUShare * smallestCPUShare * startPeriod.Seconds() / messageCPUTime.Seconds()
 	for _, c := range []startupCost{small, large} {
--- a/internal/msg/control.go
+++ b/internal/msg/control.go
@@ -5,7 +5,7 @@
 //msgp:limit arrays:1200000 maps:64
 //msgp:tuple Rumor Digest Buckets Versions VersionItem Pull Snapshot Entry
 //msgp:tuple InstanceCrash
-//msgp:tuple Report ReportRejected MemberClaim Packet HostInstance HostState
+//msgp:tuple StatusReport RejectedRecord MemberClaim MemberPacket HostInstance HostState
 
 // Entry is one versioned entry of a replicated set.
 type Entry struct {
@@ -27,8 +27,8 @@
 	// SetCrashes holds the crashes of instances, with the requests that were running, and
 	// the clearances: records that a request did not cause a crash.
 	SetCrashes
-	// Sets is the number of replicated sets.
-	Sets
+	// SetCount is the number of replicated sets.
+	SetCount
 )
 
 // Rumor sends new entries to a peer without a request for them.
@@ -108,8 +108,8 @@
 	Status uint8
 }
 
-// Packet is one membership datagram.
-type Packet struct {
+// MemberPacket is one membership datagram.
+type MemberPacket struct {
 	Kind PacketKind
 	Seq  uint64
 	From string
@@ -128,10 +128,10 @@
 	Name    string
 	Service string
 	Slots   uint32
-	// Conns is the maximum number of connections to the instance.
-	Conns uint32
-	// Version is the version of the instance's software.
-	Version string
+	// MaxConns is the maximum number of connections to the instance.
+	MaxConns uint32
+	// SoftwareVersion is the version of the instance's software.
+	SoftwareVersion string
 	// State is a directory.InstanceState, and Health a detect.Health.
 	State  uint8
 	Health uint8
@@ -148,8 +148,8 @@
 // HostState is the state that a host publishes about itself, as its only writer.
 type HostState struct {
 	DC          string
-	Peer        string
-	Admin       string
+	PeerAddr    string
+	AdminAddr   string
 	Incarnation uint64
 	Leaving     bool
 	Instances   []HostInstance `msg:"instances,limit=256"`
@@ -169,20 +169,20 @@
 	Fingerprints []uint64 `msg:"prints,limit=256"`
 }
 
-// Report tells the host that aggregates the status of a data centre which records the
+// StatusReport tells the host that aggregates the status of a data centre which records the
 // sender has in force.
-type Report struct {
+type StatusReport struct {
 	// Root is the root hash of the sender's records, and Newest their greatest version.
 	Root     uint64
 	Newest   int64
 	Complete bool
 	// Rejected lists the records whose current version the sender has rejected. Their
 	// last valid version stays in force.
-	Rejected []ReportRejected `msg:"rejected,limit=64"`
+	Rejected []RejectedRecord `msg:"rejected,limit=64"`
 }
 
-// ReportRejected is a record whose current version is not in force.
-type ReportRejected struct {
+// RejectedRecord is a record whose current version is not in force.
+type RejectedRecord struct {
 	Key string
 	// Version is the rejected version, and InForce the version in force, or 0 if there is
 	// none.
--- a/internal/msg/control_gen.go
+++ b/internal/msg/control_gen.go
@@ -240,8 +240,8 @@
 	o = msgp.AppendString(o, z.Name)
 	o = msgp.AppendString(o, z.Service)
 	o = msgp.AppendUint32(o, z.Slots)
-	o = msgp.AppendUint32(o, z.Conns)
-	o = msgp.AppendString(o, z.Version)
+	o = msgp.AppendUint32(o, z.MaxConns)
+	o = msgp.AppendString(o, z.SoftwareVersion)
 	o = msgp.AppendUint8(o, z.State)
 	o = msgp.AppendUint8(o, z.Health)
 	o = msgp.AppendUint32(o, z.Evidence)
@@ -277,14 +277,14 @@
 		err = msgp.WrapError(err, "Slots")
 		return
 	}
-	z.Conns, bts, err = msgp.ReadUint32Bytes(bts)
+	z.MaxConns, bts, err = msgp.ReadUint32Bytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Conns")
+		err = msgp.WrapError(err, "MaxConns")
 		return
 	}
-	z.Version, bts, err = msgp.ReadStringBytes(bts)
+	z.SoftwareVersion, bts, err = msgp.ReadStringBytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Version")
+		err = msgp.WrapError(err, "SoftwareVersion")
 		return
 	}
 	z.State, bts, err = msgp.ReadUint8Bytes(bts)
@@ -318,7 +318,7 @@
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
 func (z *HostInstance) Msgsize() (s int) {
-	s = 1 + msgp.StringPrefixSize + len(z.Name) + msgp.StringPrefixSize + len(z.Service) + msgp.Uint32Size + msgp.Uint32Size + msgp.StringPrefixSize + len(z.Version) + msgp.Uint8Size + msgp.Uint8Size + msgp.Uint32Size + msgp.Int64Size + msgp.Uint32Size
+	s = 1 + msgp.StringPrefixSize + len(z.Name) + msgp.StringPrefixSize + len(z.Service) + msgp.Uint32Size + msgp.Uint32Size + msgp.StringPrefixSize + len(z.SoftwareVersion) + msgp.Uint8Size + msgp.Uint8Size + msgp.Uint32Size + msgp.Int64Size + msgp.Uint32Size
 	return
 }
 
@@ -328,8 +328,8 @@
 	// array header, size 6
 	o = append(o, 0x96)
 	o = msgp.AppendString(o, z.DC)
-	o = msgp.AppendString(o, z.Peer)
-	o = msgp.AppendString(o, z.Admin)
+	o = msgp.AppendString(o, z.PeerAddr)
+	o = msgp.AppendString(o, z.AdminAddr)
 	o = msgp.AppendUint64(o, z.Incarnation)
 	o = msgp.AppendBool(o, z.Leaving)
 	o = msgp.AppendArrayHeader(o, uint32(len(z.Instances)))
@@ -360,14 +360,14 @@
 		err = msgp.WrapError(err, "DC")
 		return
 	}
-	z.Peer, bts, err = msgp.ReadStringBytes(bts)
+	z.PeerAddr, bts, err = msgp.ReadStringBytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Peer")
+		err = msgp.WrapError(err, "PeerAddr")
 		return
 	}
-	z.Admin, bts, err = msgp.ReadStringBytes(bts)
+	z.AdminAddr, bts, err = msgp.ReadStringBytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Admin")
+		err = msgp.WrapError(err, "AdminAddr")
 		return
 	}
 	z.Incarnation, bts, err = msgp.ReadUint64Bytes(bts)
@@ -408,7 +408,7 @@
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
 func (z *HostState) Msgsize() (s int) {
-	s = 1 + msgp.StringPrefixSize + len(z.DC) + msgp.StringPrefixSize + len(z.Peer) + msgp.StringPrefixSize + len(z.Admin) + msgp.Uint64Size + msgp.BoolSize + msgp.ArrayHeaderSize
+	s = 1 + msgp.StringPrefixSize + len(z.DC) + msgp.StringPrefixSize + len(z.PeerAddr) + msgp.StringPrefixSize + len(z.AdminAddr) + msgp.Uint64Size + msgp.BoolSize + msgp.ArrayHeaderSize
 	for za0001 := range z.Instances {
 		s += z.Instances[za0001].Msgsize()
 	}
@@ -544,7 +544,7 @@
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z *Packet) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *MemberPacket) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
 	// array header, size 8
 	o = append(o, 0x98)
@@ -567,7 +567,7 @@
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *Packet) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *MemberPacket) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var zb0001 uint32
 	zb0001, bts, err = msgp.ReadArrayHeaderBytes(bts)
 	if err != nil {
@@ -664,7 +664,7 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *Packet) Msgsize() (s int) {
+func (z *MemberPacket) Msgsize() (s int) {
 	s = 1 + msgp.Uint8Size + msgp.Uint64Size + msgp.StringPrefixSize + len(z.From) + msgp.Int64Size + msgp.StringPrefixSize + len(z.FromAddr) + msgp.StringPrefixSize + len(z.ProbedHost) + msgp.StringPrefixSize + len(z.ProbedAddr) + msgp.ArrayHeaderSize
 	for za0001 := range z.Claims {
 		s += 1 + msgp.StringPrefixSize + len(z.Claims[za0001].Host) + msgp.Int64Size + msgp.Uint8Size
@@ -800,88 +800,7 @@
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z *Report) MarshalMsg(b []byte) (o []byte, err error) {
-	o = msgp.Require(b, z.Msgsize())
-	// array header, size 4
-	o = append(o, 0x94)
-	o = msgp.AppendUint64(o, z.Root)
-	o = msgp.AppendInt64(o, z.Newest)
-	o = msgp.AppendBool(o, z.Complete)
-	o = msgp.AppendArrayHeader(o, uint32(len(z.Rejected)))
-	for za0001 := range z.Rejected {
-		o, err = z.Rejected[za0001].MarshalMsg(o)
-		if err != nil {
-			err = msgp.WrapError(err, "Rejected", za0001)
-			return
-		}
-	}
-	return
-}
-
-// UnmarshalMsg implements msgp.Unmarshaler
-func (z *Report) UnmarshalMsg(bts []byte) (o []byte, err error) {
-	var zb0001 uint32
-	zb0001, bts, err = msgp.ReadArrayHeaderBytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err)
-		return
-	}
-	if zb0001 != 4 {
-		err = msgp.ArrayError{Wanted: 4, Got: zb0001}
-		return
-	}
-	z.Root, bts, err = msgp.ReadUint64Bytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err, "Root")
-		return
-	}
-	z.Newest, bts, err = msgp.ReadInt64Bytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err, "Newest")
-		return
-	}
-	z.Complete, bts, err = msgp.ReadBoolBytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err, "Complete")
-		return
-	}
-	var zb0002 uint32
-	zb0002, bts, err = msgp.ReadArrayHeaderBytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err, "Rejected")
-		return
-	}
-	if zb0002 > 64 {
-		err = msgp.ErrLimitExceeded
-		return
-	}
-	if cap(z.Rejected) >= int(zb0002) {
-		z.Rejected = (z.Rejected)[:zb0002]
-	} else {
-		z.Rejected = make([]ReportRejected, zb0002)
-	}
-	for za0001 := range z.Rejected {
-		bts, err = z.Rejected[za0001].UnmarshalMsg(bts)
-		if err != nil {
-			err = msgp.WrapError(err, "Rejected", za0001)
-			return
-		}
-	}
-	o = bts
-	return
-}
-
-// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *Report) Msgsize() (s int) {
-	s = 1 + msgp.Uint64Size + msgp.Int64Size + msgp.BoolSize + msgp.ArrayHeaderSize
-	for za0001 := range z.Rejected {
-		s += z.Rejected[za0001].Msgsize()
-	}
-	return
-}
-
-// MarshalMsg implements msgp.Marshaler
-func (z *ReportRejected) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *RejectedRecord) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
 	// array header, size 4
 	o = append(o, 0x94)
@@ -893,7 +812,7 @@
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *ReportRejected) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *RejectedRecord) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var zb0001 uint32
 	zb0001, bts, err = msgp.ReadArrayHeaderBytes(bts)
 	if err != nil {
@@ -929,7 +848,7 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *ReportRejected) Msgsize() (s int) {
+func (z *RejectedRecord) Msgsize() (s int) {
 	s = 1 + msgp.StringPrefixSize + len(z.Key) + msgp.Int64Size + msgp.Int64Size + msgp.StringPrefixSize + len(z.Reason)
 	return
 }
@@ -1127,6 +1046,87 @@
 	return
 }
 
+// MarshalMsg implements msgp.Marshaler
+func (z *StatusReport) MarshalMsg(b []byte) (o []byte, err error) {
+	o = msgp.Require(b, z.Msgsize())
+	// array header, size 4
+	o = append(o, 0x94)
+	o = msgp.AppendUint64(o, z.Root)
+	o = msgp.AppendInt64(o, z.Newest)
+	o = msgp.AppendBool(o, z.Complete)
+	o = msgp.AppendArrayHeader(o, uint32(len(z.Rejected)))
+	for za0001 := range z.Rejected {
+		o, err = z.Rejected[za0001].MarshalMsg(o)
+		if err != nil {
+			err = msgp.WrapError(err, "Rejected", za0001)
+			return
+		}
+	}
+	return
+}
+
+// UnmarshalMsg implements msgp.Unmarshaler
+func (z *StatusReport) UnmarshalMsg(bts []byte) (o []byte, err error) {
+	var zb0001 uint32
+	zb0001, bts, err = msgp.ReadArrayHeaderBytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err)
+		return
+	}
+	if zb0001 != 4 {
+		err = msgp.ArrayError{Wanted: 4, Got: zb0001}
+		return
+	}
+	z.Root, bts, err = msgp.ReadUint64Bytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err, "Root")
+		return
+	}
+	z.Newest, bts, err = msgp.ReadInt64Bytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err, "Newest")
+		return
+	}
+	z.Complete, bts, err = msgp.ReadBoolBytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err, "Complete")
+		return
+	}
+	var zb0002 uint32
+	zb0002, bts, err = msgp.ReadArrayHeaderBytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err, "Rejected")
+		return
+	}
+	if zb0002 > 64 {
+		err = msgp.ErrLimitExceeded
+		return
+	}
+	if cap(z.Rejected) >= int(zb0002) {
+		z.Rejected = (z.Rejected)[:zb0002]
+	} else {
+		z.Rejected = make([]RejectedRecord, zb0002)
+	}
+	for za0001 := range z.Rejected {
+		bts, err = z.Rejected[za0001].UnmarshalMsg(bts)
+		if err != nil {
+			err = msgp.WrapError(err, "Rejected", za0001)
+			return
+		}
+	}
+	o = bts
+	return
+}
+
+// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
+func (z *StatusReport) Msgsize() (s int) {
+	s = 1 + msgp.Uint64Size + msgp.Int64Size + msgp.BoolSize + msgp.ArrayHeaderSize
+	for za0001 := range z.Rejected {
+		s += z.Rejected[za0001].Msgsize()
+	}
+	return
+}
+
 // MarshalMsg implements msgp.Marshaler
 func (z VersionItem) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
--- a/internal/msg/teams.go
+++ b/internal/msg/teams.go
@@ -36,9 +36,9 @@
 	Known bool
 	// ConfirmedByReceiver reports whether Confirmed was confirmed by the receiver.
 	ConfirmedByReceiver bool
-	// Forwarded reports that other hosts report the team's usage to the sender, although it
+	// SenderReceivesReports reports that other hosts report the team's usage to the sender, although it
 	// does not keep the account.
-	Forwarded bool
+	SenderReceivesReports bool
 	// QueryID identifies the query, or is 0 if there is none.
 	QueryID uint32
 }
--- a/internal/msg/teams_gen.go
+++ b/internal/msg/teams_gen.go
@@ -305,7 +305,7 @@
 	o = msgp.AppendFloat32(o, z.Level)
 	o = msgp.AppendBool(o, z.Known)
 	o = msgp.AppendBool(o, z.ConfirmedByReceiver)
-	o = msgp.AppendBool(o, z.Forwarded)
+	o = msgp.AppendBool(o, z.SenderReceivesReports)
 	o = msgp.AppendUint32(o, z.QueryID)
 	return
 }
@@ -357,9 +357,9 @@
 		err = msgp.WrapError(err, "ConfirmedByReceiver")
 		return
 	}
-	z.Forwarded, bts, err = msgp.ReadBoolBytes(bts)
+	z.SenderReceivesReports, bts, err = msgp.ReadBoolBytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Forwarded")
+		err = msgp.WrapError(err, "SenderReceivesReports")
 		return
 	}
 	z.QueryID, bts, err = msgp.ReadUint32Bytes(bts)
--- a/internal/objects/api.go
+++ b/internal/objects/api.go
@@ -59,7 +59,7 @@
 	Watch(ctx context.Context, feed Feed, after int64, waitFactor int) (Page, error)
 	// Observe sets the callback for calls that are late or fail. It must be called
 	// before the first call, and the callback must not block.
-	Observe(report func(LateCall))
+	Observe(report func(CallReport))
 	// Close closes idle connections.
 	Close()
 }
--- a/internal/objects/budget.go
+++ b/internal/objects/budget.go
@@ -128,9 +128,9 @@
 
 // Observe implements Store. It also counts the retries of late calls. Retries are not
 // subject to the rate limit, but RetryInterval limits their rate.
-func (s *RateLimitedStore) Observe(report func(LateCall)) {
+func (s *RateLimitedStore) Observe(report func(CallReport)) {
 	retries := s.counters.NewCounter("radishhoist_store_repeats_total")
-	s.store.Observe(func(call LateCall) {
+	s.store.Observe(func(call CallReport) {
 		if call.Ended {
 			retries.Add(call.Attempts - 1)
 		}
--- a/internal/objects/late.go
+++ b/internal/objects/late.go
@@ -8,9 +8,9 @@
 	"github.com/pkg/errors"
 )
 
-// LateCall describes a call to the platform that is late, that ended after being late, or
+// CallReport describes a call to the platform that is late, that ended after being late, or
 // that failed.
-type LateCall struct {
+type CallReport struct {
 	// Call has the method, path and query.
 	Call string
 	// HoldTime is the time for which the platform was asked to hold the call, 0 for none.
@@ -27,8 +27,8 @@
 
 // callTracker reports a call if it is late or fails.
 type callTracker struct {
-	report func(LateCall)
-	call   LateCall
+	report func(CallReport)
+	call   CallReport
 	start  time.Time
 	timer  *time.Timer
 }
@@ -39,7 +39,7 @@
 	if c.report == nil {
 		return c
 	}
-	c.call = LateCall{Call: r.Method + " " + r.URL.RequestURI(), HoldTime: hold}
+	c.call = CallReport{Call: r.Method + " " + r.URL.RequestURI(), HoldTime: hold}
 	late := c.call
 	late.Elapsed = hold + LateThreshold
 	c.timer = time.AfterFunc(late.Elapsed, func() { c.report(late) })
--- a/internal/objects/late_test.go
+++ b/internal/objects/late_test.go
@@ -21,16 +21,16 @@
 // lateCallRecorder records the late calls that a client reports.
 type lateCallRecorder struct {
 	mu  sync.Mutex
-	all []objects.LateCall
+	all []objects.CallReport
 }
 
-func (r *lateCallRecorder) record(c objects.LateCall) {
+func (r *lateCallRecorder) record(c objects.CallReport) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.all = append(r.all, c)
 }
 
-func (r *lateCallRecorder) drain() []objects.LateCall {
+func (r *lateCallRecorder) drain() []objects.CallReport {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	out := r.all
@@ -75,7 +75,7 @@
 		assert.ErrorContains(t, err, "platform unavailable")
 		calls := recorder.drain()
 		assert.Equal(t, len(calls), 2)
-		assert.Equal(t, calls[0], objects.LateCall{Call: "GET /v1/objects", Elapsed: objects.LateThreshold})
+		assert.Equal(t, calls[0], objects.CallReport{Call: "GET /v1/objects", Elapsed: objects.LateThreshold})
 		assert.Assert(t, calls[1].Ended && calls[1].Cause != nil && calls[1].Elapsed >= objects.LateThreshold)
 	})
 }
--- a/internal/objects/transport.go
+++ b/internal/objects/transport.go
@@ -31,7 +31,7 @@
 	// httpTransport is the transport of httpClient and holds its connections.
 	httpTransport *http.Transport
 	// report is called for calls that are late or fail. It may be nil.
-	report func(LateCall)
+	report func(CallReport)
 }
 
 // NewTransport returns a Transport for the object API at base, such as
@@ -62,7 +62,7 @@
 
 // Observe sets the callback for calls that are late or fail. It must be called
 // before the first call, and the callback must not block.
-func (t *Transport) Observe(report func(LateCall)) { t.report = report }
+func (t *Transport) Observe(report func(CallReport)) { t.report = report }
 
 // Request returns a request builder for one call.
 func (t *Transport) Request() *sling.Sling { return t.base.New() }
--- a/internal/peer/pool.go
+++ b/internal/peer/pool.go
@@ -324,15 +324,15 @@
 	return conn, nil
 }
 
-// Sweep closes idle connections and replaced ones without streams, and removes idle links
+// CloseIdle closes idle connections and replaced ones without streams, and removes idle links
 // that have no open connection. It must be called periodically.
-func (p *Pool) Sweep() {
+func (p *Pool) CloseIdle() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for addr, l := range p.links {
 		l.mu.Lock()
 		idle := time.Since(l.lastUsed) > idleTimeout
-		if idle && l.conn != nil && l.conn.Streams() == 0 {
+		if idle && l.conn != nil && l.conn.StreamCount() == 0 {
 			l.conn.Close()
 		}
 		l.closeRetired()
@@ -358,14 +358,14 @@
 	defer p.mu.Unlock()
 	s := Stats{Inbound: len(p.inbound)}
 	for c := range p.inbound {
-		s.Streams += c.Streams()
+		s.Streams += c.StreamCount()
 		s.StrayFrames += c.StrayFrames()
 	}
 	for _, l := range p.links {
 		l.mu.Lock()
 		if l.conn != nil && l.conn.Err() == nil {
 			s.Outbound++
-			s.Streams += l.conn.Streams()
+			s.Streams += l.conn.StreamCount()
 			s.StrayFrames += l.conn.StrayFrames()
 		}
 		l.mu.Unlock()
--- a/internal/peer/send.go
+++ b/internal/peer/send.go
@@ -135,7 +135,7 @@
 	for _, c := range l.retired {
 		switch {
 		case c.Err() != nil:
-		case c.Streams() == 0:
+		case c.StreamCount() == 0:
 			c.Close()
 		default:
 			kept = append(kept, c)
--- a/internal/peer/suspect_test.go
+++ b/internal/peer/suspect_test.go
@@ -156,7 +156,7 @@
 		assert.Assert(t, again != conn, "a suspect connection was used for new work")
 		assert.NilError(t, conn.Err())
 		assert.Equal(t, n.dials.Load(), int64(2))
-		from.Sweep()
+		from.CloseIdle()
 		assert.NilError(t, conn.Err())
 
 		again.MarkSuspect()
--- a/internal/settings/propagation.go
+++ b/internal/settings/propagation.go
@@ -10,10 +10,10 @@
 // PropagationDelay is the worst-case time from the platform's acknowledgement of a record
 // until the record is in force on every host, with a failure at each step.
 type PropagationDelay struct {
-	// Notice is the time until a watcher detects the change after its pending watch
+	// Detection is the time until a watcher detects the change after its pending watch
 	// was lost or rejected, for example because its connection broke or the platform
 	// did not respond.
-	Notice time.Duration
+	Detection time.Duration
 	// Distribution is the time to list the records, if the platform has dropped its
 	// change history, and to send the change to the hosts.
 	Distribution time.Duration
@@ -23,7 +23,7 @@
 }
 
 // Total returns the sum of the steps.
-func (d PropagationDelay) Total() time.Duration { return d.Notice + d.Distribution + d.Repair }
+func (d PropagationDelay) Total() time.Duration { return d.Detection + d.Distribution + d.Repair }
 
 const (
 	// distributionTime covers a list call and the gossip that follows. With 24 hosts
@@ -52,10 +52,10 @@
 	maxDerivedRepairInterval = 5 * time.Second
 )
 
-// Way returns the worst-case propagation delay of a change under these settings.
-func (c *Config) Way() PropagationDelay {
+// PropagationDelay returns the worst-case propagation delay of a change under these settings.
+func (c *Config) PropagationDelay() PropagationDelay {
 	return PropagationDelay{
-		Notice:       max(c.WatchWait, c.MaxRetryInterval) + objects.LateThreshold,
+		Detection:    max(c.WatchWait, c.MaxRetryInterval) + objects.LateThreshold,
 		Distribution: distributionTime,
 		Repair:       time.Duration(maxRepairIntervals * float64(c.RepairInterval)),
 	}
@@ -83,12 +83,12 @@
 // longer than ApplyWithin. If none is configured and even the derived timings exceed
 // ApplyWithin, it only adds a warning, so that the host still serves.
 func (c *Config) checkPropagationDelay() error {
-	d := c.Way()
+	d := c.PropagationDelay()
 	if d.Total() <= c.ApplyWithin {
 		return nil
 	}
 	err := fmt.Errorf("a change may take %s (%s until a watcher detects it, set by watch_wait and away_max; %s to distribute it; %s to repair hosts that missed it, set by repair_interval)",
-		d.Total(), d.Notice, d.Distribution, d.Repair)
+		d.Total(), d.Detection, d.Distribution, d.Repair)
 	if c.timingsConfigured {
 		return err
 	}
--- a/internal/settings/propagation_test.go
+++ b/internal/settings/propagation_test.go
@@ -14,8 +14,8 @@
 	for bound := 750 * time.Millisecond; bound <= time.Minute; bound += 250 * time.Millisecond {
 		c, err := Parse("f.ini", []byte(validSettings+fmt.Sprintf("[control]\napply_within = %s\n", bound)))
 		assert.NilError(t, err)
-		d := c.Way()
-		assert.Equal(t, d.Total(), d.Notice+d.Distribution+d.Repair)
+		d := c.PropagationDelay()
+		assert.Equal(t, d.Total(), d.Detection+d.Distribution+d.Repair)
 		assert.Assert(t, d.Total() <= bound, "%s: %+v", bound, d)
 		assert.Assert(t, c.WatchWait >= minDerived && c.MaxRetryInterval >= minDerived && c.RepairInterval >= minDerived)
 		assert.Equal(t, len(c.Warnings), 0)
@@ -24,7 +24,7 @@
 	c, err := Parse("f.ini", []byte(validSettings+"[control]\napply_within = 2s\n"))
 	assert.NilError(t, err)
 	assert.Equal(t, c.WatchWait, 600*time.Millisecond)
-	assert.Assert(t, Default().Way().Total() <= Default().ApplyWithin)
+	assert.Assert(t, Default().PropagationDelay().Total() <= Default().ApplyWithin)
 }
 
 // An apply_within that no timings can meet must give a warning, not an error.
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -28,9 +28,9 @@
 	Started string `json:"started"`
 	// Phase is the life-cycle phase: starting, serving, planned stop or shutting down.
 	Phase string `json:"phase"`
-	// Waiting lists why the process does not accept traffic; empty if it does.
-	Waiting   []string              `json:"waitingFor"`
-	Instances []guard.InstanceState `json:"instances"`
+	// NotReadyReasons lists why the process does not accept traffic; empty if it does.
+	NotReadyReasons []string              `json:"waitingFor"`
+	Instances       []guard.InstanceState `json:"instances"`
 	// Suspects are the requests suspected of crashing the instances that run them.
 	Suspects []guard.SuspectState  `json:"suspects"`
 	Services []front.ServiceStatus `json:"services"`
@@ -62,6 +62,6 @@
 // Ready reports whether the process accepts traffic and, if not, why. It is served at
 // ReadyPath.
 type Ready struct {
-	Ready   bool     `json:"ready"`
-	Waiting []string `json:"waitingFor,omitempty"`
+	Ready           bool     `json:"ready"`
+	NotReadyReasons []string `json:"waitingFor,omitempty"`
 }
--- a/internal/wire/conn.go
+++ b/internal/wire/conn.go
@@ -149,8 +149,8 @@
 // not open.
 func (c *Conn) StrayFrames() uint64 { return c.strayFrames.Load() }
 
-// Streams returns the number of open streams.
-func (c *Conn) Streams() int {
+// StreamCount returns the number of open streams.
+func (c *Conn) StreamCount() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.streams)
--- a/record/service.go
+++ b/record/service.go
@@ -22,9 +22,9 @@
 	// RetryPercent limits retries and hedges to a percentage of original requests;
 	// 0 means DefaultRetryPercent.
 	RetryPercent int `json:"retryPercent,omitempty"`
-	// AnswerBufferKB is the size in KB up to which a response is buffered until it is
+	// ResponseBufferKB is the size in KB up to which a response is buffered until it is
 	// complete; 0 means DefaultAnswerBufferKB.
-	AnswerBufferKB int `json:"answerBufferKB,omitempty"`
+	ResponseBufferKB int `json:"answerBufferKB,omitempty"`
 	// KeyShards is the number of shards for the service's idempotency keys;
 	// 0 means DefaultKeyShards.
 	KeyShards int `json:"keyShards,omitempty"`
@@ -44,7 +44,7 @@
 // Defaults of Service fields.
 const (
 	DefaultRetryPercent     = 10
-	DefaultAnswerBufferKB   = 256
+	DefaultResponseBufferKB = 256
 	DefaultKeyShards        = 4
 	DefaultKeyWindowSeconds = 600
 )
@@ -67,7 +67,7 @@
 	f.checkRange("floor.percent", s.Floor.Percent, 1, 100)
 	f.checkRange("floor.instances", s.Floor.Instances, 0, maxFloorInstances)
 	f.checkRange("retryPercent", s.RetryPercent, 0, maxRetryPercent)
-	f.checkRange("answerBufferKB", s.AnswerBufferKB, 0, maxAnswerBufferKB)
+	f.checkRange("answerBufferKB", s.ResponseBufferKB, 0, maxAnswerBufferKB)
 	f.checkRange("keyShards", s.KeyShards, 0, maxKeyShards)
 	f.checkRange("keyWindowSeconds", s.KeyWindowSeconds, 0, maxKeyWindowSeconds)
 }
@@ -77,9 +77,9 @@
 	return float64(orDefault(s.RetryPercent, DefaultRetryPercent)) / 100
 }
 
-// AnswerBufferBytes returns the response buffer size in bytes.
-func (s *Service) AnswerBufferBytes() int {
-	return orDefault(s.AnswerBufferKB, DefaultAnswerBufferKB) << 10
+// ResponseBufferBytes returns the response buffer size in bytes.
+func (s *Service) ResponseBufferBytes() int {
+	return orDefault(s.ResponseBufferKB, DefaultResponseBufferKB) << 10
 }
 
 // KeyShardCount returns the number of shards for idempotency keys.
--- a/record/system.go
+++ b/record/system.go
@@ -110,7 +110,7 @@
 	// InForce groups the hosts by the record set that they have in force.
 	InForce []HostsInForce `json:"inForce"`
 	// Rejected lists the records that hosts have rejected, and why.
-	Rejected []Rejected `json:"rejected,omitempty"`
+	Rejected []RejectedRecord `json:"rejected,omitempty"`
 }
 
 // HostsInForce describes the hosts that have the same record set in force.
@@ -125,8 +125,8 @@
 	Behind []string `json:"behind,omitempty"`
 }
 
-// Rejected is one rejected record.
-type Rejected struct {
+// RejectedRecord is one rejected record.
+type RejectedRecord struct {
 	Key string `json:"key"`
 	// Version is the rejected version, and InForce the version still in force, or 0 if
 	// there is none.
--- a/verdict/problem.go
+++ b/verdict/problem.go
@@ -20,8 +20,8 @@
 	Status  int    `json:"status"`
 	Detail  string `json:"detail,omitempty"`
 	Verdict string `json:"verdict"`
-	// Request is the request ID.
-	Request string `json:"request"`
+	// RequestID is the request ID.
+	RequestID string `json:"request"`
 }
 
 // Status returns the HTTP status code for the failure. Callers take 429 and 503
@@ -69,12 +69,12 @@
 		h.Set("Retry-After", strconv.FormatInt((e.RetryAfterMS+999)/1000, 10))
 	}
 	body, err := json.Marshal(Problem{
-		Type:    "urn:radishhoist:" + string(e.Reason),
-		Title:   string(e.Reason),
-		Status:  e.Status(),
-		Detail:  e.Detail,
-		Verdict: e.Verdict.String(),
-		Request: requestID,
+		Type:      "urn:radishhoist:" + string(e.Reason),
+		Title:     string(e.Reason),
+		Status:    e.Status(),
+		Detail:    e.Detail,
+		Verdict:   e.Verdict.String(),
+		RequestID: requestID,
 	})
 	if err != nil {
 		body = []byte(`{}`)
