--- a/internal/e2e/leftover_test.go
+++ b/internal/e2e/leftover_test.go
@@ -121,7 +121,7 @@
 	second := lab.NewFleet(context.Background(), bin, t.TempDir(), &logtest.Buffer{})
 	defer second.Stop()
 	err := second.StartPlatform("127.0.46.1")
-	assert.ErrorContains(t, err, "platform ended early")
+	assert.ErrorContains(t, err, "platform exited unexpectedly")
 	assert.ErrorContains(t, err, "another process has this port")
 
 	l, err := net.Listen("tcp", fmt.Sprintf("127.0.46.11:%d", lab.CallersPort))
@@ -130,6 +130,6 @@
 	_, err = first.StartHost("h1", "dc1", "127.0.46.11", "")
 	assert.NilError(t, err)
 	err = first.WaitUntilServing(waitTimeout, nil)
-	assert.ErrorContains(t, err, "h1 ended early")
+	assert.ErrorContains(t, err, "h1 exited unexpectedly")
 	assert.ErrorContains(t, err, "another process has this port")
 }
--- a/internal/lab/bench.go
+++ b/internal/lab/bench.go
@@ -40,20 +40,22 @@
 	defer func() { _ = os.RemoveAll(dir) }()
 	f := NewFleet(ctx, bin, dir, io.Discard)
 	defer f.Stop()
-	through, direct, err := startBench(ctx, f)
+	proxied, direct, err := startBench(ctx, f)
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(out, "%8s  %-22s %-22s %-22s %s\n", "rate/s", "direct p50 / p99", "through p50 / p99", "added p50 / p99", "daemon CPU per request")
+	fmt.Fprintf(out, "%8s  %-22s %-22s %-22s %s\n", "rate/s", "direct p50 / p99", "proxied p50 / p99", "overhead p50 / p99", "daemon CPU per request")
 	for _, rate := range rates {
-		if err := benchRate(ctx, out, f, through, direct, rate); err != nil {
+		if err := benchRate(ctx, out, f, proxied, direct, rate); err != nil {
 			return err
 		}
 	}
 	return benchConnections(out, f.Hosts[0])
 }
 
-func startBench(ctx context.Context, f *Fleet) (through, direct string, err error) {
+// startBench starts the fleet and returns the URL of the target through the front and its
+// direct URL.
+func startBench(ctx context.Context, f *Fleet) (proxied, direct string, err error) {
 	if err := f.StartPlatform("127.0.0.1"); err != nil {
 		return "", "", err
 	}
@@ -99,11 +101,11 @@
 	return time.Duration(h.byURL[url].ValueAtQuantile(q)) * time.Microsecond
 }
 
-// benchRate alternates between the two URLs, so that both are measured under the same
-// conditions on the machine.
-func benchRate(ctx context.Context, out io.Writer, f *Fleet, through, direct string, rate int) error {
+// benchRate measures one rate. It alternates between the two URLs, so that both are
+// measured under the same conditions on the machine.
+func benchRate(ctx context.Context, out io.Writer, f *Fleet, proxied, direct string, rate int) error {
 	h := &histograms{byURL: make(map[string]*hdrhistogram.Histogram)}
-	cfg := LoadConfig{URLs: []string{direct, through}, Method: http.MethodGet, Rate: 2 * rate, Duration: time.Second}
+	cfg := LoadConfig{URLs: []string{direct, proxied}, Method: http.MethodGet, Rate: 2 * rate, Duration: time.Second}
 	if _, err := Load(ctx, cfg); err != nil {
 		return err
 	}
@@ -113,14 +115,14 @@
 	if err != nil {
 		return err
 	}
-	spent := f.cpu() - before
-	if r.Completed != r.Sent {
-		return errors.Errorf("%d of %d requests did not get a complete answer", r.Sent-r.Completed, r.Sent)
+	cpuUsed := f.cpu() - before
+	if r.Succeeded != r.Sent {
+		return errors.Errorf("%d of %d requests failed", r.Sent-r.Succeeded, r.Sent)
 	}
-	pair := func(a, b time.Duration) string { return fmt.Sprintf("%s / %s", a, b) }
-	d50, d99, t50, t99 := h.quantile(direct, 50), h.quantile(direct, 99), h.quantile(through, 50), h.quantile(through, 99)
-	fmt.Fprintf(out, "%8d  %-22s %-22s %-22s %s\n", rate, pair(d50, d99), pair(t50, t99), pair(t50-d50, t99-d99),
-		(spent / time.Duration(r.Sent/2)).Round(time.Microsecond))
+	formatPair := func(a, b time.Duration) string { return fmt.Sprintf("%s / %s", a, b) }
+	direct50, direct99, proxied50, proxied99 := h.quantile(direct, 50), h.quantile(direct, 99), h.quantile(proxied, 50), h.quantile(proxied, 99)
+	fmt.Fprintf(out, "%8d  %-22s %-22s %-22s %s\n", rate, formatPair(direct50, direct99), formatPair(proxied50, proxied99),
+		formatPair(proxied50-direct50, proxied99-direct99), (cpuUsed / time.Duration(r.Sent/2)).Round(time.Microsecond))
 	return nil
 }
 
--- a/internal/lab/capacity.go
+++ b/internal/lab/capacity.go
@@ -26,7 +26,8 @@
 	instancesPerHost = 8
 )
 
-// Capacity measures how cost grows with size, which docs/CAPACITY.md extrapolates.
+// Capacity measures how resource use grows with the size of the fleet and of the record
+// set. docs/CAPACITY.md extrapolates from the results.
 func Capacity(ctx context.Context, out io.Writer, bin string, daemons []int) error {
 	fmt.Fprintf(out, "## Protocols, core state machines in one process, virtual time\n\n")
 	fmt.Fprintf(out, "| hosts | data centres | idle messages/s per host | idle bytes/s per host | CPU per host, %% of a core | propagation time to all hosts | bytes per change, fleet |\n|---|---|---|---|---|---|---|\n")
@@ -49,7 +50,8 @@
 	return nil
 }
 
-// printMeshRow measures membership and replication with the given number of hosts.
+// printMeshRow prints the cost of membership and replication with the given number of
+// hosts.
 func printMeshRow(out io.Writer, hosts int) {
 	dcs := min(max(hosts/145, 2), 11)
 	m := mesh.New(mesh.Config{Hosts: hosts, DCs: dcs, Seed: 1, Instances: instancesPerHost, Watchers: 2})
@@ -78,25 +80,25 @@
 	m.Run(10 * time.Second)
 	_, b2 := sent()
 	elapsed := slowest.Seconds()*changes + 10
-	change := float64(b2-b1) - float64(b1-b0)/idle.Seconds()*elapsed
+	changeBytes := float64(b2-b1) - float64(b1-b0)/idle.Seconds()*elapsed
 	fmt.Fprintf(out, "| %d | %d | %.1f | %.0f | %.3f | %s | %.0f |\n", hosts, dcs,
-		float64(m1-m0)/perHost, float64(b1-b0)/perHost, cpu, slowest, max(change/changes, 0))
+		float64(m1-m0)/perHost, float64(b1-b0)/perHost, cpu, slowest, max(changeBytes/changes, 0))
 }
 
 // propagationTime writes one record and returns the virtual time until every host has it,
-// at most a minute.
+// or about a minute if that takes longer.
 func propagationTime(m *mesh.Mesh, name string) time.Duration {
 	start := m.Now
 	m.Platform.Put(name, false, 300)
 	for m.Now.Sub(start) < time.Minute {
 		m.Run(mesh.Step)
-		have := 0
+		received := 0
 		for _, h := range m.Hosts {
 			if _, ok := h.Replica.Set(msg.SetRecords).Get(config.Key{Kind: "Route", Name: name}); ok {
-				have++
+				received++
 			}
 		}
-		if have == len(m.Hosts) {
+		if received == len(m.Hosts) {
 			break
 		}
 	}
@@ -167,7 +169,7 @@
 	return float64(s.HeapAlloc) / (1 << 20)
 }
 
-// printRecordRow measures the cost of a record set in one process.
+// printRecordRow prints the cost of a record set in one process.
 func printRecordRow(out io.Writer, routes, teams int) error {
 	before := heapMB()
 	entries, err := GenerateRecords(routes, teams)
@@ -205,23 +207,24 @@
 	return nil
 }
 
+// lookupTime returns the mean time of a route lookup, or -1 if a path matches no route.
 func lookupTime(t *route.Table, routes int) time.Duration {
 	const lookups = 200000
 	paths := make([]string, routes)
-	sites := make([]string, routes)
+	hostnames := make([]string, routes)
 	for i := range routes {
-		paths[i], sites[i] = fmt.Sprintf("/area-%d/part-%d/item/42", i/400, i%7), fmt.Sprintf("site-%03d.example", i%400)
+		paths[i], hostnames[i] = fmt.Sprintf("/area-%d/part-%d/item/42", i/400, i%7), fmt.Sprintf("site-%03d.example", i%400)
 	}
 	start := time.Now()
 	for i := range lookups {
-		if t.Match(sites[i%routes], paths[i%routes], "GET") == nil {
+		if t.Match(hostnames[i%routes], paths[i%routes], "GET") == nil {
 			return -1
 		}
 	}
 	return time.Since(start) / lookups
 }
 
-// printDaemonRow measures n idle daemon processes.
+// printDaemonRow prints the resource use of n idle daemon processes.
 func printDaemonRow(ctx context.Context, out io.Writer, bin string, n int) error {
 	f, stop, err := startUniformFleet(ctx, bin, n, func(i int) string { return fmt.Sprintf("127.1.%d.%d", i/200, 1+i%200) })
 	if err != nil {
@@ -241,6 +244,7 @@
 	return nil
 }
 
+// controlBytes returns the number of bytes that all daemons have sent for control traffic.
 func (f *Fleet) controlBytes() uint64 {
 	var sum uint64
 	for _, h := range f.Hosts {
--- a/internal/lab/demo.go
+++ b/internal/lab/demo.go
@@ -27,8 +27,8 @@
 	demoRate         = 240
 	demoGrayDuration = 8 * time.Second
 	demoServiceTime  = 15 * time.Millisecond
-	// demoGoodDuration is how long all targets stay good. Meanwhile each has to answer at
-	// least minEvenShare of an even share of the requests.
+	// demoGoodDuration is how long all targets stay good. During this time each has to
+	// serve at least the fraction minEvenShare of an even share of the requests.
 	demoGoodDuration = 5 * time.Second
 	minEvenShare     = 0.5
 )
@@ -43,9 +43,9 @@
 	Verbose bool
 }
 
-// Demo starts a fleet, turns one target gray under load, and prints how the daemons
-// route around it. It fails if a request failed, if the target was not left out, or if
-// load was distributed too unevenly while all targets were good.
+// Demo starts a fleet, injects a gray failure into one target under load, and prints how the
+// daemons route around it. It returns an error if a request failed, if the target was not left
+// out, or if load was distributed too unevenly while all targets were good.
 func Demo(ctx context.Context, out io.Writer, cfg DemoConfig) error {
 	dir, err := os.MkdirTemp("", "radishhoist-demo")
 	if err != nil {
@@ -60,7 +60,7 @@
 	defer f.Stop()
 	printf := func(format string, args ...any) { fmt.Fprintf(out, format+"\n", args...) }
 
-	printf("1. platform stand-in, %d daemons in %d data centres, one target stand-in beside each", demoHosts, demoDCs)
+	printf("1. platform stand-in, %d daemons in %d data centres, one target stand-in per daemon", demoHosts, demoDCs)
 	targets, err := startDemoFleet(ctx, f, cfg.AddressOctet)
 	if err != nil {
 		return err
@@ -74,15 +74,15 @@
 	if err != nil {
 		return err
 	}
-	printf("2. all targets good, %d requests per second, spread over all daemons\n%s", demoRate, indent(before.String()))
+	printf("2. all targets good, %d requests per second, sent to all daemons in turn\n%s", demoRate, indent(before.String()))
 	name, share := before.leastUsedTarget(targets)
-	printf("   an even share is %d; %s answered the fewest, %.2f of it", before.Completed/len(targets), name, share)
+	printf("   an even share is %d requests; %s served the fewest, %.2f of that", before.Succeeded/len(targets), name, share)
 	if share < minEvenShare {
-		return errors.Errorf("the good target %s answered %.2f of an even share; the minimum is %.2f", name, share, minEvenShare)
+		return errors.Errorf("the good target %s served %.2f of an even share; the minimum is %.2f", name, share, minEvenShare)
 	}
 
 	gray := targets[0]
-	printf("3. target %s turns gray: five times slower, health unchanged", gray.Name)
+	printf("3. gray failure of target %s: five times slower, announcements unchanged", gray.Name)
 	if err := gray.SetBehaviour(target.Behaviour{Mode: target.Slow, Factor: 5}); err != nil {
 		return err
 	}
@@ -94,25 +94,25 @@
 	if leftOut == 0 {
 		return errors.Errorf("the gray target %s was not left out within %s", gray.Name, demoGrayDuration)
 	}
-	printf("   left out by every daemon %s after it turned gray", leftOut.Round(10*time.Millisecond))
+	printf("   left out by every daemon %s after the failure began", leftOut.Round(10*time.Millisecond))
 	f.printStatus(printf)
-	if failed := before.Sent - before.Completed + during.Sent - during.Completed; failed > 0 {
-		return errors.Errorf("%d requests did not get a complete answer", failed)
+	if failed := before.Sent - before.Succeeded + during.Sent - during.Succeeded; failed > 0 {
+		return errors.Errorf("%d requests failed", failed)
 	}
 	printf("4. no request failed; p99 was %s with all targets good, %s with one gray", before.Quantile(99), during.Quantile(99))
 	return nil
 }
 
-// leastUsedTarget returns the name of the target that answered the fewest requests, and
+// leastUsedTarget returns the name of the target that served the fewest requests, and
 // their number as a fraction of an even share.
 func (r *Report) leastUsedTarget(targets []*Target) (name string, share float64) {
 	fewest := slices.MinFunc(targets, func(a, b *Target) int { return cmp.Compare(r.ByTarget[a.Name], r.ByTarget[b.Name]) })
-	return fewest.Name, float64(r.ByTarget[fewest.Name]*len(targets)) / float64(max(r.Completed, 1))
+	return fewest.Name, float64(r.ByTarget[fewest.Name]*len(targets)) / float64(max(r.Succeeded, 1))
 }
 
 // startDemoFleet starts all processes and writes the records.
-func startDemoFleet(ctx context.Context, f *Fleet, network int) ([]*Target, error) {
-	if err := f.StartPlatform(fmt.Sprintf("127.0.%d.1", network)); err != nil {
+func startDemoFleet(ctx context.Context, f *Fleet, addressOctet int) ([]*Target, error) {
+	if err := f.StartPlatform(fmt.Sprintf("127.0.%d.1", addressOctet)); err != nil {
 		return nil, err
 	}
 	if err := f.PutDemoRecords(ctx); err != nil {
@@ -120,7 +120,7 @@
 	}
 	var targets []*Target
 	for i := range demoHosts {
-		h, err := f.StartHost(fmt.Sprintf("h%d", i+1), fmt.Sprintf("ub%d", i%demoDCs+1), fmt.Sprintf("127.0.%d.%d", network, 11+i), "")
+		h, err := f.StartHost(fmt.Sprintf("h%d", i+1), fmt.Sprintf("ub%d", i%demoDCs+1), fmt.Sprintf("127.0.%d.%d", addressOctet, 11+i), "")
 		if err != nil {
 			return nil, err
 		}
@@ -155,8 +155,8 @@
 	return Load(ctx, LoadConfig{URLs: f.urls("/plans/42"), Method: http.MethodGet, Rate: demoRate, Duration: d})
 }
 
-// loadWhileGray sends load for demoGrayDuration and returns the time until every host
-// left the gray target out, 0 if that did not happen.
+// loadWhileGray sends load for demoGrayDuration and returns the time until every host had
+// left the gray target out, or 0 if that did not happen.
 func (f *Fleet) loadWhileGray(ctx context.Context, gray string) (*Report, time.Duration, error) {
 	start := time.Now()
 	out := make(chan time.Duration, 1)
--- a/internal/lab/fleet.go
+++ b/internal/lab/fleet.go
@@ -27,13 +27,16 @@
 
 // Fleet is a small fleet of real processes on loopback addresses.
 type Fleet struct {
-	ctx      context.Context
-	bin      string
-	dir      string
-	logs     io.Writer
+	ctx context.Context
+	// binDir is the directory of the programs, settingsDir that of the settings files.
+	binDir      string
+	settingsDir string
+	// logs receives the output of all processes.
+	logs io.Writer
+	// Platform is the URL of the platform stand-in.
 	Platform string
-	// PlatformURL is the platform URL that hosts started from now on use, for example that of a
-	// proxy; empty means Platform.
+	// PlatformURL is the platform URL in the settings of hosts started from now on, for
+	// example that of a proxy; empty means Platform.
 	PlatformURL string
 	Hosts       []*Host
 
@@ -45,8 +48,9 @@
 type Host struct {
 	Name, DC string
 	IP       string
-	Config   string
-	Daemon   *Process
+	// SettingsPath is the path of the settings file.
+	SettingsPath string
+	Daemon       *Process
 }
 
 // The ports of every host of a Fleet.
@@ -65,14 +69,15 @@
 // AdminAddress returns the address of the admin endpoints.
 func (h *Host) AdminAddress() string { return fmt.Sprintf("%s:%d", h.IP, AdminPort) }
 
-// NewFleet returns a fleet without processes. It runs programs from bin and writes
-// settings files to dir. The end of ctx ends every wait; Stop ends the processes.
-func NewFleet(ctx context.Context, bin, dir string, logs io.Writer) *Fleet {
-	return &Fleet{ctx: ctx, bin: bin, dir: dir, logs: logs}
+// NewFleet returns a fleet without processes. It runs programs from binDir and writes
+// settings files to settingsDir. Cancelling ctx ends every wait, but no process; Stop
+// kills the processes.
+func NewFleet(ctx context.Context, binDir, settingsDir string, logs io.Writer) *Fleet {
+	return &Fleet{ctx: ctx, binDir: binDir, settingsDir: settingsDir, logs: logs}
 }
 
 // startUniformFleet starts the platform and n hosts in three data centres, each with one
-// target of the demo service, and waits until all serve. The returned function ends all
+// target of the demo service, and waits until all serve. The returned function kills all
 // processes and removes the settings files.
 func startUniformFleet(ctx context.Context, bin string, n int, ip func(int) string) (*Fleet, func(), error) {
 	dir, err := os.MkdirTemp("", "radishhoist-lab")
@@ -129,7 +134,7 @@
 	if f.PlatformURL != "" {
 		platform = f.PlatformURL
 	}
-	h := &Host{Name: name, DC: dc, IP: ip, Config: filepath.Join(f.dir, name+".ini")}
+	h := &Host{Name: name, DC: dc, IP: ip, SettingsPath: filepath.Join(f.settingsDir, name+".ini")}
 	text := fmt.Sprintf(`[host]
 name = %s
 dc = %s
@@ -145,7 +150,7 @@
 
 %s
 `, name, dc, h.CallersAddress(), ip, PeerPort, ip, AnnouncePort, h.AdminAddress(), platform, extra)
-	if err := os.WriteFile(h.Config, []byte(text), 0o600); err != nil {
+	if err := os.WriteFile(h.SettingsPath, []byte(text), 0o600); err != nil {
 		return nil, errors.Wrap(err, "write settings of "+name)
 	}
 	f.Hosts = append(f.Hosts, h)
@@ -154,14 +159,14 @@
 
 // Restart starts the daemon of a host, which must not be running.
 func (f *Fleet) Restart(h *Host) error {
-	p, err := f.start(h.Name, "radishhoistd", "-config", h.Config)
+	p, err := f.start(h.Name, "radishhoistd", "-config", h.SettingsPath)
 	h.Daemon = p
 	return err
 }
 
 // StartTarget starts a target stand-in on a host once the host accepts announcements. A
-// target that announces itself earlier retries after a second, and then counts as younger
-// and less warmed up than its peers.
+// target whose first announcement fails repeats it after a second, and the daemons then
+// take it for younger and less warmed up than the other targets.
 func (f *Fleet) StartTarget(h *Host, service string, index, slots int, serviceTime time.Duration) (*Target, error) {
 	if err := f.WaitFor(startTimeout, "the announce address of "+h.Name, h.acceptsAnnouncements); err != nil {
 		return nil, err
@@ -198,7 +203,7 @@
 	return r, getJSON("http://"+t.Address+"/standin/runs", &r)
 }
 
-// SetPlatformFaults sets the faults that the platform stand-in simulates.
+// SetPlatformFaults replaces the faults that the platform stand-in injects.
 func (f *Fleet) SetPlatformFaults(faults platformd.Faults) error {
 	return putJSON(f.Platform+"/standin/faults", faults)
 }
@@ -290,8 +295,8 @@
 	return true
 }
 
-// WaitFor polls a condition. Its errors name what it waited for. It fails at once if a
-// process of the fleet exits unexpectedly.
+// WaitFor polls a condition until it holds. Its errors name what it waited for. It fails
+// immediately if a process of the fleet has exited unexpectedly.
 func (f *Fleet) WaitFor(timeout time.Duration, what string, condition func() bool) error {
 	for end := time.Now().Add(timeout); time.Now().Before(end); sleep.For(f.ctx, pollInterval) {
 		if err := f.ctx.Err(); err != nil {
@@ -306,17 +311,17 @@
 			return nil
 		}
 	}
-	return errors.Errorf("%s was not ready within %s", what, timeout)
+	return errors.Errorf("timed out after %s waiting for %s", timeout, what)
 }
 
-// client is used for admin and stand-in endpoints and for single requests.
-var client = &http.Client{Timeout: 5 * time.Second, Transport: &http.Transport{
+// httpClient is used for admin and stand-in endpoints and for single requests.
+var httpClient = &http.Client{Timeout: 5 * time.Second, Transport: &http.Transport{
 	DialContext:       (&net.Dialer{Timeout: time.Second}).DialContext,
 	DisableKeepAlives: true,
 }}
 
 func getJSON(url string, into any) error {
-	resp, err := client.Get(url)
+	resp, err := httpClient.Get(url)
 	if err != nil {
 		return err
 	}
@@ -333,7 +338,7 @@
 	if err != nil {
 		return err
 	}
-	resp, err := client.Do(req)
+	resp, err := httpClient.Do(req)
 	if err != nil {
 		return err
 	}
--- a/internal/lab/load.go
+++ b/internal/lab/load.go
@@ -1,5 +1,5 @@
 // Package lab provides the load generator, the demo, measurements, and a small fleet of
-// real processes on loopback addresses that end-to-end tests use as well.
+// real processes on loopback addresses, which the end-to-end tests use as well.
 package lab
 
 import (
@@ -23,7 +23,7 @@
 )
 
 // LoadConfig describes an open-loop load: requests are sent on schedule whether or not
-// earlier ones have been answered.
+// earlier ones have completed.
 type LoadConfig struct {
 	URLs   []string
 	Method string
@@ -44,8 +44,9 @@
 	Verdict string
 	Target  string
 	URL     string
-	// SinceDue is the time from when the request was due until the end of its answer,
-	// SinceSent the time from when it was sent. They differ by the delay of the timer.
+	// SinceDue is the time from when the request was due until the end of its response,
+	// SinceSent the time from when it was sent. They differ by the delay of the timer and
+	// by the wait of the schedule if maxInFlight requests are in progress.
 	SinceDue  time.Duration
 	SinceSent time.Duration
 	Err       error
@@ -53,23 +54,25 @@
 
 // Report aggregates the results of a load.
 type Report struct {
-	mu        sync.Mutex
-	Sent      int
-	Completed int
+	mu   sync.Mutex
+	Sent int
+	// Succeeded is the number of requests with a complete response and a status below 400.
+	Succeeded int
 	ByStatus  map[string]int
 	ByTarget  map[string]int
 	Latency   *hdrhistogram.Histogram
 }
 
 const (
+	// maxRate is in requests per second.
 	maxRate     = 50000
 	maxDuration = 10 * time.Minute
 	// maxInFlight bounds the number of concurrent requests.
 	maxInFlight = 10000
 )
 
-// Load sends requests at a fixed rate and waits for their answers. It accepts only
-// loopback addresses.
+// Load sends requests at a fixed rate and waits for their responses. It accepts only
+// URLs with a loopback IP address.
 func Load(ctx context.Context, cfg LoadConfig) (*Report, error) {
 	for _, u := range cfg.URLs {
 		if err := requireLoopback(u); err != nil {
@@ -83,7 +86,7 @@
 	transport := &http.Transport{MaxIdleConnsPerHost: 1024, MaxConnsPerHost: 2048}
 	defer transport.CloseIdleConnections()
 	client := &http.Client{Transport: transport, Timeout: time.Minute}
-	slots := make(chan struct{}, maxInFlight)
+	inFlight := make(chan struct{}, maxInFlight)
 	var wg sync.WaitGroup
 	start := time.Now()
 	interval := time.Second / time.Duration(cfg.Rate)
@@ -93,7 +96,7 @@
 			break
 		}
 		time.Sleep(time.Until(due))
-		slots <- struct{}{}
+		inFlight <- struct{}{}
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
@@ -102,7 +105,7 @@
 			if cfg.Each != nil {
 				cfg.Each(res)
 			}
-			<-slots
+			<-inFlight
 		}()
 	}
 	wg.Wait()
@@ -115,7 +118,7 @@
 		return errors.Wrap(err, "load")
 	}
 	if ip := net.ParseIP(u.Hostname()); ip == nil || !ip.IsLoopback() {
-		return errors.Errorf("load: %q is not a loopback IP address; the load generator sends to no others", u.Hostname())
+		return errors.Errorf("load: %q is not a loopback IP address; the load generator accepts no others", u.Hostname())
 	}
 	return nil
 }
@@ -147,14 +150,14 @@
 	r.Sent++
 	switch {
 	case res.Err != nil:
-		r.ByStatus["broken connection"]++
+		r.ByStatus["no complete response"]++
 	case res.Verdict != "":
 		r.ByStatus[fmt.Sprintf("%d %s", res.Status, res.Verdict)]++
 	default:
 		r.ByStatus[fmt.Sprint(res.Status)]++
 	}
 	if res.Err == nil && res.Status < http.StatusBadRequest {
-		r.Completed++
+		r.Succeeded++
 	}
 	if res.Target != "" {
 		r.ByTarget[res.Target]++
@@ -173,7 +176,7 @@
 // String formats the report for a terminal.
 func (r *Report) String() string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "sent %d, answered whole %d\n", r.Sent, r.Completed)
+	fmt.Fprintf(&b, "sent %d, succeeded %d\n", r.Sent, r.Succeeded)
 	fmt.Fprintf(&b, "latency p50 %s  p90 %s  p99 %s  max %s\n", r.Quantile(50), r.Quantile(90), r.Quantile(99), r.Quantile(100))
 	writeCounts(&b, "by status", r.ByStatus)
 	writeCounts(&b, "by target", r.ByTarget)
--- a/internal/lab/process.go
+++ b/internal/lab/process.go
@@ -14,8 +14,8 @@
 	"github.com/pkg/errors"
 )
 
-// Process is a child process. The kernel kills it if this process exits first, in
-// whatever way.
+// Process is a child process. The kernel kills it when this process exits, even if this
+// process is killed itself.
 type Process struct {
 	Name   string
 	cmd    *exec.Cmd
@@ -26,9 +26,9 @@
 	signalled atomic.Bool
 }
 
-// childStarter returns a channel of functions to run on one OS thread that lives as long
-// as this process. Children have to be started there, because the parent-death signal is
-// sent when the thread that started the child exits.
+// childStarter returns a channel of functions that run on one OS thread, which lives as
+// long as this process. Children have to be started on it, because the kernel sends the
+// parent-death signal when the thread that started the child exits.
 var childStarter = sync.OnceValue(func() chan<- func() {
 	work := make(chan func())
 	go func() {
@@ -42,7 +42,7 @@
 
 func (f *Fleet) start(name, program string, args ...string) (*Process, error) {
 	output := &tailWriter{dst: f.logs}
-	cmd := exec.Command(filepath.Join(f.bin, program), args...)
+	cmd := exec.Command(filepath.Join(f.binDir, program), args...)
 	cmd.Stdout, cmd.Stderr = output, output
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	started := make(chan error)
@@ -61,8 +61,8 @@
 	return p, nil
 }
 
-// PID returns the process ID. It distinguishes the answers of this process from those of
-// another run on the same address.
+// PID returns the process ID. It distinguishes the responses of this process from those
+// of a process of another run on the same address.
 func (p *Process) PID() int { return p.cmd.Process.Pid }
 
 // Signal sends a signal to the process, whose exit is expected from then on.
@@ -71,7 +71,8 @@
 	return p.cmd.Process.Signal(sig)
 }
 
-// Wait waits for the exit and returns its error; it returns false on a time-out.
+// Wait waits for the process to exit and returns true and its exit error, or false if the
+// timeout expires first.
 func (p *Process) Wait(timeout time.Duration) (bool, error) {
 	select {
 	case <-p.done:
@@ -83,18 +84,18 @@
 
 // unexpectedExit returns an error if the process exited without a signal from this one.
 func (p *Process) unexpectedExit() error {
-	ended, err := p.Wait(0)
-	if !ended || p.signalled.Load() {
+	exited, err := p.Wait(0)
+	if !exited || p.signalled.Load() {
 		return nil
 	}
 	if err == nil {
 		err = errors.New("exit status 0")
 	}
-	return errors.Wrapf(err, "%s ended early, last line of its output: %s", p.Name, p.output.lastLine())
+	return errors.Wrapf(err, "%s exited unexpectedly, last line of its output: %s", p.Name, p.output.lastLine())
 }
 
-// Stop kills all processes of the fleet by their process IDs, suspended ones too, and waits
-// up to 5 s for each.
+// Stop kills all processes of the fleet by process ID, including suspended ones, and waits
+// up to 5 s for each to exit.
 func (f *Fleet) Stop() {
 	procs := f.processes()
 	for _, p := range procs {
@@ -112,22 +113,21 @@
 	return f.procs[:len(f.procs):len(f.procs)]
 }
 
-// tailWriter forwards the output of a process and keeps the end of it.
+// tailWriter forwards the output of a process and keeps its last maxTailBytes.
 type tailWriter struct {
 	dst  io.Writer
 	mu   sync.Mutex
-	kept []byte
+	tail []byte
 }
 
-// maxTailBytes is how much output of a process is kept.
 const maxTailBytes = 4 << 10
 
 // Write implements io.Writer.
 func (t *tailWriter) Write(p []byte) (int, error) {
 	t.mu.Lock()
-	t.kept = append(t.kept, p...)
-	if over := len(t.kept) - maxTailBytes; over > 0 {
-		t.kept = append(t.kept[:0], t.kept[over:]...)
+	t.tail = append(t.tail, p...)
+	if over := len(t.tail) - maxTailBytes; over > 0 {
+		t.tail = append(t.tail[:0], t.tail[over:]...)
 	}
 	t.mu.Unlock()
 	return t.dst.Write(p)
@@ -136,6 +136,6 @@
 func (t *tailWriter) lastLine() string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	text := bytes.TrimSpace(t.kept)
+	text := bytes.TrimSpace(t.tail)
 	return string(text[bytes.LastIndexByte(text, '\n')+1:])
 }
--- a/internal/lab/takeover.go
+++ b/internal/lab/takeover.go
@@ -23,24 +23,25 @@
 	takeoverHosts    = 5
 	takeoverRate     = 40
 	takeoverDuration = 20 * time.Second
-	takeoverDrain    = "owner drained"
 )
 
-// keyedRequest is the result of a request with a fresh key.
+// keyedRequest is the result of a request with a fresh idempotency key.
 type keyedRequest struct {
+	// sentAfter is the time from the start of the measurement to the request.
 	sentAfter time.Duration
-	answered  bool
-	reason    string
+	succeeded bool
+	// reason is why the request did not succeed.
+	reason string
 }
 
-// Takeover measures how many requests with fresh keys are refused, and for how long,
-// when the owner of key shards is killed, frozen or drained.
+// Takeover measures how many requests with fresh idempotency keys are refused, and for how
+// long, when the owner of key shards is killed, frozen or drained.
 func Takeover(ctx context.Context, out io.Writer, bin string) error {
 	fmt.Fprintf(out, "| event | shards of the owner | sent in %s | refused | last refusal after | by reason |\n|---|---|---|---|---|---|\n", takeoverDuration)
 	for _, c := range []struct {
 		name string
 		sig  syscall.Signal
-	}{{"owner killed", syscall.SIGKILL}, {"owner frozen", syscall.SIGSTOP}, {takeoverDrain, syscall.SIGTERM}} {
+	}{{"owner killed", syscall.SIGKILL}, {"owner frozen", syscall.SIGSTOP}, {"owner drained", syscall.SIGTERM}} {
 		if err := measureTakeover(ctx, out, bin, c.name, c.sig); err != nil {
 			return err
 		}
@@ -61,17 +62,18 @@
 	if err := owner.Daemon.Signal(sig); err != nil {
 		return err
 	}
-	requests := f.sendFreshKeys(owner)
+	requests := f.sendKeyedRequests(owner)
 	printTakeoverRow(out, name, shards, requests)
 	return nil
 }
 
-// waitForShardOwner waits until requests with fresh keys are answered on every shard, and
-// returns the first host that owns shards, with their number.
+// waitForShardOwner waits until 24 requests with fresh keys in a row succeed, which shows
+// that every shard very probably has an owner, and returns the first host that owns
+// shards, with their number.
 func (f *Fleet) waitForShardOwner() (*Host, int, error) {
 	err := f.WaitFor(time.Minute, "the owners of all key shards", func() bool {
 		for range 24 {
-			if s := f.sendFreshKey(f.Hosts[0], time.Now()); !s.answered {
+			if r := f.sendKeyedRequest(f.Hosts[0], time.Now()); !r.succeeded {
 				return false
 			}
 		}
@@ -88,8 +90,8 @@
 	return nil, 0, errors.New("no host owns a shard")
 }
 
-// sendFreshKeys sends requests with fresh keys through every host except one.
-func (f *Fleet) sendFreshKeys(except *Host) []keyedRequest {
+// sendKeyedRequests sends requests with fresh keys through every host except one.
+func (f *Fleet) sendKeyedRequests(except *Host) []keyedRequest {
 	var hosts []*Host
 	for _, h := range f.Hosts {
 		if h != except {
@@ -104,48 +106,48 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			requests[i] = f.sendFreshKey(hosts[i%len(hosts)], start)
+			requests[i] = f.sendKeyedRequest(hosts[i%len(hosts)], start)
 		}()
 	}
 	wg.Wait()
 	return requests
 }
 
-// sendFreshKey sends one request with a fresh key and a timeout of one second.
-func (f *Fleet) sendFreshKey(h *Host, start time.Time) keyedRequest {
-	s := keyedRequest{sentAfter: time.Since(start), reason: "no answer"}
+// sendKeyedRequest sends one request with a fresh key and a timeout of one second.
+func (f *Fleet) sendKeyedRequest(h *Host, start time.Time) keyedRequest {
+	r := keyedRequest{sentAfter: time.Since(start), reason: "no response"}
 	req, err := http.NewRequest(http.MethodPost, "http://"+h.CallersAddress()+"/plans/7", strings.NewReader("seat"))
 	if err != nil {
-		return s
+		return r
 	}
 	req.Header.Set(header.IdempotencyKey, uuid.Must(uuid.NewV7()).String())
 	req.Header.Set(header.Default().Timeout, "1000")
-	resp, err := client.Do(req)
+	resp, err := httpClient.Do(req)
 	if err != nil {
-		return s
+		return r
 	}
 	defer func() { _ = resp.Body.Close() }()
 	if resp.StatusCode == http.StatusOK {
-		s.answered = true
-		return s
+		r.succeeded = true
+		return r
 	}
 	var p verdict.Problem
 	if json.NewDecoder(resp.Body).Decode(&p) == nil {
-		s.reason = p.Title + " (" + p.Verdict + ")"
+		r.reason = p.Title + " (" + p.Verdict + ")"
 	}
-	return s
+	return r
 }
 
 func printTakeoverRow(out io.Writer, name string, shards int, requests []keyedRequest) {
 	refused, last := 0, time.Duration(0)
 	reasons := make(map[string]int)
-	for _, s := range requests {
-		if s.answered {
+	for _, r := range requests {
+		if r.succeeded {
 			continue
 		}
 		refused++
-		reasons[s.reason]++
-		last = max(last, s.sentAfter)
+		reasons[r.reason]++
+		last = max(last, r.sentAfter)
 	}
 	fmt.Fprintf(out, "| %s | %d of 4 | %d | %.1f %% | %.1f s | %v |\n", name, shards, len(requests),
 		100*float64(refused)/float64(len(requests)), last.Seconds(), reasons)
