--- a/internal/e2e/cli_test.go
+++ b/internal/e2e/cli_test.go
@@ -34,20 +34,20 @@
 
 func TestConcurrentWritesAreNotOverwritten(t *testing.T) {
 	fleet := startFleet(t, 37, 2, 2*time.Millisecond)
-	mine, err := fleet.cli("get", "service", "plans")
+	original, err := fleet.cli("get", "service", "plans")
 	assert.NilError(t, err)
-	theirs := strings.Replace(mine, `"percent": 60`, `"percent": 70`, 1)
+	theirs := strings.Replace(original, `"percent": 60`, `"percent": 70`, 1)
 	_, err = fleet.cli("apply", "-f", writeFile(t, theirs))
 	assert.NilError(t, err)
 
-	out, err := fleet.cli("apply", "-f", writeFile(t, strings.Replace(mine, `"percent": 60`, `"percent": 50`, 1)))
+	out, err := fleet.cli("apply", "-f", writeFile(t, strings.Replace(original, `"percent": 60`, `"percent": 50`, 1)))
 	assert.Equal(t, cli.ExitCode(err), cli.ExitConflict)
 	assert.Assert(t, strings.Contains(out, "theirs: 70") && strings.Contains(out, "yours: 50"), out)
 	after, err := fleet.cli("get", "service", "plans")
 	assert.NilError(t, err)
 	assert.Assert(t, strings.Contains(after, `"percent": 70`), after)
 
-	// The answer to this write is lost after it has taken effect.
+	// The response to this write is lost after it has taken effect.
 	assert.NilError(t, fleet.SetPlatformFaults(platformd.Faults{DropResponses: 1}))
 	out, err = fleet.cli("apply", "-f", writeFile(t, strings.Replace(after, `"percent": 70`, `"percent": 65`, 1)))
 	assert.NilError(t, err, out)
--- a/internal/e2e/shapes_test.go
+++ b/internal/e2e/deployments_test.go
@@ -17,13 +17,15 @@
 	"github.com/radishhoist/radishhoist/verdict"
 )
 
-// deployment describes a deployment that differs from those of the offices, to ensure that
-// decisions are not tuned to these.
+// deployment describes a deployment that differs from those of the offices. It guards
+// against decisions that are tuned to these.
 type deployment struct {
 	name string
-	net  int
-	// hosts and dcs are numbers. Every host runs targetsPerHost targets with the given
-	// slots; the services are assigned to the hosts in turn.
+	// octet is the third octet of the loopback addresses.
+	octet int
+	// hosts and dcs are the numbers of hosts and data centres. Every host runs
+	// targetsPerHost targets with the given number of slots. The services are assigned to
+	// the hosts in turn.
 	hosts, dcs, targetsPerHost, slots int
 	services                          []string
 	split                             []record.WeightedService
@@ -39,22 +41,22 @@
 
 var deployments = []deployment{
 	{
-		name: "many data centres, one slot", net: 61, hosts: 10, dcs: 5, targetsPerHost: 1, slots: 1,
+		name: "many data centres, one slot", octet: 61, hosts: 10, dcs: 5, targetsPerHost: 1, slots: 1,
 		services: []string{"a", "b"}, split: []record.WeightedService{{Service: "a", Weight: 70}, {Service: "b", Weight: 30}},
 		serviceTime: 30 * time.Millisecond, maxAttempts: 3, retryPercent: 30, reserve: 4, window: 2 * time.Second,
 		requestCount: 600, requestInterval: 10 * time.Millisecond,
 	},
 	{
-		name: "one data centre, many slots", net: 62, hosts: 3, dcs: 1, targetsPerHost: 3, slots: 32,
+		name: "one data centre, many slots", octet: 62, hosts: 3, dcs: 1, targetsPerHost: 3, slots: 32,
 		services: []string{"a"}, split: []record.WeightedService{{Service: "a", Weight: 1}},
 		serviceTime: 150 * time.Millisecond, maxAttempts: 2, retryPercent: 5, reserve: 12, window: 4 * time.Second,
 		requestCount: 800, requestInterval: 7 * time.Millisecond,
 	},
 }
 
-// The invariants hold on deployments of other sizes, with a third of the targets failing most
-// requests and a host killed halfway: a request that is not idempotent runs at most once, a
-// request reported as not run has not run, no request runs on more targets than its route
+// The invariants hold on deployments of other sizes while a third of the targets fail most
+// requests and a host is killed halfway: a request that is not idempotent runs at most once,
+// a request reported as not run has not run, no request runs on more targets than its route
 // allows, retries stay within the budget, and traffic is split as configured.
 func TestInvariantsHoldOnOtherDeployments(t *testing.T) {
 	for _, d := range deployments {
@@ -77,7 +79,7 @@
 func (d deployment) startFleet(t *testing.T) *testFleet {
 	t.Helper()
 	ctx := context.Background()
-	f := newFleet(t, d.net)
+	f := newFleet(t, d.octet)
 	want := map[string]int{}
 	for _, name := range d.services {
 		svc := &record.Service{Office: "lab", Preset: record.PresetCareful, Floor: record.Floor{Percent: 50}, RetryPercent: d.retryPercent}
@@ -89,7 +91,7 @@
 	fleet := &testFleet{Fleet: f, t: t}
 	retry := fmt.Sprintf("[retry]\nreserve = %g\nwindow = %s\n", d.reserve, d.window)
 	for i := range d.hosts {
-		h, err := f.StartHost(fmt.Sprintf("h%d", i+1), fmt.Sprintf("dc%d", i%d.dcs+1), fmt.Sprintf("127.0.%d.%d", d.net, 11+i), retry)
+		h, err := f.StartHost(fmt.Sprintf("h%d", i+1), fmt.Sprintf("dc%d", i%d.dcs+1), fmt.Sprintf("127.0.%d.%d", d.octet, 11+i), retry)
 		assert.NilError(t, err)
 		for k := range d.targetsPerHost {
 			tg, err := f.StartTarget(h, d.services[i%len(d.services)], k+1, d.slots, d.serviceTime)
@@ -142,7 +144,7 @@
 			byService[d.services[i/d.targetsPerHost%len(d.services)]]++
 		}
 	}
-	retries, answered := 0, 0
+	retries, succeeded := 0, 0
 	for mark, r := range responses {
 		assert.NilError(t, r.err)
 		n := runs[mark]
@@ -155,14 +157,14 @@
 			assert.Equal(t, n, 0, "%s was reported as not run but ran", mark)
 		}
 		if r.status == http.StatusOK {
-			answered++
+			succeeded++
 		}
 	}
 	windows := float64(took/d.window) + 2
 	bound := float64(d.retryPercent)/100*float64(d.requestCount) + windows*d.reserve*float64(len(d.services))
 	assert.Assert(t, float64(retries) <= bound, "%d retries, but only %.0f are allowed", retries, bound)
-	assert.Assert(t, answered > d.requestCount/2, "%d of %d answered", answered, d.requestCount)
-	t.Logf("%d of %d answered, %d retries of at most %.0f, runs by service %v", answered, d.requestCount, retries, bound, byService)
+	assert.Assert(t, succeeded > d.requestCount/2, "%d of %d succeeded", succeeded, d.requestCount)
+	t.Logf("%d of %d succeeded, %d retries of at most %.0f, runs by service %v", succeeded, d.requestCount, retries, bound, byService)
 	if len(d.services) < 2 {
 		return
 	}
--- a/internal/e2e/fleet_test.go
+++ b/internal/e2e/fleet_test.go
@@ -28,14 +28,15 @@
 // waitTimeout limits every wait; the steps normally take far less.
 const waitTimeout = 60 * time.Second
 
-var bin string
+// binDir is the directory of the built programs.
+var binDir string
 
 func TestMain(m *testing.M) {
 	dir, err := os.MkdirTemp("", "radishhoist-e2e")
 	if err != nil {
 		panic(err)
 	}
-	bin = dir
+	binDir = dir
 	out, err := exec.Command("go", "build", "-o", dir, "../../cmd/...").CombinedOutput()
 	if err != nil {
 		fmt.Println(string(out))
@@ -46,37 +47,38 @@
 	os.Exit(code)
 }
 
-// testFleet is one fleet under test.
+// testFleet is a fleet under test with its target stand-ins.
 type testFleet struct {
 	*lab.Fleet
 	t       *testing.T
 	targets []*lab.Target
 }
 
-// newFleet starts a platform at 127.0.net.1 and stops the whole fleet at the end of the test.
-func newFleet(t *testing.T, net int) *lab.Fleet {
+// newFleet starts a platform at 127.0.octet.1 and stops the whole fleet at the end of the
+// test.
+func newFleet(t *testing.T, octet int) *lab.Fleet {
 	t.Helper()
 	logs := &logtest.Buffer{}
-	f := lab.NewFleet(context.Background(), bin, t.TempDir(), logs)
+	f := lab.NewFleet(context.Background(), binDir, t.TempDir(), logs)
 	t.Cleanup(func() {
 		f.Stop()
 		if t.Failed() {
 			t.Log(logs.String())
 		}
 	})
-	assert.NilError(t, f.StartPlatform(fmt.Sprintf("127.0.%d.1", net)))
+	assert.NilError(t, f.StartPlatform(fmt.Sprintf("127.0.%d.1", octet)))
 	return f
 }
 
-// startFleet starts a platform and hosts on 127.0.net.x, each with one target of the service
-// "plans", and waits until all of them serve.
-func startFleet(t *testing.T, net, hosts int, serviceTime time.Duration) *testFleet {
+// startFleet starts a platform and hosts on 127.0.octet.x, each with one target of the
+// service "plans", and waits until all of them serve.
+func startFleet(t *testing.T, octet, hosts int, serviceTime time.Duration) *testFleet {
 	t.Helper()
-	f := newFleet(t, net)
+	f := newFleet(t, octet)
 	assert.NilError(t, f.PutDemoRecords(context.Background()))
 	fleet := &testFleet{Fleet: f, t: t}
 	for i := range hosts {
-		h, err := f.StartHost(fmt.Sprintf("h%d", i+1), fmt.Sprintf("dc%d", i%2+1), fmt.Sprintf("127.0.%d.%d", net, 11+i), "")
+		h, err := f.StartHost(fmt.Sprintf("h%d", i+1), fmt.Sprintf("dc%d", i%2+1), fmt.Sprintf("127.0.%d.%d", octet, 11+i), "")
 		assert.NilError(t, err)
 		tg, err := f.StartTarget(h, "plans", 1, 4, serviceTime)
 		assert.NilError(t, err)
@@ -128,14 +130,15 @@
 }
 
 // A host that receives more concurrent requests than its own target has slots forwards the
-// rest to targets on other hosts, and each request gets its own answer. The requests are
+// rest to targets on other hosts, and each request gets its own response. The requests are
 // concurrent because sequential ones find the local target free, which has the lowest cost
-// once the paths to other hosts are known: in 1 of 26 runs none was forwarded.
+// once the paths to other hosts are known: in 1 of 26 runs with sequential requests
+// none was forwarded.
 func TestRequestsAreForwardedToOtherHosts(t *testing.T) {
-	const hosts, atOnce, size = 4, 20, 1000
+	const hosts, concurrency, size = 4, 20, 1000
 	fleet := startFleet(t, 31, hosts, 100*time.Millisecond)
 	for _, h := range fleet.Hosts {
-		responses := make([]response, atOnce)
+		responses := make([]response, concurrency)
 		var wg sync.WaitGroup
 		for i := range responses {
 			wg.Go(func() {
@@ -153,15 +156,15 @@
 				forwarded++
 			}
 		}
-		assert.Assert(t, forwarded > 0, "no request of %s was answered by a target on another host", h.Name)
+		assert.Assert(t, forwarded > 0, "no request to %s was forwarded to a target on another host", h.Name)
 	}
 
 	large := sendRequest(http.MethodPost, "http://"+fleet.Hosts[0].CallersAddress()+"/plans/7?size=3000000", "large", strings.Repeat("x", 1<<20))
 	assert.NilError(t, large.err)
 	assert.Equal(t, len(large.body), 3000000)
-	none := sendRequest(http.MethodGet, "http://"+fleet.Hosts[0].CallersAddress()+"/nowhere", "x", "")
-	assert.Equal(t, none.status, http.StatusNotFound)
-	assert.Equal(t, none.verdict, verdict.NotRun.String())
+	unrouted := sendRequest(http.MethodGet, "http://"+fleet.Hosts[0].CallersAddress()+"/nowhere", "x", "")
+	assert.Equal(t, unrouted.status, http.StatusNotFound)
+	assert.Equal(t, unrouted.verdict, verdict.NotRun.String())
 }
 
 // markOf returns the mark of the i-th request to a host.
@@ -172,7 +175,7 @@
 	route := &record.Route{PathPrefix: "/plans", Service: "plans", TimeoutMS: 30000}
 	assert.NilError(t, fleet.Put(context.Background(), record.Key{Kind: record.KindRoute, Name: "plans"}, route))
 	for _, h := range fleet.Hosts {
-		assert.NilError(t, fleet.WaitFor(waitTimeout, "the longer deadline on "+h.Name, func() bool {
+		assert.NilError(t, fleet.WaitFor(waitTimeout, "the longer timeout on "+h.Name, func() bool {
 			out, err := fleet.cliAt(h, "explain", "POST", "http://x/plans/7")
 			return err == nil && strings.Contains(out, "30000 ms")
 		}))
@@ -191,8 +194,8 @@
 		return err == nil && r.Total > 0
 	}))
 	assert.NilError(t, fleet.Hosts[0].Daemon.Signal(syscall.SIGTERM))
-	ended, err := fleet.Hosts[0].Daemon.Wait(waitTimeout)
-	assert.Assert(t, ended)
+	exited, err := fleet.Hosts[0].Daemon.Wait(waitTimeout)
+	assert.Assert(t, exited)
 	assert.NilError(t, err)
 	wg.Wait()
 	for i, r := range responses {
@@ -204,7 +207,8 @@
 	assertAtMostOnce(t, fleet)
 }
 
-// assertAtMostOnce checks that no mark ran twice over all targets and returns the runs by mark.
+// assertAtMostOnce checks that the requests of every mark ran at most once on all targets
+// together, and returns the numbers of runs by mark.
 func assertAtMostOnce(t *testing.T, fleet *testFleet) map[string]int {
 	t.Helper()
 	total := map[string]int{}
@@ -223,12 +227,12 @@
 
 func TestKilledAndFrozenHostsRunRequestsAtMostOnce(t *testing.T) {
 	for _, c := range []struct {
-		name string
-		net  int
-		sig  syscall.Signal
+		name  string
+		octet int
+		sig   syscall.Signal
 	}{{"killed", 33, syscall.SIGKILL}, {"frozen", 34, syscall.SIGSTOP}} {
 		t.Run(c.name, func(t *testing.T) {
-			fleet := startFleet(t, c.net, 4, 20*time.Millisecond)
+			fleet := startFleet(t, c.octet, 4, 20*time.Millisecond)
 			var mu sync.Mutex
 			responses := map[string]response{}
 			var wg sync.WaitGroup
@@ -249,18 +253,18 @@
 			}
 			wg.Wait()
 			ran := assertAtMostOnce(t, fleet)
-			answered := 0
+			succeeded := 0
 			for mark, r := range responses {
 				assert.NilError(t, r.err)
 				switch {
 				case r.status == http.StatusOK:
-					answered++
+					succeeded++
 					assert.Equal(t, ran[mark], 1, mark)
 				case r.verdict == verdict.NotRun.String():
 					assert.Equal(t, ran[mark], 0, "%s was reported as not run but ran: %+v", mark, r)
 				}
 			}
-			assert.Assert(t, answered > 80, "only %d of 160 answered", answered)
+			assert.Assert(t, succeeded > 80, "only %d of 160 succeeded", succeeded)
 		})
 	}
 }
@@ -288,7 +292,7 @@
 	}
 	assert.NilError(t, fleet.Delete(context.Background(), record.Key{Kind: record.KindRoute, Name: "late"}))
 	for _, h := range fleet.Hosts {
-		assert.NilError(t, fleet.WaitFor(waitTimeout, "the route gone on "+h.Name, func() bool {
+		assert.NilError(t, fleet.WaitFor(waitTimeout, "the removal of the route on "+h.Name, func() bool {
 			return sendRequest(http.MethodGet, "http://"+h.CallersAddress()+"/late/1", "m", "").status == http.StatusNotFound
 		}))
 	}
@@ -317,7 +321,7 @@
 	}
 	after, err := fleet.targets[1].Runs()
 	assert.NilError(t, err)
-	assert.Equal(t, after.Total, before.Total, "a stopped host's target received new requests")
+	assert.Equal(t, after.Total, before.Total, "the target of a stopped host received new requests")
 
 	out, err = fleet.cli("stop", "--reason", "one too many", "h3")
 	assert.Equal(t, cli.ExitCode(err), cli.ExitUnsafe, out)
--- a/internal/e2e/keys_test.go
+++ b/internal/e2e/keys_test.go
@@ -16,8 +16,8 @@
 	"github.com/radishhoist/radishhoist/internal/standin/target"
 )
 
-// bookOnce sends a booking with an idempotency key through one host and returns the answer,
-// or "" if there was none.
+// bookOnce sends a booking with an idempotency key through one host and returns the body of
+// the response, or "" if the booking did not succeed.
 func (fleet *testFleet) bookOnce(key, mark string, host int) string {
 	h := fleet.Hosts[host%len(fleet.Hosts)]
 	req, err := http.NewRequest(http.MethodPost, "http://"+h.CallersAddress()+"/plans/7", strings.NewReader("seat"))
@@ -34,19 +34,19 @@
 	return r.body
 }
 
-// book repeats a booking with an idempotency key through one host after the other until it
-// has two answers or 12 attempts were made.
-func (fleet *testFleet) book(key, mark string, first int) (answers []string) {
-	for try := range 12 {
-		if a := fleet.bookOnce(key, mark, first+try); a != "" {
-			answers = append(answers, a)
+// book repeats a booking with an idempotency key, each time through the next host, until two
+// attempts have succeeded or 12 were made. It returns the bodies of their responses.
+func (fleet *testFleet) book(key, mark string, first int) (bodies []string) {
+	for attempt := range 12 {
+		if body := fleet.bookOnce(key, mark, first+attempt); body != "" {
+			bodies = append(bodies, body)
 		}
-		if len(answers) == 2 {
-			return answers
+		if len(bodies) == 2 {
+			return bodies
 		}
 		time.Sleep(150 * time.Millisecond)
 	}
-	return answers
+	return bodies
 }
 
 // shardOwner returns a host that has authority over shards of the service, nil if there is none.
@@ -67,20 +67,20 @@
 
 func TestKeyedBookingsRunOnce(t *testing.T) {
 	for _, c := range []struct {
-		name string
-		net  int
-		sig  syscall.Signal
-		// minAnswered is the number of bookings that must be answered: keys of a dead
-		// owner are refused, those of a drained owner are handed over.
-		minAnswered int
+		name  string
+		octet int
+		sig   syscall.Signal
+		// minSucceeded is the number of bookings that must succeed: keys of a dead owner
+		// are refused, those of a drained owner are handed over.
+		minSucceeded int
 	}{
 		{"owner killed", 41, syscall.SIGKILL, 20},
 		{"owner frozen", 42, syscall.SIGSTOP, 20},
 		{"owner drained", 43, syscall.SIGTERM, 60},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			fleet := startFleet(t, c.net, 5, 5*time.Millisecond)
-			assert.Assert(t, fleet.shardOwner() == nil, "shards are owned before the first key was used")
+			fleet := startFleet(t, c.octet, 5, 5*time.Millisecond)
+			assert.Assert(t, fleet.shardOwner() == nil, "a shard has an owner before the first key was used")
 			assert.NilError(t, fleet.WaitFor(waitTimeout, "new keys to be accepted on every shard", func() bool {
 				for i := range 16 {
 					if len(fleet.bookOnce(uuid.Must(uuid.NewV7()).String(), "", i)) == 0 {
@@ -95,33 +95,33 @@
 				return owner != nil
 			}))
 			var wg sync.WaitGroup
-			answers := make([][]string, 60)
-			for i := range answers {
+			bodies := make([][]string, 60)
+			for i := range bodies {
 				wg.Add(1)
 				go func() {
 					defer wg.Done()
 					time.Sleep(time.Duration(i) * 20 * time.Millisecond)
-					answers[i] = fleet.book(uuid.Must(uuid.NewV7()).String(), fmt.Sprintf("m%d", i), i)
+					bodies[i] = fleet.book(uuid.Must(uuid.NewV7()).String(), fmt.Sprintf("m%d", i), i)
 				}()
-				if i == len(answers)/2 {
+				if i == len(bodies)/2 {
 					assert.NilError(t, owner.Daemon.Signal(c.sig))
 				}
 			}
 			wg.Wait()
 			ran := assertAtMostOnce(t, fleet)
-			answered := 0
-			for i, a := range answers {
-				if len(a) == 0 {
+			succeeded := 0
+			for i, b := range bodies {
+				if len(b) == 0 {
 					continue
 				}
-				answered++
+				succeeded++
 				assert.Equal(t, ran[fmt.Sprintf("m%d", i)], 1)
-				if len(a) == 2 {
-					assert.Equal(t, a[0], a[1], "a repeated booking got a different answer")
+				if len(b) == 2 {
+					assert.Equal(t, b[0], b[1], "a repeated booking got a different response")
 				}
 			}
-			assert.Assert(t, answered >= c.minAnswered, "only %d of %d were answered", answered, len(answers))
-			t.Logf("%d of %d answered", answered, len(answers))
+			assert.Assert(t, succeeded >= c.minSucceeded, "only %d of %d succeeded", succeeded, len(bodies))
+			t.Logf("%d of %d succeeded", succeeded, len(bodies))
 		})
 	}
 }
@@ -142,11 +142,11 @@
 			}
 		}
 	}
-	// An answer that is too large to buffer and breaks off must not look complete.
+	// A response that is too large to buffer and is truncated must not look complete.
 	assert.NilError(t, fleet.targets[0].SetBehaviour(target.Behaviour{Mode: target.Good}))
 	for _, tg := range fleet.targets {
 		assert.NilError(t, tg.SetBehaviour(target.Behaviour{Mode: target.Truncate, Share: 1}))
 	}
 	r := sendRequest(http.MethodGet, "http://"+fleet.Hosts[0].CallersAddress()+"/plans/7?size=4000000", "big", "")
-	assert.Assert(t, r.err != nil || r.status >= http.StatusInternalServerError, "a truncated answer looked complete: %d bytes", len(r.body))
+	assert.Assert(t, r.err != nil || r.status >= http.StatusInternalServerError, "a truncated response looked complete: %d bytes", len(r.body))
 }
--- a/internal/e2e/leftover_test.go
+++ b/internal/e2e/processes_test.go
@@ -21,10 +21,10 @@
 	"github.com/radishhoist/radishhoist/internal/logtest"
 )
 
-// Guards against processes that outlive their demo. Only the last step of the demo used to
-// stop them: a demo whose output was closed (make demo | head) died before it, its platform,
-// targets and daemons kept running, and later demos used them as their own. Eight demos in a
-// row then reported that a good target answered a tenth of its even share.
+// Guards against processes that outlive their demo. They were stopped only by the last step
+// of the demo, so a demo that died earlier because its output was closed (make demo | head)
+// left its platform, targets and daemons running, and later demos used them as their own:
+// eight demos in a row reported that a good target served a tenth of its even share.
 func TestDemoLeavesNoProcesses(t *testing.T) {
 	for i, c := range []struct {
 		name string
@@ -53,10 +53,11 @@
 	output io.ReadCloser
 }
 
-// startDemo starts a demo and waits until at least three of its processes run.
-func startDemo(t *testing.T, network int) (*demoProcess, []int) {
+// startDemo starts a demo, waits until at least three of its child processes run, and returns
+// their process IDs.
+func startDemo(t *testing.T, octet int) (*demoProcess, []int) {
 	t.Helper()
-	cmd := exec.Command(filepath.Join(bin, "radishhoist-lab"), "demo", "--bin", bin, "--net", strconv.Itoa(network))
+	cmd := exec.Command(filepath.Join(binDir, "radishhoist-lab"), "demo", "--bin", binDir, "--net", strconv.Itoa(octet))
 	cmd.Env = append(os.Environ(), "TMPDIR="+t.TempDir())
 	output, err := cmd.StdoutPipe()
 	assert.NilError(t, err)
@@ -72,7 +73,7 @@
 	return &demoProcess{cmd: cmd, output: output}, children
 }
 
-// childrenOf returns the child processes of a process.
+// childrenOf returns the process IDs of the children of a process.
 func childrenOf(t *testing.T, parent int) []int {
 	t.Helper()
 	files, err := filepath.Glob("/proc/[0-9]*/stat")
@@ -88,8 +89,8 @@
 	return out
 }
 
-// procStat returns the fields of /proc/PID/stat from the process state on, nil if the process
-// does not exist.
+// procStat returns the fields of /proc/PID/stat from the process state on, or nil if the
+// process does not exist.
 func procStat(pid int) []string {
 	line, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
@@ -111,14 +112,14 @@
 	t.Errorf("process %d is still running", pid)
 }
 
-// A fleet does not use a process of another run that occupies its address: it fails
+// A fleet must not use a process of another run that listens on its address. It fails
 // immediately with the name and the last output line of the process that could not start.
 func TestFleetFailsIfPortIsInUse(t *testing.T) {
-	first := lab.NewFleet(context.Background(), bin, t.TempDir(), &logtest.Buffer{})
+	first := lab.NewFleet(context.Background(), binDir, t.TempDir(), &logtest.Buffer{})
 	defer first.Stop()
 	assert.NilError(t, first.StartPlatform("127.0.46.1"))
 
-	second := lab.NewFleet(context.Background(), bin, t.TempDir(), &logtest.Buffer{})
+	second := lab.NewFleet(context.Background(), binDir, t.TempDir(), &logtest.Buffer{})
 	defer second.Stop()
 	err := second.StartPlatform("127.0.46.1")
 	assert.ErrorContains(t, err, "platform exited unexpectedly")
--- a/internal/e2e/teams_test.go
+++ b/internal/e2e/teams_test.go
@@ -38,8 +38,8 @@
 	return out.String(), err
 }
 
-// An operator issues a key to a team, sees its use over all hosts, and withdraws the key. Each
-// change is confirmed as in force on every host.
+// An operator issues a key to a team, sees the team's use over all hosts, and withdraws the
+// key. The command line confirms that each change is in force on every host.
 func TestTeamKeyIsIssuedAndWithdrawn(t *testing.T) {
 	fleet := startFleet(t, 47, 2, 2*time.Millisecond)
 	assert.Equal(t, statusWithKey(t, fleet.Hosts[0], ""), http.StatusOK)
