--- a/internal/msg/kinds.go
+++ b/internal/msg/kinds.go
@@ -27,10 +27,10 @@
 func (*Pull) Kind() Kind          { return KindPull }          // Kind implements Message.
 func (*Snapshot) Kind() Kind      { return KindSnapshot }      // Kind implements Message.
 
-func (*Ping) Kind() Kind         { return KindPing }       // Kind implements Message.
-func (*StatusReport) Kind() Kind { return KindReport }     // Kind implements Message.
-func (*Pong) Kind() Kind         { return KindPong }       // Kind implements Message.
-func (*LoadReport) Kind() Kind   { return KindLoadReport } // Kind implements Message.
+func (*Ping) Kind() Kind         { return KindPing }         // Kind implements Message.
+func (*StatusReport) Kind() Kind { return KindStatusReport } // Kind implements Message.
+func (*Pong) Kind() Kind         { return KindPong }         // Kind implements Message.
+func (*LoadReport) Kind() Kind   { return KindLoadReport }   // Kind implements Message.
 
 // New returns an empty message of the given kind, or an error if the kind is unknown.
 func New(k Kind) (Message, error) {
@@ -87,7 +87,7 @@
 		return &Pong{}, nil
 	case KindLoadReport:
 		return &LoadReport{}, nil
-	case KindReport:
+	case KindStatusReport:
 		return &StatusReport{}, nil
 	default:
 		return nil, errors.Errorf("unknown message kind %d", k)
--- a/internal/msg/msg.go
+++ b/internal/msg/msg.go
@@ -36,7 +36,7 @@
 	KindSnapshot
 	KindPing
 	KindPong
-	KindReport
+	KindStatusReport
 	KindLoadReport
 )
 
