--- a/record/service.go
+++ b/record/service.go
@@ -23,7 +23,7 @@
 	// 0 means DefaultRetryPercent.
 	RetryPercent int `json:"retryPercent,omitempty"`
 	// ResponseBufferKB is the size in KB up to which a response is buffered until it is
-	// complete; 0 means DefaultAnswerBufferKB.
+	// complete; 0 means DefaultResponseBufferKB.
 	ResponseBufferKB int `json:"answerBufferKB,omitempty"`
 	// KeyShards is the number of shards for the service's idempotency keys;
 	// 0 means DefaultKeyShards.
@@ -51,7 +51,7 @@
 
 const (
 	maxRetryPercent     = 50
-	maxAnswerBufferKB   = 8 << 10
+	maxResponseBufferKB = 8 << 10
 	maxKeyShards        = 64
 	maxKeyWindowSeconds = 86400
 	maxFloorInstances   = 10000
@@ -67,7 +67,7 @@
 	f.checkRange("floor.percent", s.Floor.Percent, 1, 100)
 	f.checkRange("floor.instances", s.Floor.Instances, 0, maxFloorInstances)
 	f.checkRange("retryPercent", s.RetryPercent, 0, maxRetryPercent)
-	f.checkRange("answerBufferKB", s.ResponseBufferKB, 0, maxAnswerBufferKB)
+	f.checkRange("answerBufferKB", s.ResponseBufferKB, 0, maxResponseBufferKB)
 	f.checkRange("keyShards", s.KeyShards, 0, maxKeyShards)
 	f.checkRange("keyWindowSeconds", s.KeyWindowSeconds, 0, maxKeyWindowSeconds)
 }
