--- a/internal/docscheck/docs_test.go
+++ b/internal/docscheck/docs_test.go
@@ -102,7 +102,7 @@
 
 func TestEveryMetricIsDocumented(t *testing.T) {
 	text := readFile(t, "docs/operate/metrics.md")
-	for _, path := range []string{"internal/daemon/metrics.go", "internal/front/counters.go", "internal/guard/counters.go", "internal/objects/budget.go"} {
+	for _, path := range []string{"internal/daemon/metrics.go", "internal/front/counters.go", "internal/guard/counters.go", "internal/objects/ratelimit.go"} {
 		for _, m := range regexp.MustCompile("[\"`](radishhoist_[a-z_]+)").FindAllStringSubmatch(readFile(t, path), -1) {
 			assert.Assert(t, strings.Contains(text, m[1]), "docs/operate/metrics.md does not document %s", m[1])
 		}
--- a/internal/objects/late.go
+++ b/internal/objects/late.go
@@ -40,9 +40,9 @@
 		return c
 	}
 	c.call = CallReport{Call: r.Method + " " + r.URL.RequestURI(), HoldTime: hold}
-	late := c.call
-	late.Elapsed = hold + LateThreshold
-	c.timer = time.AfterFunc(late.Elapsed, func() { c.report(late) })
+	report := c.call
+	report.Elapsed = hold + LateThreshold
+	c.timer = time.AfterFunc(report.Elapsed, func() { c.report(report) })
 	return c
 }
 
