--- a/internal/settings/keys.go
+++ b/internal/settings/keys.go
@@ -35,48 +35,48 @@
 
 var keys = []key{
 	identifier("host", "name", "this host's name, unique in the fleet", func(c *Config) *string { return &c.Host }),
-	identifier("host", "dc", "the data centre this host stands in", func(c *Config) *string { return &c.DC }),
-	optional(identifier("host", "service", "the service whose target runs on this host; targets are told of it with requests that begin here", func(c *Config) *string { return &c.Service })),
-	address("listen", "callers", "where callers' HTTP requests come in", false, func(c *Config) *string { return &c.Callers }),
-	address("listen", "peer", "where other hosts reach this one, TCP and UDP", false, func(c *Config) *string { return &c.Peer }),
-	address("listen", "announce", "where targets on this host announce themselves; a loopback address, or one of this host's own that callers or peers use", false, func(c *Config) *string { return &c.Announce }),
-	address("listen", "admin", "where operators read state, metrics and readiness", false, func(c *Config) *string { return &c.Admin }),
-	optional(address("listen", "ready", "where readiness alone is served, for a platform that asks without access to the admin address", false, func(c *Config) *string { return &c.Ready })),
+	identifier("host", "dc", "the data centre of this host", func(c *Config) *string { return &c.DC }),
+	optional(identifier("host", "service", "the service whose target runs on this host; it is passed to targets with requests that enter the system at this host", func(c *Config) *string { return &c.Service })),
+	address("listen", "callers", "listen address for callers' HTTP requests", false, func(c *Config) *string { return &c.Callers }),
+	address("listen", "peer", "address at which other hosts reach this host, TCP and UDP", false, func(c *Config) *string { return &c.Peer }),
+	address("listen", "announce", "listen address for announcements of targets on this host; a loopback address, or one with the IP address of `callers` or `peer`", false, func(c *Config) *string { return &c.Announce }),
+	address("listen", "admin", "listen address for state, metrics and readiness", false, func(c *Config) *string { return &c.Admin }),
+	optional(address("listen", "ready", "listen address that serves only readiness, for a platform that has no access to the admin address", false, func(c *Config) *string { return &c.Ready })),
 	platformKey(),
 	adapterKey(),
 	seedsKey(),
 	levelKey(),
 	integer("limits", "max_header_bytes", "65536", "bytes", 4096, 1<<20, "largest request header from a caller", func(c *Config) *int { return &c.MaxHeaderBytes }),
 	live(integer("limits", "max_body_bytes", "33554432", "bytes", 1024, 1<<30, "largest request body from a caller", func(c *Config) *int { return &c.MaxBodyBytes })),
-	integer("limits", "buffer_body_bytes", "262144", "bytes", 0, 8<<20, "how much of a request body is kept so that a retry can send it again; larger bodies are sent once", func(c *Config) *int { return &c.BufferBodyBytes }),
-	integer("limits", "max_conns", "4096", "connections", 16, 1<<20, "callers' connections held at once; more wait to be accepted", func(c *Config) *int { return &c.MaxConns }),
-	live(integer("limits", "memory_mb", "0", "MB", 0, 1<<20, "memory the process may use before it is killed; the garbage collector then works harder well below it; 0 for no bound", func(c *Config) *int { return &c.MemoryMB })),
-	integer("limits", "max_fds", "0", "descriptors", 0, 1<<20, "file descriptors the process may hold; callers' connections get half of them at most; 0 for no bound", func(c *Config) *int { return &c.MaxFDs }),
+	integer("limits", "buffer_body_bytes", "262144", "bytes", 0, 8<<20, "largest request body that is buffered for retries; larger bodies can be sent only once", func(c *Config) *int { return &c.BufferBodyBytes }),
+	integer("limits", "max_conns", "4096", "connections", 16, 1<<20, "maximum number of open connections from callers; further connections wait to be accepted", func(c *Config) *int { return &c.MaxConns }),
+	live(integer("limits", "memory_mb", "0", "MB", 0, 1<<20, "memory the process may use before it is killed; the garbage collector runs more often well below it; 0 means no limit", func(c *Config) *int { return &c.MemoryMB })),
+	integer("limits", "max_fds", "0", "descriptors", 0, 1<<20, "file descriptors the process may use; connections from callers use at most half of them; 0 means no limit", func(c *Config) *int { return &c.MaxFDs }),
 	duration("limits", "header_timeout", "5s", 100*time.Millisecond, time.Minute, "time a caller has to send a request header", func(c *Config) *time.Duration { return &c.HeaderTimeout }),
-	duration("limits", "idle_timeout", "90s", time.Second, time.Hour, "time an idle caller's connection is kept", func(c *Config) *time.Duration { return &c.IdleTimeout }),
-	integer("guard", "queue_per_slot", "4", "requests per slot", 0, 100, "requests that may wait at an instance; more means fewer refusals in a burst and longer waits", func(c *Config) *int { return &c.QueuePerSlot }),
-	duration("guard", "grant_life", "250ms", 10*time.Millisecond, 10*time.Second, "time a reserved slot is held for a request that is not idempotent; longer survives slower paths and wastes more slots on lost fronts", func(c *Config) *time.Duration { return &c.GrantTTL }),
-	live(duration("guard", "announce_expiry", "5s", time.Second, time.Minute, "time a target may go without announcing itself before it counts as gone", func(c *Config) *time.Duration { return &c.AnnounceExpiry })),
-	live(duration("guard", "drain_timeout", "60s", time.Second, time.Hour, "time from the signal to stop until the process is killed: it ends a tenth of it earlier, and reports the requests that still ran", func(c *Config) *time.Duration { return &c.DrainTimeout })),
-	duration("guard", "target_idle", "30s", time.Second, 10*time.Minute, "time an idle connection to a target is kept; keep it under the target's own idle time", func(c *Config) *time.Duration { return &c.TargetIdleTimeout }),
-	duration("control", "probe_interval", "1s", 50*time.Millisecond, time.Minute, "time between two membership probes of one host; shorter finds dead hosts sooner and sends more", func(c *Config) *time.Duration { return &c.ProbeInterval }),
-	duration("control", "probe_timeout", "300ms", 10*time.Millisecond, 10*time.Second, "time a direct probe may go unanswered before other hosts are asked", func(c *Config) *time.Duration { return &c.ProbeTimeout }),
-	duration("control", "suspicion", "4s", 100*time.Millisecond, time.Minute, "time a suspected host has to refute; shorter is quicker and wrong more often", func(c *Config) *time.Duration { return &c.SuspicionTimeout }),
-	duration("control", "apply_within", "17s", 100*time.Millisecond, 10*time.Minute, "time in which an acknowledged record is to be in force on every host; written steps that together take longer are refused", func(c *Config) *time.Duration { return &c.ApplyWithin }),
-	derived(duration("control", "repair_interval", "5s", 100*time.Millisecond, time.Minute, "time between two digests of the record set to a random peer", func(c *Config) *time.Duration { return &c.RepairInterval }), maxDerivedRepairInterval),
-	derived(duration("control", "away_max", "2s", 100*time.Millisecond, time.Minute, "longest pause between two calls to a platform that does not answer; longer spares it, shorter notices its return sooner", func(c *Config) *time.Duration { return &c.MaxRetryInterval }), maxDerivedRetryInterval),
-	derived(duration("control", "watch_wait", "25s", 100*time.Millisecond, 30*time.Second, "time the platform is asked to hold a watch open; shorter makes more calls and bounds how long a watcher can miss news without a sign", func(c *Config) *time.Duration { return &c.WatchWait }), maxDerivedWatchWait),
-	duration("control", "status_interval", "5s", time.Second, time.Hour, "least time between two summaries of what is in force, which a data centre writes to the platform", func(c *Config) *time.Duration { return &c.StatusInterval }),
-	integer("control", "watchers_per_dc", "2", "hosts", 1, 16, "hosts of a data centre that watch the platform; each waiting watch counts as a platform read", func(c *Config) *int { return &c.WatchersPerDC }),
-	duration("control", "promise_life", "3s", 100*time.Millisecond, time.Minute, "life of a promise to a key owner; longer rides out longer cuts and delays the successor more", func(c *Config) *time.Duration { return &c.LeaseDuration }),
-	live(decimal("retry", "reserve", "24", 0, 1e6, "repeats", "repeats that a service may have in a window beyond its share of the requests, over all hosts together", func(c *Config) *float64 { return &c.RetryReserve })),
-	live(duration("retry", "window", "10s", time.Second, 10*time.Minute, "span in which requests and repeats are counted; longer lets a calm time pay for a worse one behind it", func(c *Config) *time.Duration { return &c.RetryWindow })),
-	decimal("teams", "allowance", "20", 0, 1e6, "requests", "requests that a team may have beyond its limit in any window over all hosts; most are let pass, the rest is for what hosts do not know of each other yet", func(c *Config) *float64 { return &c.TeamAllowance }),
-	decimal("teams", "over", "0.1", 0, 1, "share", "the same as a part of what the limit allows in a window, beside the allowance", func(c *Config) *float64 { return &c.TeamAllowanceFraction }),
-	duration("teams", "window", "5s", time.Second, time.Minute, "span in which a team's requests are counted against its limit and the allowance", func(c *Config) *time.Duration { return &c.TeamWindow }),
+	duration("limits", "idle_timeout", "90s", time.Second, time.Hour, "time an idle connection from a caller is kept open", func(c *Config) *time.Duration { return &c.IdleTimeout }),
+	integer("guard", "queue_per_slot", "4", "requests per slot", 0, 100, "maximum number of requests queued at an instance; a higher value rejects fewer requests in a burst but makes them wait longer", func(c *Config) *int { return &c.QueuePerSlot }),
+	duration("guard", "grant_life", "250ms", 10*time.Millisecond, 10*time.Second, "time a reserved slot is held for a request that is not idempotent; a higher value tolerates slower paths but wastes more slots when fronts fail", func(c *Config) *time.Duration { return &c.GrantTTL }),
+	live(duration("guard", "announce_expiry", "5s", time.Second, time.Minute, "time after its last announcement at which a target counts as gone", func(c *Config) *time.Duration { return &c.AnnounceExpiry })),
+	live(duration("guard", "drain_timeout", "60s", time.Second, time.Hour, "time from the stop signal until the process is killed; the daemon exits when nine tenths of it have passed and reports the requests that are still running", func(c *Config) *time.Duration { return &c.DrainTimeout })),
+	duration("guard", "target_idle", "30s", time.Second, 10*time.Minute, "time an idle connection to a target is kept open; should be shorter than the target's own idle timeout", func(c *Config) *time.Duration { return &c.TargetIdleTimeout }),
+	duration("control", "probe_interval", "1s", 50*time.Millisecond, time.Minute, "time between two membership probes of one host; a lower value detects dead hosts sooner but sends more probes", func(c *Config) *time.Duration { return &c.ProbeInterval }),
+	duration("control", "probe_timeout", "300ms", 10*time.Millisecond, 10*time.Second, "time without an answer to a direct probe after which other hosts are asked to probe", func(c *Config) *time.Duration { return &c.ProbeTimeout }),
+	duration("control", "suspicion", "4s", 100*time.Millisecond, time.Minute, "time a suspected host has to refute before it is declared dead; a lower value detects dead hosts sooner but gives more false positives", func(c *Config) *time.Duration { return &c.SuspicionTimeout }),
+	duration("control", "apply_within", "17s", 100*time.Millisecond, 10*time.Minute, "time within which an acknowledged record must be in force on every host; configured timings that add up to more are rejected", func(c *Config) *time.Duration { return &c.ApplyWithin }),
+	derived(duration("control", "repair_interval", "5s", 100*time.Millisecond, time.Minute, "mean time between digests of the record set sent to a random peer", func(c *Config) *time.Duration { return &c.RepairInterval }), maxDerivedRepairInterval),
+	derived(duration("control", "away_max", "2s", 100*time.Millisecond, time.Minute, "longest pause between calls to a platform that does not respond; a higher value puts less load on it, a lower value detects its recovery sooner", func(c *Config) *time.Duration { return &c.MaxRetryInterval }), maxDerivedRetryInterval),
+	derived(duration("control", "watch_wait", "25s", 100*time.Millisecond, 30*time.Second, "time the platform is asked to hold a watch request open; a lower value makes more calls but detects a lost watch sooner", func(c *Config) *time.Duration { return &c.WatchWait }), maxDerivedWatchWait),
+	duration("control", "status_interval", "5s", time.Second, time.Hour, "minimum time between two Status records that a data centre writes to the platform", func(c *Config) *time.Duration { return &c.StatusInterval }),
+	integer("control", "watchers_per_dc", "2", "hosts", 1, 16, "number of hosts of a data centre that watch the platform; each pending watch counts as a platform read", func(c *Config) *int { return &c.WatchersPerDC }),
+	duration("control", "promise_life", "3s", 100*time.Millisecond, time.Minute, "duration of a lease to a key owner; a higher value tolerates longer network partitions but delays the takeover by a successor", func(c *Config) *time.Duration { return &c.LeaseDuration }),
+	live(decimal("retry", "reserve", "24", 0, 1e6, "retries", "retries that a service may make in a window beyond the percentage of its requests that its retry budget allows, over all hosts", func(c *Config) *float64 { return &c.RetryReserve })),
+	live(duration("retry", "window", "10s", time.Second, 10*time.Minute, "window in which requests and retries are counted; a higher value allows budget that was not used while few requests failed to be used later, when more fail", func(c *Config) *time.Duration { return &c.RetryWindow })),
+	decimal("teams", "allowance", "20", 0, 1e6, "requests", "requests that a team may make beyond its limit in any window, over all hosts; most are admitted, the rest covers requests that hosts have not yet reported to each other", func(c *Config) *float64 { return &c.TeamAllowance }),
+	decimal("teams", "over", "0.1", 0, 1, "share", "further allowance, as a fraction of the requests that the limit allows in a window; added to `allowance`", func(c *Config) *float64 { return &c.TeamAllowanceFraction }),
+	duration("teams", "window", "5s", time.Second, time.Minute, "window in which a team's requests are counted against its limit and the allowance", func(c *Config) *time.Duration { return &c.TeamWindow }),
 	presetKey(),
-	decimal("defaults", "floor_share", "0.7", 0.01, 1, "share", "healthy capacity that ejection never goes below, for services that the platform names without a Service record", func(c *Config) *float64 { return &c.FloorShare }),
-	decimal("defaults", "retry_share", "0.1", 0, 0.5, "share", "repeats that each request earns, for the same services", func(c *Config) *float64 { return &c.RetryShare }),
+	decimal("defaults", "floor_share", "0.7", 0.01, 1, "share", "fraction of the capacity that ejection leaves in use, for services that the platform names without a Service record", func(c *Config) *float64 { return &c.FloorShare }),
+	decimal("defaults", "retry_share", "0.1", 0, 0.5, "share", "retries allowed per request, for the same services", func(c *Config) *float64 { return &c.RetryShare }),
 }
 
 // identifier returns a required key whose value is a name.
@@ -117,10 +117,10 @@
 func address(section, name, doc string, loopback bool, field func(*Config) *string) key {
 	k := key{
 		section: section, name: name, required: true, doc: doc,
-		unit: "IP:port", bound: "an IP number, port 1 to 65535", expected: expectedAddress,
+		unit: "IP:port", bound: "IP address, port 1 to 65535", expected: expectedAddress,
 	}
 	if loopback {
-		k.bound = "a loopback IP number, port 1 to 65535"
+		k.bound = "loopback IP address, port 1 to 65535"
 		k.expected = "a loopback IP address and a port, for example 127.0.0.1:7700"
 	}
 	k.get = func(c *Config) string { return *field(c) }
@@ -174,7 +174,7 @@
 func duration(section, name, def string, low, high time.Duration, doc string, field func(*Config) *time.Duration) key {
 	bound := fmt.Sprintf("%s to %s", low, high)
 	return key{
-		section: section, name: name, def: def, unit: "time with its unit", bound: bound, doc: doc,
+		section: section, name: name, def: def, unit: "duration", bound: bound, doc: doc,
 		expected: "a duration with a unit, " + bound + ", for example " + def,
 		get:      func(c *Config) string { return field(c).String() },
 		set: func(c *Config, v string) error {
@@ -227,7 +227,7 @@
 }
 
 func presetKey() key {
-	return choice("defaults", "preset", record.PresetQuick, "detection preset of services that the platform names without a Service record",
+	return choice("defaults", "preset", record.PresetQuick, "failure-detection preset of services that the platform names without a Service record",
 		[]string{record.PresetQuick, record.PresetCareful}, func(c *Config) *string { return &c.Preset })
 }
 
@@ -240,7 +240,7 @@
 var Adapters = []string{DefaultAdapter}
 
 func adapterKey() key {
-	k := choice("platform", "adapter", DefaultAdapter, "dialect of the platform, its callers and its targets", nil, func(c *Config) *string { return &c.Adapter })
+	k := choice("platform", "adapter", DefaultAdapter, "adapter for the conventions of the platform, its callers and its targets", nil, func(c *Config) *string { return &c.Adapter })
 	k.bound = DefaultAdapter + ", or another that the daemon was built with"
 	k.expected = DefaultAdapter + ", or another that the daemon was built with"
 	k.set = func(c *Config, v string) error {
@@ -272,8 +272,8 @@
 
 func seedsKey() key {
 	return key{
-		section: "peers", name: "seeds", def: "", unit: "IP:port list", bound: "addresses with commas between",
-		doc:      "peer addresses to start from while the platform is away",
+		section: "peers", name: "seeds", def: "", unit: "IP:port list", bound: "comma-separated addresses",
+		doc:      "peer addresses to join through if the platform is unavailable at start",
 		expected: "comma-separated addresses, for example 10.0.0.1:7300, 10.0.0.2:7300",
 		get:      func(c *Config) string { return strings.Join(c.Seeds, ", ") },
 		set: func(c *Config, v string) error {
@@ -294,14 +294,14 @@
 }
 
 func levelKey() key {
-	return live(choice("log", "level", "info", "least level of events that are logged",
+	return live(choice("log", "level", "info", "lowest level of events that are logged",
 		[]string{"debug", "info", "warn", "error"}, func(c *Config) *string { return &c.LogLevel }))
 }
 
 // derived returns k as a key whose default is derived from apply_within.
 func derived(k key, longest time.Duration) key {
 	k.def = ""
-	k.doc += fmt.Sprintf("; by default %g of apply_within, %s at most, less where the sum would not fit", derivedFraction, longest)
+	k.doc += fmt.Sprintf("; by default %g of apply_within, at most %s, and less if the sum would exceed apply_within", derivedFraction, longest)
 	return k
 }
 
@@ -314,17 +314,17 @@
 // Reference returns the settings reference as a Markdown table.
 func Reference() string {
 	var b strings.Builder
-	b.WriteString("| section | key | unit | default | bound | taken at | meaning |\n|---|---|---|---|---|---|---|\n")
+	b.WriteString("| section | key | unit | default | bound | applied | meaning |\n|---|---|---|---|---|---|---|\n")
 	for _, k := range keys {
 		def := k.def
 		if k.required {
-			def = "(must be written)"
+			def = "(required)"
 		}
-		taken := "start"
+		applied := "at start"
 		if k.live {
-			taken = "once changed"
+			applied = "on reload"
 		}
-		fmt.Fprintf(&b, "| %s | `%s` | %s | %s | %s | %s | %s |\n", k.section, k.name, k.unit, def, k.bound, taken, k.doc)
+		fmt.Fprintf(&b, "| %s | `%s` | %s | %s | %s | %s | %s |\n", k.section, k.name, k.unit, def, k.bound, applied, k.doc)
 	}
 	return b.String()
 }
--- a/internal/settings/propagation.go
+++ b/internal/settings/propagation.go
@@ -35,7 +35,7 @@
 	// hosts, all hosts that gossip had missed were repaired within 1.4 intervals.
 	maxRepairIntervals = 1.5
 	// derivedFraction is the fraction of ApplyWithin that each timing gets if it is not
-	// configured; below 2 s it gets less. Notice is then at most 0.3 of ApplyWithin plus
+	// configured; below 2 s it gets less. Detection is then at most 0.3 of ApplyWithin plus
 	// 0.4 s, Distribution 0.1 s and Repair 0.45 of ApplyWithin, in total 2.0 s of 2 s and
 	// 13.3 s of 17 s.
 	derivedFraction = 0.3
