--- a/internal/event/event.go
+++ b/internal/event/event.go
@@ -29,7 +29,7 @@
 	SettingsWarning         = Event{108, "settings strained", slog.LevelWarn}
 	RequestFailed           = Event{200, "request failed", slog.LevelWarn}
 	RequestAnswered         = Event{206, "request answered", slog.LevelInfo}
-	AnswerAborted           = Event{201, "answer aborted", slog.LevelWarn}
+	ResponseAborted         = Event{201, "answer aborted", slog.LevelWarn}
 	LinkLost                = Event{202, "link lost", slog.LevelWarn}
 	PathExcluded            = Event{203, "path left out", slog.LevelWarn}
 	PathRestored            = Event{204, "path back", slog.LevelInfo}
@@ -68,7 +68,7 @@
 func All() []Event {
 	return []Event{
 		Started, Ready, Draining, Drained, DrainTimeout, StartFailed, Reloaded, ReloadRefused, SettingsWarning,
-		RequestFailed, RequestAnswered, AnswerAborted, LinkLost, PathExcluded, PathRestored, PeerRefused,
+		RequestFailed, RequestAnswered, ResponseAborted, LinkLost, PathExcluded, PathRestored, PeerRefused,
 		InstanceAnnounced, InstanceGone, InstanceLeaving, InstanceSuspect, InstanceTrusted, AnnounceRefused,
 		RequestEnded, RequestRefused, InstanceEstimateChanged, InstanceEnded, RequestStopped,
 		RecordApplied, RecordRefused, PlatformUnavailable, PlatformAvailable, WatchStarted, WatchStopped, RecordSetLoaded,
--- a/internal/front/choose.go
+++ b/internal/front/choose.go
@@ -36,7 +36,7 @@
 //
 // A request that this host's guard knows to be suspected of crashing instances goes to the
 // instance designated for it. Any other request may be used for a trial, and otherwise goes
-// to a target in candidates.usable. If this gives no target, for a suspected request too,
+// to a target in candidates.eligible. If this gives no target, for a suspected request too,
 // pickFallback chooses one: an ejected target, one whose path is excluded, or any other that
 // accepts requests. A path is the network path to the target's host; it is excluded while no
 // frame arrives from that host. If usesRetryBudget is set, only targets whose guard may have
@@ -54,7 +54,7 @@
 	if a := f.guard.CrashAssessment(req.fingerprint); a.Crashes > 0 {
 		t, why = st.pickForCrashSuspect(now, req.fingerprint, &a, tried, usesRetryBudget), whyCrashSuspect
 	} else if t, why = st.pickTrial(now, req, tried, rng, f.paths); t == nil {
-		t, why = st.pickUsable(now, req, tried, usesRetryBudget, rng, f.paths, f.cfg), whyCost
+		t, why = st.pickEligible(now, req, tried, usesRetryBudget, rng, f.paths, f.cfg), whyCost
 	}
 	if t == nil && !usesRetryBudget {
 		t, why = st.pickFallback(tried), whyFallback
@@ -152,26 +152,26 @@
 	return idempotent || now.Sub(o.trialWantedAt) >= trialWaitNonIdempotent
 }
 
-// pickUsable picks the target with the lowest cost in a random sample of candidates.usable.
-func (st *serviceState) pickUsable(now time.Time, req *request, tried []*target, usesRetryBudget bool, rng *rand.Rand, p *paths, cfg Config) *target {
-	usable, local := st.candidates.eligible, st.candidates.local
+// pickEligible picks the target with the lowest cost in a random sample of candidates.eligible.
+func (st *serviceState) pickEligible(now time.Time, req *request, tried []*target, usesRetryBudget bool, rng *rand.Rand, p *paths, cfg Config) *target {
+	eligible, local := st.candidates.eligible, st.candidates.local
 	if len(tried) > 0 {
-		usable, local = st.untried(usable, tried), st.untried(local, tried)
+		eligible, local = st.untried(eligible, tried), st.untried(local, tried)
 	}
 	if usesRetryBudget {
 		withBudget := func(t *target) bool { return t.observed.retryBudgetLeft(now) }
-		usable, local = st.filter(usable, withBudget), st.filter(local, withBudget)
+		eligible, local = st.filter(eligible, withBudget), st.filter(local, withBudget)
 	}
-	localAt := localPositions(usable, local)
+	localAt := localPositions(eligible, local)
 	typical := st.typicalLoad(now, req)
 	expected, weights := st.expectedServiceTimeLocked(req), req.costWeights(now, st.retryChance(now, req, tried))
-	i := balance.Pick(rng, len(usable), localAt, func(k int) float64 {
-		return balance.Cost(st.targets[usable[k]].candidate(now, req, expected, typical, p, cfg), weights)
+	i := balance.Pick(rng, len(eligible), localAt, func(k int) float64 {
+		return balance.Cost(st.targets[eligible[k]].candidate(now, req, expected, typical, p, cfg), weights)
 	})
 	if i < 0 {
 		return nil
 	}
-	return st.targets[usable[i]]
+	return st.targets[eligible[i]]
 }
 
 // retryChance is the probability that the request can be retried if its next attempt fails.
@@ -184,7 +184,7 @@
 }
 
 // pickFallback returns an ejected target that accepts requests, or else any other that does:
-// one whose path is excluded, or, for a suspected request, also one in candidates.usable.
+// one whose path is excluded, or, for a suspected request, also one in candidates.eligible.
 // Trying such a target is better than refusing the request.
 func (st *serviceState) pickFallback(tried []*target) *target {
 	for _, i := range st.untried(st.candidates.ejected, tried) {
@@ -200,12 +200,12 @@
 	return nil
 }
 
-// localPositions returns the positions in usable of the targets in local, those in this data
+// localPositions returns the positions in eligible of the targets in local, those in this data
 // centre. Both lists hold ascending indexes.
-func localPositions(usable, local []int) []int {
+func localPositions(eligible, local []int) []int {
 	out := make([]int, 0, len(local))
 	j := 0
-	for k, i := range usable {
+	for k, i := range eligible {
 		if j < len(local) && local[j] == i {
 			out = append(out, k)
 			j++
--- a/internal/front/cost.go
+++ b/internal/front/cost.go
@@ -44,7 +44,7 @@
 	defaultSlotLoad = 0.3
 )
 
-// typicalLoad is the load per slot of the usable targets, from recent load reports. Distant
+// typicalLoad is the load per slot of the eligible targets, from recent load reports. Distant
 // hosts report theirs only with responses. The caller must hold st.mu.
 func (st *serviceState) typicalLoad(now time.Time, req *request) balance.TypicalLoad {
 	slots, running, waiting := 0, 0, time.Duration(0)
--- a/internal/front/response.go
+++ b/internal/front/response.go
@@ -80,7 +80,7 @@
 		return nil
 	}
 	if fail := resp.relay(w, req); fail != nil {
-		event.Log(resp.attempt.front.log, event.AnswerAborted, slog.String("request", req.id),
+		event.Log(resp.attempt.front.log, event.ResponseAborted, slog.String("request", req.id),
 			slog.String("target", resp.attempt.target.Name), slog.String("reason", string(fail.Reason)))
 		resp.attempt.front.counts.aborted.Inc()
 		panic(http.ErrAbortHandler)
--- a/internal/front/service.go
+++ b/internal/front/service.go
@@ -162,7 +162,7 @@
 	st.candidates = sets
 }
 
-// retryBudgetLeft reports whether the guard of any usable target may have retry budget
+// retryBudgetLeft reports whether the guard of any eligible target may have retry budget
 // left. The caller must hold st.mu.
 func (st *serviceState) retryBudgetLeft(now time.Time) bool {
 	for _, i := range st.candidates.eligible {
--- a/internal/front/status.go
+++ b/internal/front/status.go
@@ -31,7 +31,7 @@
 	Host  string `json:"host"`
 	DC    string `json:"dc"`
 	Slots int    `json:"slots"`
-	// Use is "used", "left out" or "unusable". Why gives the reason.
+	// Use is "used", "left out" or "unusable". Reason says why.
 	Use    string `json:"use"`
 	Reason string `json:"why,omitempty"`
 	// LatencyRatio is the service time relative to that of the service's other targets;
@@ -73,9 +73,9 @@
 		KnownSlots: r.KnownSlots, HealthySlots: r.HealthySlots, RequiredSlots: r.RequiredSlots, SuspectsKept: r.KeptSuspects, Targets: []TargetStatus{},
 	}
 	for i, t := range st.targets {
-		use, why := f.explainUse(now, t, r.Ejected[i])
+		use, reason := f.explainUse(now, t, r.Ejected[i])
 		out.Targets = append(out.Targets, TargetStatus{
-			Name: t.Name, Host: t.Host.Name, DC: t.Host.DC, Slots: t.Slots, Use: use, Reason: why,
+			Name: t.Name, Host: t.Host.Name, DC: t.Host.DC, Slots: t.Slots, Use: use, Reason: reason,
 			LatencyRatio: t.observed.latencyRatio, FailureEstimate: t.observed.failureEstimate.SickForSelection(now, failureModel),
 			ShedShare: t.observed.shedShare.At(now), RetryBudgetLeft: int(t.observed.load.RetryBudgetLeft),
 			Running: int(t.observed.load.Running), Queued: int(t.observed.load.Queued),
@@ -84,8 +84,8 @@
 	return out
 }
 
-// explainUse says whether a target is used, and why.
-func (f *Front) explainUse(now time.Time, t *target, ejected bool) (use, why string) {
+// explainUse says whether a target is used, and the reason.
+func (f *Front) explainUse(now time.Time, t *target, ejected bool) (use, reason string) {
 	evidence := fmt.Sprintf("suspect, evidence %.1f nats", float64(t.Evidence)/100)
 	switch {
 	case !t.Host.Alive:
@@ -180,7 +180,7 @@
 		}
 	}
 	st.mu.Lock()
-	t := st.pickUsable(time.Now(), req, nil, false, f.rng(), f.paths, f.cfg)
+	t := st.pickEligible(time.Now(), req, nil, false, f.rng(), f.paths, f.cfg)
 	st.mu.Unlock()
 	if t == nil {
 		out.Problem = "service " + svc.Name + " has no available target"
