--- a/internal/core/admit/admit.go
+++ b/internal/core/admit/admit.go
@@ -88,7 +88,7 @@
 	running
 )
 
-// ticket is the Queue's record of one request; Ticket is the exported description of it.
+// ticket is the Queue's record of one request; TicketInfo is the exported description of it.
 type ticket struct {
 	Request
 	state state
--- a/internal/core/announce/announce.go
+++ b/internal/core/announce/announce.go
@@ -184,7 +184,7 @@
 	return true
 }
 
-// MarkMisdirected records that another instance answers at the address of the named one.
+// MarkMisdirected records that another instance responds at the address of the named one.
 // The address has no holder until an instance announces it.
 func (t *Tracker) MarkMisdirected(name string) {
 	if e, known := t.byName[name]; known && t.holders[e.address] == name {
--- a/internal/core/quota/home.go
+++ b/internal/core/quota/home.go
@@ -8,7 +8,7 @@
 
 // handleUsage processes a usage report and decides on the query that it may carry. If this
 // host is not the home, it adds the requests to its own count, which it reports to the
-// home, unless the sender itself receives reports in place of the home (Forwarded): usage
+// home, unless the sender itself receives reports in place of the home (SenderReceivesReports): usage
 // is passed on by one host at most.
 func (n *Node) handleUsage(now time.Time, p *msg.TeamPacket, u *msg.TeamUsage) {
 	limit, limited := n.cfg.Limit(u.Team)
--- a/internal/guard/announce.go
+++ b/internal/guard/announce.go
@@ -173,7 +173,7 @@
 	g.onChanged()
 }
 
-// removeMisdirected removes an instance whose address is answered by another instance.
+// removeMisdirected removes an instance at whose address another instance responds.
 func (g *Guard) removeMisdirected(name string) {
 	g.mu.Lock()
 	g.announcements.MarkMisdirected(name)
--- a/internal/guard/call.go
+++ b/internal/guard/call.go
@@ -65,7 +65,7 @@
 	switch {
 	case failure == nil || ctx.Err() == nil:
 	case errors.Is(context.Cause(ctx), errDeadline):
-		failure = verdict.New(failure.Verdict, verdict.ReasonDeadline, "the target did not answer within the deadline")
+		failure = verdict.New(failure.Verdict, verdict.ReasonDeadline, "the target did not respond within the deadline")
 	case x.inst.processCtx.Err() != nil:
 		failure = verdict.New(failure.Verdict, verdict.ReasonTargetBroke, "the target restarted; requests it was running are lost")
 	}
--- a/internal/guard/crashes.go
+++ b/internal/guard/crashes.go
@@ -28,7 +28,7 @@
 func (i *instance) software() crash.Software {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	return crash.Software{Service: i.service, Version: i.version}
+	return crash.Software{Service: i.service, Version: i.softwareVersion}
 }
 
 // checkTerminated reports whether the instance has terminated, which is the case when
--- a/internal/guard/instance.go
+++ b/internal/guard/instance.go
@@ -62,8 +62,8 @@
 	waiters           map[admit.ID]*waiter
 	nextID            admit.ID
 	slots             int
-	conns             int
-	version           string
+	maxConns          int
+	softwareVersion   string
 	leaving           bool
 	stopped           bool
 	// terminated reports that the instance's port refuses connections: it has terminated,
@@ -115,9 +115,9 @@
 	if p, ok := g.presets[a.Service]; ok {
 		params = p
 	}
-	runCtx, cancelRun := context.WithCancel(context.Background())
+	processCtx, cancelProcess := context.WithCancel(context.Background())
 	return &instance{
-		guard: g, name: name, hash: NameHash(name), processCtx: runCtx, cancelProcess: cancelRun,
+		guard: g, name: name, hash: NameHash(name), processCtx: processCtx, cancelProcess: cancelProcess,
 		service: a.Service, address: a.Address, started: now,
 		client: targetconn.New(targetconn.Config{
 			Address: a.Address, MaxConns: a.connections(), IdleTimeout: g.cfg.TargetIdleTimeout,
@@ -126,7 +126,7 @@
 		queue:    admit.NewQueue(g.queueConfig(a.Slots)),
 		detector: detect.NewDetector(params),
 		waiters:  make(map[admit.ID]*waiter),
-		slots:    a.Slots, conns: a.connections(), version: a.Version, lastAnnounced: now,
+		slots:    a.Slots, maxConns: a.connections(), softwareVersion: a.Version, lastAnnounced: now,
 		warmUpEnd: now.Add(directory.DefaultWarmUp),
 	}
 }
@@ -142,12 +142,12 @@
 		i.terminated = false
 		i.updateQueue()
 	}
-	changed := restored || i.slots != a.Slots || i.version != a.Version || i.leaving != a.isLeaving()
+	changed := restored || i.slots != a.Slots || i.softwareVersion != a.Version || i.leaving != a.isLeaving()
 	if i.slots != a.Slots {
 		i.slots = a.Slots
 		i.deliver(i.queue.SetSlots(now, a.Slots))
 	}
-	i.version = a.Version
+	i.softwareVersion = a.Version
 	if i.leaving != a.isLeaving() {
 		i.leaving = a.isLeaving()
 		i.updateQueue()
@@ -307,7 +307,7 @@
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	out := directory.Instance{
-		Name: i.name, Service: i.service, Slots: i.slots, MaxConns: i.conns, SoftwareVersion: i.version,
+		Name: i.name, Service: i.service, Slots: i.slots, MaxConns: i.maxConns, SoftwareVersion: i.softwareVersion,
 		Health: i.detector.Health(), StartedMS: i.started.UnixMilli(),
 		WarmUpLeft: max(time.Until(i.warmUpEnd), 0),
 	}
--- a/internal/guard/serve.go
+++ b/internal/guard/serve.go
@@ -39,7 +39,7 @@
 	// queueID identifies the request in the instance's queue.
 	queueID admit.ID
 	waiter  *waiter
-	// inbox receives the front's messages, and disconnected is closed when the front
+	// inbox receives the front's messages, and frontGone is closed when the front
 	// cancels or disconnects.
 	inbox     chan msg.Message
 	frontGone chan struct{}
--- a/internal/guard/state.go
+++ b/internal/guard/state.go
@@ -43,7 +43,7 @@
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	return InstanceState{
-		Name: i.name, Service: i.service, Address: i.address, Version: i.version,
+		Name: i.name, Service: i.service, Address: i.address, Version: i.softwareVersion,
 		Slots: i.slots, Running: i.queue.BusySlots(), Queued: i.queue.Queued(),
 		ServiceMS:       float64(i.queue.MeanServiceTime().Microseconds()) / 1000,
 		FailureEstimate: i.failureEstimate.SickForSelection(time.Now(), i.guard.model),
