--- a/internal/control/crashers.go
+++ b/internal/control/crashers.go
@@ -200,8 +200,8 @@
 // caller holds the lock.
 func (c *Control) countUncleared(fingerprint string, crashes []record.InstanceCrash) int {
 	n := 0
-	for _, e := range crashes {
-		if _, cleared := c.replica.Set(msg.SetCrashes).Get(config.Key{Kind: clearanceKind, Name: e.ID + fingerprintSeparator + fingerprint}); !cleared {
+	for _, crashed := range crashes {
+		if _, cleared := c.replica.Set(msg.SetCrashes).Get(config.Key{Kind: clearanceKind, Name: crashed.ID + fingerprintSeparator + fingerprint}); !cleared {
 			n++
 		}
 	}
--- a/internal/control/crashes_test.go
+++ b/internal/control/crashes_test.go
@@ -35,9 +35,9 @@
 		tracker := crash.NewTracker()
 		now := time.Now()
 		c := newControlWithStore(unavailableStore{}, func(*directory.Directory) {})
-		c.hooks.Crashed = func(e crash.Crash) {
-			assert.Equal(t, e.ID, name)
-			tracker.Add(now, e)
+		c.hooks.Crashed = func(crashed crash.Crash) {
+			assert.Equal(t, crashed.ID, name)
+			tracker.Add(now, crashed)
 		}
 		c.hooks.Cleared = func(crashID string, fp crash.Fingerprint) {
 			assert.Equal(t, crashID+fingerprintSeparator, name[:len(crashID)+1])
--- a/internal/control/recovery_test.go
+++ b/internal/control/recovery_test.go
@@ -13,9 +13,9 @@
 
 // Guards against late application of a change after the platform has accepted calls without
 // responding for some seconds. The watchers had abandoned their watches and each had sent a
-// list that was never answered. When the platform responded again, they waited for the 5 s
+// list that got no response. When the platform responded again, they waited for the 5 s
 // timeout of that list before their next call, longer than the time in which a change must
-// be applied. Hosts that could reach the platform therefore answered requests for a new
+// be applied. Hosts that could reach the platform therefore responded to requests for a new
 // route with 404 for 2.5 s after its configuration had been acknowledged.
 //
 // After 7 s without responses, watchers whose list had started 2.2 s before the end
