--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -87,8 +87,8 @@
 	// guardTickInterval is the interval at which the guard checks for expired grants and
 	// deadlines.
 	guardTickInterval = 20 * time.Millisecond
-	// idleSweepInterval is how often idle peer connections are closed.
-	idleSweepInterval = time.Minute
+	// idleCloseInterval is how often idle peer connections are closed.
+	idleCloseInterval = time.Minute
 	// failedStartTimeout bounds the cleanup after a failed start.
 	failedStartTimeout = time.Second
 	// adminTimeout bounds the time to read a request to the admin, readiness or announce
@@ -103,7 +103,7 @@
 	d.cfg.Store(cfg)
 	store := objects.NewRateLimitedStore(d.store, objects.CallsPerSecond, objects.CallBurst)
 	d.limitedStore = store
-	store.Observe(newLateCallLogger(log).report)
+	store.Observe(newCallReportLogger(log).report)
 	d.keys = keys.New(keys.Config{
 		Host: cfg.Host, Incarnation: uint64(d.started.UnixMilli()), LeaseDuration: cfg.LeaseDuration,
 	}, keys.Hooks{DistributeMap: func(obj objects.Object) { d.control.ApplyObject(obj) }}, store, log)
@@ -113,8 +113,8 @@
 	}, guardLimits(cfg), log, d.keys, guard.Hooks{
 		Changed:    func() { d.control.InstancesChanged() },
 		LoadReport: d.distributeLoadReport,
-		Crashed:    func(e crash.Crash) { d.control.PublishCrash(e) },
-		Cleared:    func(crashID string, p crash.Fingerprint) { d.control.PublishClearance(crashID, p) },
+		Crashed:    func(c crash.Crash) { d.control.PublishCrash(c) },
+		Cleared:    func(crashID string, fp crash.Fingerprint) { d.control.PublishClearance(crashID, fp) },
 		Blocked:    func(s guard.BlockedRequest) { d.control.StoreCrasher(s.Fingerprint, s.Request, s.Crashes) },
 	})
 	d.teams = teams.New(teams.Config{
@@ -268,13 +268,13 @@
 func (d *Daemon) tick(ctx context.Context) {
 	ticker := time.NewTicker(guardTickInterval)
 	defer ticker.Stop()
-	sweep := time.NewTicker(idleSweepInterval)
-	defer sweep.Stop()
+	idleTicker := time.NewTicker(idleCloseInterval)
+	defer idleTicker.Stop()
 	for {
 		select {
 		case now := <-ticker.C:
 			d.guard.Tick(now)
-		case <-sweep.C:
+		case <-idleTicker.C:
 			d.pool.CloseIdle()
 		case <-ctx.Done():
 			return
--- a/internal/daemon/late.go
+++ b/internal/daemon/late.go
@@ -8,15 +8,15 @@
 	"github.com/radishhoist/radishhoist/internal/objects"
 )
 
-// lateCallLogger logs platform calls that are late or fail, up to a rate limit.
-type lateCallLogger struct {
+// callReportLogger logs platform calls that are late or fail, up to a rate limit.
+type callReportLogger struct {
 	log   *slog.Logger
 	limit event.Limiter
 }
 
-func newLateCallLogger(log *slog.Logger) *lateCallLogger { return &lateCallLogger{log: log} }
+func newCallReportLogger(log *slog.Logger) *callReportLogger { return &callReportLogger{log: log} }
 
-func (l *lateCallLogger) report(call objects.CallReport) {
+func (l *callReportLogger) report(call objects.CallReport) {
 	suppressed, ok := l.limit.Allow(time.Now())
 	if !ok {
 		return
