--- a/internal/fleetsim/fleet.go
+++ b/internal/fleetsim/fleet.go
@@ -161,9 +161,9 @@
 	}, guard.Limits{AnnounceExpiry: time.Hour, RetryReserve: f.scenario.RetryReserve, RetryWindow: f.scenario.RetryWindow},
 		log, allowAllFence{}, guard.Hooks{
 			Changed: func() {}, LoadReport: h.sendLoadReport,
-			Crashed: func(e crash.Crash) { h.broadcast(func(other *host) { other.guard.ApplyCrash(e) }) },
-			Cleared: func(crashID string, p crash.Fingerprint) {
-				h.broadcast(func(other *host) { other.guard.ApplyClearance(crashID, p) })
+			Crashed: func(c crash.Crash) { h.broadcast(func(other *host) { other.guard.ApplyCrash(c) }) },
+			Cleared: func(crashID string, fp crash.Fingerprint) {
+				h.broadcast(func(other *host) { other.guard.ApplyClearance(crashID, fp) })
 			},
 		})
 	h.front = front.New(front.Config{
--- a/internal/fleetsim/share_test.go
+++ b/internal/fleetsim/share_test.go
@@ -9,7 +9,7 @@
 	"gotest.tools/v3/assert"
 )
 
-var large = flag.Bool("large", false, "also run TestEqualInstancesShareTheWork with large fleets")
+var large = flag.Bool("large", false, "also run TestEqualInstancesGetEqualShares with large fleets")
 
 // maxHostsUnlessLarge is the size of the largest fleet simulated without -large. Larger fleets
 // take minutes with the race detector.
