--- a/internal/losses/losses.go
+++ b/internal/losses/losses.go
@@ -38,8 +38,8 @@
 	CauseCancelled Cause = "the caller left"
 )
 
-// rejectedCause returns the cause of a request that was answered with an error of the
-// proxy instead of a response from an instance.
+// rejectedCause returns the cause of a request for which the caller received an error of
+// the proxy instead of a response from an instance.
 func rejectedCause(reason string) Cause {
 	if reason == "cancelled" {
 		return CauseCancelled
