--- a/internal/core/once/owner.go
+++ b/internal/core/once/owner.go
@@ -261,7 +261,7 @@
 	for id, s := range o.shards {
 		out = append(out, OwnedShardState{
 			Service: id.Service, Shard: id.Shard, Epoch: s.authority.Epoch(),
-			Held: s.authority.Held(now), Frozen: s.frozen, Keys: s.table.Len(),
+			HasAuthority: s.authority.Held(now), Frozen: s.frozen, Keys: s.table.Len(),
 		})
 	}
 	sort.Slice(out, func(i, j int) bool {
@@ -278,8 +278,8 @@
 	Service string `json:"service"`
 	Shard   uint32 `json:"shard"`
 	Epoch   uint64 `json:"epoch"`
-	// Held reports whether the owner has authority.
-	Held bool `json:"authority"`
+	// HasAuthority reports whether the owner has authority.
+	HasAuthority bool `json:"authority"`
 	// Frozen reports whether the table was exported for handover. The next owner may not
 	// have received it.
 	Frozen bool `json:"handedOver"`
--- a/internal/core/once/sim_test.go
+++ b/internal/core/once/sim_test.go
@@ -199,7 +199,7 @@
 // tick sends the lease requests of a host that are due, and schedules the next tick.
 func (s *sim) tick(h *simHost) {
 	for _, o := range h.owner.Shards(s.now) {
-		if o.Held {
+		if o.HasAuthority {
 			h.heldAt = s.now
 		}
 	}
@@ -249,7 +249,7 @@
 		for _, o := range h.owner.Shards(s.now) {
 			if o.Frozen && !h.leaving {
 				frozen[o.Shard] = o.Epoch
-			} else if o.Held {
+			} else if o.HasAuthority {
 				held[o.Shard] = o.Epoch
 			}
 		}
--- a/internal/daemon/crash_test.go
+++ b/internal/daemon/crash_test.go
@@ -211,7 +211,7 @@
 	shards := 0
 	for _, d := range daemons {
 		for _, s := range d.keys.State() {
-			if !s.Held || s.Keys == 0 {
+			if !s.HasAuthority || s.Keys == 0 {
 				return false
 			}
 			shards++
--- a/internal/daemon/metrics.go
+++ b/internal/daemon/metrics.go
@@ -38,7 +38,7 @@
 	set.NewGauge("radishhoist_shards_held", func() float64 {
 		held := 0
 		for _, s := range d.keys.State() {
-			held += int(boolToFloat(s.Held))
+			held += int(boolToFloat(s.HasAuthority))
 		}
 		return float64(held)
 	})
--- a/internal/e2e/keys_test.go
+++ b/internal/e2e/keys_test.go
@@ -57,7 +57,7 @@
 			continue
 		}
 		for _, s := range dump.Shards {
-			if s.Held {
+			if s.HasAuthority {
 				return h
 			}
 		}
--- a/internal/keys/place.go
+++ b/internal/keys/place.go
@@ -199,7 +199,7 @@
 		case s.Service != service:
 		case s.Frozen:
 			frozen[s.Shard] = s.Epoch
-		case s.Held:
+		case s.HasAuthority:
 			held[s.Shard] = s.Epoch
 		}
 	}
