--- a/internal/core/admit/admit.go
+++ b/internal/core/admit/admit.go
@@ -1,10 +1,11 @@
 // Package admit implements the admission control of one instance of a service. It
 // assigns slots, queues requests that can still meet their deadline, refuses the others
-// early, and handles cancellation. A slot is the capacity to run one request. A front is a
-// proxy on the caller's side, which selects an instance and sends it the request.
+// early, and handles cancellation. A slot is the capacity to run one request. A caller is
+// the client that sends a request. A front is a proxy on the caller's side, which selects an
+// instance and sends it the request.
 //
-// A Queue does not read the clock and does no I/O. The caller passes in the time,
-// serializes the calls, and carries out the returned decisions. Because the same
+// A Queue does not read the clock and does no I/O. The calling code passes in the time,
+// serializes its calls, and carries out the returned decisions. Because the same
 // Queue decides whether a request starts and whether it is cancelled, a request
 // reported as not run can no longer start.
 package admit
@@ -17,7 +18,7 @@
 	"github.com/radishhoist/radishhoist/verdict"
 )
 
-// ID identifies a request at a Queue. The caller must not reuse IDs.
+// ID identifies a request at a Queue. The calling code must not reuse IDs.
 type ID uint64
 
 // Request is a request for a slot.
@@ -47,7 +48,7 @@
 	Reserve bool
 }
 
-// Action is what the caller of the Queue must do with a request.
+// Action is what the calling code must do with a request.
 type Action uint8
 
 const (
@@ -189,7 +190,8 @@
 }
 
 // Revoke cancels all unused grants, after a restart of the instance. A later Run with any of
-// them is refused.
+// them is refused. The released slots are not assigned to waiting requests: the guard, the
+// proxy on the instance's side, drains the Queue of a restarted instance first.
 func (q *Queue) Revoke() []Decision {
 	var out []Decision
 	for _, t := range q.tickets {
@@ -201,8 +203,9 @@
 	return out
 }
 
-// Resume accepts requests again after Drain, when a planned stop of the instance was
-// withdrawn or the instance is no longer leaving.
+// Resume accepts requests again after Drain. The guard calls it when no reason to refuse
+// requests is left: the instance does not announce that it is leaving, no planned stop is
+// recorded for it, and it has not terminated.
 func (q *Queue) Resume() { q.draining = false }
 
 // Idle reports whether the Queue holds no running, waiting or granted requests.
@@ -274,8 +277,8 @@
 }
 
 // Cancel cancels a request. It returns NotRun if the request has not started and can no
-// longer start, or MayHaveRun if it is running, in which case the caller stops it and
-// then calls Done. It also returns MayHaveRun for a request that the Queue no longer
+// longer start, or MayHaveRun if it is running, in which case the calling code stops it
+// and then calls Done. It also returns MayHaveRun for a request that the Queue no longer
 // holds. The decisions are for the waiting requests considered for the released slot.
 func (q *Queue) Cancel(now time.Time, id ID) (verdict.Verdict, []Decision) {
 	t, ok := q.tickets[id]
@@ -299,8 +302,8 @@
 }
 
 // Done releases the slot of a request that has finished running. A serviceTime of 0 is
-// excluded from the moving average; the caller passes 0 if the service time does not
-// indicate the instance's speed.
+// excluded from the moving average; the calling code passes 0 if the service time does
+// not indicate the instance's speed.
 func (q *Queue) Done(now time.Time, id ID, serviceTime time.Duration) []Decision {
 	t, ok := q.tickets[id]
 	if !ok || t.state != running {
@@ -367,8 +370,8 @@
 	q.busy--
 }
 
-// refuse drops a request's ticket and returns the decision to refuse it. The caller removes
-// the request from its rank queue, or releases its slot if it has one.
+// refuse drops a request's ticket and returns the decision to refuse it. The calling function
+// removes the request from its rank queue, or releases its slot if it has one.
 func (q *Queue) refuse(t *ticket, reason verdict.Reason, retryAfter time.Duration) Decision {
 	delete(q.tickets, t.ID)
 	return Decision{ID: t.ID, Action: Refuse, Reason: reason, RetryAfter: retryAfter}
