--- a/internal/core/quota/account.go
+++ b/internal/core/quota/account.go
@@ -22,8 +22,8 @@
 	// delay is derived from it, so that refused callers do not all retry at once.
 	levelWithRetries bucket
 	// standalone counts what this host admitted against its own share. successorUsed
-	// counts what it granted in place of an unresponsive home, against the share of the
-	// requesting hosts.
+	// counts what it granted in place of an unresponsive home, against the share of this
+	// host and of those that reported to it within requestingPeriod.
 	standalone, successorUsed bucket
 	// lastAsSuccessor is when this host was last queried in place of the home.
 	lastAsSuccessor time.Time
@@ -100,8 +100,8 @@
 	a.refusedUntil = time.Time{}
 }
 
-// rate returns the team's drain rate, and capacity its maximum level, for the live
-// hosts.
+// rate returns the team's drain rate, and capacity the level up to which requests are
+// admitted, for the live hosts. The level can exceed the capacity, see add.
 func (a *account) rate() float64 { return a.node.withExtra(a.limit.Rate) * a.node.liveShare() }
 func (a *account) capacity() float64 {
 	return max((a.limit.Burst+a.node.cfg.ExtraBurst)*a.node.liveShare(), 1)
@@ -121,7 +121,7 @@
 // ownShare is this host's share of each limit.
 func (n *Node) ownShare() float64 { return 1 / float64(n.knownHosts) }
 
-// level is the team's usage, known or assumed.
+// level is the team's usage, the larger of the known and the assumed.
 func (a *account) level(now time.Time) float64 {
 	return max(a.used.levelAt(now, a.rate()), a.assumed.levelAt(now, a.rate()))
 }
@@ -130,8 +130,9 @@
 func (a *account) isKnown(now time.Time) bool { return a.assumed.levelAt(now, a.rate()) == 0 }
 
 // add counts n admitted requests, or subtracts requests that did not run if n is negative.
-// The level is bounded, so requests beyond the limit that hosts admitted without knowing
-// of those admitted elsewhere are compensated only in part.
+// Hosts may admit requests beyond the limit before they learn of those that other hosts
+// admitted; the level then exceeds the capacity, and requests are refused until it has
+// drained. The level is bounded, so a large excess is made up for only in part.
 func (a *account) add(now time.Time, n float64) {
 	a.used.set(now, min(a.used.levelAt(now, a.rate())+n, a.capacity()+a.node.cfg.ExtraBurst))
 	if !a.isKnown(now) {
@@ -148,7 +149,8 @@
 	}
 }
 
-// isNearLimit reports whether the team is near its limit.
+// isNearLimit reports whether the level has reached the fraction of the capacity at which a
+// team starts to count as near its limit. Tick ends that state, at a lower level.
 func (a *account) isNearLimit(now time.Time) bool { return a.level(now) >= nearLimitEnter*a.capacity() }
 
 // admit admits a request if the level allows it, and otherwise returns when to retry.
--- a/internal/core/quota/admit.go
+++ b/internal/core/quota/admit.go
@@ -113,8 +113,9 @@
 	return n.lastQueryID
 }
 
-// sendUsage reports the usage to a home, and queries it for a request if queryID is not
-// 0.
+// sendUsage reports the usage to the home or its successor, and queries it for a request
+// if queryID is not 0. The reported level excludes the unconfirmed requests, because the
+// receiver adds those from the counts.
 func (n *Node) sendUsage(now time.Time, a *account, to string, queryID uint32) {
 	a.seq++
 	p := n.packet(to)
@@ -128,11 +129,11 @@
 	}
 }
 
-// receivesReports reports whether other hosts report the team's usage to this one
-// although it is not the account's home.
+// receivesReports reports whether other hosts have reported the team's usage to this one
+// and it is not the account's home.
 func (n *Node) receivesReports(a *account) bool { return len(a.reporters) > 0 && !n.isHome(a) }
 
-// reportUsage reports usage that no home has confirmed. After a timeout it tries the
+// reportUsage reports usage that is not confirmed yet. After a timeout it tries the
 // successor, then again the home, and so on. From the second timeout on, each one puts the
 // account into standalone mode.
 func (n *Node) reportUsage(now time.Time, a *account) {
--- a/internal/core/quota/bucket.go
+++ b/internal/core/quota/bucket.go
@@ -8,7 +8,7 @@
 	at    time.Time
 }
 
-// levelAt returns the level at time t after draining at perSecond.
+// levelAt drains the bucket at perSecond until time t and returns its level.
 func (b *bucket) levelAt(t time.Time, perSecond float64) float64 {
 	if d := t.Sub(b.at); d > 0 {
 		b.level = max(b.level-d.Seconds()*perSecond, 0)
--- a/internal/core/quota/home.go
+++ b/internal/core/quota/home.go
@@ -8,8 +8,8 @@
 
 // handleUsage processes a usage report and decides on the query that it may carry. If this
 // host is not the home, it adds the requests to its own count, which it reports to the
-// home, unless the sender itself receives reports in place of the home (SenderReceivesReports): usage
-// is passed on by one host at most.
+// home, unless the sender itself receives reports in place of the home
+// (SenderReceivesReports): usage is passed on by one host at most.
 func (n *Node) handleUsage(now time.Time, p *msg.TeamPacket, u *msg.TeamUsage) {
 	limit, limited := n.cfg.Limit(u.Team)
 	if !limited {
@@ -71,7 +71,7 @@
 	}
 	added := u.Count - r.count
 	if r.seq == 0 || !u.ConfirmedByReceiver && u.Confirmed != r.confirmed {
-		// This is the host's first report, or it has reported to another home in the
+		// This is the host's first report, or it has reported to another host in the
 		// meantime. Its level includes the requests that were confirmed elsewhere.
 		a.mergeLevel(now, float64(u.Level), u.Known)
 		added = u.Count - u.Confirmed
--- a/internal/core/quota/quota.go
+++ b/internal/core/quota/quota.go
@@ -1,23 +1,26 @@
 // Package quota enforces one rate limit per team across all hosts, without a central
 // server. It performs no I/O.
 //
-// A team's account is held by one host, its home, which is chosen by rendezvous hashing
-// among the live hosts. The host second in rendezvous order is the successor, which is
-// asked if the home does not answer. The account is a leaky bucket: admitted requests
-// raise its level, which drains at the team's rate. While a team is far below its limit,
-// a host admits its requests at once and reports them to the home at the next Tick, about
-// every 50 ms. Until that report is confirmed or times out, it sends further ones only with
-// queries. Reports carry a cumulative count, so lost, delayed and duplicated datagrams do
-// no harm. A request is unconfirmed until the home has confirmed a report of it. When a
-// team comes near its limit, the home notifies all hosts, which then query it for each
-// request until the team is far from the limit again. Every message carries the level,
-// so that a new home learns it from the first host that contacts it.
+// Every team has a home, a host chosen by rendezvous hashing among the live hosts. The
+// home's account of the team is authoritative; the accounts that other hosts keep of the
+// team are their views of its usage, which may lag behind. The host second in rendezvous
+// order is the successor, which is asked if the home does not answer. An account is a leaky
+// bucket: admitted requests raise its level, which drains at the team's rate. While a team
+// is far below its limit, a host admits its requests at once and reports them to the home
+// at the next Tick, about every 50 ms. A report can carry a query, which asks whether one
+// more request may be admitted. Until a report is confirmed or times out, the host sends
+// further reports only if they carry a query. Reports carry a cumulative count, so lost,
+// delayed and duplicated datagrams do no harm. A request is unconfirmed until the home, or
+// another host in its place, has confirmed a report of it. When a team comes near its limit,
+// the home notifies all hosts, which then query it for each request until the team is far
+// from the limit again. Every message carries the level, so that a new home learns it from
+// the first host that contacts it.
 //
-// A host that reaches no home admits requests of a team within its own share of the rate
-// (standalone mode). A host that has just started assumes that the bucket of every team was
-// full at its start, except for the fraction startupExtraFraction of Config.ExtraBurst,
-// until another host reports the real level. Restarting the whole fleet therefore grants no
-// new burst beyond that fraction.
+// A host that gets an answer from neither a team's home nor its successor admits requests
+// of the team within its own share of the rate (standalone mode). A host that has just
+// started assumes that the bucket of every team was full at its start, except for the
+// fraction startupExtraFraction of Config.ExtraBurst, until another host reports the real
+// level. Restarting the whole fleet therefore grants no new burst beyond that fraction.
 package quota
 
 import (
@@ -60,15 +63,15 @@
 	// kept, and how long after its last near-limit period a team still counts as near its
 	// limit when hosts are lost.
 	startupPeriod = 5 * time.Second
-	// queryTimeout is how long to wait for a home before a query is retried;
+	// queryTimeout is how long to wait for an answer before a query is retried;
 	// maxQueryAttempts is the number of attempts, of which the last goes to the successor.
 	queryTimeout     = 60 * time.Millisecond
 	maxQueryAttempts = 3
-	// usageTimeout is how long a home has to confirm a usage report before the successor
-	// is tried.
+	// usageTimeout is how long to wait for the confirmation of a usage report. After it,
+	// reports go to the successor if they went to the home, and the other way round.
 	usageTimeout = 150 * time.Millisecond
-	// standalonePeriod is how long a host enforces its own share after no home
-	// answered.
+	// standalonePeriod is how long a host enforces its own share after neither the
+	// home nor its successor answered.
 	standalonePeriod = 400 * time.Millisecond
 	// nearLimitPeriod is how long a near-limit notice is valid; noticeInterval is how
 	// often it is repeated.
@@ -170,7 +173,7 @@
 	hostsVersion uint64
 
 	accounts map[string]*account
-	// unconfirmed holds the accounts with usage that no home has confirmed. nearLimit
+	// unconfirmed holds the accounts with usage that is not confirmed yet. nearLimit
 	// holds the accounts of teams near their limit for which this host is the home or
 	// acts for it.
 	unconfirmed, nearLimit map[string]*account
--- a/internal/core/quota/state.go
+++ b/internal/core/quota/state.go
@@ -9,16 +9,18 @@
 // State is one host's view of a team's usage, for operators.
 type State struct {
 	Team string `json:"team"`
-	// Rate and Burst are the limit. Level is the used part of Capacity; both are in
-	// requests. Capacity is the live hosts' share of the burst and Config.ExtraBurst.
+	// Rate and Burst are the limit. Level is the usage, which can exceed Capacity; both
+	// are in requests. Capacity is the live hosts' share of the burst and
+	// Config.ExtraBurst.
 	Rate     float64 `json:"ratePerSecond"`
 	Burst    float64 `json:"burst"`
 	Level    float64 `json:"level"`
 	Capacity float64 `json:"room"`
-	// Home is the host that holds the account.
+	// Home is the team's home, the host whose account is authoritative.
 	Home string `json:"home"`
 	// NearLimit reports whether hosts query the home for each request, Standalone
-	// whether this host enforces its own share because no home answers.
+	// whether this host enforces its own share because neither the home nor its
+	// successor answers.
 	NearLimit  bool `json:"close"`
 	Standalone bool `json:"alone"`
 	// Admitted and Refused count this host's requests since the account was created.
