--- a/internal/guard/call.go
+++ b/internal/guard/call.go
@@ -45,9 +45,10 @@
 	x.inst.start(started, x.waiter, m)
 	run := x.guard.retryBudgets.begin(started, x.inst.service, x.retryReserved, m.Idempotent, x.hints)
 	if !x.retryReserved {
-		// Without a reserved retry, the request is a first attempt. It may still be a
-		// nested request, sent by an instance that is running a retry. run.retryFraction
-		// is then the estimated probability of that, in thousandths.
+		// A request without a reservation in the retry budget is a first attempt. It may
+		// still be a nested request, sent by an instance that is running a retry. As it
+		// counts as a retry in proportion to the estimated probability of that,
+		// run.retryFraction is this probability, in thousandths.
 		x.nestedRetryChance = run.retryFraction
 	}
 	x.retryReserved = false // begin has used the reservation
@@ -201,7 +202,7 @@
 }
 
 // buildRequest builds the request to the target: the caller's request, with the request
-// id, the remaining time and the name of the intended instance added.
+// ID, the remaining time and the name of the intended instance added.
 func (x *exchange) buildRequest(m *msg.Run) *targetconn.Request {
 	d := x.guard.cfg.Dialect
 	req := &targetconn.Request{
