--- a/internal/core/once/lease.go
+++ b/internal/core/once/lease.go
@@ -12,11 +12,11 @@
 }
 
 // LeaseGranter is a guard's side of shard ownership. It grants the lease of a shard to one
-// epoch at a time: until the lease has expired by the guard's own monotonic clock, a
-// greater epoch is refused. Two owners cannot have authority at the same time, since any
-// two majorities have a guard in common, and that guard grants the lease to only one of
-// them. Acquire and Release are used on the guards in the shard map, and MayRun on any
-// guard that runs a request.
+// epoch at a time: until the owner has released the lease or it has expired by the guard's
+// own monotonic clock, a greater epoch is refused. Two owners cannot have authority at the
+// same time, since any two majorities have a guard in common, and that guard grants the
+// lease to only one of them. Acquire and Release are used on the guards in the shard map,
+// and MayRun on any guard that runs a request.
 //
 // A process that has just started may have granted leases before its restart. It
 // therefore grants none until those have expired and it has read the shard maps from the
@@ -41,7 +41,8 @@
 // LeaseReply is a guard's reply to a lease request.
 type LeaseReply struct {
 	Granted bool
-	// Epoch is the greatest epoch the guard knows for the shard.
+	// Epoch is the greatest epoch the guard knows for the shard. If the request was refused
+	// because the lease of an earlier epoch has not expired, it is that epoch.
 	Epoch uint64
 	// TTL is the duration of the lease.
 	TTL time.Duration
--- a/internal/core/once/owner.go
+++ b/internal/core/once/owner.go
@@ -15,8 +15,8 @@
 // HandleLeaseReply.
 type Owner struct {
 	host string
-	// incarnation is the start time of this process in Unix milliseconds, by
-	// which shard maps distinguish the incarnations of a host.
+	// incarnation is the start time of this process in Unix milliseconds, by which shard
+	// maps distinguish it from earlier processes on this host, whose tables are lost.
 	incarnation   uint64
 	leaseDuration time.Duration
 	tableConfig   func(service string) TableConfig
@@ -74,8 +74,8 @@
 // SetMap applies a service's shard map. If this host owned a shard at the preceding epoch,
 // it keeps its table at a new epoch. Otherwise, the shard starts with the table that was
 // handed over for the epoch, or with an empty one, for which older keys are unknown. Shards
-// that the map does not assign to this process are dropped. A shard already at a greater
-// epoch is not changed.
+// that the map does not assign to this process are dropped, whatever their epoch. A shard
+// that it does assign to this process is not changed if it is already at a greater epoch.
 func (o *Owner) SetMap(now time.Time, service string, m *record.ShardMap) {
 	for i, s := range m.Shards {
 		id := ShardID{service, uint32(i)}
@@ -101,7 +101,8 @@
 }
 
 // updateAuthority applies the guards of a map in which the shard has the same epoch.
-// Normally, this map drops the previous guards. The shard keeps its leases and its table.
+// Normally, it is a map from ConfirmHeld, without previous guards. The shard keeps its
+// leases and its table.
 func (o *Owner) updateAuthority(s *ownedShard, m *record.ShardMap) {
 	if slices.Equal(s.authority.guards, m.Guards) && slices.Equal(s.authority.prevGuards, m.PrevGuards) {
 		return
@@ -138,8 +139,9 @@
 // renewalsPerLease is the number of requests to renew a lease within its duration.
 const renewalsPerLease = 3
 
-// Tick returns the lease requests that are due, expires table entries, and
-// reports the shards for which authority was acquired or lost.
+// Tick returns the lease requests that are due, expires table entries, and reports the
+// shards for which authority was acquired or lost since the last tick. Shards that SetMap
+// has dropped are not reported as lost.
 func (o *Owner) Tick(now time.Time, wallMS int64) (requests []LeaseRequest, acquired, lost []ShardID) {
 	for id, s := range o.shards {
 		s.table.Tick(now)
--- a/internal/core/once/placement.go
+++ b/internal/core/once/placement.go
@@ -79,12 +79,12 @@
 }
 
 // changeGuards changes the guard set by one host and reports whether it did. It adds a
-// guard if there are fewer than maxGuards, not counting one lost guard, and otherwise
-// removes a lost one. A lost guard is thus replaced by first adding another, and there may
-// be maxGuards+1 for a time. Every shard gets a new epoch, and a majority of the previous
-// guards is also required until all owners have had authority at their new epochs. Until
-// then, the guards are not changed again. Only the first usable guard by name changes them,
-// to avoid conflicting writes.
+// guard if there are fewer than maxGuards, not counting one lost guard, and another host is
+// usable. Otherwise, it removes a lost guard, unless it is the only one. A lost guard is
+// thus replaced by first adding another, and there may be maxGuards+1 for a time. Every
+// shard gets a new epoch, and a majority of the previous guards is also required until all
+// owners have had authority at their new epochs. Until then, the guards are not changed
+// again. Only the first usable guard by name changes them, to avoid conflicting writes.
 func changeGuards(service, self string, m *record.ShardMap, hosts []Candidate) bool {
 	if self != firstUsable(m.Guards, hosts) || !allHeld(m) {
 		return false
@@ -112,8 +112,8 @@
 }
 
 // allHeld reports whether every owner is known to have had authority at its current epoch,
-// under both the current and the previous guards. No majority of leases from an older
-// guard set can then still be valid.
+// under both the current and the previous guards. No owner of an earlier epoch can then
+// still have authority, whichever guards its map named.
 func allHeld(m *record.ShardMap) bool {
 	for _, s := range m.Shards {
 		if s.HeldEpoch != s.Epoch {
@@ -126,7 +126,7 @@
 // ConfirmHeld returns a map that records over which shards host self has had authority, or
 // nil if the map records this already. held maps the shards over which self has authority
 // to their epochs. Once this is recorded for every shard, the previous guards are dropped.
-// Only guard changes depend on it.
+// Only guard changes depend on this record; claims depend on the leases.
 func ConfirmHeld(self string, m *record.ShardMap, held map[uint32]uint64) *record.ShardMap {
 	next := editOwned(self, m, func(i uint32, s *record.Shard) bool {
 		if s.HeldEpoch == s.Epoch || held[i] != s.Epoch {
--- a/internal/core/once/table.go
+++ b/internal/core/once/table.go
@@ -63,7 +63,8 @@
 
 // TableConfig holds the limits of a Table, which apply to each shard.
 type TableConfig struct {
-	// Window is how long a key stays in the table after its request has ended.
+	// Window is how long a key stays in the table after its request has ended or its claim
+	// has expired.
 	Window time.Duration
 	// MaxKeys limits the number of keys. When it is reached, new keys are refused, since
 	// a request could run twice if its key were evicted early.
@@ -111,9 +112,9 @@
 
 // Activate records that the owner has authority from now on. Keys created later cannot
 // have been claimed at the previous owner, which accepted no claims after that time. New
-// opaque keys are accepted after the longer of Window and ClaimTimeout: by then, the window
-// of requests that had ended has passed, and the claims of the others have expired. Only
-// the first call has an effect.
+// opaque keys are accepted after the longer of Window and ClaimTimeout. By then, the window
+// of requests that had ended before has passed, and requests that were running have ended.
+// The window of the latter may not have passed yet. Only the first call has an effect.
 func (t *Table) Activate(now time.Time, wallMS int64) {
 	if t.activated {
 		return
@@ -128,6 +129,7 @@
 
 // Claim decides whether a keyed request may run. A retried claim by the request that
 // has claimed the key returns ClaimRun again. The reply is only returned with ClaimReplay.
+// Activate must have been called, unless the table was imported.
 func (t *Table) Claim(now time.Time, wallMS int64, c *msg.KeyClaim) (ClaimOutcome, *msg.ClaimReply) {
 	e, known := t.entries[c.Key]
 	if !known {
@@ -176,7 +178,8 @@
 }
 
 // RecordResult records the result of a claimed request. The key of a request that did
-// not run is removed, so that it can be claimed again.
+// not run is removed, so that it can be claimed again. If its claim had expired, the key
+// stays in the table as keyMayHaveRun.
 func (t *Table) RecordResult(now time.Time, r *msg.KeyResult) {
 	e, ok := t.entries[r.Key]
 	if !ok || e.requestID != r.RequestID || e.state == keyFinished {
