--- a/internal/front/choose.go
+++ b/internal/front/choose.go
@@ -13,8 +13,10 @@
 // if the response is late, a second attempt is made in parallel.
 
 // trialShare is the share of a healthy instance's requests that an ejected instance still
-// gets as trials, so that its recovery can be observed. eject.Select ejects suspect instances.
-// They are tried only with first attempts of requests that can be retried.
+// gets as trials, so that its recovery can be observed. eject.Select ejects instances that
+// the failure detector marks as suspect; they get no requests except for trials and as a
+// fallback. Ejected instances are tried only with first attempts of requests that can be
+// retried.
 const trialShare = 0.05
 
 // pick is the target chosen for one attempt. A target is an instance as the current directory
@@ -36,7 +38,8 @@
 //
 // A request that this host's guard knows to be suspected of crashing instances goes to the
 // instance designated for it. Any other request may be used for a trial, and otherwise goes
-// to a target in candidates.eligible. If this gives no target, for a suspected request too,
+// to a target in candidates.eligible: the targets that accept requests, are not ejected and
+// whose path is not excluded. If neither kind of request gets a target in this way,
 // pickFallback chooses one: an ejected target, one whose path is excluded, or any other that
 // accepts requests. A path is the network path to the target's host; it is excluded while no
 // frame arrives from that host. If usesRetryBudget is set, only targets whose guard may have
@@ -68,8 +71,9 @@
 
 // pickTrial occasionally picks a target for a trial and returns the reason for the request
 // log, or nil if the request is not used for one. Only first attempts are. A request that
-// can be retried may go over an excluded path or to an ejected instance, and any eligible
-// request to an instance whose guard asks for a trial.
+// can be retried, because it is idempotent and a guard may have retry budget left, may go
+// over an excluded path or to an ejected instance. Any request for which eligibleForTrial
+// holds may go to an instance whose guard asks for a trial.
 func (st *serviceState) pickTrial(now time.Time, req *request, tried []*target, rng *rand.Rand, p *paths) (*target, string) {
 	candidates := &st.candidates
 	if len(tried) > 0 {
@@ -98,14 +102,15 @@
 	// trialFailureEstimateMax is the failure estimate up to which a request that cannot be
 	// retried may be used for a trial. The failure estimate is the probability that the
 	// instance is in the state in which it fails most requests, called sick in package
-	// chance. Target selection uses SickForSelection. The probability that one request is
-	// lost is derived from it, see failureChance.
+	// chance. It is read with SickForSelection, which limits its rise while there are no new
+	// outcomes, so that an instance is not avoided for lack of them. The probability that
+	// one request is lost is derived from it, see failureChance.
 	trialFailureEstimateMax = 0.1
 	// trialWaitNonIdempotent is how long a guard must have asked for a trial before a
 	// non-idempotent request may be used, so that idempotent ones are used first.
 	trialWaitNonIdempotent = 300 * time.Millisecond
-	// wantsTrialMaxAge is how long a guard's request for a trial is valid. A guard that
-	// still wants one has repeated it by then.
+	// wantsTrialMaxAge is how long a load report that asks for a trial is valid. A guard
+	// that still wants one has sent another report by then.
 	wantsTrialMaxAge = 300 * time.Millisecond
 	// trialEstimateJitter is the random part added to failure estimates when choosing a
 	// trial target, so that fronts with the same information do not all choose the same
@@ -139,9 +144,10 @@
 	return o.load.WantsTrial && now.Sub(o.loadAt) <= wantsTrialMaxAge
 }
 
-// eligibleForTrial reports whether a request may be used for a trial here. A retryable
-// request may go to any instance, another one only to an instance that is unlikely to fail
-// it.
+// eligibleForTrial reports whether a request may be used for a trial of this instance. A
+// retryable request may go to any instance, another one only to an instance that is unlikely
+// to fail it. A non-idempotent request may go there only if the guard has asked for at least
+// trialWaitNonIdempotent.
 func (o *observations) eligibleForTrial(now time.Time, idempotent, retryable bool) bool {
 	if retryable {
 		return true
@@ -175,7 +181,8 @@
 }
 
 // retryChance is the probability that the request can be retried if its next attempt fails.
-// The caller must hold st.mu.
+// It is taken as 0 after the first attempt: a further retry is not counted on. The caller
+// must hold st.mu.
 func (st *serviceState) retryChance(now time.Time, req *request, tried []*target) float64 {
 	if !req.idempotent || len(tried) > 0 {
 		return 0
@@ -184,7 +191,8 @@
 }
 
 // pickFallback returns an ejected target that accepts requests, or else any other that does:
-// one whose path is excluded, or, for a suspected request, also one in candidates.eligible.
+// one whose path is excluded, or, for a request suspected of crashing instances, also one in
+// candidates.eligible.
 // Trying such a target is better than refusing the request.
 func (st *serviceState) pickFallback(tried []*target) *target {
 	for _, i := range st.untried(st.candidates.ejected, tried) {
