--- a/internal/core/quota/account.go
+++ b/internal/core/quota/account.go
@@ -28,9 +28,9 @@
 	// lastAsSuccessor is when this host was last queried in place of the home.
 	lastAsSuccessor time.Time
 
-	// homes holds the account's home and its successor, as of hostsVersion.
-	homes        [2]string
-	hostsVersion uint64
+	// homeAndSuccessor holds the account's home and its successor, as of hostsVersion.
+	homeAndSuccessor [2]string
+	hostsVersion     uint64
 
 	// count is the number of requests since the account was created that this host reports
 	// to the home: those it admitted without a query, and those that, in place of the home,
@@ -229,25 +229,25 @@
 	return min(max(d, time.Millisecond), maxRetryAfter)
 }
 
-// homes returns the home of a team's account and its successor, "" for none. It uses
+// homeAndSuccessor returns the home of a team's account and its successor, "" for none. It uses
 // rendezvous hashing.
-func (n *Node) homes(a *account) [2]string {
-	if a.hostsVersion == n.hostsVersion && a.homes[0] != "" {
-		return a.homes
+func (n *Node) homeAndSuccessor(a *account) [2]string {
+	if a.hostsVersion == n.hostsVersion && a.homeAndSuccessor[0] != "" {
+		return a.homeAndSuccessor
 	}
 	var best [2]uint64
-	a.homes, a.hostsVersion = [2]string{}, n.hostsVersion
+	a.homeAndSuccessor, a.hostsVersion = [2]string{}, n.hostsVersion
 	for i, h := range n.hosts {
 		score := mixHash(a.hash ^ n.hashes[i])
 		switch {
-		case a.homes[0] == "" || score > best[0]:
-			a.homes[1], best[1] = a.homes[0], best[0]
-			a.homes[0], best[0] = h.Name, score
-		case a.homes[1] == "" || score > best[1]:
-			a.homes[1], best[1] = h.Name, score
+		case a.homeAndSuccessor[0] == "" || score > best[0]:
+			a.homeAndSuccessor[1], best[1] = a.homeAndSuccessor[0], best[0]
+			a.homeAndSuccessor[0], best[0] = h.Name, score
+		case a.homeAndSuccessor[1] == "" || score > best[1]:
+			a.homeAndSuccessor[1], best[1] = h.Name, score
 		}
 	}
-	return a.homes
+	return a.homeAndSuccessor
 }
 
 // mixHash is the finalizer of MurmurHash3.
@@ -260,8 +260,10 @@
 }
 
 // isHome reports whether this host is the home of the account.
-func (n *Node) isHome(a *account) bool { return n.homes(a)[0] == n.cfg.Host }
+func (n *Node) isHome(a *account) bool { return n.homeAndSuccessor(a)[0] == n.cfg.Host }
 
 // actsForHome reports whether this host is the successor of a home that does not answer
 // its reports.
-func (n *Node) actsForHome(a *account) bool { return n.homes(a)[1] == n.cfg.Host && a.timeouts > 0 }
+func (n *Node) actsForHome(a *account) bool {
+	return n.homeAndSuccessor(a)[1] == n.cfg.Host && a.timeouts > 0
+}
--- a/internal/core/quota/admit.go
+++ b/internal/core/quota/admit.go
@@ -109,7 +109,7 @@
 func (n *Node) sendQuery(now time.Time, a *account) uint32 {
 	n.lastQueryID++
 	n.queries[n.lastQueryID] = &query{account: a, sentAt: now, attempts: 1}
-	n.sendUsage(now, a, n.homes(a)[0], n.lastQueryID)
+	n.sendUsage(now, a, n.homeAndSuccessor(a)[0], n.lastQueryID)
 	return n.lastQueryID
 }
 
@@ -152,13 +152,13 @@
 		}
 		a.timeouts++
 		a.unconfirmedSince = time.Time{}
-		if a.timeouts >= len(a.homes) {
+		if a.timeouts >= len(a.homeAndSuccessor) {
 			a.enterStandalone(now)
 		}
 	}
-	to := n.homes(a)[a.timeouts%len(a.homes)]
+	to := n.homeAndSuccessor(a)[a.timeouts%len(a.homeAndSuccessor)]
 	if to == "" || to == n.cfg.Host {
-		to = a.homes[0]
+		to = a.homeAndSuccessor[0]
 	}
 	n.sendUsage(now, a, to, 0)
 }
@@ -172,7 +172,7 @@
 			continue
 		}
 		a := q.account
-		to := n.homes(a)[min(q.attempts/2, 1)]
+		to := n.homeAndSuccessor(a)[min(q.attempts/2, 1)]
 		if q.attempts >= maxQueryAttempts || to == "" || to == n.cfg.Host {
 			n.decideLocally(now, id, a)
 			continue
--- a/internal/core/quota/home.go
+++ b/internal/core/quota/home.go
@@ -123,7 +123,7 @@
 // updateSuccessor sends the level of a team that is near its limit to the successor of its
 // home, which thereby knows it if the home fails.
 func (n *Node) updateSuccessor(now time.Time, a *account) {
-	if successor := n.homes(a)[1]; successor != "" && successor != n.cfg.Host {
+	if successor := n.homeAndSuccessor(a)[1]; successor != "" && successor != n.cfg.Host {
 		p := n.packet(successor)
 		p.Notices = append(p.Notices, msg.TeamNotice{Team: a.team, Level: float32(a.level(now)), NearLimitMS: uint32(nearLimitPeriod.Milliseconds())})
 	}
--- a/internal/core/quota/quota_test.go
+++ b/internal/core/quota/quota_test.go
@@ -52,7 +52,7 @@
 // homeOf returns the home of a team's account, as seen by the first host.
 func (s *sim) homeOf(team string) int {
 	n := s.hosts[0].node
-	return s.index(n.homes(n.account(s.time(), team, s.limits[team]))[0])
+	return s.index(n.homeAndSuccessor(n.account(s.time(), team, s.limits[team]))[0])
 }
 
 // partition separates the first size hosts from the others. If connected is false, these
--- a/internal/core/quota/state.go
+++ b/internal/core/quota/state.go
@@ -33,7 +33,7 @@
 	out := make([]State, 0, len(n.accounts))
 	for _, a := range n.accounts {
 		out = append(out, State{
-			Team: a.team, Rate: a.limit.Rate, Burst: a.limit.Burst, Level: a.level(now), Capacity: a.capacity(), Home: n.homes(a)[0],
+			Team: a.team, Rate: a.limit.Rate, Burst: a.limit.Burst, Level: a.level(now), Capacity: a.capacity(), Home: n.homeAndSuccessor(a)[0],
 			NearLimit: now.Before(a.nearLimitUntil) || n.nearLimit[a.team] != nil, Standalone: now.Before(a.standaloneUntil),
 			Admitted: a.admitted, Refused: a.refused,
 		})
