--- a/internal/msg/keys.go
+++ b/internal/msg/keys.go
@@ -66,7 +66,8 @@
 // LeaseReply answers LeaseRequest.
 type LeaseReply struct {
 	Granted bool
-	// Epoch is the greatest epoch that the guard knows for the shard.
+	// Epoch is the greatest epoch the guard knows for the shard. If the request was refused
+	// because the lease of an earlier epoch has not expired, it is that epoch.
 	Epoch uint64
 	// TTLMS is the duration of the lease in milliseconds. The owner counts it from when it
 	// sent the request.
