--- a/internal/core/quota/account.go
+++ b/internal/core/quota/account.go
@@ -22,15 +22,15 @@
 	// delay is derived from it, so that refused callers do not all retry at once.
 	levelWithRetries bucket
 	// standalone counts what this host admitted against its own share. successorUsed
-	// counts what it granted in place of an unresponsive home, against the share of the
-	// requesting hosts.
+	// counts what it granted in place of an unresponsive home, against the share of this
+	// host and of those that reported to it within requestingPeriod.
 	standalone, successorUsed bucket
 	// lastAsSuccessor is when this host was last queried in place of the home.
 	lastAsSuccessor time.Time
 
-	// homes holds the account's home and its successor, as of hostsVersion.
-	homes        [2]string
-	hostsVersion uint64
+	// homeAndSuccessor holds the account's home and its successor, as of hostsVersion.
+	homeAndSuccessor [2]string
+	hostsVersion     uint64
 
 	// count is the number of requests since the account was created that this host reports
 	// to the home: those it admitted without a query, and those that, in place of the home,
@@ -100,8 +100,8 @@
 	a.refusedUntil = time.Time{}
 }
 
-// rate returns the team's drain rate, and capacity its maximum level, for the live
-// hosts.
+// rate returns the team's drain rate, and capacity the level up to which requests are
+// admitted, for the live hosts. The level can exceed the capacity, see add.
 func (a *account) rate() float64 { return a.node.withExtra(a.limit.Rate) * a.node.liveShare() }
 func (a *account) capacity() float64 {
 	return max((a.limit.Burst+a.node.cfg.ExtraBurst)*a.node.liveShare(), 1)
@@ -121,7 +121,7 @@
 // ownShare is this host's share of each limit.
 func (n *Node) ownShare() float64 { return 1 / float64(n.knownHosts) }
 
-// level is the team's usage, known or assumed.
+// level is the team's usage, the larger of the known and the assumed.
 func (a *account) level(now time.Time) float64 {
 	return max(a.used.levelAt(now, a.rate()), a.assumed.levelAt(now, a.rate()))
 }
@@ -130,8 +130,9 @@
 func (a *account) isKnown(now time.Time) bool { return a.assumed.levelAt(now, a.rate()) == 0 }
 
 // add counts n admitted requests, or subtracts requests that did not run if n is negative.
-// The level is bounded, so requests beyond the limit that hosts admitted without knowing
-// of those admitted elsewhere are compensated only in part.
+// Hosts may admit requests beyond the limit before they learn of those that other hosts
+// admitted; the level then exceeds the capacity, and requests are refused until it has
+// drained. The level is bounded, so a large excess is made up for only in part.
 func (a *account) add(now time.Time, n float64) {
 	a.used.set(now, min(a.used.levelAt(now, a.rate())+n, a.capacity()+a.node.cfg.ExtraBurst))
 	if !a.isKnown(now) {
@@ -148,7 +149,8 @@
 	}
 }
 
-// isNearLimit reports whether the team is near its limit.
+// isNearLimit reports whether the level has reached the fraction of the capacity at which a
+// team starts to count as near its limit. Tick ends that state, at a lower level.
 func (a *account) isNearLimit(now time.Time) bool { return a.level(now) >= nearLimitEnter*a.capacity() }
 
 // admit admits a request if the level allows it, and otherwise returns when to retry.
@@ -227,25 +229,25 @@
 	return min(max(d, time.Millisecond), maxRetryAfter)
 }
 
-// homes returns the home of a team's account and its successor, "" for none. It uses
+// homeAndSuccessor returns the home of a team's account and its successor, "" for none. It uses
 // rendezvous hashing.
-func (n *Node) homes(a *account) [2]string {
-	if a.hostsVersion == n.hostsVersion && a.homes[0] != "" {
-		return a.homes
+func (n *Node) homeAndSuccessor(a *account) [2]string {
+	if a.hostsVersion == n.hostsVersion && a.homeAndSuccessor[0] != "" {
+		return a.homeAndSuccessor
 	}
 	var best [2]uint64
-	a.homes, a.hostsVersion = [2]string{}, n.hostsVersion
+	a.homeAndSuccessor, a.hostsVersion = [2]string{}, n.hostsVersion
 	for i, h := range n.hosts {
 		score := mixHash(a.hash ^ n.hashes[i])
 		switch {
-		case a.homes[0] == "" || score > best[0]:
-			a.homes[1], best[1] = a.homes[0], best[0]
-			a.homes[0], best[0] = h.Name, score
-		case a.homes[1] == "" || score > best[1]:
-			a.homes[1], best[1] = h.Name, score
+		case a.homeAndSuccessor[0] == "" || score > best[0]:
+			a.homeAndSuccessor[1], best[1] = a.homeAndSuccessor[0], best[0]
+			a.homeAndSuccessor[0], best[0] = h.Name, score
+		case a.homeAndSuccessor[1] == "" || score > best[1]:
+			a.homeAndSuccessor[1], best[1] = h.Name, score
 		}
 	}
-	return a.homes
+	return a.homeAndSuccessor
 }
 
 // mixHash is the finalizer of MurmurHash3.
@@ -258,8 +260,10 @@
 }
 
 // isHome reports whether this host is the home of the account.
-func (n *Node) isHome(a *account) bool { return n.homes(a)[0] == n.cfg.Host }
+func (n *Node) isHome(a *account) bool { return n.homeAndSuccessor(a)[0] == n.cfg.Host }
 
 // actsForHome reports whether this host is the successor of a home that does not answer
 // its reports.
-func (n *Node) actsForHome(a *account) bool { return n.homes(a)[1] == n.cfg.Host && a.timeouts > 0 }
+func (n *Node) actsForHome(a *account) bool {
+	return n.homeAndSuccessor(a)[1] == n.cfg.Host && a.timeouts > 0
+}
--- a/internal/core/quota/admit.go
+++ b/internal/core/quota/admit.go
@@ -109,30 +109,31 @@
 func (n *Node) sendQuery(now time.Time, a *account) uint32 {
 	n.lastQueryID++
 	n.queries[n.lastQueryID] = &query{account: a, sentAt: now, attempts: 1}
-	n.sendUsage(now, a, n.homes(a)[0], n.lastQueryID)
+	n.sendUsage(now, a, n.homeAndSuccessor(a)[0], n.lastQueryID)
 	return n.lastQueryID
 }
 
-// sendUsage reports the usage to a home, and queries it for a request if queryID is not
-// 0.
+// sendUsage reports the usage to the home or its successor, and queries it for a request
+// if queryID is not 0. The reported level excludes the unconfirmed requests, because the
+// receiver adds those from the counts.
 func (n *Node) sendUsage(now time.Time, a *account, to string, queryID uint32) {
 	a.seq++
 	p := n.packet(to)
 	p.Usages = append(p.Usages, msg.TeamUsage{
 		Team: a.team, Seq: a.seq, Count: a.count, Confirmed: a.confirmed,
 		Level: float32(max(a.used.levelAt(now, a.rate())-float64(a.count-a.confirmed), 0)), Known: a.isKnown(now),
-		ConfirmedByReceiver: a.confirmedBy == to, Forwarded: n.receivesReports(a), QueryID: queryID,
+		ConfirmedByReceiver: a.confirmedBy == to, SenderReceivesReports: n.receivesReports(a), QueryID: queryID,
 	})
 	if a.count != a.confirmed && a.unconfirmedSince.IsZero() {
 		a.unconfirmedSince = now
 	}
 }
 
-// receivesReports reports whether other hosts report the team's usage to this one
-// although it is not the account's home.
+// receivesReports reports whether other hosts have reported the team's usage to this one
+// and it is not the account's home.
 func (n *Node) receivesReports(a *account) bool { return len(a.reporters) > 0 && !n.isHome(a) }
 
-// reportUsage reports usage that no home has confirmed. After a timeout it tries the
+// reportUsage reports usage that is not confirmed yet. After a timeout it tries the
 // successor, then again the home, and so on. From the second timeout on, each one puts the
 // account into standalone mode.
 func (n *Node) reportUsage(now time.Time, a *account) {
@@ -151,13 +152,13 @@
 		}
 		a.timeouts++
 		a.unconfirmedSince = time.Time{}
-		if a.timeouts >= len(a.homes) {
+		if a.timeouts >= len(a.homeAndSuccessor) {
 			a.enterStandalone(now)
 		}
 	}
-	to := n.homes(a)[a.timeouts%len(a.homes)]
+	to := n.homeAndSuccessor(a)[a.timeouts%len(a.homeAndSuccessor)]
 	if to == "" || to == n.cfg.Host {
-		to = a.homes[0]
+		to = a.homeAndSuccessor[0]
 	}
 	n.sendUsage(now, a, to, 0)
 }
@@ -171,7 +172,7 @@
 			continue
 		}
 		a := q.account
-		to := n.homes(a)[min(q.attempts/2, 1)]
+		to := n.homeAndSuccessor(a)[min(q.attempts/2, 1)]
 		if q.attempts >= maxQueryAttempts || to == "" || to == n.cfg.Host {
 			n.decideLocally(now, id, a)
 			continue
--- a/internal/core/quota/home.go
+++ b/internal/core/quota/home.go
@@ -8,8 +8,8 @@
 
 // handleUsage processes a usage report and decides on the query that it may carry. If this
 // host is not the home, it adds the requests to its own count, which it reports to the
-// home, unless the sender itself receives reports in place of the home (Forwarded): usage
-// is passed on by one host at most.
+// home, unless the sender itself receives reports in place of the home
+// (SenderReceivesReports): usage is passed on by one host at most.
 func (n *Node) handleUsage(now time.Time, p *msg.TeamPacket, u *msg.TeamUsage) {
 	limit, limited := n.cfg.Limit(u.Team)
 	if !limited {
@@ -21,7 +21,7 @@
 	r := a.reporter(p)
 	if added := a.newRequests(now, r, u); added != 0 {
 		a.add(now, float64(added))
-		if !n.isHome(a) && !u.Forwarded {
+		if !n.isHome(a) && !u.SenderReceivesReports {
 			a.count += added
 			n.unconfirmed[a.team] = a
 		}
@@ -71,7 +71,7 @@
 	}
 	added := u.Count - r.count
 	if r.seq == 0 || !u.ConfirmedByReceiver && u.Confirmed != r.confirmed {
-		// This is the host's first report, or it has reported to another home in the
+		// This is the host's first report, or it has reported to another host in the
 		// meantime. Its level includes the requests that were confirmed elsewhere.
 		a.mergeLevel(now, float64(u.Level), u.Known)
 		added = u.Count - u.Confirmed
@@ -93,7 +93,7 @@
 		admit = a.admitAsSuccessor
 	}
 	ok, retryAfter := admit(now)
-	if ok && !n.isHome(a) && !u.Forwarded {
+	if ok && !n.isHome(a) && !u.SenderReceivesReports {
 		a.count++
 		n.unconfirmed[a.team] = a
 	}
@@ -123,7 +123,7 @@
 // updateSuccessor sends the level of a team that is near its limit to the successor of its
 // home, which thereby knows it if the home fails.
 func (n *Node) updateSuccessor(now time.Time, a *account) {
-	if successor := n.homes(a)[1]; successor != "" && successor != n.cfg.Host {
+	if successor := n.homeAndSuccessor(a)[1]; successor != "" && successor != n.cfg.Host {
 		p := n.packet(successor)
 		p.Notices = append(p.Notices, msg.TeamNotice{Team: a.team, Level: float32(a.level(now)), NearLimitMS: uint32(nearLimitPeriod.Milliseconds())})
 	}
--- a/internal/front/response.go
+++ b/internal/front/response.go
@@ -31,7 +31,7 @@
 func newResponse(att *attempt, head *msg.Head) *response {
 	resp := &response{attempt: att, head: head, hash: xxhash.New()}
 	if head.Length > 0 {
-		resp.buffered = make([]byte, 0, min(head.Length, int64(att.req.service.Record.AnswerBufferBytes())))
+		resp.buffered = make([]byte, 0, min(head.Length, int64(att.req.service.Record.ResponseBufferBytes())))
 	}
 	return resp
 }
@@ -80,7 +80,7 @@
 		return nil
 	}
 	if fail := resp.relay(w, req); fail != nil {
-		event.Log(resp.attempt.front.log, event.AnswerAborted, slog.String("request", req.id),
+		event.Log(resp.attempt.front.log, event.ResponseAborted, slog.String("request", req.id),
 			slog.String("target", resp.attempt.target.Name), slog.String("reason", string(fail.Reason)))
 		resp.attempt.front.counts.aborted.Inc()
 		panic(http.ErrAbortHandler)
--- a/internal/guard/call.go
+++ b/internal/guard/call.go
@@ -28,10 +28,10 @@
 	}
 	ctx, cancel := context.WithDeadlineCause(x.ctx, x.deadline, errDeadline)
 	defer cancel()
-	defer context.AfterFunc(x.inst.runCtx, cancel)()
+	defer context.AfterFunc(x.inst.processCtx, cancel)()
 	go func() {
 		select {
-		case <-x.disconnected:
+		case <-x.frontGone:
 			// A request that is not idempotent continues: aborting it midway is worse
 			// than a response that nobody receives. If its body is incomplete,
 			// bodyReader aborts it.
@@ -45,9 +45,10 @@
 	x.inst.start(started, x.waiter, m)
 	run := x.guard.retryBudgets.begin(started, x.inst.service, x.retryReserved, m.Idempotent, x.hints)
 	if !x.retryReserved {
-		// Without a reserved retry, the request is a first attempt. It may still be a
-		// nested request, sent by an instance that is running a retry. run.retryFraction
-		// is then the estimated probability of that, in thousandths.
+		// A request without a reservation in the retry budget is a first attempt. It may
+		// still be a nested request, sent by an instance that is running a retry. As it
+		// counts as a retry in proportion to the estimated probability of that,
+		// run.retryFraction is this probability, in thousandths.
 		x.nestedRetryChance = run.retryFraction
 	}
 	x.retryReserved = false // begin has used the reservation
@@ -65,8 +66,8 @@
 	switch {
 	case failure == nil || ctx.Err() == nil:
 	case errors.Is(context.Cause(ctx), errDeadline):
-		failure = verdict.New(failure.Verdict, verdict.ReasonDeadline, "the target did not answer within the deadline")
-	case x.inst.runCtx.Err() != nil:
+		failure = verdict.New(failure.Verdict, verdict.ReasonDeadline, "the target did not respond within the deadline")
+	case x.inst.processCtx.Err() != nil:
 		failure = verdict.New(failure.Verdict, verdict.ReasonTargetBroke, "the target restarted; requests it was running are lost")
 	}
 	if failure != nil && failure.Verdict == verdict.NotRun {
@@ -201,7 +202,7 @@
 }
 
 // buildRequest builds the request to the target: the caller's request, with the request
-// id, the remaining time and the name of the intended instance added.
+// ID, the remaining time and the name of the intended instance added.
 func (x *exchange) buildRequest(m *msg.Run) *targetconn.Request {
 	d := x.guard.cfg.Dialect
 	req := &targetconn.Request{
@@ -257,7 +258,7 @@
 	var m msg.Message
 	select {
 	case m = <-b.x.inbox:
-	case <-b.x.disconnected:
+	case <-b.x.frontGone:
 		// Messages received before the disconnect are still in the inbox.
 		select {
 		case m = <-b.x.inbox:
