--- a/internal/core/quota/account.go
+++ b/internal/core/quota/account.go
@@ -28,15 +28,16 @@
 	// lastAsSuccessor is when this host was last queried in place of the home.
 	lastAsSuccessor time.Time
 
-	// homeAndSuccessor holds the account's home and its successor, as of hostsVersion.
+	// homeAndSuccessor holds the team's home and its successor, as of hostsVersion.
 	homeAndSuccessor [2]string
 	hostsVersion     uint64
 
 	// count is the number of requests since the account was created that this host reports
-	// to the home: those it admitted without a query, and those that, in place of the home,
-	// it received reports of or granted on a query. Requests that did not run and second
-	// grants of a query are subtracted. confirmed is the part of count that the home, or
-	// another host in its place, has confirmed; confirmedBy is that host.
+	// to the home: those that it admitted without a query, and those that other hosts
+	// reported to it, or that it granted them on a query, in place of the home. Requests
+	// that did not run and second grants of a query are subtracted. confirmed is the part
+	// of count that the home, or another host in its place, has confirmed; confirmedBy is
+	// that host.
 	count, confirmed int64
 	confirmedBy      string
 	// seq numbers the usage reports sent; confirmedSeq is the last one confirmed.
@@ -229,8 +230,8 @@
 	return min(max(d, time.Millisecond), maxRetryAfter)
 }
 
-// homeAndSuccessor returns the home of a team's account and its successor, "" for none. It uses
-// rendezvous hashing.
+// homeAndSuccessor returns a team's home and its successor, "" for none. It uses rendezvous
+// hashing.
 func (n *Node) homeAndSuccessor(a *account) [2]string {
 	if a.hostsVersion == n.hostsVersion && a.homeAndSuccessor[0] != "" {
 		return a.homeAndSuccessor
@@ -259,7 +260,7 @@
 	return x ^ x>>33
 }
 
-// isHome reports whether this host is the home of the account.
+// isHome reports whether this host is the team's home.
 func (n *Node) isHome(a *account) bool { return n.homeAndSuccessor(a)[0] == n.cfg.Host }
 
 // actsForHome reports whether this host is the successor of a home that does not answer
--- a/internal/core/quota/admit.go
+++ b/internal/core/quota/admit.go
@@ -8,7 +8,7 @@
 	"github.com/radishhoist/radishhoist/internal/msg"
 )
 
-// query is a request for a decision, sent to the home of the account.
+// query is a request for a decision, sent to the team's home.
 type query struct {
 	account  *account
 	sentAt   time.Time
@@ -46,9 +46,9 @@
 	}
 }
 
-// admitAsHome decides on a request of this host's own callers if it is the home of the
-// account. For startupPeriod after this host's start the other hosts may still consider
-// it dead and use another home, so its own share applies as well.
+// admitAsHome decides on a request of this host's own callers if it is the team's home. For
+// startupPeriod after this host's start the other hosts may still consider it dead and use
+// another home, so its own share applies as well.
 func (n *Node) admitAsHome(now time.Time, a *account) (bool, time.Duration) {
 	if n.inStartup(now) && len(n.hosts) > 1 {
 		if ok, retryAfter := a.admitStandalone(now); !ok {
@@ -130,7 +130,7 @@
 }
 
 // receivesReports reports whether other hosts have reported the team's usage to this one
-// and it is not the account's home.
+// and it is not the team's home.
 func (n *Node) receivesReports(a *account) bool { return len(a.reporters) > 0 && !n.isHome(a) }
 
 // reportUsage reports usage that is not confirmed yet. After a timeout it tries the
@@ -183,9 +183,9 @@
 	}
 }
 
-// decideLocally decides on a query without another host, by the account if this host has
-// become the home, and otherwise by its own share: no other host answered, there is no
-// successor, or this host is the successor.
+// decideLocally decides on a query that no other host decides: none answered, there is no
+// successor, or this host has become the home or the successor. The home decides by its
+// account, any other host by its own share.
 func (n *Node) decideLocally(now time.Time, id uint32, a *account) {
 	delete(n.queries, id)
 	n.resolved[id] = resolvedQuery{at: now}
--- a/internal/core/quota/home.go
+++ b/internal/core/quota/home.go
@@ -104,7 +104,7 @@
 }
 
 // checkNearLimit notifies all hosts when a team comes near its limit, if this host is the
-// account's home or acts for it.
+// team's home or acts for it.
 func (n *Node) checkNearLimit(now time.Time, a *account) {
 	if n.nearLimit[a.team] != nil || !a.isNearLimit(now) || !n.isHome(a) && !n.actsForHome(a) {
 		return
--- a/internal/core/quota/quota.go
+++ b/internal/core/quota/quota.go
@@ -94,8 +94,8 @@
 	// which raises levels only by the lost part of the capacity. A larger loss raises them
 	// to the capacity.
 	singleLossFraction = 0.9
-	// minUnconfirmedAllowance is the number of unconfirmed requests that every host may
-	// have while the team is far from its limit, however many hosts there are.
+	// minUnconfirmedAllowance is the minimum of the limit on a host's unconfirmed requests
+	// while the team is far from its limit, however many hosts there are.
 	minUnconfirmedAllowance = 2
 	// pauseThreshold is the time without a call of Step or Tick after which a host assumes
 	// that others acted in its place. relearnPeriod is how long it then does not answer
--- a/internal/core/quota/quota_test.go
+++ b/internal/core/quota/quota_test.go
@@ -49,7 +49,7 @@
 	{"datagrams are lost and duplicated", func(s *sim) { s.lossRate, s.duplicateRate = 0.05, 0.05 }},
 }
 
-// homeOf returns the home of a team's account, as seen by the first host.
+// homeOf returns a team's home, as seen by the first host.
 func (s *sim) homeOf(team string) int {
 	n := s.hosts[0].node
 	return s.index(n.homeAndSuccessor(n.account(s.time(), team, s.limits[team]))[0])
--- a/internal/core/quota/strategies_test.go
+++ b/internal/core/quota/strategies_test.go
@@ -27,7 +27,8 @@
 
 // Compares the enforcement strategies of docs/design/0010-teams.md: a large team sends 7.5
 // times its usual load, 4.7 times its rate, for 6.5 s, among forty medium ones at their usual
-// load. Only the last strategy, the one in use, must keep within the limits.
+// load. Only the last strategy, the one in use, is checked: the large team must stay within
+// its allowed excess, and at most one in 200 requests of the medium teams may be refused.
 func TestEnforcementStrategies(t *testing.T) {
 	for _, hosts := range []int{6, 91, 354, 1600} {
 		for _, st := range strategies {
