--- a/internal/core/once/lease.go
+++ b/internal/core/once/lease.go
@@ -14,9 +14,9 @@
 // LeaseGranter is a guard's side of shard ownership. It grants the lease of a shard to one
 // epoch at a time: until the owner has released the lease or it has expired by the guard's
 // own monotonic clock, a greater epoch is refused. Two owners cannot have authority at the
-// same time, since any two majorities have a guard in common, and that guard grants the
-// lease to only one of them. Acquire and Release are used on the guards in the shard map,
-// and MayRun on any guard that runs a request.
+// same time, since any two majorities of the same guards have a guard in common, and that
+// guard grants the lease to only one of them. Acquire and Release are used on the guards in
+// the shard map, and MayRun on any guard that runs a request.
 //
 // A process that has just started may have granted leases before its restart. It
 // therefore grants none until those have expired and it has read the shard maps from the
--- a/internal/core/once/placement.go
+++ b/internal/core/once/placement.go
@@ -84,7 +84,7 @@
 // thus replaced by first adding another, and there may be maxGuards+1 for a time. Every
 // shard gets a new epoch, and a majority of the previous guards is also required until all
 // owners have had authority at their new epochs. Until then, the guards are not changed
-// again. Only the first usable guard by name changes them, to avoid conflicting writes.
+// again. Only the first usable guard by name changes them, which limits conflicting writes.
 func changeGuards(service, self string, m *record.ShardMap, hosts []Candidate) bool {
 	if self != firstUsable(m.Guards, hosts) || !allHeld(m) {
 		return false
--- a/internal/core/once/sim_test.go
+++ b/internal/core/once/sim_test.go
@@ -145,7 +145,7 @@
 func (s *sim) delay() time.Duration { return time.Duration(1+s.rng.IntN(20)) * time.Millisecond }
 
 // send delivers a message to a host after a delay, unless the two hosts are partitioned
-// or the send is lost.
+// or the message is lost.
 func (s *sim) send(from, to int, do func()) {
 	if s.now.Before(s.partitionedUntil[[2]int{from, to}]) || s.rng.IntN(50) == 0 {
 		return
