--- a/internal/core/announce/announce.go
+++ b/internal/core/announce/announce.go
@@ -27,8 +27,8 @@
 	maxFirstSequence = 2
 	// maxPastStarts is the number of earlier starts remembered per instance.
 	maxPastStarts = 8
-	// maxEntries is the number of instances remembered. Above it, the one that was not
-	// heard of for the longest time is evicted.
+	// maxEntries is the number of instances remembered. Above it, the instance whose last
+	// accepted announcement or leave is the oldest is evicted.
 	maxEntries = 1024
 )
 
--- a/internal/core/detect/params.go
+++ b/internal/core/detect/params.go
@@ -41,7 +41,7 @@
 	// ClearThreshold is the evidence of normal service, in nats, at which a suspect
 	// becomes healthy again.
 	ClearThreshold float64
-	// HoldMin is the initial minimum duration of a suspicion. It doubles with each
+	// HoldMin is the minimum duration of a first suspicion. The minimum doubles with each
 	// relapse within FlapWindow, up to HoldMax.
 	HoldMin, HoldMax time.Duration
 	// FlapWindow is the time after a suspect has become healthy within which a new
--- a/internal/core/member/member.go
+++ b/internal/core/member/member.go
@@ -180,8 +180,8 @@
 // The caller publishes a greater version to refute the claim.
 func (n *Node) Suspected() bool { return n.suspected }
 
-// Isolated reports whether so many consecutive probes of this host failed that it cannot
-// tell whether other hosts are alive.
+// Isolated reports whether so many consecutive probes sent by this host failed that it
+// cannot tell whether other hosts are alive.
 func (n *Node) Isolated() bool { return n.consecutiveFailures >= isolationThreshold }
 
 // isolationThreshold is the number of consecutive failed probes from which the fault is
--- a/internal/core/retry/retry.go
+++ b/internal/core/retry/retry.go
@@ -70,7 +70,8 @@
 
 // AddCall records the first attempt of a call made by a run. It does not add to the
 // allowance: the request that was run does, at its own service. nestedRetryProbability is
-// the probability that the run was itself a retry, and counts as that fraction of one.
+// the probability that the run was itself a retry; the call counts as that fraction of a
+// retry.
 func (b *Budget) AddCall(now time.Time, nestedRetryProbability float64) {
 	b.current(now).retries += nestedRetryProbability
 }
