--- a/internal/keys/keys.go
+++ b/internal/keys/keys.go
@@ -1,5 +1,5 @@
 // Package keys ensures that requests with the same Idempotency-Key run at most once. On
-// each host, it owns shards of keys, grants leases of shards to other owners, hands over key
+// each host, it owns shards of keys, grants leases of shards to their owners, hands over key
 // tables, and claims keys for the front, the proxy at the caller. The decisions are made by
 // package internal/core/once; this package sends the messages, runs the timers and writes
 // the shard maps.
