--- a/internal/teams/teams.go
+++ b/internal/teams/teams.go
@@ -97,9 +97,9 @@
 }
 
 // Admit decides whether a request of a team may run, and otherwise returns when to retry.
-// It blocks while the home of the team's account is queried. limited reports whether the
-// team has a limit: an admitted request then counts against it, and Release subtracts it
-// again if it did not run.
+// It blocks while the team's home is queried. limited reports whether the team has a limit:
+// an admitted request then counts against it, and Release subtracts it again if it did not
+// run.
 func (r *RateLimiter) Admit(ctx context.Context, team string) (ok, limited bool, retryAfter time.Duration) {
 	limit, limited := r.limit(team)
 	if !limited {
--- a/internal/teams/teams_test.go
+++ b/internal/teams/teams_test.go
@@ -86,7 +86,7 @@
 	return p
 }
 
-// nonHome returns the host that is not the home of the team's account.
+// nonHome returns the host that is not the team's home.
 func (p *pair) nonHome() *RateLimiter {
 	r := p.limiters["h1"]
 	r.mu.Lock()
