--- a/internal/guard/call.go
+++ b/internal/guard/call.go
@@ -45,10 +45,10 @@
 	x.inst.start(started, x.waiter, m)
 	run := x.guard.retryBudgets.begin(started, x.inst.service, x.retryReserved, m.Idempotent, x.hints)
 	if !x.retryReserved {
-		// A request without a reservation in the retry budget is a first attempt. It may
-		// still be a nested request, sent by an instance that is running a retry. As it
-		// counts as a retry in proportion to the estimated probability of that,
-		// run.retryFraction is this probability, in thousandths.
+		// A request without a reservation in the retry budget is a first attempt. An
+		// instance that is running a retry may still have sent it, as a nested request.
+		// run.retryFraction is the estimated probability of that, in thousandths, and
+		// the request counts as that fraction of a retry.
 		x.nestedRetryChance = run.retryFraction
 	}
 	x.retryReserved = false // begin has used the reservation
--- a/internal/guard/estimate.go
+++ b/internal/guard/estimate.go
@@ -60,7 +60,7 @@
 )
 
 // publishLoad sends significant changes to the fronts: a changed load to those nearby, a
-// changed failure estimate or refusal share to all.
+// changed failure estimate or shed share to all.
 func (i *instance) publishLoad(now time.Time) {
 	i.mu.Lock()
 	load := i.loadAt(now)
@@ -138,8 +138,8 @@
 	// trialFailureThreshold is the failure estimate from which the instance's health
 	// is in doubt.
 	trialFailureThreshold = 0.1
-	// trialDelay is the time between a failed trial, a request that shows whether a
-	// doubtful instance works again, and the next one. A shorter delay spends the retry
+	// trialDelay is the time between a failed trial and the next one. A trial is a request
+	// that shows whether a doubtful instance works again. A shorter delay spends the retry
 	// budget on instances that stay unhealthy for seconds; a longer one delays the return
 	// of those that have recovered.
 	trialDelay = time.Second
--- a/internal/guard/estimate_test.go
+++ b/internal/guard/estimate_test.go
@@ -63,8 +63,8 @@
 // hundred times as many requests as others. Each request for work was sent to all
 // nearby fronts, and in a large data centre one such request and its replies exhausted
 // the host's load report rate limit, so that fronts acted on outdated requests for work
-// and did not receive new ones. With 91 hosts at a tenth of their slots, a third of the
-// delay before requesting work left three times as many instances underused.
+// and did not receive new ones. With 91 hosts at a tenth of their slots, requesting work
+// after a third of the delay left three times as many instances underused.
 func TestIdleInstanceRequestsWorkFromFewFronts(t *testing.T) {
 	i, requests := recordWorkRequests(t)
 	now := time.Now()
--- a/internal/guard/failedcalls.go
+++ b/internal/guard/failedcalls.go
@@ -7,8 +7,8 @@
 
 const (
 	// excuseWindow is the longest delay between the failure of an instance's own
-	// outgoing call and a failure of the instance that is attributed to it. Instances
-	// pass such failures on at once, and to the guard on the same host; a longer window
+	// outgoing call and a failure of the instance that is attributed to it. An instance
+	// passes such a failure on at once, to the guard on the same host; a longer window
 	// would excuse failures with other causes.
 	excuseWindow = 20 * time.Millisecond
 	// maxFailedCalls limits the number of remembered failed calls.
--- a/internal/guard/health.go
+++ b/internal/guard/health.go
@@ -64,8 +64,8 @@
 // front expects at this instance: the mean time of the route times the instance's own
 // latency ratio, as measured by that front. The samples that fronts send, by contrast,
 // are relative to the mean time of the route alone. The detector compares ratios instead
-// of service times, because routes differ in the work per request. It gets no failures,
-// which the failure estimate covers.
+// of service times, because routes differ in the work per request. Failed requests are not
+// passed to the detector; the failure estimate covers them.
 const latencyRatioUnit = time.Second
 
 // latencyRatio returns the ratio of a service time to the expected duration, in units
