--- a/internal/front/attempt.go
+++ b/internal/front/attempt.go
@@ -67,7 +67,7 @@
 
 const (
 	// frameTimeout is how long a host may send no frame before it is pinged, and then how
-	// long it has to reply to the ping before its path counts as broken. A frame is any
+	// long it has to reply to the ping before its path is excluded. A frame is any
 	// message on the connection, of whichever request, or the reply to a ping.
 	frameTimeout = 150 * time.Millisecond
 	// cancelTimeout bounds the sending of Cancel.
@@ -189,7 +189,8 @@
 		return nil
 	}
 	a.front.paths.recordMiss(time.Now(), a.target.Host.Name)
-	// Send the next request over a new connection, because this one may stay silent.
+	// Send the next request over a new connection, because this one may deliver no more
+	// frames.
 	a.conn.MarkSuspect()
 	if a.req.idempotent || a.state.Phase() == once.Reserving {
 		return a.abort(errors.New("no frame received from the host"))
--- a/internal/front/choose.go
+++ b/internal/front/choose.go
@@ -20,12 +20,12 @@
 const trialShare = 0.05
 
 // pick is the target chosen for one attempt. A target is an instance as the current directory
-// lists it.
+// lists it, with this front's observations of it.
 type pick struct {
 	target *target
 	// sample is the latency ratio of another instance: its service time relative to the
-	// usual one of the route. It is sent to the guard with the request, for comparison with
-	// the chosen instance.
+	// mean of the route. It is sent to the guard with the request, for comparison with the
+	// chosen instance.
 	sample msg.Sample
 	// entry describes the choice in the request log.
 	entry attemptEntry
@@ -192,8 +192,7 @@
 
 // pickFallback returns an ejected target that accepts requests, or else any other that does:
 // one whose path is excluded, or, for a request suspected of crashing instances, also one in
-// candidates.eligible.
-// Trying such a target is better than refusing the request.
+// candidates.eligible. Trying such a target is better than refusing the request.
 func (st *serviceState) pickFallback(tried []*target) *target {
 	for _, i := range st.untried(st.candidates.ejected, tried) {
 		if st.targets[i].Usable() {
--- a/internal/front/latency.go
+++ b/internal/front/latency.go
@@ -46,8 +46,8 @@
 	l.p95 = sorted[len(sorted)*95/100]
 }
 
-// hedgeDelay is how long an idempotent attempt may take before a hedge is sent to
-// another target. It is half the objective until enough service times are known.
+// hedgeDelay is how long an idempotent attempt may go without a response before a hedge is
+// sent to another target. It is half the objective until enough service times are known.
 func (l *latency) hedgeDelay(objective time.Duration) time.Duration {
 	if l.p95 == 0 {
 		return objective / 2
