--- a/internal/control/cleanup.go
+++ b/internal/control/cleanup.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	// cleanupInterval is how often the first-ranked host of a data centre (see
-	// Control.rank) looks for stale records.
+	// cleanupInterval is how often the first-ranked host of a data centre, whose
+	// Control.rank is 0, looks for stale records.
 	cleanupInterval = 10 * time.Minute
 	// unknownHostRetention is how long a host must be unknown before its record is removed.
 	// If the host returns, it writes the record again.
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -132,7 +132,8 @@
 }
 
 const (
-	// tickInterval is the interval of tick, and thereby the resolution of all timers.
+	// tickInterval is the interval of tick, and thereby the resolution of the timers that
+	// tick checks.
 	tickInterval = 50 * time.Millisecond
 	// versionShift is the position of the incarnation in the version of a host entry. The
 	// bits below it count the changes made by the process.
--- a/internal/control/loadreport_test.go
+++ b/internal/control/loadreport_test.go
@@ -129,7 +129,7 @@
 }
 
 // If many estimates change, the reports of these changes use up the rate limit. Reports of
-// instances that ask for a trial request have a separate limit and must still be sent.
+// instances that ask for a request have a separate limit and must still be sent.
 func TestReportsToFewHostsHaveSeparateRateLimit(t *testing.T) {
 	c := newControlWithHosts(t, 500, 20, 20)
 	start := time.Now()
--- a/internal/control/status.go
+++ b/internal/control/status.go
@@ -116,7 +116,7 @@
 }
 
 // newestFirst returns the record sets sorted by revision, newest first. Each set but the
-// first has a list of the hosts that are behind with it.
+// first lists the hosts that have it, and so are behind, up to maxBehind.
 func newestFirst(byRoot map[uint64]*record.HostsInForce, hostsOf map[uint64][]string) []record.HostsInForce {
 	var out []record.HostsInForce
 	for root, f := range byRoot {
--- a/internal/control/teams.go
+++ b/internal/control/teams.go
@@ -16,7 +16,7 @@
 type TeamRateLimiter interface {
 	// Receive processes a datagram from another host.
 	Receive(p *msg.TeamPacket)
-	// Tick is called every tickInterval.
+	// Tick is called every tickInterval, 50 ms.
 	Tick()
 	// SetHosts sets the live hosts, sorted by name, and the number of hosts that share the
 	// rates, which includes hosts that died recently.
