--- a/internal/objects/late.go
+++ b/internal/objects/late.go
@@ -21,7 +21,8 @@
 	Attempts int
 	// Ended is false while the call is still pending.
 	Ended bool
-	// Cause is the error of an ended call, nil if the call succeeded.
+	// Cause is the error of an ended call, nil if the platform served it. A call that ends
+	// in a conflict or finds no object has been served, too.
 	Cause error
 }
 
