--- a/internal/peer/send.go
+++ b/internal/peer/send.go
@@ -14,7 +14,8 @@
 	// periodic repair restores the data.
 	aliveWindow = 2 * time.Second
 	// pingTimeout limits the wait for the response to a ping. It equals the time for which
-	// a request waits for a frame before it treats its path as failed.
+	// a request waits for a frame before its path is excluded, twice frameTimeout of package
+	// front.
 	pingTimeout = 300 * time.Millisecond
 	// replaceBackoffMin and replaceBackoffMax bound the time between two replacements of a
 	// suspect connection. A frozen host does not respond on new connections either, so
--- a/internal/peer/suspect_test.go
+++ b/internal/peer/suspect_test.go
@@ -142,7 +142,7 @@
 }
 
 // A replaced connection is kept while it has open streams, and a suspect connection that
-// answers a ping is used again.
+// responds to a ping is used again.
 func TestSuspectConnectionKeepsItsStreams(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		from, n, _, stop := newPoolPair(t)
