--- a/internal/guard/estimate.go
+++ b/internal/guard/estimate.go
@@ -41,9 +41,9 @@
 }
 
 const (
-	// estimateChangeThreshold is the change in the failure estimate or the refusal
-	// share, in thousandths, against the last published values at which fronts are
-	// updated at once.
+	// estimateChangeThreshold is the change in the failure estimate or the shed share,
+	// in thousandths, against the last published values at which fronts are updated at
+	// once.
 	estimateChangeThreshold = 150
 	// loadChangeThreshold is the change in load, as a fraction of the slots, at which
 	// nearby fronts are updated.
