--- a/internal/guard/estimate.go
+++ b/internal/guard/estimate.go
@@ -41,9 +41,9 @@
 }
 
 const (
-	// estimateChangeThreshold is the change in the failure estimate or the refusal
-	// share, in thousandths, against the last published values at which fronts are
-	// updated at once.
+	// estimateChangeThreshold is the change in the failure estimate or the shed share,
+	// in thousandths, against the last published values at which fronts are updated at
+	// once.
 	estimateChangeThreshold = 150
 	// loadChangeThreshold is the change in load, as a fraction of the slots, at which
 	// nearby fronts are updated.
@@ -60,7 +60,7 @@
 )
 
 // publishLoad sends significant changes to the fronts: a changed load to those nearby, a
-// changed failure estimate or refusal share to all.
+// changed failure estimate or shed share to all.
 func (i *instance) publishLoad(now time.Time) {
 	i.mu.Lock()
 	load := i.loadAt(now)
@@ -138,8 +138,8 @@
 	// trialFailureThreshold is the failure estimate from which the instance's health
 	// is in doubt.
 	trialFailureThreshold = 0.1
-	// trialDelay is the time between a failed trial, a request that shows whether a
-	// doubtful instance works again, and the next one. A shorter delay spends the retry
+	// trialDelay is the time between a failed trial and the next one. A trial is a request
+	// that shows whether a doubtful instance works again. A shorter delay spends the retry
 	// budget on instances that stay unhealthy for seconds; a longer one delays the return
 	// of those that have recovered.
 	trialDelay = time.Second
