--- a/internal/experiment/noise.go
+++ b/internal/experiment/noise.go
@@ -12,8 +12,8 @@
 
 // Noise is a long run of healthy instances with noisy service times: each instance
 // independently has short bursts of slow responses, as during a garbage collection or a backup.
-// Only the detectors run, on generated samples. All instances are healthy, so that every alarm is
-// a false positive.
+// Only the detectors run, on generated samples, and nothing is ejected. All instances are healthy,
+// so that every alarm is a false positive.
 type Noise struct {
 	Site Site
 	// Load is the arrival rate as a share of capacity.
--- a/internal/experiment/radishhoist.go
+++ b/internal/experiment/radishhoist.go
@@ -332,9 +332,9 @@
 	s.schedule(300*time.Millisecond, func() { s.handleSilence(t) })
 }
 
-// handleSilence runs 300 ms after an attempt was sent, which corresponds to two frame timeouts of the
-// real front; that one pings the host after the first. If the host's outbound messages are lost, it
-// marks the path as down and fails the attempt.
+// handleSilence runs 300 ms after an attempt was sent. This corresponds to two frame timeouts of the
+// real front, which pings the host after the first one. If the host's outbound messages are lost,
+// handleSilence marks the path as down and fails the attempt.
 func (s *radishhoistSim) handleSilence(t *attemptSim) {
 	if t.finished || !s.outboundCut(t.instance) {
 		return
--- a/internal/experiment/scenario.go
+++ b/internal/experiment/scenario.go
@@ -1,7 +1,7 @@
 // Package experiment measures failure detection, ejection, load balancing and admission control in
 // virtual time and compares them with simple baseline policies. It runs the real core packages with
 // simulated instances and network paths. A simulation has one service, its instances and the fronts
-// that send requests to it.
+// that send requests to it, not a whole fleet.
 package experiment
 
 import (
