--- a/internal/mesh/mesh.go
+++ b/internal/mesh/mesh.go
@@ -1,6 +1,7 @@
 // Package mesh runs the membership and replication cores of many hosts in one process, with an
 // in-memory network and virtual time. Tests use it to inject failures, and the capacity measurement
-// to find out how costs grow with the number of hosts. It simulates no requests and no targets.
+// to find out how costs grow with the number of hosts. It simulates no requests and no targets, and
+// opens no sockets.
 package mesh
 
 import (
