--- a/internal/msg/requests.go
+++ b/internal/msg/requests.go
@@ -148,8 +148,9 @@
 	Hints       AdmissionHints
 	Reserved    bool
 	Idempotent  bool
-	// Shard and Epoch are those of the claim of the request's idempotency key; the guard
-	// refuses a run whose epoch has ended. Epoch is 0 for a run without a claim.
+	// Shard and Epoch are those of the claim of the request's idempotency key. They fence
+	// the run: the guard refuses it if it knows a greater epoch of the shard. Epoch is 0
+	// for a run without a claim.
 	Shard  uint32
 	Epoch  uint64
 	Method string
--- a/internal/msg/teams.go
+++ b/internal/msg/teams.go
@@ -5,7 +5,7 @@
 //msgp:limit arrays:4096 maps:64
 //msgp:tuple TeamPacket TeamUsage TeamLevel TeamNotice
 
-// TeamPacket is a datagram of the hosts' shared limits on the request rates of teams.
+// TeamPacket is a datagram by which hosts exchange the usage of teams with a rate limit.
 type TeamPacket struct {
 	// From is the sending host, and Incarnation its start time in Unix milliseconds.
 	From        string
@@ -36,8 +36,9 @@
 	Known bool
 	// ConfirmedByReceiver reports whether Confirmed was confirmed by the receiver.
 	ConfirmedByReceiver bool
-	// SenderReceivesReports reports that other hosts report the team's usage to the sender, although it
-	// does not keep the account.
+	// SenderReceivesReports reports that other hosts report the team's usage to the sender,
+	// although it is not the home. The receiver then does not report the usage any further, so
+	// that one host at most passes it on.
 	SenderReceivesReports bool
 	// QueryID identifies the query, or is 0 if there is none.
 	QueryID uint32
