--- a/internal/soak/check.go
+++ b/internal/soak/check.go
@@ -165,8 +165,8 @@
 
 const (
 	// crashesUntilBlocked is the number of crashes after which a request is blocked.
-	// maxLateCrashes limits the crashes that follow once connected hosts have had settlePeriod to
-	// learn of those.
+	// maxLateCrashes is the number of further crashes allowed once connected hosts have had
+	// settlePeriod to learn of the first crashesUntilBlocked.
 	crashesUntilBlocked, maxLateCrashes = 3, 3
 )
 
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -232,7 +232,8 @@
 	PlatformSlow:    {SlowMS: 200},
 }
 
-// restart waits until a host's daemon has exited, kills it after stopTimeout, and starts it again.
+// restart starts a host's daemon again once the old process has exited. It kills that process if it
+// does not exit within stopTimeout.
 func (r *run) restart(host int) {
 	h := r.nodes[host].host
 	if ended, _ := h.Daemon.Wait(stopTimeout); !ended {
--- a/internal/soak/schedule.go
+++ b/internal/soak/schedule.go
@@ -1,5 +1,6 @@
 // Package soak runs the real programs as separate processes on loopback addresses, injects faults
-// by a seeded schedule, and checks invariants on what callers, instances and operators observe.
+// from outside the daemons by a seeded schedule, and checks invariants on what callers, instances
+// and operators observe.
 //
 // A seed determines the schedule, but the interleaving of a run depends on the machine: rerun
 // a seed that failed, and add a regression test once the cause is known.
