--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -294,10 +294,11 @@
 	}
 }
 
-// applyPlannedStop drains the host when a Stop record covers it, and resumes when none
-// does. Idempotency keys are handed over before other hosts learn that this host leaves:
-// otherwise one of them could take over a shard without its key table. Until the takeover,
-// requests with a key of that shard are refused, so the announcement follows at once.
+// applyPlannedStop drains the host when a Stop record begins to cover it, and resumes when
+// none does any more. Idempotency keys are handed over before other hosts learn that this
+// host leaves: otherwise one of them could take over a shard without its key table. Until
+// the takeover, requests with a key of that shard are refused, so the announcement follows
+// at once.
 func (d *Daemon) applyPlannedStop(dir *directory.Directory) {
 	stop := dir.PlannedStop(d.cfg.Load().Host, "")
 	covered := stop != nil
