--- a/record/system.go
+++ b/record/system.go
@@ -72,7 +72,8 @@
 	Crashes []InstanceCrash `json:"ends"`
 }
 
-// InstanceCrash is a crash of an instance, which ends one run of the instance.
+// InstanceCrash is a crash of an instance. It ends one run of the instance, which began with
+// its start.
 type InstanceCrash struct {
 	// ID identifies that run in the whole fleet.
 	ID string `json:"id"`
